--- a/Makefile
+++ b/Makefile
@@ -60,7 +60,7 @@
 	mkdir -p build-fuzz/corpus
 	clang++ -std=c++20 -g -O1 -fsanitize=fuzzer,address,undefined -fno-sanitize-recover=all -Isrc -Iinclude \
 	  tests/fuzz/integrity_fuzz.cpp src/integrity/blame.cpp src/integrity/digest.cpp src/integrity/layout.cpp \
-	  src/integrity/ledger.cpp src/integrity/cursor.cpp src/keep/whole_file.cpp -lisal -lcrypto -o build-fuzz/integrity_fuzz
+	  src/integrity/ledger.cpp src/integrity/cursor.cpp src/filestore/atomic_file.cpp -lisal -lcrypto -o build-fuzz/integrity_fuzz
 	build-fuzz/integrity_fuzz -max_total_time=$(SECONDS_EACH) -max_len=8192 -print_final_stats=1 \
 	  build-fuzz/corpus tests/fuzz/corpus
 
--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -15,7 +15,7 @@
 #include <thread>
 #include <vector>
 
-#include "core/owner.h"
+#include "core/scheduler_thread.h"
 #include "lab/fleet/fleet_lab.h"
 #include "lab/fleet/town.h"
 
--- a/bench/integrity.cpp
+++ b/bench/integrity.cpp
@@ -21,8 +21,8 @@
 #include <thread>
 
 #include "app/control.h"
-#include "core/owner.h"
-#include "http/reader.h"
+#include "core/scheduler_thread.h"
+#include "http/message_reader.h"
 #include "integrity/crc32c.h"
 #include "integrity/ledger.h"
 #include "integrity/volume.h"
--- a/src/app/initiator.cpp
+++ b/src/app/initiator.cpp
@@ -14,7 +14,7 @@
 
 #include "app/fleet_settings.h"
 #include "integrity/cursor.h"
-#include "keep/whole_file.h"
+#include "filestore/atomic_file.h"
 #include "log/log.h"
 
 namespace walnutspur::app {
@@ -51,7 +51,7 @@
   outputs_ = loop::Watcher(base_.get(), -1, EV_PERSIST, [this] {
     for (const core::Output& output : owner_->Take()) std::visit([this](const auto& o) { Do(o); }, output);
   });
-  damages_ = std::make_unique<checked::Damages>(base_.get(), options.folder);
+  damages_ = std::make_unique<checksummed::Damages>(base_.get(), options.folder);
   targets_ = std::make_unique<http::Targets>(base_.get(), config_, post);
   targets_->waits = [this](core::Serial serial) { return front_->Waits(serial); };
   // By HTTP a box has one path, and a whole object is what is damaged or not.
@@ -195,7 +195,7 @@
   nbd_.dial = std::min(nbd_.dial, config_.dial);
   const std::size_t most =
       std::clamp<std::size_t>(static_cast<std::size_t>(config_.sockets / kNbdPart), 1, kMostNbd);
-  boxes_ = std::make_unique<checked::Exports>(base_.get(), nbd_, most, damages_.get(), post);
+  boxes_ = std::make_unique<checksummed::Exports>(base_.get(), nbd_, most, damages_.get(), post);
   nbd_front_ = std::make_unique<nbd::Front>(base_.get(), nbd_, config_.settings, most, &serials_, post);
   const bool checks =
       std::any_of(nbd_.volumes.begin(), nbd_.volumes.end(), [](const auto& v) { return v.checked; });
@@ -209,7 +209,7 @@
 }
 
 // The scrub's class and plan are the module's own: no client can name them, and they earn next to nothing.
-void Initiator::AddScrub(checked::ScrubOptions scrub, const core::Post& post) {
+void Initiator::AddScrub(checksummed::ScrubOptions scrub, const core::Post& post) {
   RequestClass cls;
   cls.aim = cls.deadline = scrub.patience = kScrubPatience;
   cls.worth = kScrubWorth;
@@ -226,17 +226,17 @@
   scrub.plan = static_cast<int>(config_.settings.plans.size());
   config_.settings.plans.push_back(plan);
   scrub.warm_up = config_.settings.rules.warm_up;
-  if (keep::Keeper* keeper = damages_->keeper()) {
+  if (filestore::Keeper* keeper = damages_->keeper()) {
     const std::string path = damages_->folder() + "/" + kCursors;
     std::string what;
-    if (const auto bytes = keep::ReadWhole(path)) {
+    if (const auto bytes = filestore::ReadWhole(path)) {
       const auto cursors = integrity::DecodeCursors(*bytes, &what);
       if (cursors) scrub.cursors = *cursors;
       if (!cursors) log::Event(log::Level::kWarn, "scrub_begins_anew", {{"file", path}, {"what", what}});
     }
     scrub.keep_cursors = [keeper](std::string bytes) { keeper->Put(kCursors, std::move(bytes)); };
   }
-  scrub_ = std::make_unique<checked::Scrub>(base_.get(), nbd_, scrub, &serials_, post);
+  scrub_ = std::make_unique<checksummed::Scrub>(base_.get(), nbd_, scrub, &serials_, post);
   boxes_->on_suspicion = [this](std::size_t number, std::uint64_t block) { scrub_->Recheck(number, block); };
 }
 
@@ -390,7 +390,7 @@
 
 // SIGTERM: all goes on for as long as clients may still come, and then for as long as they keep connections:
 // what they would ask on those reaches no other initiator. Shortly before the program would be killed
-// connections end with their next answer, soon enough for it to be a served one (limits/last_answers.h).
+// connections end with their next answer, soon enough for it to be a served one (limits/shutdown_deadline_estimate.h).
 void Initiator::Drain() {
   if (stopped_ != 0) return;
   stopped_ = core::Now();
--- a/src/app/initiator.h
+++ b/src/app/initiator.h
@@ -11,19 +11,19 @@
 #include <vector>
 
 #include "app/control.h"
-#include "checked/damages.h"
-#include "checked/exports.h"
-#include "checked/scrub.h"
-#include "core/owner.h"
+#include "checksummed/corruption_tracker.h"
+#include "checksummed/checksummed_exports.h"
+#include "checksummed/scrub.h"
+#include "core/scheduler_thread.h"
 #include "core/port.h"
 #include "fleet/fleet.h"
 #include "http/config.h"
-#include "http/discovery.h"
-#include "http/front.h"
-#include "http/targets.h"
+#include "http/discovery_client.h"
+#include "http/front_end.h"
+#include "http/target_pool.h"
 #include "loop/loop.h"
 #include "nbd/config.h"
-#include "nbd/front.h"
+#include "nbd/front_end.h"
 #include "pcap/traffic.h"
 
 namespace walnutspur::app {
@@ -34,7 +34,7 @@
   std::string record;  // the pcap file that the traffic served is written to
   std::string
       folder;  // of the damage ledger, the scrub's cursors and the control socket; empty: none of them
-  checked::ScrubOptions scrub;
+  checksummed::ScrubOptions scrub;
   std::optional<fleet::FleetOptions> fleet;  // nothing: this initiator knows of no other
   Time ready_by = 8'000'000;  // us from the start by which clients are taken, with or without a list
   std::string replay;         // the pcap file whose streams are played to the fronts; then the initiator ends
@@ -62,9 +62,9 @@
   nbd::Front* nbd_front() { return nbd_front_.get(); }
   const pcap::Player* player() const { return player_.get(); }
   std::size_t box_connections() const { return boxes_ ? boxes_->connections() : 0; }
-  const checked::Damages& damages() const { return *damages_; }
-  checked::Exports* exports() { return boxes_.get(); }
-  checked::Scrub* scrub() { return scrub_.get(); }
+  const checksummed::Damages& damages() const { return *damages_; }
+  checksummed::Exports* exports() { return boxes_.get(); }
+  checksummed::Scrub* scrub() { return scrub_.get(); }
 
  private:
   void Drain();
@@ -83,7 +83,7 @@
   core::Connector& connector(core::Wire wire);
 
   void StartNbd(const Options& options, const core::Post& post);
-  void AddScrub(checked::ScrubOptions scrub, const core::Post& post);
+  void AddScrub(checksummed::ScrubOptions scrub, const core::Post& post);
   std::string Tell(const Control::Words& words);  // what an operator asks by the control socket
   std::string Status();
   void StartFleet(const fleet::FleetOptions& options);
@@ -102,9 +102,9 @@
   std::unique_ptr<http::Targets> targets_;
   std::unique_ptr<http::Discovery> discovery_;
   std::unique_ptr<nbd::Front> nbd_front_;
-  std::unique_ptr<checked::Damages> damages_;
-  std::unique_ptr<checked::Exports> boxes_;
-  std::unique_ptr<checked::Scrub> scrub_;
+  std::unique_ptr<checksummed::Damages> damages_;
+  std::unique_ptr<checksummed::Exports> boxes_;
+  std::unique_ptr<checksummed::Scrub> scrub_;
   std::unique_ptr<Control> control_;
   std::unique_ptr<pcap::Player> player_;
   std::unique_ptr<fleet::Fleet> fleet_;  // null: there is none
--- a/src/app/platform.cpp
+++ b/src/app/platform.cpp
@@ -5,7 +5,7 @@
 #include <fstream>
 #include <stdexcept>
 
-#include "wire.h"
+#include "simulator/wire.h"
 
 namespace walnutspur::app {
 namespace {
--- a/src/app/settings.h
+++ b/src/app/settings.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "checked/scrub.h"
+#include "checksummed/scrub.h"
 #include "config/schema.h"
 #include "fleet/fleet.h"
 #include "http/config.h"
@@ -19,7 +19,7 @@
   log::Options log;
   http::Digests digests;
   std::string folder;  // of the damage ledger
-  checked::ScrubOptions scrub;
+  checksummed::ScrubOptions scrub;
   std::optional<fleet::FleetOptions> fleet;  // nothing: there is none
   std::string nbd;                           // the file of the NBD front; empty: there is none
 };
--- a/src/checked/exports.cpp
+++ b/src/checksummed/checksummed_exports.cpp
@@ -1,12 +1,12 @@
-#include "checked/exports.h"
+#include "checksummed/checksummed_exports.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "core/owner.h"
+#include "core/scheduler_thread.h"
 #include "log/log.h"
 
-namespace walnutspur::checked {
+namespace walnutspur::checksummed {
 namespace {
 
 using integrity::CommandId;
@@ -382,4 +382,4 @@
   }
 }
 
-}  // namespace walnutspur::checked
+}  // namespace walnutspur::checksummed
--- a/src/checked/exports.h
+++ b/src/checksummed/checksummed_exports.h
@@ -7,8 +7,8 @@
 // them.
 //
 // Runs on the loop's thread. Owns the volumes and the paths' states; what is known of damage is Damages'.
-#ifndef WALNUTSPUR_CHECKED_EXPORTS_H_
-#define WALNUTSPUR_CHECKED_EXPORTS_H_
+#ifndef WALNUTSPUR_CHECKSUMMED_CHECKSUMMED_EXPORTS_H_
+#define WALNUTSPUR_CHECKSUMMED_CHECKSUMMED_EXPORTS_H_
 
 #include <cstdint>
 #include <functional>
@@ -20,15 +20,15 @@
 #include <unordered_map>
 #include <vector>
 
-#include "checked/damages.h"
+#include "checksummed/corruption_tracker.h"
 #include "core/port.h"
 #include "integrity/blame.h"
 #include "integrity/volume.h"
 #include "loop/loop.h"
-#include "nbd/boxes.h"
+#include "nbd/target_pool.h"
 #include "nbd/config.h"
 
-namespace walnutspur::checked {
+namespace walnutspur::checksummed {
 
 struct Counts {
   std::uint64_t reads = 0, writes = 0;  // commands of clients and of the scrub
@@ -118,6 +118,6 @@
   Counts counts_;
 };
 
-}  // namespace walnutspur::checked
+}  // namespace walnutspur::checksummed
 
-#endif  // WALNUTSPUR_CHECKED_EXPORTS_H_
+#endif  // WALNUTSPUR_CHECKSUMMED_CHECKSUMMED_EXPORTS_H_
--- a/src/checked/damages.cpp
+++ b/src/checksummed/corruption_tracker.cpp
@@ -1,11 +1,11 @@
-#include "checked/damages.h"
+#include "checksummed/corruption_tracker.h"
 
 #include <utility>
 
-#include "keep/whole_file.h"
+#include "filestore/atomic_file.h"
 #include "log/log.h"
 
-namespace walnutspur::checked {
+namespace walnutspur::checksummed {
 namespace {
 
 constexpr Time kSave = 1'000'000;  // us from a verdict to the ledger's file: one save for many
@@ -19,9 +19,9 @@
   std::string what;
   if (file_->Load(&ledger_, &what) == integrity::LedgerFile::Found::kRefused)
     log::Event(log::Level::kError, "ledger_refused", {{"what", what}});
-  keeper_ = std::make_unique<keep::Keeper>(
+  keeper_ = std::make_unique<filestore::Keeper>(
       [this](const std::string& name, const std::string& bytes, std::string* why) {
-        return name == kLedger ? file_->Write(bytes, why) : keep::WriteWhole(folder_, name, bytes, why);
+        return name == kLedger ? file_->Write(bytes, why) : filestore::WriteWhole(folder_, name, bytes, why);
       },
       [](const std::string& why) {
         if (why.empty()) return log::Event(log::Level::kWarn, "folder_works_again", {});
@@ -58,4 +58,4 @@
   return verdict;
 }
 
-}  // namespace walnutspur::checked
+}  // namespace walnutspur::checksummed
--- a/src/checked/damages.h
+++ b/src/checksummed/corruption_tracker.h
@@ -2,8 +2,8 @@
 // that keeps the ledger from one start to the next.
 //
 // Runs on the loop's thread and owns the keeper's, which alone touches the folder once this is made.
-#ifndef WALNUTSPUR_CHECKED_DAMAGES_H_
-#define WALNUTSPUR_CHECKED_DAMAGES_H_
+#ifndef WALNUTSPUR_CHECKSUMMED_CORRUPTION_TRACKER_H_
+#define WALNUTSPUR_CHECKSUMMED_CORRUPTION_TRACKER_H_
 
 #include <cstdint>
 #include <memory>
@@ -12,10 +12,10 @@
 
 #include "integrity/blame.h"
 #include "integrity/ledger.h"
-#include "keep/keeper.h"
+#include "filestore/file_store.h"
 #include "loop/loop.h"
 
-namespace walnutspur::checked {
+namespace walnutspur::checksummed {
 
 class Damages {
  public:
@@ -35,7 +35,7 @@
 
   const integrity::Cases& cases() const { return cases_; }
   const integrity::Ledger& ledger() const { return ledger_; }
-  keep::Keeper* keeper() { return keeper_.get(); }  // null: nothing is kept
+  filestore::Keeper* keeper() { return keeper_.get(); }  // null: nothing is kept
   const std::string& folder() const { return folder_; }
   std::uint64_t mismatches() const { return mismatches_; }  // bad readings
   std::uint64_t verdicts() const { return verdicts_; }
@@ -48,11 +48,11 @@
   integrity::Ledger ledger_;
   std::uint64_t mismatches_ = 0, verdicts_ = 0;
   std::unique_ptr<integrity::LedgerFile> file_;  // the keeper's thread writes it
-  std::unique_ptr<keep::Keeper> keeper_;
+  std::unique_ptr<filestore::Keeper> keeper_;
   loop::Watcher save_;
   bool saving_ = false;  // the timer runs: later verdicts must not put it off
 };
 
-}  // namespace walnutspur::checked
+}  // namespace walnutspur::checksummed
 
-#endif  // WALNUTSPUR_CHECKED_DAMAGES_H_
+#endif  // WALNUTSPUR_CHECKSUMMED_CORRUPTION_TRACKER_H_
--- a/src/checked/scrub.cpp
+++ b/src/checksummed/scrub.cpp
@@ -1,12 +1,12 @@
-#include "checked/scrub.h"
+#include "checksummed/scrub.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "core/owner.h"
+#include "core/scheduler_thread.h"
 #include "nbd/payload.h"
 
-namespace walnutspur::checked {
+namespace walnutspur::checksummed {
 namespace {
 
 constexpr Time kReport = 200'000;   // us between reports of what live work feels
@@ -183,4 +183,4 @@
   return all;
 }
 
-}  // namespace walnutspur::checked
+}  // namespace walnutspur::checksummed
--- a/src/checked/scrub.h
+++ b/src/checksummed/scrub.h
@@ -4,8 +4,8 @@
 //
 // Runs on the loop's thread. When it may read is background::Budget's to say, one for each box; what, is
 // integrity::Scrubber's.
-#ifndef WALNUTSPUR_CHECKED_SCRUB_H_
-#define WALNUTSPUR_CHECKED_SCRUB_H_
+#ifndef WALNUTSPUR_CHECKSUMMED_SCRUB_H_
+#define WALNUTSPUR_CHECKSUMMED_SCRUB_H_
 
 #include <functional>
 #include <map>
@@ -21,7 +21,7 @@
 #include "loop/loop.h"
 #include "nbd/config.h"
 
-namespace walnutspur::checked {
+namespace walnutspur::checksummed {
 
 struct ScrubOptions {
   bool on = false;
@@ -110,6 +110,6 @@
   std::uint64_t requests_ = 0, failed_ = 0;
 };
 
-}  // namespace walnutspur::checked
+}  // namespace walnutspur::checksummed
 
-#endif  // WALNUTSPUR_CHECKED_SCRUB_H_
+#endif  // WALNUTSPUR_CHECKSUMMED_SCRUB_H_
--- a/src/core/owner.cpp
+++ b/src/core/scheduler_thread.cpp
@@ -1,4 +1,4 @@
-#include "core/owner.h"
+#include "core/scheduler_thread.h"
 
 #include <chrono>
 #include <utility>
--- a/src/core/owner.h
+++ b/src/core/scheduler_thread.h
@@ -1,6 +1,6 @@
 // The thread that owns the engine, and with it the Scheduler.
-#ifndef WALNUTSPUR_CORE_OWNER_H_
-#define WALNUTSPUR_CORE_OWNER_H_
+#ifndef WALNUTSPUR_CORE_SCHEDULER_THREAD_H_
+#define WALNUTSPUR_CORE_SCHEDULER_THREAD_H_
 
 #include <functional>
 #include <thread>
@@ -37,4 +37,4 @@
 
 }  // namespace walnutspur::core
 
-#endif  // WALNUTSPUR_CORE_OWNER_H_
+#endif  // WALNUTSPUR_CORE_SCHEDULER_THREAD_H_
--- a/src/decide.cpp
+++ b/src/decision/scheduler.cpp
@@ -13,9 +13,9 @@
 #include <unordered_map>
 
 #include "limits/backoff.h"
-#include "limits/cold_start.h"
-#include "limits/patience.h"
-#include "routing/risk.h"
+#include "limits/slow_start.h"
+#include "limits/abandonment_estimate.h"
+#include "routing/outcome_history.h"
 #include "walnutspur/scheduler.h"
 
 namespace walnutspur {
--- a/src/keep/whole_file.cpp
+++ b/src/filestore/atomic_file.cpp
@@ -1,4 +1,4 @@
-#include "keep/whole_file.h"
+#include "filestore/atomic_file.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -9,7 +9,7 @@
 #include <fstream>
 #include <sstream>
 
-namespace walnutspur::keep {
+namespace walnutspur::filestore {
 namespace {
 
 bool WriteAll(int fd, std::string_view bytes) {
@@ -62,4 +62,4 @@
   return bytes.str();
 }
 
-}  // namespace walnutspur::keep
+}  // namespace walnutspur::filestore
--- a/src/keep/whole_file.h
+++ b/src/filestore/atomic_file.h
@@ -1,13 +1,13 @@
 // Files that are there whole or not at all: a new one is written beside the old, synced and renamed, and the
 // folder is synced. May block for as long as the disk likes: not for the loop's thread.
-#ifndef WALNUTSPUR_KEEP_WHOLE_FILE_H_
-#define WALNUTSPUR_KEEP_WHOLE_FILE_H_
+#ifndef WALNUTSPUR_FILESTORE_ATOMIC_FILE_H_
+#define WALNUTSPUR_FILESTORE_ATOMIC_FILE_H_
 
 #include <optional>
 #include <string>
 #include <string_view>
 
-namespace walnutspur::keep {
+namespace walnutspur::filestore {
 
 // False, with one line, if it could not be made to last; the old file then still stands.
 bool WriteWhole(const std::string& folder, const std::string& name, std::string_view bytes,
@@ -15,6 +15,6 @@
 // Nothing if there is no such file or it cannot be read.
 std::optional<std::string> ReadWhole(const std::string& path);
 
-}  // namespace walnutspur::keep
+}  // namespace walnutspur::filestore
 
-#endif  // WALNUTSPUR_KEEP_WHOLE_FILE_H_
+#endif  // WALNUTSPUR_FILESTORE_ATOMIC_FILE_H_
--- a/src/keep/keeper.cpp
+++ b/src/filestore/file_store.cpp
@@ -1,9 +1,9 @@
-#include "keep/keeper.h"
+#include "filestore/file_store.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace walnutspur::keep {
+namespace walnutspur::filestore {
 
 Keeper::Keeper(Write write, std::function<void(const std::string&)> told, std::chrono::milliseconds rest,
                std::chrono::milliseconds most_rest)
@@ -75,4 +75,4 @@
   }
 }
 
-}  // namespace walnutspur::keep
+}  // namespace walnutspur::filestore
--- a/src/keep/keeper.h
+++ b/src/filestore/file_store.h
@@ -3,8 +3,8 @@
 //
 // Owns its thread. Put may be called from any thread and never blocks on the disk. The destructor gives what
 // waits one last try.
-#ifndef WALNUTSPUR_KEEP_KEEPER_H_
-#define WALNUTSPUR_KEEP_KEEPER_H_
+#ifndef WALNUTSPUR_FILESTORE_FILE_STORE_H_
+#define WALNUTSPUR_FILESTORE_FILE_STORE_H_
 
 #include <chrono>
 #include <condition_variable>
@@ -15,7 +15,7 @@
 #include <string>
 #include <thread>
 
-namespace walnutspur::keep {
+namespace walnutspur::filestore {
 
 class Keeper {
  public:
@@ -50,6 +50,6 @@
   std::thread thread_;
 };
 
-}  // namespace walnutspur::keep
+}  // namespace walnutspur::filestore
 
-#endif  // WALNUTSPUR_KEEP_KEEPER_H_
+#endif  // WALNUTSPUR_FILESTORE_FILE_STORE_H_
--- a/src/http/discovery.cpp
+++ b/src/http/discovery_client.cpp
@@ -1,10 +1,10 @@
-#include "http/discovery.h"
+#include "http/discovery_client.h"
 
 #include <event2/buffer.h>
 
 #include <utility>
 
-#include "core/owner.h"
+#include "core/scheduler_thread.h"
 #include "log/log.h"
 
 namespace walnutspur::http {
--- a/src/http/discovery.h
+++ b/src/http/discovery_client.h
@@ -1,6 +1,6 @@
 // Watches discovery for the list of targets.
-#ifndef WALNUTSPUR_HTTP_DISCOVERY_H_
-#define WALNUTSPUR_HTTP_DISCOVERY_H_
+#ifndef WALNUTSPUR_HTTP_DISCOVERY_CLIENT_H_
+#define WALNUTSPUR_HTTP_DISCOVERY_CLIENT_H_
 
 #include <functional>
 #include <memory>
@@ -49,4 +49,4 @@
 
 }  // namespace walnutspur::http
 
-#endif  // WALNUTSPUR_HTTP_DISCOVERY_H_
+#endif  // WALNUTSPUR_HTTP_DISCOVERY_CLIENT_H_
--- a/src/http/front.cpp
+++ b/src/http/front_end.cpp
@@ -1,4 +1,4 @@
-#include "http/front.h"
+#include "http/front_end.h"
 
 #include <arpa/inet.h>
 #include <event2/buffer.h>
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/owner.h"
+#include "core/scheduler_thread.h"
 #include "log/log.h"
 #include "loop/peer.h"
 
--- a/src/http/front.h
+++ b/src/http/front_end.h
@@ -1,6 +1,6 @@
 // The platform's front: takes clients' requests by HTTP and answers each once.
-#ifndef WALNUTSPUR_HTTP_FRONT_H_
-#define WALNUTSPUR_HTTP_FRONT_H_
+#ifndef WALNUTSPUR_HTTP_FRONT_END_H_
+#define WALNUTSPUR_HTTP_FRONT_END_H_
 
 #include <event2/bufferevent.h>
 #include <event2/listener.h>
@@ -13,8 +13,8 @@
 #include "core/port.h"
 #include "http/config.h"
 #include "http/messages.h"
-#include "http/reader.h"
-#include "limits/last_answers.h"
+#include "http/message_reader.h"
+#include "limits/shutdown_deadline_estimate.h"
 #include "loop/loop.h"
 
 namespace walnutspur::http {
@@ -99,4 +99,4 @@
 
 }  // namespace walnutspur::http
 
-#endif  // WALNUTSPUR_HTTP_FRONT_H_
+#endif  // WALNUTSPUR_HTTP_FRONT_END_H_
--- a/src/http/reader.cpp
+++ b/src/http/message_reader.cpp
@@ -1,4 +1,4 @@
-#include "http/reader.h"
+#include "http/message_reader.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/http/reader.h
+++ b/src/http/message_reader.h
@@ -3,8 +3,8 @@
 // It is strict, because the next message begins where this one is taken to end: what leaves the length in
 // doubt (Content-Length twice, or beside Transfer-Encoding, or not plain digits) spoils the message and with
 // it the connection. It keeps no more than the limits allow, whatever a message claims.
-#ifndef WALNUTSPUR_HTTP_READER_H_
-#define WALNUTSPUR_HTTP_READER_H_
+#ifndef WALNUTSPUR_HTTP_MESSAGE_READER_H_
+#define WALNUTSPUR_HTTP_MESSAGE_READER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -77,4 +77,4 @@
 
 }  // namespace walnutspur::http
 
-#endif  // WALNUTSPUR_HTTP_READER_H_
+#endif  // WALNUTSPUR_HTTP_MESSAGE_READER_H_
--- a/src/http/messages.h
+++ b/src/http/messages.h
@@ -9,7 +9,7 @@
 
 #include "core/engine.h"
 #include "http/config.h"
-#include "http/reader.h"
+#include "http/message_reader.h"
 
 namespace walnutspur::http {
 
--- a/src/http/targets.cpp
+++ b/src/http/target_pool.cpp
@@ -1,4 +1,4 @@
-#include "http/targets.h"
+#include "http/target_pool.h"
 
 #include <event2/buffer.h>
 #include <netinet/tcp.h>
@@ -6,7 +6,7 @@
 
 #include <algorithm>
 
-#include "core/owner.h"
+#include "core/scheduler_thread.h"
 #include "log/log.h"
 
 namespace walnutspur::http {
--- a/src/http/targets.h
+++ b/src/http/target_pool.h
@@ -1,6 +1,6 @@
 // Carries out attempts by HTTP: a pool of connections to targets, one attempt at a time on each.
-#ifndef WALNUTSPUR_HTTP_TARGETS_H_
-#define WALNUTSPUR_HTTP_TARGETS_H_
+#ifndef WALNUTSPUR_HTTP_TARGET_POOL_H_
+#define WALNUTSPUR_HTTP_TARGET_POOL_H_
 
 #include <event2/bufferevent.h>
 
@@ -16,7 +16,7 @@
 #include "core/port.h"
 #include "http/config.h"
 #include "http/messages.h"
-#include "http/reader.h"
+#include "http/message_reader.h"
 #include "loop/loop.h"
 
 namespace walnutspur::http {
@@ -116,4 +116,4 @@
 
 }  // namespace walnutspur::http
 
-#endif  // WALNUTSPUR_HTTP_TARGETS_H_
+#endif  // WALNUTSPUR_HTTP_TARGET_POOL_H_
--- a/src/lab/box/box.cpp
+++ b/src/lab/box/box.cpp
@@ -14,7 +14,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "core/owner.h"
+#include "core/scheduler_thread.h"
 #include "integrity/digest.h"
 #include "loop/address.h"
 
--- a/src/lab/box/box.h
+++ b/src/lab/box/box.h
@@ -15,7 +15,7 @@
 #include <thread>
 #include <vector>
 
-#include "http/reader.h"
+#include "http/message_reader.h"
 #include "lab/box/disk.h"
 #include "loop/loop.h"
 #include "nbd/codec.h"
--- a/src/lab/carrier/carrier.cpp
+++ b/src/lab/carrier/carrier.cpp
@@ -9,7 +9,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "core/owner.h"
+#include "core/scheduler_thread.h"
 
 namespace walnutspur::lab {
 namespace {
--- a/src/lab/discovery.cpp
+++ b/src/lab/discovery.cpp
@@ -11,7 +11,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "http/reader.h"
+#include "http/message_reader.h"
 #include "loop/address.h"
 
 namespace walnutspur::lab {
--- a/src/lab/fleet/fleet_lab.cpp
+++ b/src/lab/fleet/fleet_lab.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "app/control.h"
-#include "core/owner.h"
+#include "core/scheduler_thread.h"
 
 namespace walnutspur::lab {
 namespace {
--- a/src/limits/patience.cpp
+++ b/src/limits/abandonment_estimate.cpp
@@ -1,4 +1,4 @@
-#include "limits/patience.h"
+#include "limits/abandonment_estimate.h"
 
 namespace walnutspur::limits {
 namespace {
--- a/src/limits/patience.h
+++ b/src/limits/abandonment_estimate.h
@@ -7,13 +7,13 @@
 // Counting leavers against all that were ever asked would let a few bursts of leavers refuse everybody: what
 // is refused for their sake never lives to tell that it would have stayed. No I/O, clock or thread; owned by
 // the Scheduler.
-#ifndef WALNUTSPUR_LIMITS_PATIENCE_H_
-#define WALNUTSPUR_LIMITS_PATIENCE_H_
+#ifndef WALNUTSPUR_LIMITS_ABANDONMENT_ESTIMATE_H_
+#define WALNUTSPUR_LIMITS_ABANDONMENT_ESTIMATE_H_
 
 #include <array>
 #include <cstddef>
 
-#include "limits/fading.h"
+#include "limits/decaying_counter.h"
 
 namespace walnutspur::limits {
 
@@ -35,4 +35,4 @@
 
 }  // namespace walnutspur::limits
 
-#endif  // WALNUTSPUR_LIMITS_PATIENCE_H_
+#endif  // WALNUTSPUR_LIMITS_ABANDONMENT_ESTIMATE_H_
--- a/src/limits/backoff.h
+++ b/src/limits/backoff.h
@@ -36,7 +36,7 @@
 // nothing. One that waited in its turn until it was given up tells that all hosts together ask too fast, and
 // what was given up is worked off all the same: they must spread over as long as it takes. A call that was
 // answered did not wait in vain, however soon its subscription broke: what is missed then counts as told 6 s
-// after it fell silent, of which noticing takes up to 2.5 s and the next call up to 2 s (http/discovery.cpp).
+// after it fell silent, of which noticing takes up to 2.5 s and the next call up to 2 s (http/discovery_client.cpp).
 class ListCalls {
  public:
   // `most` is the longest gap, us; no less than kLeast.
--- a/src/limits/fading.h
+++ b/src/limits/decaying_counter.h
@@ -1,6 +1,6 @@
 // A sum that fades with time. No I/O, clock or thread: the time comes with each call.
-#ifndef WALNUTSPUR_LIMITS_FADING_H_
-#define WALNUTSPUR_LIMITS_FADING_H_
+#ifndef WALNUTSPUR_LIMITS_DECAYING_COUNTER_H_
+#define WALNUTSPUR_LIMITS_DECAYING_COUNTER_H_
 
 #include <algorithm>
 #include <cmath>
@@ -21,4 +21,4 @@
 
 }  // namespace walnutspur::limits
 
-#endif  // WALNUTSPUR_LIMITS_FADING_H_
+#endif  // WALNUTSPUR_LIMITS_DECAYING_COUNTER_H_
--- a/src/limits/last_answers.h
+++ b/src/limits/shutdown_deadline_estimate.h
@@ -3,8 +3,8 @@
 // A client that sends on as soon as it is answered has a request out at any moment. If it is told too late,
 // that last request gets no answer in time; if it is told too early, it finds nobody to ask for that long. So
 // the time is what answers take at present, slow ones counting. No I/O, clock or thread; each front owns one.
-#ifndef WALNUTSPUR_LIMITS_LAST_ANSWERS_H_
-#define WALNUTSPUR_LIMITS_LAST_ANSWERS_H_
+#ifndef WALNUTSPUR_LIMITS_SHUTDOWN_DEADLINE_ESTIMATE_H_
+#define WALNUTSPUR_LIMITS_SHUTDOWN_DEADLINE_ESTIMATE_H_
 
 #include <algorithm>
 
@@ -25,11 +25,11 @@
  private:
   static constexpr double kRise = 0.2, kFall = 0.05;  // so that four fifths of the answers take less
   static constexpr double kSpare = 1.5;               // the last ones come all at once
-  static constexpr Time kLeast = 200'000;   // us: longer than idle connections are given (http/front.cpp)
+  static constexpr Time kLeast = 200'000;   // us: longer than idle connections are given (http/front_end.cpp)
   static constexpr Time kMost = 1'000'000;  // us: beyond it most clients have lost interest
   double slow_ = 0;                         // us
 };
 
 }  // namespace walnutspur::limits
 
-#endif  // WALNUTSPUR_LIMITS_LAST_ANSWERS_H_
+#endif  // WALNUTSPUR_LIMITS_SHUTDOWN_DEADLINE_ESTIMATE_H_
--- a/src/limits/cold_start.cpp
+++ b/src/limits/slow_start.cpp
@@ -1,4 +1,4 @@
-#include "limits/cold_start.h"
+#include "limits/slow_start.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/limits/cold_start.h
+++ b/src/limits/slow_start.h
@@ -4,14 +4,14 @@
 // `tip_multiple` of what it can do at present for `overload_for` falls over. Each host answers for a part.
 // What the hosts were served before adds up to no more than the warm box can do, so parts of that are safe
 // parts. No I/O, clock or thread; owned by the Scheduler, one of each for a box.
-#ifndef WALNUTSPUR_LIMITS_COLD_START_H_
-#define WALNUTSPUR_LIMITS_COLD_START_H_
+#ifndef WALNUTSPUR_LIMITS_SLOW_START_H_
+#define WALNUTSPUR_LIMITS_SLOW_START_H_
 
 #include <cstddef>
 #include <deque>
 #include <utility>
 
-#include "limits/fading.h"
+#include "limits/decaying_counter.h"
 
 namespace walnutspur::limits {
 
@@ -51,4 +51,4 @@
 
 }  // namespace walnutspur::limits
 
-#endif  // WALNUTSPUR_LIMITS_COLD_START_H_
+#endif  // WALNUTSPUR_LIMITS_SLOW_START_H_
--- a/src/nbd/front.cpp
+++ b/src/nbd/front_end.cpp
@@ -1,4 +1,4 @@
-#include "nbd/front.h"
+#include "nbd/front_end.h"
 
 #include <arpa/inet.h>
 #include <event2/buffer.h>
@@ -11,7 +11,7 @@
 #include <stdexcept>
 #include <vector>
 
-#include "core/owner.h"
+#include "core/scheduler_thread.h"
 #include "loop/address.h"
 #include "loop/peer.h"
 #include "nbd/payload.h"
--- a/src/nbd/front.h
+++ b/src/nbd/front_end.h
@@ -1,6 +1,6 @@
 // The NBD front: takes clients' commands and answers each once, through the same engine as the HTTP front.
-#ifndef WALNUTSPUR_NBD_FRONT_H_
-#define WALNUTSPUR_NBD_FRONT_H_
+#ifndef WALNUTSPUR_NBD_FRONT_END_H_
+#define WALNUTSPUR_NBD_FRONT_END_H_
 
 #include <event2/bufferevent.h>
 #include <event2/listener.h>
@@ -13,7 +13,7 @@
 #include <unordered_map>
 
 #include "core/port.h"
-#include "limits/last_answers.h"
+#include "limits/shutdown_deadline_estimate.h"
 #include "loop/loop.h"
 #include "nbd/codec.h"
 #include "nbd/config.h"
@@ -93,4 +93,4 @@
 
 }  // namespace walnutspur::nbd
 
-#endif  // WALNUTSPUR_NBD_FRONT_H_
+#endif  // WALNUTSPUR_NBD_FRONT_END_H_
--- a/src/nbd/boxes.cpp
+++ b/src/nbd/target_pool.cpp
@@ -1,4 +1,4 @@
-#include "nbd/boxes.h"
+#include "nbd/target_pool.h"
 
 #include <event2/buffer.h>
 #include <netinet/tcp.h>
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <memory>
 
-#include "core/owner.h"
+#include "core/scheduler_thread.h"
 #include "loop/address.h"
 
 namespace walnutspur::nbd {
--- a/src/nbd/boxes.h
+++ b/src/nbd/target_pool.h
@@ -1,6 +1,6 @@
 // Carries out attempts by NBD: connections to disk boxes, several commands in flight on each.
-#ifndef WALNUTSPUR_NBD_BOXES_H_
-#define WALNUTSPUR_NBD_BOXES_H_
+#ifndef WALNUTSPUR_NBD_TARGET_POOL_H_
+#define WALNUTSPUR_NBD_TARGET_POOL_H_
 
 #include <event2/bufferevent.h>
 
@@ -15,7 +15,7 @@
 #include "loop/loop.h"
 #include "nbd/codec.h"
 #include "nbd/config.h"
-#include "nbd/front.h"
+#include "nbd/front_end.h"
 #include "nbd/payload.h"
 
 namespace walnutspur::nbd {
@@ -89,4 +89,4 @@
 
 }  // namespace walnutspur::nbd
 
-#endif  // WALNUTSPUR_NBD_BOXES_H_
+#endif  // WALNUTSPUR_NBD_TARGET_POOL_H_
--- a/src/routing/risk.cpp
+++ b/src/routing/outcome_history.cpp
@@ -1,4 +1,4 @@
-#include "routing/risk.h"
+#include "routing/outcome_history.h"
 
 namespace walnutspur::routing {
 namespace {
--- a/src/routing/risk.h
+++ b/src/routing/outcome_history.h
@@ -4,10 +4,10 @@
 // new work. Of a large fleet each host meets a box seldom: it learns of a lost zone box by box, too late,
 // unless silence at one of them counts for the others as well. No I/O, clock or thread; owned by the
 // Scheduler.
-#ifndef WALNUTSPUR_ROUTING_RISK_H_
-#define WALNUTSPUR_ROUTING_RISK_H_
+#ifndef WALNUTSPUR_ROUTING_OUTCOME_HISTORY_H_
+#define WALNUTSPUR_ROUTING_OUTCOME_HISTORY_H_
 
-#include "limits/fading.h"
+#include "limits/decaying_counter.h"
 
 namespace walnutspur::routing {
 
@@ -28,4 +28,4 @@
 
 }  // namespace walnutspur::routing
 
-#endif  // WALNUTSPUR_ROUTING_RISK_H_
+#endif  // WALNUTSPUR_ROUTING_OUTCOME_HISTORY_H_
--- a/src/drill.cpp
+++ b/src/simulator/adapter_main.cpp
@@ -1,10 +1,10 @@
-// walnutspur_drill: plays the bench's wire on standard input and output to instances of the module.
+// walnutspur_simulator_adapter: plays the bench's wire on standard input and output to instances of the module.
 #include <cstdio>
 #include <exception>
 #include <iostream>
 #include <string>
 
-#include "wire.h"
+#include "simulator/wire.h"
 
 int main() {
   std::ios::sync_with_stdio(false);
@@ -18,12 +18,12 @@
     try {
       if (host.Line(line, &reply)) std::cout << reply << std::flush;
     } catch (const std::exception& error) {
-      std::cerr << "walnutspur_drill: line " << number << ": " << error.what() << '\n';
+      std::cerr << "walnutspur_simulator_adapter: line " << number << ": " << error.what() << '\n';
       return 1;
     }
   }
   if (host.InBatch()) {
-    std::cerr << "walnutspur_drill: input ended inside a batch\n";
+    std::cerr << "walnutspur_simulator_adapter: input ended inside a batch\n";
     return 1;
   }
   return 0;
--- a/src/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -1,4 +1,4 @@
-#include "wire.h"
+#include "simulator/wire.h"
 
 #include <stdexcept>
 #include <utility>
--- a/src/wire.h
+++ b/src/simulator/wire.h
@@ -1,6 +1,6 @@
 // The bench's wire: JSON lines to events, actions to JSON lines. No decision is taken here.
-#ifndef WALNUTSPUR_SRC_WIRE_H_
-#define WALNUTSPUR_SRC_WIRE_H_
+#ifndef WALNUTSPUR_SIMULATOR_WIRE_H_
+#define WALNUTSPUR_SIMULATOR_WIRE_H_
 
 #include <map>
 #include <memory>
@@ -33,4 +33,4 @@
 
 }  // namespace walnutspur::wire
 
-#endif  // WALNUTSPUR_SRC_WIRE_H_
+#endif  // WALNUTSPUR_SIMULATOR_WIRE_H_
--- a/tests/net/brink_test.cpp
+++ b/tests/net/brink_test.cpp
@@ -4,10 +4,10 @@
 #include <netinet/tcp.h>
 #include <sys/socket.h>
 
-#include "core/owner.h"
-#include "http/targets.h"
+#include "core/scheduler_thread.h"
+#include "http/target_pool.h"
 #include "loop/peer.h"
-#include "stage.h"
+#include "scenario_runner.h"
 
 namespace walnutspur::test {
 namespace {
--- a/tests/net/checked_test.cpp
+++ b/tests/net/checked_test.cpp
@@ -12,12 +12,12 @@
 
 #include "app/control.h"
 #include "integrity/cursor.h"
-#include "keep/whole_file.h"
+#include "filestore/atomic_file.h"
 #include "lab/box/box.h"
 #include "lab/discovery.h"
 #include "lab/process.h"
 #include "nbd/blocking_client.h"
-#include "stage.h"
+#include "scenario_runner.h"
 
 namespace walnutspur::test {
 namespace {
@@ -296,7 +296,7 @@
   w.End();
   CHECK_FALSE(std::filesystem::exists(path));
   std::string what;
-  const auto kept = integrity::DecodeCursors(*keep::ReadWhole(w.folder.path() + "/scrub.cursor"), &what);
+  const auto kept = integrity::DecodeCursors(*filestore::ReadWhole(w.folder.path() + "/scrub.cursor"), &what);
   REQUIRE(kept);
   CHECK(kept->at("letters").block / 16 + 1 >= position);
   CHECK(kept->at("letters").rounds >= rounds);
@@ -321,7 +321,7 @@
   { const app::Control control(base.get(), path, nullptr); }
   folder.Put("control.sock", "a letter");
   CHECK_THROWS_WITH(app::Control(base.get(), path, nullptr), (path + " is there and is no socket").c_str());
-  CHECK(keep::ReadWhole(path) == "a letter");
+  CHECK(filestore::ReadWhole(path) == "a letter");
   CHECK_THROWS(app::Control(base.get(), path + std::string(120, 'x'), nullptr));
 }
 
--- a/tests/net/digest_http_test.cpp
+++ b/tests/net/digest_http_test.cpp
@@ -2,7 +2,7 @@
 #include <doctest/doctest.h>
 
 #include "integrity/digest.h"
-#include "stage.h"
+#include "scenario_runner.h"
 
 namespace walnutspur::test {
 namespace {
--- a/tests/net/end_test.cpp
+++ b/tests/net/end_test.cpp
@@ -6,9 +6,9 @@
 #include <list>
 #include <thread>
 
-#include "core/owner.h"
-#include "limits/last_answers.h"
-#include "stage.h"
+#include "core/scheduler_thread.h"
+#include "limits/shutdown_deadline_estimate.h"
+#include "scenario_runner.h"
 
 namespace walnutspur::test {
 namespace {
--- a/tests/net/garble_test.cpp
+++ b/tests/net/garble_test.cpp
@@ -1,8 +1,8 @@
 // Boxes whose answers cannot be read, or bring more than is theirs.
 #include <doctest/doctest.h>
 
-#include "http/reader.h"
-#include "stage.h"
+#include "http/message_reader.h"
+#include "scenario_runner.h"
 
 namespace walnutspur::test {
 namespace {
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -10,7 +10,7 @@
 
 #include "app/platform.h"
 #include "http/messages.h"
-#include "stage.h"
+#include "scenario_runner.h"
 
 namespace walnutspur::test {
 namespace {
--- a/tests/net/list_test.cpp
+++ b/tests/net/list_test.cpp
@@ -1,9 +1,9 @@
 // Lists as discovery may write them, and watches that break.
 #include <doctest/doctest.h>
 
-#include "core/owner.h"
+#include "core/scheduler_thread.h"
 #include "http/json_stream.h"
-#include "stage.h"
+#include "scenario_runner.h"
 
 namespace walnutspur::test {
 namespace {
--- a/tests/net/nbd_test.cpp
+++ b/tests/net/nbd_test.cpp
@@ -1,10 +1,10 @@
 // NBD: the codec against bytes of the public specification, and the hard cases on sockets.
 #include <doctest/doctest.h>
 
-#include "nbd/boxes.h"
+#include "nbd/target_pool.h"
 #include "nbd/config.h"
-#include "nbd/front.h"
-#include "stage.h"
+#include "nbd/front_end.h"
+#include "scenario_runner.h"
 
 namespace walnutspur::test {
 namespace {
--- a/tests/net/pcap_test.cpp
+++ b/tests/net/pcap_test.cpp
@@ -6,7 +6,7 @@
 #include <fstream>
 
 #include "pcap/capture.h"
-#include "stage.h"
+#include "scenario_runner.h"
 
 namespace walnutspur::test {
 namespace {
--- a/tests/net/rude_test.cpp
+++ b/tests/net/rude_test.cpp
@@ -4,8 +4,8 @@
 #include <chrono>
 #include <thread>
 
-#include "http/front.h"
-#include "stage.h"
+#include "http/front_end.h"
+#include "scenario_runner.h"
 
 namespace walnutspur::test {
 namespace {
--- a/tests/net/stage.cpp
+++ b/tests/net/scenario_runner.cpp
@@ -1,4 +1,4 @@
-#include "stage.h"
+#include "scenario_runner.h"
 
 #include <arpa/inet.h>
 #include <doctest/doctest.h>
--- a/tests/net/stage.h
+++ b/tests/net/scenario_runner.h
@@ -7,8 +7,8 @@
 //   moves                      signal HUP|TERM                        config good|bad
 //
 // The same steps play over HTTP and over NBD; `bytes "..."` after send is sent as it stands.
-#ifndef WALNUTSPUR_TESTS_NET_STAGE_H_
-#define WALNUTSPUR_TESTS_NET_STAGE_H_
+#ifndef WALNUTSPUR_TESTS_NET_SCENARIO_RUNNER_H_
+#define WALNUTSPUR_TESTS_NET_SCENARIO_RUNNER_H_
 
 #include <atomic>
 #include <map>
@@ -135,4 +135,4 @@
 
 }  // namespace walnutspur::test
 
-#endif  // WALNUTSPUR_TESTS_NET_STAGE_H_
+#endif  // WALNUTSPUR_TESTS_NET_SCENARIO_RUNNER_H_
--- a/tests/net/scenarios_test.cpp
+++ b/tests/net/scenarios_test.cpp
@@ -2,7 +2,7 @@
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
-#include "stage.h"
+#include "scenario_runner.h"
 
 namespace walnutspur::test {
 namespace {
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,7 +1,7 @@
 // The seven rules, each kept from local knowledge. Each test fails when the guard it names is taken out.
 #include <gtest/gtest.h>
 
-#include "rig.h"
+#include "scheduler_fixture.h"
 
 namespace walnutspur::test {
 namespace {
--- a/tests/rig.h
+++ b/tests/scheduler_fixture.h
@@ -1,6 +1,6 @@
 // A hand on the module: plays single events and keeps the actions. It models no node.
-#ifndef WALNUTSPUR_TESTS_RIG_H_
-#define WALNUTSPUR_TESTS_RIG_H_
+#ifndef WALNUTSPUR_TESTS_SCHEDULER_FIXTURE_H_
+#define WALNUTSPUR_TESTS_SCHEDULER_FIXTURE_H_
 
 #include <string>
 #include <utility>
@@ -156,4 +156,4 @@
 
 }  // namespace walnutspur::test
 
-#endif  // WALNUTSPUR_TESTS_RIG_H_
+#endif  // WALNUTSPUR_TESTS_SCHEDULER_FIXTURE_H_
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -1,7 +1,7 @@
 // The ordinary path: buckets, control loop, order under the bound, placement.
 #include <gtest/gtest.h>
 
-#include "rig.h"
+#include "scheduler_fixture.h"
 
 namespace walnutspur::test {
 namespace {
--- a/tests/unit/keep_test.cpp
+++ b/tests/unit/keep_test.cpp
@@ -7,11 +7,11 @@
 #include <vector>
 
 #include "integrity/cursor.h"
-#include "keep/keeper.h"
-#include "keep/whole_file.h"
+#include "filestore/file_store.h"
+#include "filestore/atomic_file.h"
 #include "lab/process.h"
 
-namespace walnutspur::keep {
+namespace walnutspur::filestore {
 namespace {
 
 using std::chrono::milliseconds;
@@ -100,4 +100,4 @@
 }
 
 }  // namespace
-}  // namespace walnutspur::keep
+}  // namespace walnutspur::filestore
--- a/tests/unit/limits_test.cpp
+++ b/tests/unit/limits_test.cpp
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "limits/backoff.h"
-#include "limits/cold_start.h"
-#include "limits/patience.h"
+#include "limits/slow_start.h"
+#include "limits/abandonment_estimate.h"
 
 namespace walnutspur::limits {
 namespace {
--- a/tests/unit/risk_test.cpp
+++ b/tests/unit/risk_test.cpp
@@ -1,5 +1,5 @@
 // What a host believes of a box it seldom meets.
-#include "routing/risk.h"
+#include "routing/outcome_history.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,5 +1,5 @@
 // The adapter: lines in, lines out, and what it does with bad input.
-#include "wire.h"
+#include "simulator/wire.h"
 
 #include <gtest/gtest.h>
 #include <sys/wait.h>
@@ -138,7 +138,7 @@
   const std::string base = testing::TempDir() + "drill_" + std::to_string(getpid());
   std::ofstream(base + ".in") << input;
   const std::string command =
-      std::string(WALNUTSPUR_DRILL) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
+      std::string(WALNUTSPUR_SIMULATOR_ADAPTER) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
   const int status = std::system(command.c_str());
   std::stringstream text;
   text << std::ifstream(base + ".err").rdbuf();
@@ -156,7 +156,7 @@
   for (const std::string bad : {"{\n", "{\"op\":\"dance\"}\n", "{\"op\":\"round\"}\n"}) {
     std::string errors;
     EXPECT_NE(Drill(bad, &errors), 0) << bad;
-    EXPECT_NE(errors.find("walnutspur_drill: line 1"), std::string::npos) << errors;
+    EXPECT_NE(errors.find("walnutspur_simulator_adapter: line 1"), std::string::npos) << errors;
   }
 }
 
