--- a/bench/integrity.cpp
+++ b/bench/integrity.cpp
@@ -342,9 +342,9 @@
       if (size <= 0) throw std::runtime_error("the connection ended");
       at += static_cast<std::size_t>(size);
     }
-    http::Reader reader(http::Reader::Kind::kAnswer, 1 << 20);
+    http::MessageReader reader(http::MessageReader::Kind::kResponse, 1 << 20);
     char bytes[65536];
-    while (!reader.whole() && !reader.spoilt()) {
+    while (!reader.complete() && !reader.malformed()) {
       const ssize_t size = recv(fd_, bytes, sizeof bytes, 0);
       if (size <= 0) throw std::runtime_error("the connection ended");
       reader.Feed({bytes, static_cast<std::size_t>(size)});
--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -11,25 +11,26 @@
 int main() {
   hh::Settings settings;
   hh::RequestClass read;
-  read.aim = 200'000;
+  read.latency_objective = 200'000;
   read.deadline = 1'000'000;
   settings.classes.push_back(read);
   hh::Plan plan;
   plan.rate = 20;
-  plan.floor_rate = 10;
+  plan.reserved_rate = 10;
   settings.plans.push_back(plan);
   hh::Scheduler scheduler(settings, /*seed=*/1);
 
-  hh::ListEntry disk;
+  hh::Endpoint disk;
   disk.target = "disk-a";
-  disk.cell = 0;
-  hh::Arrival request;
+  disk.shard = 0;
+  hh::RequestArrived request;
   request.id = "one";
   request.volume = "cards";
   request.ttl = 1'000'000;
   request.units = 2;
-  request.cell = 0;
-  std::deque<hh::Event> events{hh::Started{}, hh::Membership{hh::Mode::kFull, {disk}}, request};
+  request.shard = 0;
+  std::deque<hh::Event> events{hh::Started{}, hh::EndpointUpdate{hh::EndpointUpdateKind::kFull, {disk}},
+                               request};
 
   hh::Time now = 0;
   int served = 0;
@@ -37,13 +38,13 @@
     const hh::Event event = events.front();
     events.pop_front();
     for (const hh::Action& action : scheduler.Handle(event, now)) {
-      if (const auto* send = std::get_if<hh::Send>(&action)) {
+      if (const auto* send = std::get_if<hh::SendAttempt>(&action)) {
         now += 5'000;  // the target does its work
-        hh::Done done;
+        hh::AttemptFinished done;
         done.id = send->id;
         done.target = send->target;
-        done.delay = 5'000;
-        done.settled = true;
+        done.latency = 5'000;
+        done.request_finished = true;
         events.push_back(done);
         ++served;
       }  // a real initiator also arms Wake and passes Refuse and Fail to the client
--- a/src/app/control.cpp
+++ b/src/app/control.cpp
@@ -49,8 +49,8 @@
   Control* owner = nullptr;
   std::uint64_t number = 0;
   bool answered = false;
-  loop::Watcher patience;
-  std::unique_ptr<bufferevent, loop::Freed<bufferevent_free>> stream;
+  loop::EventHandle patience;
+  std::unique_ptr<bufferevent, loop::Deleter<bufferevent_free>> stream;
 };
 
 Control::Control(event_base* base, const std::string& path, std::function<std::string(const Words&)> answer)
--- a/src/app/initiator.cpp
+++ b/src/app/initiator.cpp
@@ -13,8 +13,8 @@
 #include <utility>
 
 #include "app/fleet_settings.h"
-#include "integrity/cursor.h"
 #include "filestore/atomic_file.h"
+#include "integrity/cursor.h"
 #include "log/log.h"
 
 namespace walnutspur::app {
@@ -36,10 +36,10 @@
 constexpr double kScrubWorth = 0.01;              // of its class and of its plan
 constexpr Time kKilled = 600'000;                 // us after the longest deadline; SIGKILL comes at 0.7 s
 
-loop::BaseRef MakeBase() {
+loop::EventBasePtr MakeBase() {
   static const int threads = evthread_use_pthreads();
   if (threads != 0) throw std::runtime_error("libevent has no threads");
-  return loop::BaseRef(event_base_new());
+  return loop::EventBasePtr(event_base_new());
 }
 
 }  // namespace
@@ -47,23 +47,26 @@
 Initiator::Initiator(http::Config config, const Options& options)
     : config_(std::move(config)), base_(MakeBase()) {
   std::signal(SIGPIPE, SIG_IGN);
-  const core::Post post = [this](core::Input input) { owner_->Post(std::move(input)); };
-  outputs_ = loop::Watcher(base_.get(), -1, EV_PERSIST, [this] {
-    for (const core::Output& output : owner_->Take()) std::visit([this](const auto& o) { Do(o); }, output);
+  const core::SubmitInput post = [this](core::Input input) { owner_->Submit(std::move(input)); };
+  outputs_ = loop::EventHandle(base_.get(), -1, EV_PERSIST, [this] {
+    for (const core::Output& output : owner_->TakeOutputs())
+      std::visit([this](const auto& o) { Do(o); }, output);
   });
-  damages_ = std::make_unique<checksummed::Damages>(base_.get(), options.folder);
-  targets_ = std::make_unique<http::Targets>(base_.get(), config_, post);
-  targets_->waits = [this](core::Serial serial) { return front_->Waits(serial); };
+  damages_ = std::make_unique<checksummed::CorruptionTracker>(base_.get(), options.folder);
+  targets_ = std::make_unique<http::TargetPool>(base_.get(), config_, post);
+  targets_->is_client_connected = [this](core::RequestNumber serial) {
+    return front_->IsClientConnected(serial);
+  };
   // By HTTP a box has one path, and a whole object is what is damaged or not.
-  targets_->on_checked = [this](const TargetId& target, const std::string& uri, bool good,
-                                const std::string& body) {
+  targets_->on_digest_checked = [this](const TargetId& target, const std::string& uri, bool good,
+                                       const std::string& body) {
     if (good && damages_->calm()) return;
     integrity::Reading reading;
     reading.good = good;
     reading.found = integrity::DataSum(body);
     damages_->Note({target, uri, 0}, 1, reading, core::Now());
   };
-  front_ = std::make_unique<http::Front>(base_.get(), config_, &serials_, post);
+  front_ = std::make_unique<http::FrontEnd>(base_.get(), config_, &serials_, post);
   if (!options.nbd.empty()) StartNbd(options, post);
   if (!options.record.empty()) {
     recorder_ = std::make_unique<pcap::Recorder>(options.record, kMostRecorded);
@@ -71,32 +74,34 @@
     front_->on_accept = attach;
     if (nbd_front_) nbd_front_->on_accept = attach;
   }
-  discovery_ = std::make_unique<http::Discovery>(
-      base_.get(), config_,
-      [this](walnutspur::Membership list, const http::TargetList& raw) { OnList(std::move(list), raw); });
-  term_ = loop::Watcher(base_.get(), SIGTERM, EV_SIGNAL | EV_PERSIST, [this] { Drain(); });
+  discovery_ = std::make_unique<http::DiscoveryClient>(
+      base_.get(), config_, [this](walnutspur::EndpointUpdate list, const http::EndpointList& raw) {
+        OnList(std::move(list), raw);
+      });
+  term_ = loop::EventHandle(base_.get(), SIGTERM, EV_SIGNAL | EV_PERSIST, [this] { Drain(); });
   // An event of its own: activating a signal's event by hand calls nothing.
-  stop_ = loop::Watcher(base_.get(), -1, EV_PERSIST, [this] { Drain(); });
-  hangup_ = loop::Watcher(base_.get(), SIGHUP, EV_SIGNAL | EV_PERSIST, [this] { Reload(); });
-  interrupt_ = loop::Watcher(base_.get(), SIGINT, EV_SIGNAL | EV_PERSIST, [this] { Drain(); });
+  stop_ = loop::EventHandle(base_.get(), -1, EV_PERSIST, [this] { Drain(); });
+  hangup_ = loop::EventHandle(base_.get(), SIGHUP, EV_SIGNAL | EV_PERSIST, [this] { Reload(); });
+  interrupt_ = loop::EventHandle(base_.get(), SIGINT, EV_SIGNAL | EV_PERSIST, [this] { Drain(); });
   leave_ = loop::MakeTimer(base_.get(), [this] { Leave(); });
   // What is still open is shut before it is closed, however late the loop is: a close over unread bytes
   // resets.
   last_ = loop::MakeTimer(base_.get(), [this] {
-    for (core::Front* front : fronts()) front->Close(-kAnswer);
+    for (core::FrontEnd* front : fronts()) front->BeginGracefulShutdown(-kAnswer);
     event_base_loopbreak(base_.get());
   });
-  http::TargetList known;
+  http::EndpointList known;
   try {
-    if (config_.known.is_object()) known = http::ReadList(config_, config_.known);
+    if (config_.known.is_object()) known = http::ReadEndpointList(config_, config_.known);
   } catch (const std::exception& error) {
     throw std::runtime_error(std::string("'known' cannot be read: ") + error.what());
   }
   // What was known at the last start may be old: discovery is asked for what came after it.
-  owner_ = std::make_unique<core::Owner>(config_.settings, config_.seed, [this] { outputs_.Activate(); });
+  owner_ = std::make_unique<core::SchedulerThread>(config_.settings, config_.seed,
+                                                   [this] { outputs_.Activate(); });
   if (config_.known.is_object()) {
-    discovery_->Adopt(known);
-    OnList({walnutspur::Mode::kCached, known.entries}, known);
+    discovery_->SetCachedList(known);
+    OnList({walnutspur::EndpointUpdateKind::kCached, known.endpoints}, known);
   }
   // Clients are refused unharmed without a list; nobody is put to use that never says it is ready.
   ready_ = loop::MakeTimer(base_.get(), [this] { front_->set_ready(); });
@@ -116,7 +121,7 @@
   const std::string word = words.empty() ? "" : words[0];
   if (word == "status" && words.size() == 1) return Status();
   if (word == "fleet")
-    return fleet_ ? fleet_->Answer({words.begin() + 1, words.end()})
+    return fleet_ ? fleet_->Execute({words.begin() + 1, words.end()})
                   : "error: there is no fleet: the settings have no [fleet] table\n";
   if (word != "pause" && word != "resume" && word != "recheck")
     return "error: unknown command; allowed are status, fleet view, pause, resume and recheck EXPORT BLOCK\n";
@@ -131,7 +136,7 @@
   const auto read = std::from_chars(number.data(), number.data() + number.size(), block);
   for (std::size_t i = 0; i < nbd_.volumes.size(); ++i) {
     const nbd::Volume& volume = nbd_.volumes[i];
-    if (!volume.checked || volume.front.name != words[1]) continue;
+    if (!volume.checksummed || volume.front.name != words[1]) continue;
     const std::uint64_t blocks = volume.front.size / integrity::kBlock;
     if (read.ec != std::errc() || read.ptr != number.data() + number.size() || block >= blocks)
       return "error: " + number + " is no block of the export; allowed are 0 to " +
@@ -158,7 +163,7 @@
     using State = integrity::Volume::State;
     const State state = volume->state();
     json one = {{"name", nbd_.volumes[i].front.name},
-                {"box", nbd_.volumes[i].box},
+                {"box", nbd_.volumes[i].target},
                 {"state", state == State::kReady    ? "ready"
                           : state == State::kBroken ? "broken"
                                                     : "attaching"},
@@ -189,16 +194,16 @@
   return all.dump(2) + "\n";
 }
 
-void Initiator::StartNbd(const Options& options, const core::Post& post) {
+void Initiator::StartNbd(const Options& options, const core::SubmitInput& post) {
   nbd_ = nbd::LoadConfig(options.nbd, config_.names.classes, config_.names.plans, config_.settings,
                          config_.shards);
-  nbd_.dial = std::min(nbd_.dial, config_.dial);
+  nbd_.connect_timeout = std::min(nbd_.connect_timeout, config_.connect_timeout);
   const std::size_t most =
       std::clamp<std::size_t>(static_cast<std::size_t>(config_.sockets / kNbdPart), 1, kMostNbd);
-  boxes_ = std::make_unique<checksummed::Exports>(base_.get(), nbd_, most, damages_.get(), post);
-  nbd_front_ = std::make_unique<nbd::Front>(base_.get(), nbd_, config_.settings, most, &serials_, post);
+  boxes_ = std::make_unique<checksummed::ChecksummedExports>(base_.get(), nbd_, most, damages_.get(), post);
+  nbd_front_ = std::make_unique<nbd::FrontEnd>(base_.get(), nbd_, config_.settings, most, &serials_, post);
   const bool checks =
-      std::any_of(nbd_.volumes.begin(), nbd_.volumes.end(), [](const auto& v) { return v.checked; });
+      std::any_of(nbd_.volumes.begin(), nbd_.volumes.end(), [](const auto& v) { return v.checksummed; });
   // Buffers of a record or a checkpoint would else come from and go back to the kernel each time, page by
   // page.
   if (checks) {
@@ -209,10 +214,10 @@
 }
 
 // The scrub's class and plan are the module's own: no client can name them, and they earn next to nothing.
-void Initiator::AddScrub(checksummed::ScrubOptions scrub, const core::Post& post) {
+void Initiator::AddScrub(checksummed::ScrubOptions scrub, const core::SubmitInput& post) {
   RequestClass cls;
-  cls.aim = cls.deadline = scrub.patience = kScrubPatience;
-  cls.worth = kScrubWorth;
+  cls.latency_objective = cls.deadline = scrub.deadline = kScrubPatience;
+  cls.priority_weight = kScrubWorth;
   scrub.request_class = static_cast<int>(config_.settings.classes.size());
   config_.settings.classes.push_back(cls);
   // The floor is the plan's reserve, the budget its rate; beyond the floor it has next to no part in what is
@@ -220,16 +225,16 @@
   const double units = nbd::UnitsOf(nbd_, static_cast<std::uint32_t>(scrub.chunk * integrity::kBlock));
   Plan plan;
   plan.rate = scrub.job.requests_a_second * units;
-  plan.floor_rate = std::min(scrub.job.floor_a_second * units, plan.rate);
-  plan.parts = kScrubWorth;
-  plan.value_factor = kScrubWorth;
+  plan.reserved_rate = std::min(scrub.job.floor_a_second * units, plan.rate);
+  plan.weight = kScrubWorth;
+  plan.priority_factor = kScrubWorth;
   scrub.plan = static_cast<int>(config_.settings.plans.size());
   config_.settings.plans.push_back(plan);
-  scrub.warm_up = config_.settings.rules.warm_up;
-  if (filestore::Keeper* keeper = damages_->keeper()) {
+  scrub.slow_start_duration = config_.settings.rules.slow_start_duration;
+  if (filestore::FileStore* keeper = damages_->file_store()) {
     const std::string path = damages_->folder() + "/" + kCursors;
     std::string what;
-    if (const auto bytes = filestore::ReadWhole(path)) {
+    if (const auto bytes = filestore::ReadWholeFile(path)) {
       const auto cursors = integrity::DecodeCursors(*bytes, &what);
       if (cursors) scrub.cursors = *cursors;
       if (!cursors) log::Event(log::Level::kWarn, "scrub_begins_anew", {{"file", path}, {"what", what}});
@@ -237,7 +242,9 @@
     scrub.keep_cursors = [keeper](std::string bytes) { keeper->Put(kCursors, std::move(bytes)); };
   }
   scrub_ = std::make_unique<checksummed::Scrub>(base_.get(), nbd_, scrub, &serials_, post);
-  boxes_->on_suspicion = [this](std::size_t number, std::uint64_t block) { scrub_->Recheck(number, block); };
+  boxes_->on_suspected_corruption = [this](std::size_t number, std::uint64_t block) {
+    scrub_->Recheck(number, block);
+  };
 }
 
 // The streams of a file take the place of clients: each goes to the front whose protocol it speaks.
@@ -284,7 +291,7 @@
   hooks.log = [](bool warning, const std::string& kind, const std::vector<log::Field>& fields) {
     log::Event(warning ? log::Level::kWarn : log::Level::kInfo, kind, fields);
   };
-  hooks.on_size = [this](int live, double part) { owner_->Post(core::Fleet{{live, part}}); };
+  hooks.on_size = [this](int live, double part) { owner_->Submit(core::FleetResized{{live, part}}); };
   hooks.on_end = [this](const std::string& why) {
     failed_ = "fleet: " + why;
     Halt();
@@ -300,97 +307,101 @@
   fleet::Facts facts;
   facts.phase = stopped_ > 0 ? fleet::Phase::kDraining : fleet::Phase::kServing;
   facts.load = load_;
-  facts.connections = targets_->by_target();
-  fleet_->Tell(facts);
+  facts.connections = targets_->connections_by_target();
+  fleet_->Publish(facts);
 }
 
 void Initiator::Halt() { event_base_loopbreak(base_.get()); }
 
-void Initiator::OnList(walnutspur::Membership list, const http::TargetList& raw) {
-  for (std::size_t i = 0; i < raw.entries.size(); ++i) {
-    if (raw.entries[i].phase == walnutspur::Phase::kDead) {
-      targets_->Forget(raw.entries[i].target);
+void Initiator::OnList(walnutspur::EndpointUpdate list, const http::EndpointList& raw) {
+  for (std::size_t i = 0; i < raw.endpoints.size(); ++i) {
+    if (raw.endpoints[i].state == walnutspur::EndpointState::kTerminated) {
+      targets_->Remove(raw.endpoints[i].target);
     } else if (!raw.addresses[i].empty()) {
-      targets_->Learn(raw.entries[i].target, raw.addresses[i]);
+      targets_->SetAddress(raw.endpoints[i].target, raw.addresses[i]);
     }
   }
-  if (list.mode == walnutspur::Mode::kFull) {
+  if (list.kind == walnutspur::EndpointUpdateKind::kFull) {
     std::set<TargetId> named;
-    for (const auto& entry : raw.entries) named.insert(entry.target);
-    targets_->KeepOnly(named);
+    for (const auto& entry : raw.endpoints) named.insert(entry.target);
+    targets_->RetainOnly(named);
   }
-  if (list.mode != walnutspur::Mode::kFailed) front_->set_ready();
-  if (list.mode == walnutspur::Mode::kFull || list.mode == walnutspur::Mode::kCached) {
-    for (const nbd::Box& box : nbd_.boxes) {  // a complete list would take those away that it never names
+  if (list.kind != walnutspur::EndpointUpdateKind::kFailed) front_->set_ready();
+  if (list.kind == walnutspur::EndpointUpdateKind::kFull ||
+      list.kind == walnutspur::EndpointUpdateKind::kCached) {
+    for (const nbd::Target& box :
+         nbd_.targets) {  // a complete list would take those away that it never names
       if (box.listed) continue;
-      ListEntry entry;
+      Endpoint entry;
       entry.target = box.id;
-      entry.cell = box.shard;
-      entry.takes_new = false;
-      list.entries.push_back(entry);
+      entry.shard = box.shard;
+      entry.accepts_new_objects = false;
+      list.endpoints.push_back(entry);
     }
   }
-  owner_->Post(core::Listed{std::move(list)});
+  owner_->Submit(core::EndpointsUpdated{std::move(list)});
 }
 
-core::Connector& Initiator::connector(core::Wire wire) {
-  if (wire != core::Wire::kHttp) return *boxes_;
+core::Connector& Initiator::connector(core::Protocol wire) {
+  if (wire != core::Protocol::kHttp) return *boxes_;
   return *targets_;
 }
 
-std::vector<core::Front*> Initiator::fronts() {
-  std::vector<core::Front*> all{front_.get()};
+std::vector<core::FrontEnd*> Initiator::fronts() {
+  std::vector<core::FrontEnd*> all{front_.get()};
   if (nbd_front_) all.push_back(nbd_front_.get());
   if (scrub_) all.push_back(scrub_.get());
   return all;
 }
 
-core::Front& Initiator::front(core::Wire wire) {
-  if (wire == core::Wire::kNbd) return *nbd_front_;
-  if (wire == core::Wire::kOwn) return *scrub_;
+core::FrontEnd& Initiator::front(core::Protocol wire) {
+  if (wire == core::Protocol::kNbd) return *nbd_front_;
+  if (wire == core::Protocol::kInternal) return *scrub_;
   return *front_;
 }
 
 // Nothing is begun for a client that has left, though the engine decided so before it knew.
-void Initiator::Do(const core::Attempt& output) {
-  if (front(output.wire).Waits(output.serial)) return connector(output.wire).Start(output);
-  core::Ended ended;
-  ended.serial = output.serial;
-  ended.trial = output.trial;
-  ended.outcome = Outcome::kSuperseded;
-  owner_->Post(std::move(ended));
+void Initiator::Do(const core::StartAttempt& output) {
+  if (front(output.protocol).IsClientConnected(output.request))
+    return connector(output.protocol).Start(output);
+  core::AttemptResult ended;
+  ended.request = output.request;
+  ended.attempt = output.attempt;
+  ended.outcome = Outcome::kNotSent;
+  owner_->Submit(std::move(ended));
 }
 
-void Initiator::Do(const core::Withdraw& output) {
-  targets_->Withdraw(output.target);
-  if (boxes_) boxes_->Withdraw(output.target);
-  if (scrub_) scrub_->OnBox(output.target, false, 0);
+void Initiator::Do(const core::DrainTarget& output) {
+  targets_->Drain(output.target);
+  if (boxes_) boxes_->Drain(output.target);
+  if (scrub_) scrub_->OnTargetState(output.target, false, 0);
 }
 
-void Initiator::Do(const core::Welcome& output) {
-  if (boxes_) boxes_->Restore(output.target);
-  if (scrub_) scrub_->OnBox(output.target, true, output.launched);
+void Initiator::Do(const core::ActivateTarget& output) {
+  if (boxes_) boxes_->Activate(output.target);
+  if (scrub_) scrub_->OnTargetState(output.target, true, output.started_at);
 }
 
-void Initiator::Do(const core::Answer& output) {
-  if (scrub_ && output.wire != core::Wire::kOwn) scrub_->Saw(output);
+void Initiator::Do(const core::Response& output) {
+  if (scrub_ && output.protocol != core::Protocol::kInternal) scrub_->ObserveResponse(output);
   ++answers_;
-  front(output.wire).Finish(output);
+  front(output.protocol).Respond(output);
 }
 
-void Initiator::Do(const core::Ring& output) {
+void Initiator::Do(const core::ArmTimer& output) {
   const std::uint64_t number = next_ring_++;
-  const std::int64_t mark = output.mark;
+  const std::int64_t mark = output.timer_id;
   rings_[number] = loop::MakeTimer(base_.get(), [this, number, mark] {
     rings_.erase(number);
-    owner_->Post(core::Rang{mark});
+    owner_->Submit(core::TimerExpired{mark});
   });
-  rings_[number].Start(output.after);
+  rings_[number].Start(output.delay);
 }
 
 // SIGTERM: all goes on for as long as clients may still come, and then for as long as they keep connections:
 // what they would ask on those reaches no other initiator. Shortly before the program would be killed
-// connections end with their next answer, soon enough for it to be a served one (limits/shutdown_deadline_estimate.h).
+// connections end with their next answer, soon enough for it to be a served one
+// (limits/shutdown_deadline_estimate.h).
 void Initiator::Drain() {
   if (stopped_ != 0) return;
   stopped_ = core::Now();
@@ -399,7 +410,7 @@
   last_.Start(last);
   stopped_ += last;
   if (fleet_) TellFleet();
-  for (core::Front* front : fronts()) front->EndBy(stopped_ - kAnswer);
+  for (core::FrontEnd* front : fronts()) front->SetShutdownDeadline(stopped_ - kAnswer);
 }
 
 // SIGHUP: the whole file is read and checked before anything of it holds, so a bad one changes nothing.
@@ -409,7 +420,7 @@
     const http::Config next = read_config_();
     if (next.discovery == config_.discovery) return;  // a second signal must not cost the watch
     config_.discovery = next.discovery;
-    discovery_->Move();
+    discovery_->SwitchServer();
   } catch (const std::exception& error) {
     log::Event(log::Level::kWarn, "configuration_refused",
                {{"what", error.what()}, {"stays", "the old one"}});
@@ -418,9 +429,9 @@
 
 void Initiator::Leave() {
   std::size_t left = 0;
-  for (core::Front* front : fronts()) {
-    front->Close(stopped_ - kAnswer - core::Now());
-    left += front->held() + front->connections();
+  for (core::FrontEnd* front : fronts()) {
+    front->BeginGracefulShutdown(stopped_ - kAnswer - core::Now());
+    left += front->pending_requests() + front->connections();
   }
   if (left == 0) {
     event_base_loopbreak(base_.get());
--- a/src/app/initiator.h
+++ b/src/app/initiator.h
@@ -11,11 +11,11 @@
 #include <vector>
 
 #include "app/control.h"
-#include "checksummed/corruption_tracker.h"
 #include "checksummed/checksummed_exports.h"
+#include "checksummed/corruption_tracker.h"
 #include "checksummed/scrub.h"
-#include "core/scheduler_thread.h"
 #include "core/port.h"
+#include "core/scheduler_thread.h"
 #include "fleet/fleet.h"
 #include "http/config.h"
 #include "http/discovery_client.h"
@@ -58,52 +58,54 @@
   void Halt();  // ends at once, whatever is unanswered; from any thread
 
   event_base* base() { return base_.get(); }
-  http::Front& front() { return *front_; }
-  nbd::Front* nbd_front() { return nbd_front_.get(); }
+  http::FrontEnd& front() { return *front_; }
+  nbd::FrontEnd* nbd_front() { return nbd_front_.get(); }
   const pcap::Player* player() const { return player_.get(); }
   std::size_t box_connections() const { return boxes_ ? boxes_->connections() : 0; }
-  const checksummed::Damages& damages() const { return *damages_; }
-  checksummed::Exports* exports() { return boxes_.get(); }
+  const checksummed::CorruptionTracker& damages() const { return *damages_; }
+  checksummed::ChecksummedExports* exports() { return boxes_.get(); }
   checksummed::Scrub* scrub() { return scrub_.get(); }
 
  private:
   void Drain();
   void Leave();
   void Reload();
-  void OnList(walnutspur::Membership list, const http::TargetList& raw);
+  void OnList(walnutspur::EndpointUpdate list, const http::EndpointList& raw);
 
-  void Do(const core::Attempt& output);
-  void Do(const core::Cancel& output) { connector(output.wire).Stop(output.serial, output.trial); }
-  void Do(const core::Withdraw& output);
-  void Do(const core::Welcome& output);
-  void Do(const core::Answer& output);
-  void Do(const core::Ring& output);
-  void Do(const core::Watch&) { discovery_->Watch(); }
-  void Do(const core::Check& output) { targets_->Probe(output.target); }
-  core::Connector& connector(core::Wire wire);
+  void Do(const core::StartAttempt& output);
+  void Do(const core::AbortAttempt& output) {
+    connector(output.protocol).Cancel(output.request, output.attempt);
+  }
+  void Do(const core::DrainTarget& output);
+  void Do(const core::ActivateTarget& output);
+  void Do(const core::Response& output);
+  void Do(const core::ArmTimer& output);
+  void Do(const core::OpenWatch&) { discovery_->OpenWatch(); }
+  void Do(const core::StartHealthCheck& output) { targets_->CheckHealth(output.target); }
+  core::Connector& connector(core::Protocol wire);
 
-  void StartNbd(const Options& options, const core::Post& post);
-  void AddScrub(checksummed::ScrubOptions scrub, const core::Post& post);
+  void StartNbd(const Options& options, const core::SubmitInput& post);
+  void AddScrub(checksummed::ScrubOptions scrub, const core::SubmitInput& post);
   std::string Tell(const Control::Words& words);  // what an operator asks by the control socket
   std::string Status();
   void StartFleet(const fleet::FleetOptions& options);
   void TellFleet();
   void StartReplay(const std::string& path);
-  core::Front& front(core::Wire wire);
-  std::vector<core::Front*> fronts();
+  core::FrontEnd& front(core::Protocol wire);
+  std::vector<core::FrontEnd*> fronts();
 
   http::Config config_;
   std::function<http::Config()> read_config_;
-  loop::BaseRef base_;
-  core::Serials serials_;
+  loop::EventBasePtr base_;
+  core::RequestNumbers serials_;
   nbd::Config nbd_;
   std::unique_ptr<pcap::Recorder> recorder_;
-  std::unique_ptr<http::Front> front_;
-  std::unique_ptr<http::Targets> targets_;
-  std::unique_ptr<http::Discovery> discovery_;
-  std::unique_ptr<nbd::Front> nbd_front_;
-  std::unique_ptr<checksummed::Damages> damages_;
-  std::unique_ptr<checksummed::Exports> boxes_;
+  std::unique_ptr<http::FrontEnd> front_;
+  std::unique_ptr<http::TargetPool> targets_;
+  std::unique_ptr<http::DiscoveryClient> discovery_;
+  std::unique_ptr<nbd::FrontEnd> nbd_front_;
+  std::unique_ptr<checksummed::CorruptionTracker> damages_;
+  std::unique_ptr<checksummed::ChecksummedExports> boxes_;
   std::unique_ptr<checksummed::Scrub> scrub_;
   std::unique_ptr<Control> control_;
   std::unique_ptr<pcap::Player> player_;
@@ -111,10 +113,10 @@
   double answers_ = 0, load_ = 0;        // since the fleet was told last; requests a second lately
   std::string failed_;                   // why the process must end
   std::uint64_t next_ring_ = 0;
-  std::map<std::uint64_t, loop::Watcher> rings_;
+  std::map<std::uint64_t, loop::EventHandle> rings_;
   Time stopped_ = 0;  // when it ends at the latest, once it has been told to
-  loop::Watcher outputs_, stop_, term_, interrupt_, hangup_, leave_, ready_, last_, tell_;
-  std::unique_ptr<core::Owner> owner_;
+  loop::EventHandle outputs_, stop_, term_, interrupt_, hangup_, leave_, ready_, last_, tell_;
+  std::unique_ptr<core::SchedulerThread> owner_;
 };
 
 }  // namespace walnutspur::app
--- a/src/app/platform.cpp
+++ b/src/app/platform.cpp
@@ -37,7 +37,7 @@
   const json& settings = j.at("settings");
   c.settings = walnutspur::wire::ParseSettings(settings);
   if (c.settings.classes.empty()) throw std::runtime_error("'settings' has no classes");
-  c.settings.retry_after = true;  // HTTP carries it, whatever the simulator's wire forwards
+  c.settings.sends_retry_after = true;  // HTTP carries it, whatever the simulator's wire forwards
   c.names.classes = ParseNames(settings.at("classes"));
   c.names.plans = ParseNames(settings.value("policies", json::array()));
   c.names.zones = ParseNames(settings.value("zones", json::array()));
@@ -48,8 +48,8 @@
   if (!c.writes.empty() && c.writes.size() != c.settings.classes.size())
     throw std::runtime_error("'changesData' does not fit the classes");
   const json limits = settings.value("limits", json::object());
-  c.idle = limits.value("connIdle", c.idle);
-  c.dial = limits.value("dialTimeout", c.dial);
+  c.idle_timeout = limits.value("connIdle", c.idle_timeout);
+  c.connect_timeout = limits.value("dialTimeout", c.connect_timeout);
   for (const auto& cls : c.settings.classes) c.longest_deadline = std::max(c.longest_deadline, cls.deadline);
   c.known = j.value("known", json());
   return c;
--- a/src/app/settings.h
+++ b/src/app/settings.h
@@ -17,7 +17,7 @@
 
 struct Settings {
   log::Options log;
-  http::Digests digests;
+  http::DigestOptions digests;
   std::string folder;  // of the damage ledger
   checksummed::ScrubOptions scrub;
   std::optional<fleet::FleetOptions> fleet;  // nothing: there is none
--- a/src/checksummed/checksummed_exports.cpp
+++ b/src/checksummed/checksummed_exports.cpp
@@ -16,30 +16,30 @@
 using integrity::IoKind;
 using integrity::Volume;
 
-constexpr core::Serial kOwn = core::Serial{1}
-                              << 63;    // from here on serials are those of what is asked of boxes
-constexpr Time kIoLimit = 2'000'000;    // us for what no client waits for, or no longer
-constexpr Time kTick = 50'000;          // us between looks at what is not in place yet
-constexpr Time kAtRest = 200'000;       // us without writes after which a checkpoint begins
-constexpr Time kMostDirty = 1'000'000;  // us after which one begins in any case
+constexpr core::RequestNumber kOwn = core::RequestNumber{1}
+                                     << 63;  // from here on serials are those of what is asked of boxes
+constexpr Time kIoLimit = 2'000'000;         // us for what no client waits for, or no longer
+constexpr Time kTick = 50'000;               // us between looks at what is not in place yet
+constexpr Time kAtRest = 200'000;            // us without writes after which a checkpoint begins
+constexpr Time kMostDirty = 1'000'000;       // us after which one begins in any case
 constexpr Time kLeastRest = 250'000, kMostRest = 5'000'000;  // us between tries at a box that fails
 
 }  // namespace
 
-Exports::Exports(event_base* base, const nbd::Config& config, std::size_t most, Damages* damages,
-                 core::Post post)
+ChecksummedExports::ChecksummedExports(event_base* base, const nbd::Config& config, std::size_t most,
+                                       CorruptionTracker* damages, core::SubmitInput post)
     : base_(base),
       config_(config),
       damages_(damages),
       post_(std::move(post)),
       boxes_(base, config, most, [this](core::Input input) { Post(std::move(input)); }),
       next_asked_(kOwn) {
-  for (const nbd::Box& box : config_.boxes)
+  for (const nbd::Target& box : config_.targets)
     paths_.emplace(box.id, integrity::Paths(static_cast<int>(box.addresses.size())));
   exports_.resize(config_.volumes.size());
   for (std::size_t i = 0; i < exports_.size(); ++i) {
     exports_[i].config = &config_.volumes[i];
-    if (!exports_[i].config->checked) continue;
+    if (!exports_[i].config->checksummed) continue;
     exports_[i].held = true;  // until the list says that its box is live
     exports_[i].volume = std::make_unique<Volume>(integrity::VolumeOptions{});
     exports_[i].tick = loop::MakeTimer(base_, [this, i] { Tick(i); });
@@ -47,32 +47,32 @@
   }
 }
 
-std::vector<Exports::PathStatus> Exports::paths() {
+std::vector<ChecksummedExports::PathStatus> ChecksummedExports::paths() {
   std::vector<PathStatus> all;
   std::set<std::string> told;
   for (const Export& e : exports_) {
-    if (!e.volume || !told.insert(e.config->box).second) continue;
-    const int count = paths_.at(e.config->box).count();
+    if (!e.volume || !told.insert(e.config->target).second) continue;
+    const int count = paths_.at(e.config->target).count();
     for (int path = 0; path < count; ++path)
-      all.push_back({e.config->box, path, PathOf(e.config->box, path)});
+      all.push_back({e.config->target, path, PathOf(e.config->target, path)});
   }
   return all;
 }
 
-integrity::PathState Exports::PathOf(const std::string& box, int path) {
+integrity::PathState ChecksummedExports::PathOf(const std::string& box, int path) {
   return paths_.at(box).StateOf(path, core::Now());
 }
 
-integrity::Place Exports::PlaceOf(const Export& e, std::uint64_t block) const {
-  return {e.config->box, e.config->remote, block};
+integrity::Place ChecksummedExports::PlaceOf(const Export& e, std::uint64_t block) const {
+  return {e.config->target, e.config->remote, block};
 }
 
 // ---- volumes ----
 
-void Exports::Attach(std::size_t number) {
+void ChecksummedExports::Attach(std::size_t number) {
   Export& e = exports_[number];
   integrity::VolumeOptions options;
-  options.size = e.config->raw;
+  options.size = e.config->raw_bytes;
   e.volume = std::make_unique<Volume>(options);
   e.told = false;
   e.volume->Attach();
@@ -81,7 +81,7 @@
 
 // Carries out what the volume asks for and hands on what it answers, until it has no more of either. What
 // ends at once comes back here by another call, which leaves it to the first.
-void Exports::Pump(std::size_t number) {
+void ChecksummedExports::Pump(std::size_t number) {
   Export& e = exports_[number];
   if (std::exchange(e.pumping, true)) return;
   while (true) {
@@ -107,7 +107,7 @@
   }
 }
 
-void Exports::Tick(std::size_t number) {
+void ChecksummedExports::Tick(std::size_t number) {
   Export& e = exports_[number];
   if (!e.volume->dirty()) {
     e.dirty_since = 0;
@@ -123,7 +123,7 @@
   e.tick.Start(kTick);
 }
 
-void Exports::Launch(std::size_t number, Io io) {
+void ChecksummedExports::Launch(std::size_t number, Io io) {
   Export& e = exports_[number];
   if (e.held) return e.volume->Ended(io.id, IoEnd::kNeverRan);
   nbd::Request request;
@@ -140,49 +140,50 @@
   Ask(asked, std::move(request), path, std::move(tail));
 }
 
-void Exports::Ask(const Asked& asked, nbd::Request request, int path, std::vector<integrity::Slice> tail) {
+void ChecksummedExports::Ask(const Asked& asked, nbd::Request request, int path,
+                             std::vector<integrity::Slice> tail) {
   const Export& e = exports_[asked.number];
   auto payload = std::make_shared<nbd::CommandPayload>();
   payload->request = std::move(request);
   payload->tail = std::move(tail);
   payload->remote = e.config->remote;
   payload->path = path;
-  core::Attempt attempt;
-  attempt.serial = next_asked_++;
-  attempt.wire = core::Wire::kOwn;
-  attempt.target = e.config->box;
-  attempt.limit = kIoLimit;
+  core::StartAttempt attempt;
+  attempt.request = next_asked_++;
+  attempt.protocol = core::Protocol::kInternal;
+  attempt.target = e.config->target;
+  attempt.timeout = kIoLimit;
   attempt.payload = std::move(payload);
-  asked_[attempt.serial] = asked;
+  asked_[attempt.request] = asked;
   boxes_.Start(attempt);
 }
 
-void Exports::Post(core::Input input) {
-  if (const auto* ended = std::get_if<core::Ended>(&input); ended && ended->serial >= kOwn)
+void ChecksummedExports::Post(core::Input input) {
+  if (const auto* ended = std::get_if<core::AttemptResult>(&input); ended && ended->request >= kOwn)
     return OnIo(*ended);
   post_(std::move(input));
 }
 
 // The order that the journal rests on is a flush's to keep, over all connections: before anything is written
 // the box must have said that it can.
-bool Exports::Fits(const Export& e) const {
-  const auto flags = boxes_.flags(e.config->box, e.config->remote);
+bool ChecksummedExports::Fits(const Export& e) const {
+  const auto flags = boxes_.flags(e.config->target, e.config->remote);
   if (!flags) return false;  // the connection has ended meanwhile: the next try asks again
   if ((*flags & nbd::kSendFlush) && (*flags & (nbd::kSendFua | nbd::kCanMultiConn))) return true;
   log::Event(log::Level::kError, "box_unfit",
-             {{"box", e.config->box},
+             {{"box", e.config->target},
               {"export", e.config->front.name},
               {"what", "checksums need a box that offers FLUSH, and FUA or CAN_MULTI_CONN"}});
   return false;
 }
 
-void Exports::OnIo(const core::Ended& ended) {
-  const auto at = asked_.find(ended.serial);
+void ChecksummedExports::OnIo(const core::AttemptResult& ended) {
+  const auto at = asked_.find(ended.request);
   if (at == asked_.end()) return;
   Asked asked = std::move(at->second);
   asked_.erase(at);
   Export& e = exports_[asked.number];
-  const bool never = ended.outcome == Outcome::kRefusedConn || ended.outcome == Outcome::kSaturated;
+  const bool never = ended.outcome == Outcome::kConnectFailed || ended.outcome == Outcome::kOverloaded;
   IoEnd end = ended.outcome == Outcome::kCompleted ? IoEnd::kDone
               : never && !asked.syncing            ? IoEnd::kNeverRan
                                                    : IoEnd::kFailed;
@@ -211,8 +212,8 @@
 // ---- attempts ----
 
 // A path by which the blocks have not met a mismatch yet, where there are several.
-int Exports::Choose(const Export& e, const nbd::Request& request) {
-  integrity::Paths& paths = paths_.at(e.config->box);
+int ChecksummedExports::Choose(const Export& e, const nbd::Request& request) {
+  integrity::Paths& paths = paths_.at(e.config->target);
   std::set<int> avoid;
   if (paths.count() > 1 && damages_->cases().open() > 0 && request.type == nbd::kRead && request.length > 0) {
     const std::uint64_t last = (request.offset + request.length - 1) / integrity::kBlock;
@@ -223,22 +224,22 @@
   return paths.Choose(core::Now(), avoid);
 }
 
-void Exports::Start(const core::Attempt& attempt) {
+void ChecksummedExports::Start(const core::StartAttempt& attempt) {
   auto payload = std::static_pointer_cast<const nbd::CommandPayload>(attempt.payload);
   if (payload->volume < 0) return boxes_.Start(attempt);
   const auto number = static_cast<std::size_t>(payload->volume);
   Export& e = exports_[number];
   const CommandId id = next_command_++;
   Out& out = out_[id];
-  out.key = {attempt.serial, attempt.trial};
+  out.key = {attempt.request, attempt.attempt};
   out.number = number;
   out.sent = core::Now();
   out.payload = payload;
   out.path = Choose(e, payload->request);
-  out.limit = loop::MakeTimer(base_, [this, id] { GiveUp(id, Outcome::kOverdue); });
-  out.limit.Start(attempt.limit);
+  out.limit = loop::MakeTimer(base_, [this, id] { GiveUp(id, Outcome::kTimedOut); });
+  out.limit.Start(attempt.timeout);
   commands_[out.key] = id;
-  if (e.held) return Report(id, Outcome::kRefusedConn);
+  if (e.held) return Report(id, Outcome::kConnectFailed);
   using Kind = integrity::Command::Kind;
   integrity::Command command;
   command.id = id;
@@ -254,15 +255,15 @@
   Pump(number);
 }
 
-void Exports::Stop(core::Serial serial, int trial) {
+void ChecksummedExports::Cancel(core::RequestNumber serial, int trial) {
   const auto at = commands_.find({serial, trial});
-  if (at == commands_.end()) return boxes_.Stop(serial, trial);
-  GiveUp(at->second, Outcome::kRecalled);
+  if (at == commands_.end()) return boxes_.Cancel(serial, trial);
+  GiveUp(at->second, Outcome::kCancelled);
 }
 
 // What the volume has under way for it goes on: it cannot be called back, and the volume must know how it
 // ends.
-void Exports::GiveUp(CommandId command, Outcome outcome) {
+void ChecksummedExports::GiveUp(CommandId command, Outcome outcome) {
   const auto at = out_.find(command);
   if (at == out_.end()) return;
   const std::size_t number = at->second.number;
@@ -271,21 +272,21 @@
   Pump(number);
 }
 
-void Exports::Report(CommandId command, Outcome outcome, core::PayloadRef payload) {
+void ChecksummedExports::Report(CommandId command, Outcome outcome, core::PayloadRef payload) {
   const auto at = out_.find(command);
   if (at == out_.end()) return;
-  core::Ended ended;
-  ended.serial = at->second.key.first;
-  ended.trial = at->second.key.second;
+  core::AttemptResult ended;
+  ended.request = at->second.key.first;
+  ended.attempt = at->second.key.second;
   ended.outcome = outcome;
-  ended.delay = core::Now() - at->second.sent;
+  ended.latency = core::Now() - at->second.sent;
   ended.payload = std::move(payload);
   commands_.erase(at->second.key);
   out_.erase(at);
   post_(std::move(ended));
 }
 
-void Exports::OnResult(std::size_t number, integrity::Result result) {
+void ChecksummedExports::OnResult(std::size_t number, integrity::Result result) {
   const auto at = out_.find(result.id);
   if (at == out_.end()) return;
   const Out& out = at->second;
@@ -295,7 +296,7 @@
   if (reads) Judge(number, out, result);
   switch (result.status) {
     case integrity::Result::Status::kRefused:
-      return Report(result.id, Outcome::kRefusedConn);
+      return Report(result.id, Outcome::kConnectFailed);
     case integrity::Result::Status::kFailed:
       return Report(result.id, Outcome::kErrored);
     case integrity::Result::Status::kDone:
@@ -327,13 +328,13 @@
   const bool whole = result.status == integrity::Result::Status::kDone;
   // A write that would have to keep part of a damaged block has changed nothing, but no other try would
   // either.
-  Report(result.id, whole ? Outcome::kCompleted : Outcome::kDamaged, std::move(payload));
+  Report(result.id, whole ? Outcome::kCompleted : Outcome::kCorrupted, std::move(payload));
 }
 
-void Exports::Judge(std::size_t number, const Out& out, const integrity::Result& result) {
+void ChecksummedExports::Judge(std::size_t number, const Out& out, const integrity::Result& result) {
   const Export& e = exports_[number];
   const Time now = core::Now();
-  integrity::Paths& paths = paths_.at(e.config->box);
+  integrity::Paths& paths = paths_.at(e.config->target);
   if (result.status == integrity::Result::Status::kDone) {
     paths.Good(out.path, now);
     if (damages_->calm()) return;
@@ -357,27 +358,27 @@
     const auto verdict = damages_->Note(place, paths.count(), reading, now);
     if (verdict) {
       if (verdict->fault == integrity::Fault::kPath) paths.Bad(verdict->path, now);
-    } else if (!reading.good && on_suspicion) {
-      on_suspicion(number, block);
+    } else if (!reading.good && on_suspected_corruption) {
+      on_suspected_corruption(number, block);
     }
   }
 }
 
 // ---- the list of boxes ----
 
-void Exports::Withdraw(const TargetId& target) {
-  boxes_.Withdraw(target);
+void ChecksummedExports::Drain(const TargetId& target) {
+  boxes_.Drain(target);
   for (Export& e : exports_) {
-    if (!e.volume || e.config->box != target) continue;
+    if (!e.volume || e.config->target != target) continue;
     e.held = true;
     e.again.Stop();
   }
 }
 
-void Exports::Restore(const TargetId& target) {
+void ChecksummedExports::Activate(const TargetId& target) {
   for (std::size_t i = 0; i < exports_.size(); ++i) {
     Export& e = exports_[i];
-    if (!e.volume || e.config->box != target || !std::exchange(e.held, false)) continue;
+    if (!e.volume || e.config->target != target || !std::exchange(e.held, false)) continue;
     if (e.volume->state() == Volume::State::kBroken || e.volume->state() == Volume::State::kNew) Attach(i);
   }
 }
--- a/src/checksummed/checksummed_exports.h
+++ b/src/checksummed/checksummed_exports.h
@@ -25,8 +25,8 @@
 #include "integrity/blame.h"
 #include "integrity/volume.h"
 #include "loop/loop.h"
-#include "nbd/target_pool.h"
 #include "nbd/config.h"
+#include "nbd/target_pool.h"
 
 namespace walnutspur::checksummed {
 
@@ -34,16 +34,17 @@
   std::uint64_t reads = 0, writes = 0;  // commands of clients and of the scrub
 };
 
-class Exports : public core::Connector {
+class ChecksummedExports : public core::Connector {
  public:
   // `most` bounds the connections.
-  Exports(event_base* base, const nbd::Config& config, std::size_t most, Damages* damages, core::Post post);
+  ChecksummedExports(event_base* base, const nbd::Config& config, std::size_t most,
+                     CorruptionTracker* damages, core::SubmitInput post);
 
-  void Start(const core::Attempt& attempt) override;
-  void Stop(core::Serial serial, int trial) override;
+  void Start(const core::StartAttempt& attempt) override;
+  void Cancel(core::RequestNumber serial, int trial) override;
   // Nothing more goes to a box that drains or is gone, checkpoints included, until it is live again.
-  void Withdraw(const TargetId& target) override;
-  void Restore(const TargetId& target);
+  void Drain(const TargetId& target) override;
+  void Activate(const TargetId& target);
 
   std::size_t connections() const { return boxes_.connections(); }
   const integrity::Volume* volume(std::size_t number) const { return exports_[number].volume.get(); }
@@ -57,10 +58,10 @@
   integrity::PathState PathOf(const std::string& box, int path);
 
   // Called with each block that was found bad and on which no verdict has fallen yet.
-  std::function<void(std::size_t number, std::uint64_t block)> on_suspicion;
+  std::function<void(std::size_t number, std::uint64_t block)> on_suspected_corruption;
 
  private:
-  using Key = std::pair<core::Serial, int>;
+  using Key = std::pair<core::RequestNumber, int>;
 
   struct Export {
     const nbd::Volume* config = nullptr;
@@ -70,9 +71,9 @@
     bool told = false;  // that it is broken
     Time written = 0;   // the last write's answer
     Time dirty_since = 0;
-    Time rest = 0;        // before the next try, after a failure
-    loop::Watcher tick;   // checkpoints
-    loop::Watcher again;  // attaching
+    Time rest = 0;            // before the next try, after a failure
+    loop::EventHandle tick;   // checkpoints
+    loop::EventHandle again;  // attaching
   };
   struct Out {  // an attempt
     Key key;
@@ -80,7 +81,7 @@
     Time sent = 0;
     int path = 0;
     std::shared_ptr<const nbd::CommandPayload> payload;
-    loop::Watcher limit;
+    loop::EventHandle limit;
   };
   struct Asked {  // of a box
     std::size_t number = 0;
@@ -89,7 +90,7 @@
   };
 
   void Post(core::Input input);
-  void OnIo(const core::Ended& ended);
+  void OnIo(const core::AttemptResult& ended);
   bool Fits(const Export& e) const;
   void Attach(std::size_t number);
   void Pump(std::size_t number);
@@ -105,16 +106,16 @@
 
   event_base* base_;
   const nbd::Config& config_;
-  Damages* damages_;
-  core::Post post_;
-  nbd::Boxes boxes_;
+  CorruptionTracker* damages_;
+  core::SubmitInput post_;
+  nbd::TargetPool boxes_;
   std::vector<Export> exports_;  // by the number of the configuration's volume; without a volume: not checked
   std::map<std::string, integrity::Paths> paths_;  // by box
   std::map<integrity::CommandId, Out> out_;
   std::map<Key, integrity::CommandId> commands_;
-  std::unordered_map<core::Serial, Asked> asked_;
+  std::unordered_map<core::RequestNumber, Asked> asked_;
   integrity::CommandId next_command_ = 1;
-  core::Serial next_asked_;
+  core::RequestNumber next_asked_;
   Counts counts_;
 };
 
--- a/src/checksummed/corruption_tracker.cpp
+++ b/src/checksummed/corruption_tracker.cpp
@@ -13,15 +13,16 @@
 
 }  // namespace
 
-Damages::Damages(event_base* base, const std::string& folder) : folder_(folder) {
+CorruptionTracker::CorruptionTracker(event_base* base, const std::string& folder) : folder_(folder) {
   if (folder.empty()) return;
   file_ = std::make_unique<integrity::LedgerFile>(folder);
   std::string what;
   if (file_->Load(&ledger_, &what) == integrity::LedgerFile::Found::kRefused)
     log::Event(log::Level::kError, "ledger_refused", {{"what", what}});
-  keeper_ = std::make_unique<filestore::Keeper>(
+  keeper_ = std::make_unique<filestore::FileStore>(
       [this](const std::string& name, const std::string& bytes, std::string* why) {
-        return name == kLedger ? file_->Write(bytes, why) : filestore::WriteWhole(folder_, name, bytes, why);
+        return name == kLedger ? file_->Write(bytes, why)
+                               : filestore::WriteFileAtomically(folder_, name, bytes, why);
       },
       [](const std::string& why) {
         if (why.empty()) return log::Event(log::Level::kWarn, "folder_works_again", {});
@@ -30,17 +31,17 @@
   save_ = loop::MakeTimer(base, [this] { Save(); });
 }
 
-Damages::~Damages() {
+CorruptionTracker::~CorruptionTracker() {
   if (keeper_ && ledger_.changed()) Save();
 }
 
-void Damages::Save() {
+void CorruptionTracker::Save() {
   saving_ = false;
   keeper_->Put(kLedger, ledger_.Encode());
 }
 
-std::optional<integrity::Verdict> Damages::Note(const integrity::Place& place, int paths,
-                                                const integrity::Reading& reading, Time now) {
+std::optional<integrity::Verdict> CorruptionTracker::Note(const integrity::Place& place, int paths,
+                                                          const integrity::Reading& reading, Time now) {
   if (!reading.good) ++mismatches_;
   auto verdict = cases_.Note(place, paths, reading, now);
   if (reading.good) ledger_.Mend(place, now);
--- a/src/checksummed/corruption_tracker.h
+++ b/src/checksummed/corruption_tracker.h
@@ -10,21 +10,21 @@
 #include <optional>
 #include <string>
 
+#include "filestore/file_store.h"
 #include "integrity/blame.h"
 #include "integrity/ledger.h"
-#include "filestore/file_store.h"
 #include "loop/loop.h"
 
 namespace walnutspur::checksummed {
 
-class Damages {
+class CorruptionTracker {
  public:
   // `folder` keeps the ledger, empty: memory only. A ledger there that cannot be read is logged and left
   // alone.
-  Damages(event_base* base, const std::string& folder);
-  ~Damages();
-  Damages(const Damages&) = delete;
-  Damages& operator=(const Damages&) = delete;
+  CorruptionTracker(event_base* base, const std::string& folder);
+  ~CorruptionTracker();
+  CorruptionTracker(const CorruptionTracker&) = delete;
+  CorruptionTracker& operator=(const CorruptionTracker&) = delete;
 
   // One reading of a block, or of an object by HTTP, on a box with so many paths. A verdict goes into the
   // ledger and the log.
@@ -35,7 +35,7 @@
 
   const integrity::Cases& cases() const { return cases_; }
   const integrity::Ledger& ledger() const { return ledger_; }
-  filestore::Keeper* keeper() { return keeper_.get(); }  // null: nothing is kept
+  filestore::FileStore* file_store() { return keeper_.get(); }  // null: nothing is kept
   const std::string& folder() const { return folder_; }
   std::uint64_t mismatches() const { return mismatches_; }  // bad readings
   std::uint64_t verdicts() const { return verdicts_; }
@@ -48,8 +48,8 @@
   integrity::Ledger ledger_;
   std::uint64_t mismatches_ = 0, verdicts_ = 0;
   std::unique_ptr<integrity::LedgerFile> file_;  // the keeper's thread writes it
-  std::unique_ptr<filestore::Keeper> keeper_;
-  loop::Watcher save_;
+  std::unique_ptr<filestore::FileStore> keeper_;
+  loop::EventHandle save_;
   bool saving_ = false;  // the timer runs: later verdicts must not put it off
 };
 
--- a/src/checksummed/scrub.cpp
+++ b/src/checksummed/scrub.cpp
@@ -16,17 +16,17 @@
 
 }  // namespace
 
-Scrub::Scrub(event_base* base, const nbd::Config& config, const ScrubOptions& options, core::Serials* serials,
-             core::Post post)
+Scrub::Scrub(event_base* base, const nbd::Config& config, const ScrubOptions& options,
+             core::RequestNumbers* serials, core::SubmitInput post)
     : base_(base), config_(config), options_(options), serials_(serials), post_(std::move(post)) {
   const Time now = core::Now();
   for (std::size_t i = 0; i < config_.volumes.size(); ++i) {
     const nbd::Volume& volume = config_.volumes[i];
-    if (!volume.checked) continue;
-    Box& box = boxes_[volume.box];
+    if (!volume.checksummed) continue;
+    Box& box = boxes_[volume.target];
     if (!box.budget) {
       box.budget = std::make_unique<background::Budget>(options_.pressure);
-      box.turn = loop::MakeTimer(base_, [this, name = volume.box] { Turn(name); });
+      box.turn = loop::MakeTimer(base_, [this, name = volume.target] { Turn(name); });
     }
     const auto known = options_.cursors.find(volume.front.name);
     const integrity::Cursor cursor = known == options_.cursors.end() ? integrity::Cursor() : known->second;
@@ -40,7 +40,7 @@
     progress.position = scrubber.position();
     progress.rounds = cursor.rounds;
     progress.since = std::min(cursor.since, now);  // a clock that was set back must not shorten the round
-    jobs_.push_back({i, volume.box, box.budget->Add(job, progress, now), std::move(scrubber)});
+    jobs_.push_back({i, volume.target, box.budget->Add(job, progress, now), std::move(scrubber)});
   }
   report_ = loop::MakeTimer(base_, [this] { Report(); });
   if (!options_.on) return;
@@ -78,13 +78,13 @@
   if (!stopped_) report_.Start(kReport);
 }
 
-void Scrub::Saw(const core::Answer& answer) {
+void Scrub::ObserveResponse(const core::Response& answer) {
   ++answers_;
-  missed_ += !answer.in_aim;
-  waiting_ = std::max(waiting_, answer.waiting);
+  missed_ += !answer.met_objective;
+  waiting_ = std::max(waiting_, answer.queued_fraction);
 }
 
-void Scrub::OnBox(const std::string& name, bool live, Time launched) {
+void Scrub::OnTargetState(const std::string& name, bool live, Time launched) {
   const auto at = boxes_.find(name);
   if (at == boxes_.end()) return;
   at->second.live = live;
@@ -124,17 +124,17 @@
   const auto range = job.scrubber.Next();
   if (!range) return boxes_.at(job.box).budget->Return(job.id);
   const nbd::Volume& volume = config_.volumes[job.number];
-  core::Arrived arrived;
-  arrived.serial = serials_->next++;
-  arrived.wire = core::Wire::kOwn;
-  arrived.what.request_class = options_.request_class;
-  arrived.what.plan = options_.plan;
-  arrived.what.volume = "scrub/" + volume.volume;
-  arrived.what.key = arrived.what.volume + "/" + std::to_string(range->first);
+  core::RequestReceived arrived;
+  arrived.request = serials_->next++;
+  arrived.protocol = core::Protocol::kInternal;
+  arrived.attributes.request_class = options_.request_class;
+  arrived.attributes.plan = options_.plan;
+  arrived.attributes.volume = "scrub/" + volume.volume;
+  arrived.attributes.key = arrived.attributes.volume + "/" + std::to_string(range->first);
   const auto bytes = static_cast<std::uint32_t>(range->count * integrity::kBlock);
-  arrived.what.units = nbd::UnitsOf(config_, bytes);
-  arrived.what.cell = volume.shard;
-  arrived.deadline = core::Now() + options_.patience;
+  arrived.attributes.units = nbd::UnitsOf(config_, bytes);
+  arrived.attributes.shard = volume.shard;
+  arrived.deadline = core::Now() + options_.deadline;
   auto payload = std::make_shared<nbd::CommandPayload>();
   payload->request.type = nbd::kRead;
   payload->request.offset = range->first * integrity::kBlock;
@@ -142,25 +142,25 @@
   payload->remote = volume.remote;
   payload->volume = static_cast<int>(job.number);
   arrived.payload = std::move(payload);
-  Held& held = held_[arrived.serial];
+  Held& held = held_[arrived.request];
   held.job = number;
   held.range = *range;
-  const core::Serial serial = arrived.serial;
-  held.deadline = loop::MakeTimer(base_, [this, serial] { post_(core::Expired{serial}); });
-  held.deadline.Start(options_.patience);
+  const core::RequestNumber serial = arrived.request;
+  held.deadline = loop::MakeTimer(base_, [this, serial] { post_(core::DeadlineExpired{serial}); });
+  held.deadline.Start(options_.deadline);
   ++requests_;
   post_(std::move(arrived));
 }
 
-void Scrub::Finish(const core::Answer& answer) {
-  const auto at = held_.find(answer.serial);
+void Scrub::Respond(const core::Response& answer) {
+  const auto at = held_.find(answer.request);
   if (at == held_.end()) return;
   const Held held = std::move(at->second);
   held_.erase(at);
   Job& job = jobs_[held.job];
   const auto* partial = static_cast<const nbd::ReplyPayload*>(answer.payload.get());
   // Damage that was found is an answer too: it is in the ledger.
-  const bool read = answer.verdict == core::Verdict::kServed || (partial && !partial->bad.empty());
+  const bool read = answer.status == core::ResponseStatus::kServed || (partial && !partial->bad.empty());
   int done = 0;
   if (read) {
     done = job.scrubber.Done(held.range);
--- a/src/checksummed/scrub.h
+++ b/src/checksummed/scrub.h
@@ -26,8 +26,8 @@
 struct ScrubOptions {
   bool on = false;
   int request_class = 0, plan = 0;  // of the module's settings
-  Time patience = 0;                // that class's deadline
-  Time warm_up = 0;                 // a box that has started within it is left alone
+  Time deadline = 0;                // that class's deadline
+  Time slow_start_duration = 0;     // a box that has started within it is left alone
   std::uint64_t chunk = 16;         // blocks that one request reads
   background::JobOptions job;
   background::PressureOptions pressure;
@@ -35,22 +35,22 @@
   std::function<void(std::string)> keep_cursors;  // takes them encoded, now and then; empty: nothing is kept
 };
 
-class Scrub : public core::Front {
+class Scrub : public core::FrontEnd {
  public:
-  Scrub(event_base* base, const nbd::Config& config, const ScrubOptions& options, core::Serials* serials,
-        core::Post post);
+  Scrub(event_base* base, const nbd::Config& config, const ScrubOptions& options,
+        core::RequestNumbers* serials, core::SubmitInput post);
   ~Scrub() override;
 
-  void Finish(const core::Answer& answer) override;
-  std::size_t held() const override { return 0; }  // nobody waits for it
-  void EndBy(Time) override { stopped_ = true; }
-  void Close(Time) override { stopped_ = true; }
+  void Respond(const core::Response& answer) override;
+  std::size_t pending_requests() const override { return 0; }  // nobody waits for it
+  void SetShutdownDeadline(Time) override { stopped_ = true; }
+  void BeginGracefulShutdown(Time) override { stopped_ = true; }
   std::size_t connections() const override { return 0; }
 
   // Of a live request's answer: what live work feels.
-  void Saw(const core::Answer& answer);
+  void ObserveResponse(const core::Response& answer);
   // What the list says of a box: `launched` as discovery tells it, 0: long ago.
-  void OnBox(const std::string& box, bool live, Time launched);
+  void OnTargetState(const std::string& box, bool live, Time launched);
   // A block that should be read again soon.
   void Recheck(std::size_t number, std::uint64_t block);
   void Pause(bool paused);
@@ -77,12 +77,12 @@
     std::unique_ptr<background::Budget> budget;
     bool live = false;
     Time launched = 0;
-    loop::Watcher turn;
+    loop::EventHandle turn;
   };
   struct Held {
     std::size_t job = 0;
     integrity::Scrubber::Range range;
-    loop::Watcher deadline;
+    loop::EventHandle deadline;
   };
 
   void Turn(const std::string& box);
@@ -90,21 +90,21 @@
   void Report();
   void KeepCursors();
   bool Warm(const Box& box, Time now) const {
-    return box.launched == 0 || now >= box.launched + options_.warm_up;
+    return box.launched == 0 || now >= box.launched + options_.slow_start_duration;
   }
 
   event_base* base_;
   const nbd::Config& config_;
   ScrubOptions options_;
-  core::Serials* serials_;
-  core::Post post_;
+  core::RequestNumbers* serials_;
+  core::SubmitInput post_;
   bool stopped_ = false, paused_ = false;
   Time kept_ = 0;  // when the cursors were kept last
   integrity::Cursors known_;
   std::map<std::string, Box> boxes_;
   std::vector<Job> jobs_;
-  std::map<core::Serial, Held> held_;
-  loop::Watcher report_;
+  std::map<core::RequestNumber, Held> held_;
+  loop::EventHandle report_;
   std::uint64_t answers_ = 0, missed_ = 0;  // of live requests since the last report
   double waiting_ = 0;
   std::uint64_t requests_ = 0, failed_ = 0;
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -20,10 +20,10 @@
 
 namespace walnutspur::core {
 
-using Serial = std::uint64_t;  // numbers the requests that one process has taken
+using RequestNumber = std::uint64_t;  // numbers the requests that one process has taken
 
 // Whose front and connector a request belongs to; kOwn: the program's own work on what NBD reaches.
-enum class Wire { kHttp, kNbd, kOwn };
+enum class Protocol { kHttp, kNbd, kInternal };
 
 // What passes through unchanged. Only the fronts and connectors of one wire look inside.
 struct Payload {
@@ -33,110 +33,112 @@
 
 // ---- inputs ----
 
-struct Arrived {
-  Serial serial = 0;
-  Wire wire = Wire::kHttp;
-  Arrival what;       // id and ttl are filled in by the engine
-  std::string name;   // the client's own id of it; empty: it has none that others could repeat
-  Time deadline = 0;  // when the client stops waiting
+struct RequestReceived {
+  RequestNumber request = 0;
+  Protocol protocol = Protocol::kHttp;
+  RequestArrived attributes;      // id and ttl are filled in by the engine
+  std::string client_request_id;  // the client's own id of it; empty: it has none that others could repeat
+  Time deadline = 0;              // when the client stops waiting
   PayloadRef payload;
 };
-struct Departed {  // the client has closed its connection
-  Serial serial = 0;
+struct ClientClosed {  // the client has closed its connection
+  RequestNumber request = 0;
 };
-struct Expired {  // the deadline of the client has passed
-  Serial serial = 0;
+struct DeadlineExpired {  // the deadline of the client has passed
+  RequestNumber request = 0;
 };
-struct Ended {
-  Serial serial = 0;
-  int trial = 0;
+struct AttemptResult {
+  RequestNumber request = 0;
+  int attempt = 0;
   Outcome outcome = Outcome::kCompleted;
-  Time delay = 0;
-  int seen_use = 0;
-  double others_got = 0;
-  std::vector<double> report;
+  Time latency = 0;
+  int reported_usage = 0;
+  double units_served_elsewhere = 0;
+  std::vector<double> load_report;
   PayloadRef payload;  // the answer, if completed; what is whole of it, if damaged
 };
-struct Listed {
-  Membership list;
+struct EndpointsUpdated {
+  EndpointUpdate update;
 };
-struct Rang {
-  std::int64_t mark = 0;
+struct TimerExpired {
+  std::int64_t timer_id = 0;
 };
-struct Probed {
-  ProbeDone result;
+struct HealthCheckResult {
+  HealthCheckFinished result;
 };
-struct Fleet {  // what the view of the fleet tells
+struct FleetResized {  // what the view of the fleet tells
   FleetSize size;
 };
-using Input = std::variant<Arrived, Departed, Expired, Ended, Listed, Rang, Probed, Fleet>;
+using Input = std::variant<RequestReceived, ClientClosed, DeadlineExpired, AttemptResult, EndpointsUpdated,
+                           TimerExpired, HealthCheckResult, FleetResized>;
 
 // ---- outputs ----
 
-struct Attempt {
-  Serial serial = 0;
-  int trial = 0;
-  Wire wire = Wire::kHttp;
+struct StartAttempt {
+  RequestNumber request = 0;
+  int attempt = 0;
+  Protocol protocol = Protocol::kHttp;
   TargetId target;
-  Time limit = 0;  // how long to wait for the answer
+  Time timeout = 0;  // how long to wait for the answer
   PayloadRef payload;
-  Time begin_by = 0;  // not to be sent later than this; 0: no such bound
+  Time not_after = 0;  // not to be sent later than this; 0: no such bound
 };
-struct Cancel {
-  Serial serial = 0;
-  int trial = 0;
-  Wire wire = Wire::kHttp;
+struct AbortAttempt {
+  RequestNumber request = 0;
+  int attempt = 0;
+  Protocol protocol = Protocol::kHttp;
 };
-struct Withdraw {  // nothing that is not on its way yet may go to the target any more
+struct DrainTarget {  // nothing that is not on its way yet may go to the target any more
   TargetId target;
 };
-struct Welcome {  // work may go to the target, for the first time or again
+struct ActivateTarget {  // work may go to the target, for the first time or again
   TargetId target;
-  Time launched = 0;  // as discovery tells it; 0: long ago
-};
-enum class Verdict { kServed, kRefused, kFailed, kTimedOut, kRepeated };
-struct Answer {
-  Serial serial = 0;
-  Wire wire = Wire::kHttp;
-  Verdict verdict = Verdict::kFailed;
-  Time hold_off = 0;    // refused: when to come back
-  PayloadRef payload;   // of a read that met damage and is not served: what is whole of it
-  bool in_aim = false;  // served within its class's aim
-  double waiting = 0;   // part of the open requests that wait in the module for a box's bound
-};
-struct Ring {
-  std::int64_t mark = 0;
-  Time after = 0;
-};
-struct Watch {};
-struct Check {
+  Time started_at = 0;  // as discovery tells it; 0: long ago
+};
+enum class ResponseStatus { kServed, kRejected, kFailed, kTimedOut, kDuplicate };
+struct Response {
+  RequestNumber request = 0;
+  Protocol protocol = Protocol::kHttp;
+  ResponseStatus status = ResponseStatus::kFailed;
+  Time retry_after = 0;        // refused: when to come back
+  PayloadRef payload;          // of a read that met damage and is not served: what is whole of it
+  bool met_objective = false;  // served within its class's aim
+  double queued_fraction = 0;  // part of the open requests that wait in the module for a box's bound
+};
+struct ArmTimer {
+  std::int64_t timer_id = 0;
+  Time delay = 0;
+};
+struct OpenWatch {};
+struct StartHealthCheck {
   TargetId target;
 };
-using Output = std::variant<Attempt, Cancel, Withdraw, Welcome, Answer, Ring, Watch, Check>;
+using Output = std::variant<StartAttempt, AbortAttempt, DrainTarget, ActivateTarget, Response, ArmTimer,
+                            OpenWatch, StartHealthCheck>;
 
 // What the engine asks for decisions: Scheduler::Handle, or another's in its place.
-using Decide = std::function<std::vector<Action>(const Event&, Time)>;
+using DecisionFunction = std::function<std::vector<Action>(const Event&, Time)>;
 
 class Engine {
  public:
   Engine(const Settings& settings, std::uint64_t seed);
   // With other decisions than the module's: baselines that it is held against.
-  Engine(const Settings& settings, Decide decide);
+  Engine(const Settings& settings, DecisionFunction decide);
 
   std::vector<Output> Start(Time now);
   // Takes one input that happens at `now`; returns what to do, in order.
   std::vector<Output> Handle(const Input& input, Time now);
 
-  std::size_t open() const { return requests_.size(); }  // requests with something outstanding
+  std::size_t open_requests() const { return requests_.size(); }  // requests with something outstanding
   // Entries in all tables, the module's too.
-  std::size_t remembered() const {
-    return (scheduler_ ? scheduler_->remembered() : 0) + requests_.size() + names_.size() + live_.size() +
+  std::size_t table_entries() const {
+    return (scheduler_ ? scheduler_->table_entries() : 0) + requests_.size() + names_.size() + live_.size() +
            pending_.size();
   }
 
  private:
   struct Request {
-    Wire wire = Wire::kHttp;
+    Protocol wire = Protocol::kHttp;
     std::string name;
     Time deadline = 0;
     PayloadRef payload;
@@ -146,33 +148,33 @@
     int attempts = 0;
     std::map<int, TargetId> out;  // attempts without an outcome, by number
   };
-  using Requests = std::unordered_map<Serial, Request>;
-
-  void On(const Arrived& input);
-  void On(const Departed& input);
-  void On(const Expired& input);
-  void On(const Ended& input);
-  void On(const Listed& input);
-  void On(const Rang& input);
-  void On(const Probed& input);
-  void On(const Fleet& input) { Play(input.size); }
-
-  void Do(const Send& action);
-  void Do(const Refuse& action);
-  void Do(const Fail& action);
-  void Do(const Wake& action);
-  void Do(const Retract& action);
-  void Do(const Probe& action);
-  void Do(const Subscribe& action);
+  using Requests = std::unordered_map<RequestNumber, Request>;
+
+  void On(const RequestReceived& input);
+  void On(const ClientClosed& input);
+  void On(const DeadlineExpired& input);
+  void On(const AttemptResult& input);
+  void On(const EndpointsUpdated& input);
+  void On(const TimerExpired& input);
+  void On(const HealthCheckResult& input);
+  void On(const FleetResized& input) { Play(input.size); }
+
+  void Do(const SendAttempt& action);
+  void Do(const RejectRequest& action);
+  void Do(const FailRequest& action);
+  void Do(const StartTimer& action);
+  void Do(const CancelAttempt& action);
+  void Do(const CheckHealth& action);
+  void Do(const WatchEndpoints& action);
 
   void Play(const Event& event);
-  void Report(Requests::iterator at, const Ended& input);
-  void Finish(Serial serial, Verdict verdict, Time hold_off, PayloadRef payload);
-  void Forget(Serial serial);
+  void Report(Requests::iterator at, const AttemptResult& input);
+  void Finish(RequestNumber serial, ResponseStatus verdict, Time hold_off, PayloadRef payload);
+  void Forget(RequestNumber serial);
   Requests::iterator Find(const RequestId& id);
 
   std::unique_ptr<Scheduler> scheduler_;  // null: others decide
-  Decide decide_;
+  DecisionFunction decide_;
   int try_limit_;
   std::vector<Time> aims_;  // by class
   std::size_t out_ = 0;     // attempts without an outcome, of all requests
--- a/src/core/scheduler_thread.cpp
+++ b/src/core/scheduler_thread.cpp
@@ -14,15 +14,15 @@
   return offset + duration_cast<microseconds>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-Owner::Owner(const Settings& settings, std::uint64_t seed, std::function<void()> wake)
+SchedulerThread::SchedulerThread(const Settings& settings, std::uint64_t seed, std::function<void()> wake)
     : engine_(settings, seed), wake_(std::move(wake)), thread_([this] { Run(); }) {}
 
-Owner::~Owner() {
+SchedulerThread::~SchedulerThread() {
   inputs_.Close();
   thread_.join();
 }
 
-void Owner::Run() {
+void SchedulerThread::Run() {
   if (outputs_.Push(engine_.Start(Now()))) wake_();
   while (true) {
     const std::vector<Input> inputs = inputs_.Wait();
--- a/src/core/scheduler_thread.h
+++ b/src/core/scheduler_thread.h
@@ -14,16 +14,16 @@
 // Microseconds of Unix time that never run backwards: taken once, carried on by the steady clock.
 Time Now();
 
-class Owner {
+class SchedulerThread {
  public:
   // `wake` is called on the owner's thread whenever outputs wait that the reader has not been told of.
-  Owner(const Settings& settings, std::uint64_t seed, std::function<void()> wake);
-  ~Owner();
-  Owner(const Owner&) = delete;
-  Owner& operator=(const Owner&) = delete;
+  SchedulerThread(const Settings& settings, std::uint64_t seed, std::function<void()> wake);
+  ~SchedulerThread();
+  SchedulerThread(const SchedulerThread&) = delete;
+  SchedulerThread& operator=(const SchedulerThread&) = delete;
 
-  void Post(Input input) { inputs_.Push(std::move(input)); }
-  std::vector<Output> Take() { return outputs_.Take(); }
+  void Submit(Input input) { inputs_.Push(std::move(input)); }
+  std::vector<Output> TakeOutputs() { return outputs_.Take(); }
 
  private:
   void Run();
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -4,6 +4,8 @@
 // head (unthrottled streams pass) -> among the heads at a node, grade and plan-weighted start tag choose
 // (start-time fair queueing) -> the node's bound of units out has room -> send. Once an interval the control
 // loop (SLEDS) relaxes streams that miss their aim and tightens those that can best afford it.
+#include "walnutspur/scheduler.h"
+
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -12,11 +14,10 @@
 #include <set>
 #include <unordered_map>
 
+#include "limits/abandonment_estimate.h"
 #include "limits/backoff.h"
 #include "limits/slow_start.h"
-#include "limits/abandonment_estimate.h"
 #include "routing/outcome_history.h"
-#include "walnutspur/scheduler.h"
 
 namespace walnutspur {
 namespace {
@@ -73,7 +74,7 @@
 
 struct Node;
 
-using limits::Fading;
+using limits::DecayingCounter;
 
 struct Request {
   RequestId id;
@@ -115,14 +116,14 @@
   std::vector<Attempt> out;
   Bound share, reserve;  // for work beyond and inside its volume's reserve
   double unit_time = kFirstUnitTime;
-  double wait = 0;              // us of queueing lately
-  Time heard = 0;               // when that was learnt
-  Time passed = 0;              // the latest send that has come back
-  routing::Record record;       // what became of attempts here
-  Fading placed;                // units of new objects put here
-  limits::Usual usual;          // service to this host while warm, kept for the node's next start
-  limits::ColdStart cold;       // and what that leaves to send after it
-  double excess = 0, work = 0;  // sums of queueing and of least work since the last step, us
+  double wait = 0;                 // us of queueing lately
+  Time heard = 0;                  // when that was learnt
+  Time passed = 0;                 // the latest send that has come back
+  routing::OutcomeHistory record;  // what became of attempts here
+  DecayingCounter placed;          // units of new objects put here
+  limits::SteadyStateRate usual;   // service to this host while warm, kept for the node's next start
+  limits::SlowStart cold;          // and what that leaves to send after it
+  double excess = 0, work = 0;     // sums of queueing and of least work since the last step, us
   int samples = 0;
   double vtime = 0;
   double reserved_rate = 0;  // units a second that come here inside reserves
@@ -171,7 +172,7 @@
 };
 
 bool NeverRan(Outcome o) {
-  return o == Outcome::kSaturated || o == Outcome::kRefusedConn || o == Outcome::kSuperseded;
+  return o == Outcome::kOverloaded || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
 }
 
 }  // namespace
@@ -180,7 +181,8 @@
  public:
   Impl(const Settings& settings, std::uint64_t seed) : s_(settings), rng_(seed) {
     tightest_aim_ = 1e18;
-    for (const RequestClass& c : s_.classes) tightest_aim_ = std::min(tightest_aim_, double(c.aim));
+    for (const RequestClass& c : s_.classes)
+      tightest_aim_ = std::min(tightest_aim_, double(c.latency_objective));
     if (s_.plans.empty()) s_.plans.emplace_back();
   }
 
@@ -198,13 +200,13 @@
 
   void On(const Started&) {
     born_ = next_interval_ = next_depth_ = now_;
-    if (s_.discovery == Discovery::kSubscribe) Track();
-    actions_.push_back(Wake{0, kTick});
+    if (s_.discovery == DiscoveryMode::kSubscribe) Track();
+    actions_.push_back(StartTimer{0, kTick});
   }
 
-  void On(const Bell&) {
-    actions_.push_back(Wake{0, kTick});
-    patience_ = leaving_.Part(now_);
+  void On(const TimerFired&) {
+    actions_.push_back(StartTimer{0, kTick});
+    patience_ = leaving_.SafeFraction(now_);
     if (track_at_ >= 0 && now_ >= track_at_) Track();
     if (now_ >= next_depth_) AdaptDepth();
     if (now_ >= next_interval_) ControlLoop();
@@ -212,17 +214,17 @@
     Sweep();
   }
 
-  void On(const Membership& m) {
-    if (m.mode != Mode::kCached) track_at_ = -1;
-    if (m.mode == Mode::kFailed) {
-      if (s_.discovery == Discovery::kSubscribe) track_at_ = now_ + list_calls_.Failed(now_, Random());
+  void On(const EndpointUpdate& m) {
+    if (m.kind != EndpointUpdateKind::kCached) track_at_ = -1;
+    if (m.kind == EndpointUpdateKind::kFailed) {
+      if (s_.discovery == DiscoveryMode::kSubscribe) track_at_ = now_ + list_calls_.NextDelay(now_, Random());
       return;
     }
-    if (m.mode != Mode::kCached) list_calls_.Answered();
-    if (m.mode == Mode::kFull || m.mode == Mode::kCached) {
+    if (m.kind != EndpointUpdateKind::kCached) list_calls_.OnResponse();
+    if (m.kind == EndpointUpdateKind::kFull || m.kind == EndpointUpdateKind::kCached) {
       for (auto& [target, node] : nodes_) node.live = false, node.gone = true;
     }
-    for (const ListEntry& e : m.entries) Learn(e);
+    for (const Endpoint& e : m.endpoints) Learn(e);
     for (auto& [target, node] : nodes_) {
       const auto holder = holders_.find(node.cell);
       if (node.live && (holder == holders_.end() || !holder->second->live)) holders_[node.cell] = &node;
@@ -230,32 +232,32 @@
     for (auto& [target, node] : nodes_) Pump(node);
   }
 
-  void Learn(const ListEntry& e) {
+  void Learn(const Endpoint& e) {
     auto [it, fresh] = nodes_.try_emplace(e.target);
     Node& node = it->second;
-    if (fresh || e.launched > node.launched) {  // a process that is new to us: nothing learnt holds
-      node.share.units = node.reserve.units = kDepthStart * s_.usual_units;
+    if (fresh || e.started_at > node.launched) {  // a process that is new to us: nothing learnt holds
+      node.share.units = node.reserve.units = kDepthStart * s_.mean_request_units;
       node.wait = 0;
       node.rest_until = 0;
-      const auto before = holders_.find(e.cell);
+      const auto before = holders_.find(e.shard);
       if (fresh && before != holders_.end()) node.usual = before->second->usual;
       node.record = {};
-      if (e.launched > 0) node.usual.Silent(std::min(now_, e.launched));  // else it has not started anew
-      const double first = Random() * s_.usual_units;  // hosts must not all start with a send
-      node.cold.Start(e.launched, now_, node.usual.Rate(now_, born_), first);
+      if (e.started_at > 0) node.usual.Suspend(std::min(now_, e.started_at));  // else it has not started anew
+      const double first = Random() * s_.mean_request_units;  // hosts must not all start with a send
+      node.cold.Start(e.started_at, now_, node.usual.Rate(now_, born_), first);
     }
     node.target = e.target;
-    node.cell = e.cell;
+    node.cell = e.shard;
     node.zone = e.zone;
-    node.launched = e.launched;
-    node.takes_new = e.takes_new;
-    node.live = e.phase == Phase::kLive;
-    node.gone = e.phase == Phase::kDead;
-    if (node.live) holders_[e.cell] = &node;
+    node.launched = e.started_at;
+    node.takes_new = e.accepts_new_objects;
+    node.live = e.state == EndpointState::kActive;
+    node.gone = e.state == EndpointState::kTerminated;
+    if (node.live) holders_[e.shard] = &node;
   }
 
-  void On(const Arrival& a) {
-    if (s_.rules.budget_span) arrivals_.push_back(now_);
+  void On(const RequestArrived& a) {
+    if (s_.rules.retry_budget_window) arrivals_.push_back(now_);
     auto r = std::make_shared<Request>();
     r->id = a.id;
     r->cls = std::clamp(a.request_class, 0, int(s_.classes.size()) - 1);
@@ -266,26 +268,27 @@
     r->deadline = now_ + a.ttl;
     // The aim runs from the first try. A client that waits shorter than that is in a hurry, not late; but
     // what it repeats is late: its last try was too long for it, and such clients repeat many times.
-    r->aim_at = a.ttl < c.aim ? (a.repeat ? now_ : r->deadline) : r->deadline - c.deadline + c.aim;
-    r->free = a.cell < 0;
+    r->aim_at = a.ttl < c.latency_objective ? (a.is_client_retry ? now_ : r->deadline)
+                                            : r->deadline - c.deadline + c.latency_objective;
+    r->free = a.shard < 0;
     requests_[r->id] = r;
-    if (c.serial_by_key && !r->key.empty()) keys_[r->key].chain.push_back(r);
+    if (c.ordered_by_key && !r->key.empty()) keys_[r->key].chain.push_back(r);
     Volume& volume = VolumeOf(a);
     volume.came += r->units;
     volume.last = now_;
-    Enqueue(r, &volume, r->free ? Place(*r) : a.cell);
+    Enqueue(r, &volume, r->free ? Place(*r) : a.shard);
     if (Node* node = Holder(r->stream->cell)) Pump(*node);
     // Rule: no request lost. No timer would see one held in time that has next to no time left.
     if (a.ttl < 2 * kTick && !r->out) Finish(r);
   }
 
-  void On(const Done& d) {
+  void On(const AttemptFinished& d) {
     const auto found = requests_.find(d.id);
     const auto at = nodes_.find(d.target);
     if (found == requests_.end() || at == nodes_.end()) return;
     const Ref r = found->second;
     Node& node = at->second;
-    if (r->out != &node || d.trial != r->attempts - 1) return;
+    if (r->out != &node || d.attempt != r->attempts - 1) return;
     r->out = nullptr;
     EndAttempt(*r, d, node);
     LearnUse(*r, d, node);
@@ -297,17 +300,18 @@
       r->risk_cell = node.cell;
       r->risk_zone = node.zone;
     }
-    const bool may_linger =
-        d.outcome == Outcome::kOverdue || d.outcome == Outcome::kSevered || d.outcome == Outcome::kRecalled;
-    if (may_linger && c.serial_by_key && !r->key.empty() && s_.rules.key_rest) {
-      keys_[r->key].rest_until = std::max(keys_[r->key].rest_until, now_ + *s_.rules.key_rest);
+    const bool may_linger = d.outcome == Outcome::kTimedOut || d.outcome == Outcome::kConnectionReset ||
+                            d.outcome == Outcome::kCancelled;
+    if (may_linger && c.ordered_by_key && !r->key.empty() && s_.rules.key_quarantine) {
+      keys_[r->key].rest_until = std::max(keys_[r->key].rest_until, now_ + *s_.rules.key_quarantine);
     }
-    if (d.settled || r->ended) {
+    if (d.request_finished || r->ended) {
       NoteStay(*r, false);
       r->ended = true;
       requests_.erase(d.id);
     } else if (MayTryAgain(*r, d.outcome)) {
-      const bool bound = r->risk >= 0 && c.effect == Effect::kKeyed;  // to those that drop its repeats
+      const bool bound =
+          r->risk >= 0 && c.idempotency == Idempotency::kIdempotentWithKey;  // to those that drop its repeats
       Enqueue(r, r->stream->volume, r->free && !bound ? Place(*r) : r->stream->cell);
     } else {
       Finish(r);
@@ -319,7 +323,7 @@
     }
   }
 
-  void On(const Abandoned& a) {
+  void On(const ClientDisconnected& a) {
     const auto found = requests_.find(a.id);
     if (found == requests_.end()) return;
     const Ref r = found->second;
@@ -327,21 +331,21 @@
     r->ended = true;
     Drop(r);
     // Nobody waits for it any more: a node that drops waiting work is spared it.
-    if (r->out && s_.may_cancel) actions_.push_back(Retract{r->id, r->attempts - 1});
+    if (r->out && s_.can_cancel) actions_.push_back(CancelAttempt{r->id, r->attempts - 1});
     if (!r->out) requests_.erase(found);
   }
 
-  void On(const Streaming& e) {  // the attempt is the client's now: nothing more is owed
+  void On(const ResponseStarted& e) {  // the attempt is the client's now: nothing more is owed
     const auto found = requests_.find(e.id);
     if (found != requests_.end()) found->second->ended = true;
   }
 
-  void On(const ProbeDone&) {}
+  void On(const HealthCheckFinished&) {}
 
   void On(const FleetSize& f) {
-    s_.instances = std::max(1, f.live);
-    s_.part = f.part;
-    list_calls_.Among(s_.instances);
+    s_.instances = std::max(1, f.live_instances);
+    s_.traffic_fraction = f.traffic_fraction;
+    list_calls_.SetInstanceCount(s_.instances);
   }
 
   // A node that drops nothing still does what was called back or timed out. Such an attempt stays in the
@@ -349,11 +353,11 @@
   // against clients that leave early, time-outs, and hung nodes alike: without it the bound looks free and
   // hundreds of hosts refill a queue that nobody waits for. It could hurt where nodes drop such work: they
   // idle so long.
-  void EndAttempt(const Request& r, const Done& d, Node& node) {
+  void EndAttempt(const Request& r, const AttemptFinished& d, Node& node) {
     const auto at = std::find_if(node.out.begin(), node.out.end(),
                                  [&](const Attempt& a) { return a.request.get() == &r && a.until == 0; });
     if (at == node.out.end()) return;
-    const bool lingers = d.outcome == Outcome::kOverdue || d.outcome == Outcome::kRecalled;
+    const bool lingers = d.outcome == Outcome::kTimedOut || d.outcome == Outcome::kCancelled;
     if (lingers && !Lost(*at, node)) {
       at->until = now_ + Time(kLinger * double(now_ - at->sent)) + 1;
     } else {
@@ -366,22 +370,23 @@
 
   // A client that is in a hurry, or was answered too late, tells nothing of when others leave.
   void NoteStay(const Request& r, bool left) {
-    const double aim = double(s_.classes[r.cls].aim);
+    const double aim = double(s_.classes[r.cls].latency_objective);
     const double age = double(now_ - r.came) / aim;
-    if (!r.ended && (!left || age < 1) && double(r.deadline - r.came) >= aim) leaving_.Note(age, left, now_);
+    if (!r.ended && (!left || age < 1) && double(r.deadline - r.came) >= aim)
+      leaving_.Record(age, left, now_);
   }
 
   Time LateAt(const Request& r) const {
-    return std::min(r.aim_at, r.came + Time(patience_ * double(s_.classes[r.cls].aim)));
+    return std::min(r.aim_at, r.came + Time(patience_ * double(s_.classes[r.cls].latency_objective)));
   }
 
   // ---- streams and queues ----
 
-  Volume& VolumeOf(const Arrival& a) {
+  Volume& VolumeOf(const RequestArrived& a) {
     auto [it, fresh] = volumes_.try_emplace(a.volume);
     Volume& v = it->second;
     v.plan = &s_.plans[std::clamp(a.plan, 0, int(s_.plans.size()) - 1)];
-    v.mounts = std::max(1, a.mounts);
+    v.mounts = std::max(1, a.initiator_count);
     if (fresh) {
       v.number = ++last_volume_;
       v.filled = now_;
@@ -393,22 +398,22 @@
     return v;
   }
 
-  double ReservePart(const Volume& v) const { return s_.counts_others ? 1.0 : 1.0 / v.mounts; }
+  double ReservePart(const Volume& v) const { return s_.reports_remote_usage ? 1.0 : 1.0 / v.mounts; }
 
   double ReserveCap(const Volume& v) const {
-    return v.plan->floor_rate > 0 ? v.plan->floor_rate * ReservePart(v) + s_.largest_units : 0;
+    return v.plan->reserved_rate > 0 ? v.plan->reserved_rate * ReservePart(v) + s_.max_request_units : 0;
   }
 
   void Fill(Volume& v) const {
     const double span = (now_ - v.filled) / kSecond;
     v.filled = now_;
-    v.reserve = std::min(ReserveCap(v), v.reserve + v.plan->floor_rate * ReservePart(v) * span);
+    v.reserve = std::min(ReserveCap(v), v.reserve + v.plan->reserved_rate * ReservePart(v) * span);
     v.store = std::min(v.plan->burst / v.mounts, v.store + v.plan->limit / v.mounts * span);
   }
 
   void Fill(Stream& st) const {
     if (st.limit <= 0) return;
-    const double cap = std::max(s_.largest_units, st.limit * kBucketSpan);
+    const double cap = std::max(s_.max_request_units, st.limit * kBucketSpan);
     st.tokens = std::min(cap, st.tokens + st.limit * (now_ - st.filled) / kSecond);
     st.filled = now_;
   }
@@ -453,10 +458,10 @@
       if (!node->live || !node->takes_new) continue;
       const double follow = node->placed.Now(now_, kPlacedFades);
       double cost = ExpectedWait(*node) + (UnitsOut(*node) + r.units + follow) * node->unit_time;
-      cost += cells_[cell].held * s_.usual_units * node->unit_time;
+      cost += cells_[cell].held * s_.mean_request_units * node->unit_time;
       if (node->rest_until > now_) cost += double(node->rest_until - now_);
-      cost += kRisk * tightest_aim_ * routing::Risk(node->record, zones_[node->zone], now_);
-      if (node->cold.Cold(s_, now_)) cost += tightest_aim_;
+      cost += kRisk * tightest_aim_ * routing::FailureProbability(node->record, zones_[node->zone], now_);
+      if (node->cold.IsActive(s_, now_)) cost += tightest_aim_;
       cost *= 1 + kSpread * Random();
       if (best < 0 || cost < best_cost) {
         best = cell;
@@ -470,7 +475,7 @@
   // ---- what leaves ----
 
   bool KeyFree(const Request& r) {
-    if (!s_.classes[r.cls].serial_by_key || r.key.empty()) return true;
+    if (!s_.classes[r.cls].ordered_by_key || r.key.empty()) return true;
     Key& key = keys_[r.key];
     key.Settle();
     if (key.chain.empty() || key.chain.front().get() != &r) return false;
@@ -485,7 +490,8 @@
   // a factor of two; within a band the start tags decide.
   int Band(const Request& r, const Stream& st, bool reserved) const {
     const RequestClass& c = s_.classes[r.cls];
-    double worth = c.worth * st.volume->plan->value_factor * (reserved ? 1 : s_.fair_worth);
+    double worth =
+        c.priority_weight * st.volume->plan->priority_factor * (reserved ? 1 : s_.fair_share_weight);
     return -int(std::floor(std::log2(std::max(1e-6, worth))));
   }
 
@@ -543,8 +549,8 @@
         bound.hit = all.hit = true;
         return;
       }
-      const double demand = node.cold.Cold(s_, now_) ? Demanded(node) : 0;
-      if (!node.cold.Room(s_, best->units, demand, now_)) return;
+      const double demand = node.cold.IsActive(s_, now_) ? Demanded(node) : 0;
+      if (!node.cold.Admits(s_, best->units, demand, now_)) return;
       Dispatch(best, node, best_reserved, best_tag);
     }
   }
@@ -557,25 +563,25 @@
       v.reserve -= r->units;
     } else {
       node.vtime = std::max(node.vtime, tag);
-      st.finish = tag + r->units / v.plan->parts;
+      st.finish = tag + r->units / v.plan->weight;
     }
     if (st.limit > 0) st.tokens -= r->units;
     if (!r->drawn && v.plan->limit > 0) v.store -= r->units;
     r->drawn = true;
-    if (r->attempts > 0 && s_.rules.budget_span) further_.push_back(now_);
+    if (r->attempts > 0 && s_.rules.retry_budget_window) further_.push_back(now_);
     ++r->attempts;
     r->out = &node;
     r->sent = now_;
     node.out.push_back({r, now_, r->units});
     node.last_send = now_;
-    node.cold.Sent(s_, r->units, now_);
+    node.cold.OnSent(s_, r->units, now_);
     // Past its aim an answer earns little, and its place in the queue costs those behind it: nodes that drop
     // what has timed out clear themselves. Not for work in order, where a time-out makes the key rest.
     const RequestClass& c = s_.classes[r->cls];
-    const Time until = r->aim_at + (c.effect == Effect::kUnsafe ? 0 : c.aim);
-    const bool cut = s_.may_cancel && !c.serial_by_key && now_ < r->aim_at;
-    const bool bound = r->risk >= 0 && c.effect == Effect::kKeyed;
-    actions_.push_back(Send{r->id, node.target, cut ? until - now_ : 0, bound ? RepeatUntil(*r) : 0});
+    const Time until = r->aim_at + (c.idempotency == Idempotency::kNotIdempotent ? 0 : c.latency_objective);
+    const bool cut = s_.can_cancel && !c.ordered_by_key && now_ < r->aim_at;
+    const bool bound = r->risk >= 0 && c.idempotency == Idempotency::kIdempotentWithKey;
+    actions_.push_back(SendAttempt{r->id, node.target, cut ? until - now_ : 0, bound ? RepeatUntil(*r) : 0});
   }
 
   // ---- cold nodes ----
@@ -592,46 +598,46 @@
 
   // ---- what outcomes teach ----
 
-  void LearnUse(const Request& r, const Done& d, Node& node) {
+  void LearnUse(const Request& r, const AttemptFinished& d, Node& node) {
     if (!r.stream) return;
     Stream& st = *r.stream;
     Volume& v = *st.volume;
-    if (d.seen_use > 0) {
-      v.use = (d.seen_use - 1) / 100.0;
+    if (d.reported_usage > 0) {
+      v.use = (d.reported_usage - 1) / 100.0;
       v.use_at = now_;
     }
-    if (d.others_got > 0) {  // served elsewhere: the reserve first, then the share at this node
+    if (d.units_served_elsewhere > 0) {  // served elsewhere: the reserve first, then the share at this node
       Fill(v);
-      const double reserved = std::clamp(v.reserve, 0.0, d.others_got);
+      const double reserved = std::clamp(v.reserve, 0.0, d.units_served_elsewhere);
       v.reserve -= reserved;
-      st.finish = std::max(st.finish, node.vtime) + (d.others_got - reserved) / v.plan->parts;
+      st.finish = std::max(st.finish, node.vtime) + (d.units_served_elsewhere - reserved) / v.plan->weight;
     }
-    if (d.outcome == Outcome::kCompleted && !node.cold.Cold(s_, now_)) node.usual.Served(r.units, now_);
-    if (d.outcome == Outcome::kOverdue || d.outcome == Outcome::kRefusedConn) node.usual.Silent(now_);
+    if (d.outcome == Outcome::kCompleted && !node.cold.IsActive(s_, now_)) node.usual.Record(r.units, now_);
+    if (d.outcome == Outcome::kTimedOut || d.outcome == Outcome::kConnectFailed) node.usual.Suspend(now_);
   }
 
-  void LearnLatency(const Request& r, const Done& d, Node& node) {
-    if (d.outcome == Outcome::kSaturated) {
+  void LearnLatency(const Request& r, const AttemptFinished& d, Node& node) {
+    if (d.outcome == Outcome::kOverloaded) {
       node.rest_until = now_ + (kFullRest << std::min(node.fulls++, kFullDoublings));
       node.wait = std::max(ExpectedWait(node), tightest_aim_);  // its whole queue must drain
       node.heard = now_;
       for (Bound* b : {&node.share, &node.reserve})
-        b->units = std::max(kPaceLeast * s_.usual_units, b->units / 2);
-    } else if (d.outcome == Outcome::kRefusedConn) {
+        b->units = std::max(kPaceLeast * s_.mean_request_units, b->units / 2);
+    } else if (d.outcome == Outcome::kConnectFailed) {
       node.rest_until = now_ + (kDownRest << std::min(node.refusals++, kDownDoublings));
     } else if (d.outcome == Outcome::kCompleted) {
       node.refusals = node.fulls = 0;
     }
     const bool answered = d.outcome == Outcome::kCompleted || d.outcome == Outcome::kErrored;
-    if (answered || d.outcome == Outcome::kOverdue || d.outcome == Outcome::kRefusedConn) {
-      node.record.Note(d.outcome != Outcome::kCompleted, now_);
-      zones_[node.zone].Note(!answered, now_);
+    if (answered || d.outcome == Outcome::kTimedOut || d.outcome == Outcome::kConnectFailed) {
+      node.record.Record(d.outcome != Outcome::kCompleted, now_);
+      zones_[node.zone].Record(!answered, now_);
     }
-    if (d.outcome != Outcome::kCompleted && d.outcome != Outcome::kOverdue) return;  // errors tell nothing
-    if (d.outcome == Outcome::kOverdue && Lost({nullptr, r.sent, r.units}, node)) return;
-    const double per_unit = double(d.delay) / r.units;
+    if (d.outcome != Outcome::kCompleted && d.outcome != Outcome::kTimedOut) return;  // errors tell nothing
+    if (d.outcome == Outcome::kTimedOut && Lost({nullptr, r.sent, r.units}, node)) return;
+    const double per_unit = double(d.latency) / r.units;
     node.unit_time += (per_unit < node.unit_time ? kBaseFall : kBaseRise) * (per_unit - node.unit_time);
-    const double queueing = std::max(0.0, d.delay - r.units * node.unit_time);
+    const double queueing = std::max(0.0, d.latency - r.units * node.unit_time);
     // Of hosts that hear seldom the newest answer is all that counts.
     const double fresh = 1 - (1 - kWaitGain) * std::exp(-double(now_ - node.heard) / kWaitFades);
     node.heard = now_;
@@ -647,7 +653,7 @@
       ++told_.samples;
     }
     if (r.stream) {
-      r.stream->lateness += double(now_ - r.came) / s_.classes[r.cls].aim;
+      r.stream->lateness += double(now_ - r.came) / s_.classes[r.cls].latency_objective;
       ++r.stream->samples;
     }
   }
@@ -669,7 +675,7 @@
         std::count_if(node.out.begin(), node.out.end(), [&](auto& a) { return !Lost(a, node); });
     const double doublings = std::clamp(double(alive) - 1, 0.0, 10.0);
     const double gap = (kTrialAfter * tightest_aim_ + kTrialWaits * node.wait) * std::exp2(doublings);
-    return std::max(gap, s_.instances * s_.usual_units * node.unit_time);
+    return std::max(gap, s_.instances * s_.mean_request_units * node.unit_time);
   }
 
   double UnitsOut(const Node& node) const {
@@ -723,7 +729,8 @@
   void AdaptBoth(Bound& share, Bound& reserve, double least, double excess, double work) const {
     const double aim = tightest_aim_ * patience_;
     const double uneven = kUneven * work / aim;
-    Adapt(share, 0, excess / aim / (share.units > s_.usual_units ? kAimForWait : kAimForPace + uneven));
+    Adapt(share, 0,
+          excess / aim / (share.units > s_.mean_request_units ? kAimForWait : kAimForPace + uneven));
     Adapt(reserve, least, excess / aim / kAimForReserve);
   }
 
@@ -731,19 +738,19 @@
   // hundreds adds a part of its own bound they settle, all together, where the wait is well over what is
   // allowed.
   void Adapt(Bound& bound, double least, double ratio) const {
-    const double part = s_.usual_units * std::min(1.0, kDriftHosts / s_.instances);
+    const double part = s_.mean_request_units * std::min(1.0, kDriftHosts / s_.instances);
     const double drift = kDepthDrift * std::min(bound.units, part);
     const double wanted = bound.units / std::max(0.5, ratio) + drift;
     if (wanted < bound.units || bound.hit) bound.units += kDepthGain * (wanted - bound.units);
-    least = std::max(least, kPaceLeast * std::min(1.0, kPaceHosts / s_.instances) * s_.usual_units);
-    bound.units = std::clamp(bound.units, least, kDepthMost * s_.usual_units);
+    least = std::max(least, kPaceLeast * std::min(1.0, kPaceHosts / s_.instances) * s_.mean_request_units);
+    bound.units = std::clamp(bound.units, least, kDepthMost * s_.mean_request_units);
     bound.hit = false;
   }
 
   // ---- the control loop (SLEDS) ----
 
   double Promised(const Volume& v) const {
-    return (v.plan->floor_rate > 0 ? v.plan->floor_rate : v.plan->rate) * kMargin;
+    return (v.plan->reserved_rate > 0 ? v.plan->reserved_rate : v.plan->rate) * kMargin;
   }
 
   bool AboveRate(const Volume& v) const {
@@ -763,9 +770,9 @@
       if (node) {
         node->reserved_rate = 0;
         for (const auto& [number, st] : streams)
-          node->reserved_rate += std::min(st.rate, st.volume->plan->floor_rate);
+          node->reserved_rate += std::min(st.rate, st.volume->plan->reserved_rate);
         for (const auto& [r, sent, units, until] : node->out) {  // one older than its aim counts as its age
-          const double lateness = double(now_ - r->came) / s_.classes[r->cls].aim;
+          const double lateness = double(now_ - r->came) / s_.classes[r->cls].latency_objective;
           if (lateness > 1) r->stream->lateness += lateness, ++r->stream->samples;
         }
       }
@@ -845,13 +852,14 @@
 
   // Rule: ration of further attempts, in its sliding window.
   bool RationLeft() {
-    if (!s_.rules.budget_span || !s_.rules.further_ratio) return true;
-    const Time since = now_ - *s_.rules.budget_span;
+    if (!s_.rules.retry_budget_window || !s_.rules.retry_budget_ratio) return true;
+    const Time since = now_ - *s_.rules.retry_budget_window;
     while (!arrivals_.empty() && arrivals_.front() <= since) arrivals_.pop_front();
     while (!further_.empty() && further_.front() < since) further_.pop_front();
     int waiting = 0;
     for (const auto& [id, r] : requests_) waiting += r->attempts > 0 && !r->out && !r->ended;
-    const double allowed = s_.rules.extra_floor + *s_.rules.further_ratio * double(arrivals_.size());
+    const double allowed =
+        s_.rules.retry_budget_minimum + *s_.rules.retry_budget_ratio * double(arrivals_.size());
     return double(further_.size()) + waiting + 1 <= allowed;
   }
 
@@ -859,21 +867,23 @@
   // what sends it again. Guards against connections that fall silent and answers that stop short, which would
   // end by time-out only once the aim is over. Uneven work may be called back in vain; it is rare.
   void CallBack(const Node& node) {
-    if (!s_.may_cancel) return;
+    if (!s_.can_cancel) return;
     for (const Attempt& a : node.out) {
       Request& r = *a.request;
       const RequestClass& c = s_.classes[r.cls];
-      const double overtaken = kAgainAfter * a.units * node.unit_time + kAimForAgain * double(c.aim);
+      const double overtaken =
+          kAgainAfter * a.units * node.unit_time + kAimForAgain * double(c.latency_objective);
       if (double(node.passed - a.sent) <= overtaken || a.until > 0 || r.ended || r.out != &node) continue;
-      if (c.effect != Effect::kSafe || c.serial_by_key || r.called_back == r.attempts) continue;
-      if (r.attempts >= s_.try_limit || !Feasible(r, node) || !RationLeft()) continue;
+      if (c.idempotency != Idempotency::kIdempotent || c.ordered_by_key || r.called_back == r.attempts)
+        continue;
+      if (r.attempts >= s_.max_attempts || !Feasible(r, node) || !RationLeft()) continue;
       r.called_back = r.attempts;
-      actions_.push_back(Retract{r.id, r.attempts - 1});
+      actions_.push_back(CancelAttempt{r.id, r.attempts - 1});
     }
   }
 
   bool MayTryAgain(const Request& r, Outcome outcome) {
-    if (r.attempts >= s_.try_limit || now_ >= r.aim_at || outcome == Outcome::kSuperseded) return false;
+    if (r.attempts >= s_.max_attempts || now_ >= r.aim_at || outcome == Outcome::kNotSent) return false;
     if (now_ + 2 * kTick >= r.deadline) return false;  // rule: no request lost; no timer would see it in time
     return RationLeft() && RepeatIsSafe(r, r.risk_cell, r.risk_zone);
   }
@@ -882,17 +892,22 @@
   // drops its repeats while that target still remembers it.
   bool RepeatIsSafe(const Request& r, int cell, int zone) const {
     const RequestClass& c = s_.classes[r.cls];
-    if (r.risk < 0 || c.effect == Effect::kSafe) return true;
-    if (c.effect == Effect::kUnsafe || now_ >= RepeatUntil(r)) return false;
-    return c.group == Group::kAll || (c.group == Group::kCell ? cell == r.risk_cell : zone == r.risk_zone);
+    if (r.risk < 0 || c.idempotency == Idempotency::kIdempotent) return true;
+    if (c.idempotency == Idempotency::kNotIdempotent || now_ >= RepeatUntil(r)) return false;
+    return c.deduplication_scope == DeduplicationScope::kAll ||
+           (c.deduplication_scope == DeduplicationScope::kShard ? cell == r.risk_cell : zone == r.risk_zone);
   }
 
-  Time RepeatUntil(const Request& r) const { return r.risk + s_.classes[r.cls].memory_span - kWindowSlack; }
+  Time RepeatUntil(const Request& r) const {
+    return r.risk + s_.classes[r.cls].deduplication_window - kWindowSlack;
+  }
 
   bool RefusalIsSafe(const Request& r) const {
     const RequestClass& c = s_.classes[r.cls];
-    if (r.out) return c.effect == Effect::kSafe;
-    return r.risk < 0 || c.effect == Effect::kSafe || (c.effect == Effect::kKeyed && c.group == Group::kAll);
+    if (r.out) return c.idempotency == Idempotency::kIdempotent;
+    return r.risk < 0 || c.idempotency == Idempotency::kIdempotent ||
+           (c.idempotency == Idempotency::kIdempotentWithKey &&
+            c.deduplication_scope == DeduplicationScope::kAll);
   }
 
   // When a refused client may come back: once what waits at the node is done and the node's rest is over.
@@ -911,9 +926,9 @@
     r->ended = true;
     Drop(r);
     if (RefusalIsSafe(*r)) {
-      actions_.push_back(Refuse{r->id, s_.retry_after ? ComeBack(*r) : 0});
+      actions_.push_back(RejectRequest{r->id, s_.sends_retry_after ? ComeBack(*r) : 0});
     } else {
-      actions_.push_back(Fail{r->id});
+      actions_.push_back(FailRequest{r->id});
     }
     if (!r->out) requests_.erase(r->id);
   }
@@ -945,8 +960,8 @@
   }
 
   void Track() {
-    actions_.push_back(Subscribe{});
-    list_calls_.Asked(now_);
+    actions_.push_back(WatchEndpoints{});
+    list_calls_.OnPoll(now_);
     track_at_ = now_ + kTrackPatience;  // an ask that is never answered is asked again
   }
 
@@ -955,23 +970,23 @@
   Settings s_;
   std::mt19937_64 rng_;
   Time now_ = 0, born_ = 0, next_interval_ = 0, next_depth_ = 0, track_at_ = -1;
-  limits::ListCalls list_calls_{s_.instances, kTrackSeldom};
+  limits::PollBackoff list_calls_{s_.instances, kTrackSeldom};
   double tightest_aim_ = 0;
   double usual_all_ = 0;  // units a second that this host is served at all nodes
-  limits::Patience leaving_;
+  limits::AbandonmentEstimate leaving_;
   double patience_ = 1;  // the part of an aim that clients wait, as of the last tick
-  Bound share_{kDepthStart * s_.usual_units},
+  Bound share_{kDepthStart * s_.mean_request_units},
       reserve_ = share_;  // of a node not heard of lately, by the answers of all: among hundreds of hosts
                           // one node's answers come too seldom to follow a surge
   struct {
     double excess = 0;
     int samples = 0;
-  } told_;                // by answers of all nodes since the last step
-  Fading waits_, heard_;  // queueing at all nodes lately, us, and how many answers told it
+  } told_;                         // by answers of all nodes since the last step
+  DecayingCounter waits_, heard_;  // queueing at all nodes lately, us, and how many answers told it
   std::vector<Action> actions_;
   std::map<TargetId, Node> nodes_;
   std::map<int, Node*> holders_;
-  std::map<int, routing::Record> zones_;
+  std::map<int, routing::OutcomeHistory> zones_;
   std::map<std::string, Volume> volumes_;
   std::map<int, Streams> cells_;
   std::unordered_map<RequestId, Ref> requests_;
@@ -983,7 +998,7 @@
 std::size_t Scheduler::Impl::Remembered() const {
   std::size_t count = nodes_.size() + volumes_.size() + requests_.size() + keys_.size() + arrivals_.size();
   for (const auto& [cell, streams] : cells_) count += streams.size();
-  for (const auto& [target, node] : nodes_) count += node.out.size() + node.cold.remembered();
+  for (const auto& [target, node] : nodes_) count += node.out.size() + node.cold.table_entries();
   return count + further_.size();
 }
 
@@ -993,7 +1008,7 @@
 Scheduler::Scheduler(Scheduler&&) noexcept = default;
 Scheduler& Scheduler::operator=(Scheduler&&) noexcept = default;
 
-std::size_t Scheduler::remembered() const { return impl_->Remembered(); }
+std::size_t Scheduler::table_entries() const { return impl_->Remembered(); }
 
 std::vector<Action> Scheduler::Handle(const Event& event, Time now) { return impl_->Handle(event, now); }
 
--- a/src/filestore/atomic_file.cpp
+++ b/src/filestore/atomic_file.cpp
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-bool WriteWhole(const std::string& folder, const std::string& name, std::string_view bytes,
-                std::string* what) {
+bool WriteFileAtomically(const std::string& folder, const std::string& name, std::string_view bytes,
+                         std::string* what) {
   const std::string path = folder + "/" + name, next = path + ".new";
   const auto fail = [&](const char* step) {
     *what = std::string(step) + " " + next + ": " + std::strerror(errno);
@@ -53,7 +53,7 @@
   return true;
 }
 
-std::optional<std::string> ReadWhole(const std::string& path) {
+std::optional<std::string> ReadWholeFile(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   if (!file) return std::nullopt;
   std::stringstream bytes;
--- a/src/filestore/atomic_file.h
+++ b/src/filestore/atomic_file.h
@@ -10,10 +10,10 @@
 namespace walnutspur::filestore {
 
 // False, with one line, if it could not be made to last; the old file then still stands.
-bool WriteWhole(const std::string& folder, const std::string& name, std::string_view bytes,
-                std::string* what);
+bool WriteFileAtomically(const std::string& folder, const std::string& name, std::string_view bytes,
+                         std::string* what);
 // Nothing if there is no such file or it cannot be read.
-std::optional<std::string> ReadWhole(const std::string& path);
+std::optional<std::string> ReadWholeFile(const std::string& path);
 
 }  // namespace walnutspur::filestore
 
--- a/src/filestore/file_store.cpp
+++ b/src/filestore/file_store.cpp
@@ -5,13 +5,13 @@
 
 namespace walnutspur::filestore {
 
-Keeper::Keeper(Write write, std::function<void(const std::string&)> told, std::chrono::milliseconds rest,
-               std::chrono::milliseconds most_rest)
+FileStore::FileStore(Write write, std::function<void(const std::string&)> told,
+                     std::chrono::milliseconds rest, std::chrono::milliseconds most_rest)
     : write_(std::move(write)), told_(std::move(told)), rest_(rest), most_rest_(most_rest), thread_([this] {
         Run();
       }) {}
 
-Keeper::~Keeper() {
+FileStore::~FileStore() {
   {
     const std::lock_guard lock(mutex_);
     ends_ = true;
@@ -20,7 +20,7 @@
   thread_.join();
 }
 
-void Keeper::Put(const std::string& name, std::string bytes) {
+void FileStore::Put(const std::string& name, std::string bytes) {
   {
     const std::lock_guard lock(mutex_);
     waiting_[name] = std::move(bytes);
@@ -28,22 +28,22 @@
   changed_.notify_all();
 }
 
-bool Keeper::Settle(std::chrono::milliseconds most) {
+bool FileStore::Flush(std::chrono::milliseconds most) {
   std::unique_lock lock(mutex_);
   return settled_.wait_for(lock, most, [this] { return waiting_.empty() && !writing_; });
 }
 
-std::uint64_t Keeper::written() const {
+std::uint64_t FileStore::written() const {
   const std::lock_guard lock(mutex_);
   return written_;
 }
 
-std::uint64_t Keeper::failed() const {
+std::uint64_t FileStore::failed() const {
   const std::lock_guard lock(mutex_);
   return failed_;
 }
 
-void Keeper::Run() {
+void FileStore::Run() {
   std::chrono::milliseconds rest = rest_;
   bool failing = false;
   std::unique_lock lock(mutex_);
--- a/src/filestore/file_store.h
+++ b/src/filestore/file_store.h
@@ -17,22 +17,22 @@
 
 namespace walnutspur::filestore {
 
-class Keeper {
+class FileStore {
  public:
   using Write = std::function<bool(const std::string& name, const std::string& bytes, std::string* what)>;
 
   // `write` runs on the keeper's thread; `told` there too, with a line when writing begins to fail and with
   // an empty one when it works again. `rest` is the first pause after a failure, doubled up to `most_rest`.
-  Keeper(Write write, std::function<void(const std::string& what)> told,
-         std::chrono::milliseconds rest = std::chrono::seconds(1),
-         std::chrono::milliseconds most_rest = std::chrono::minutes(1));
-  ~Keeper();
-  Keeper(const Keeper&) = delete;
-  Keeper& operator=(const Keeper&) = delete;
+  FileStore(Write write, std::function<void(const std::string& what)> told,
+            std::chrono::milliseconds rest = std::chrono::seconds(1),
+            std::chrono::milliseconds most_rest = std::chrono::minutes(1));
+  ~FileStore();
+  FileStore(const FileStore&) = delete;
+  FileStore& operator=(const FileStore&) = delete;
 
   void Put(const std::string& name, std::string bytes);
   // Until nothing waits or is being written, or the time is over; whether nothing does.
-  bool Settle(std::chrono::milliseconds most);
+  bool Flush(std::chrono::milliseconds most);
   std::uint64_t written() const;
   std::uint64_t failed() const;
 
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -40,10 +40,10 @@
  public:
   virtual ~Fleet() = default;
   // What this member tells of itself: phase, load, connections.
-  virtual void Tell(const Facts& facts) = 0;
+  virtual void Publish(const Facts& facts) = 0;
   virtual void Leave() = 0;
   // What an operator asks by the control socket, without the first word "fleet"; JSON, or a line of error.
-  virtual std::string Answer(const std::vector<std::string>& words) = 0;
+  virtual std::string Execute(const std::vector<std::string>& words) = 0;
 };
 
 // Throws std::runtime_error with one line. The library's one entry, by the name kEntry.
--- a/src/fleet/net/mesh.cpp
+++ b/src/fleet/net/mesh.cpp
@@ -75,7 +75,7 @@
     if (fd_ >= 0) close(fd_);
     throw std::runtime_error("fleet.listen: cannot listen at " + options_.listen + ": " + why);
   }
-  readable_ = loop::Watcher(base_, fd_, EV_READ | EV_PERSIST, [this] { OnReadable(); });
+  readable_ = loop::EventHandle(base_, fd_, EV_READ | EV_PERSIST, [this] { OnReadable(); });
   readable_.Start();
   Do(view_.Start(Now()));
 }
@@ -116,7 +116,7 @@
       Send(*datagram);
     } else if (const auto* wait = std::get_if<Wait>(&one)) {
       const std::uint64_t number = wait->number;
-      loop::Watcher& timer = waits_[number];
+      loop::EventHandle& timer = waits_[number];
       timer = loop::MakeTimer(base_, [this, number] {
         waits_.erase(number);
         Do(view_.Rang(number, Now()));
@@ -148,11 +148,11 @@
   hooks_.on_size(live_, part_);
 }
 
-void Mesh::Tell(const Facts& facts) { Do(view_.Tell(facts, Now())); }
+void Mesh::Publish(const Facts& facts) { Do(view_.Tell(facts, Now())); }
 
 void Mesh::Leave() { Do(view_.Leave(Now())); }
 
-std::string Mesh::Answer(const std::vector<std::string>& words) {
+std::string Mesh::Execute(const std::vector<std::string>& words) {
   if (words.size() != 1 || words[0] != "view") return "error: unknown command; allowed is fleet view\n";
   using nlohmann::json;
   const Codec::Dropped& d = codec_.dropped();
--- a/src/fleet/net/mesh.h
+++ b/src/fleet/net/mesh.h
@@ -23,9 +23,9 @@
   Mesh(const Mesh&) = delete;
   Mesh& operator=(const Mesh&) = delete;
 
-  void Tell(const Facts& facts) override;
+  void Publish(const Facts& facts) override;
   void Leave() override;
-  std::string Answer(const std::vector<std::string>& words) override;
+  std::string Execute(const std::vector<std::string>& words) override;
 
  private:
   void OnReadable();
@@ -40,8 +40,8 @@
   int fd_ = -1;
   std::mt19937_64 random_;
   View view_;
-  loop::Watcher readable_;
-  std::map<std::uint64_t, loop::Watcher> waits_;
+  loop::EventHandle readable_;
+  std::map<std::uint64_t, loop::EventHandle> waits_;
   std::uint64_t received_ = 0, sent_ = 0, unsent_ = 0;
   int live_ = 0;
   double part_ = 0;
--- a/src/http/config.h
+++ b/src/http/config.h
@@ -27,7 +27,7 @@
 }
 
 // Digest fields (RFC 9530), from our own settings; off on the platform.
-struct Digests {
+struct DigestOptions {
   bool on = false;
   // Computed over a client's write that came without one, and asked of boxes; nothing: neither.
   std::optional<integrity::Algorithm> compute;
@@ -43,10 +43,10 @@
   Names names;
   int shards = 0;            // 0: not told
   std::vector<bool> writes;  // by class; empty: not told
-  walnutspur::Time idle = 30'000'000;
-  walnutspur::Time dial = 250'000;
+  walnutspur::Time idle_timeout = 30'000'000;
+  walnutspur::Time connect_timeout = 250'000;
   walnutspur::Time longest_deadline = 0;
-  Digests digests;
+  DigestOptions digests;
   nlohmann::json known;  // the list as it was held last, in discovery's form
 };
 
--- a/src/http/discovery_client.cpp
+++ b/src/http/discovery_client.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-Discovery::Discovery(event_base* base, const Config& config, OnList on_list)
+DiscoveryClient::DiscoveryClient(event_base* base, const Config& config, OnList on_list)
     : base_(base),
       config_(config),
       on_list_(std::move(on_list)),
@@ -27,7 +27,7 @@
       silence_(loop::MakeTimer(base, [this] { OnSilence(); })),
       sweep_(loop::MakeTimer(base, [this] { old_.reset(); })) {}
 
-void Discovery::Watch() {
+void DiscoveryClient::OpenWatch() {
   Close();
   link_.reset(evhttp_connection_base_bufferevent_new(base_, nullptr, nullptr, config_.discovery.host.c_str(),
                                                      config_.discovery.port));
@@ -36,10 +36,11 @@
   open_ = true;
   heard_ = core::Now();
   silence_.Start(kSilence);  // discovery answers or gives up a call within 2 s
-  evhttp_request* request =
-      evhttp_request_new([](evhttp_request*, void* arg) { static_cast<Discovery*>(arg)->OnEnd(); }, this);
-  evhttp_request_set_chunked_cb(
-      request, [](evhttp_request* answer, void* arg) { static_cast<Discovery*>(arg)->OnChunk(answer); });
+  evhttp_request* request = evhttp_request_new(
+      [](evhttp_request*, void* arg) { static_cast<DiscoveryClient*>(arg)->OnEnd(); }, this);
+  evhttp_request_set_chunked_cb(request, [](evhttp_request* answer, void* arg) {
+    static_cast<DiscoveryClient*>(arg)->OnChunk(answer);
+  });
   const std::string host = config_.discovery.host + ":" + std::to_string(config_.discovery.port);
   evhttp_add_header(evhttp_request_get_output_headers(request), "Host", host.c_str());
   std::string uri = "/api/targets?follow=1";
@@ -47,13 +48,13 @@
   if (evhttp_make_request(link_.get(), request, EVHTTP_REQ_GET, uri.c_str()) != 0) OnEnd();
 }
 
-void Discovery::Move() {
+void DiscoveryClient::SwitchServer() {
   revision_ = 0;
-  Watch();
+  OpenWatch();
 }
 
 // The link is freed outside of its own callbacks.
-void Discovery::Close() {
+void DiscoveryClient::Close() {
   open_ = false;
   silence_.Stop();
   lists_.Reset();
@@ -64,13 +65,13 @@
 }
 
 // However a watch ends, the module hears of a failure and asks again, after a wait of its own choice.
-void Discovery::OnEnd() {
+void DiscoveryClient::OnEnd() {
   if (!open_) return;
   Close();
-  on_list_({walnutspur::Mode::kFailed, {}}, {});
+  on_list_({walnutspur::EndpointUpdateKind::kFailed, {}}, {});
 }
 
-void Discovery::OnChunk(evhttp_request* answer) {
+void DiscoveryClient::OnChunk(evhttp_request* answer) {
   if (!open_ || evhttp_request_get_response_code(answer) != 200) return;
   evbuffer* buffer = evhttp_request_get_input_buffer(answer);
   std::string bytes(evbuffer_get_length(buffer), '\0');
@@ -79,7 +80,7 @@
   silence_.Start(kSilence);
   // The call got through even where nothing has changed: the module must not take it for one that waited in
   // vain. Without any list there is nothing yet that it could be told.
-  if (!std::exchange(answered_, true) && held_) on_list_({walnutspur::Mode::kDelta, {}}, {});
+  if (!std::exchange(answered_, true) && held_) on_list_({walnutspur::EndpointUpdateKind::kDelta, {}}, {});
   const std::string wrong = lists_.Feed(bytes);
   if (wrong.empty() || !open_) return;
   log::Event(log::Level::kWarn, "discovery_list_unreadable", {{"what", wrong}});
@@ -87,9 +88,9 @@
 }
 
 // Whether to read on.
-bool Discovery::OnObject(const std::string& object) {
+bool DiscoveryClient::OnObject(const std::string& object) {
   try {
-    const TargetList list = ReadList(config_, nlohmann::json::parse(object));
+    const EndpointList list = ReadEndpointList(config_, nlohmann::json::parse(object));
     if (!list.complete && list.revision < revision_) {  // discovery has forgotten: the whole list again
       revision_ = 0;
       OnEnd();
@@ -97,7 +98,9 @@
     }
     held_ = true;
     revision_ = list.revision;
-    on_list_({list.complete ? walnutspur::Mode::kFull : walnutspur::Mode::kDelta, list.entries}, list);
+    on_list_({list.complete ? walnutspur::EndpointUpdateKind::kFull : walnutspur::EndpointUpdateKind::kDelta,
+              list.endpoints},
+             list);
   } catch (const std::exception& error) {
     log::Event(log::Level::kWarn, "discovery_list_unreadable", {{"what", error.what()}});
     OnEnd();
@@ -106,7 +109,7 @@
 }
 
 // The watch is broken, though its connection stands: what it misses counts as told soon (limits/backoff.h).
-void Discovery::OnSilence() {
+void DiscoveryClient::OnSilence() {
   if (open_)
     log::Event(
         log::Level::kWarn, "discovery_silent",
--- a/src/http/discovery_client.h
+++ b/src/http/discovery_client.h
@@ -14,18 +14,18 @@
 
 namespace walnutspur::http {
 
-class Discovery {
+class DiscoveryClient {
  public:
-  using OnList = std::function<void(walnutspur::Membership, const TargetList&)>;
+  using OnList = std::function<void(walnutspur::EndpointUpdate, const EndpointList&)>;
 
-  Discovery(event_base* base, const Config& config, OnList on_list);
+  DiscoveryClient(event_base* base, const Config& config, OnList on_list);
 
   // Opens a watch from the revision held last, in place of any that is open.
-  void Watch();
+  void OpenWatch();
   // The config names another address: watched at once, from the whole list. Revisions of another service say
   // nothing of what this one has told.
-  void Move();
-  void Adopt(const TargetList& list) { revision_ = list.revision, held_ = true; }
+  void SwitchServer();
+  void SetCachedList(const EndpointList& list) { revision_ = list.revision, held_ = true; }
 
  private:
   void OnChunk(evhttp_request* answer);
@@ -43,8 +43,8 @@
   bool answered_ = false;  // something has come on this watch
   Time heard_ = 0;         // when it last did, or else when it was asked for
   JsonStream lists_;
-  loop::Watcher silence_, sweep_;
-  std::unique_ptr<evhttp_connection, loop::Freed<evhttp_connection_free>> link_, old_;
+  loop::EventHandle silence_, sweep_;
+  std::unique_ptr<evhttp_connection, loop::Deleter<evhttp_connection_free>> link_, old_;
 };
 
 }  // namespace walnutspur::http
--- a/src/http/front_end.cpp
+++ b/src/http/front_end.cpp
@@ -72,7 +72,8 @@
 
 }  // namespace
 
-Front::Front(event_base* base, const Config& config, core::Serials* serials, core::Post post)
+FrontEnd::FrontEnd(event_base* base, const Config& config, core::RequestNumbers* serials,
+                   core::SubmitInput post)
     : base_(base),
       config_(config),
       serials_(serials),
@@ -86,7 +87,7 @@
   listener_.reset(evconnlistener_new_bind(
       base,
       [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* arg) {
-        static_cast<Front*>(arg)->OnAccept(fd);
+        static_cast<FrontEnd*>(arg)->OnAccept(fd);
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC, kBacklog,
       reinterpret_cast<sockaddr*>(&address), sizeof address));
@@ -95,7 +96,7 @@
                              std::to_string(config.listen.port) + ": " + std::strerror(errno));
   // EMFILE and the like must not make the loop spin on a listener that stays readable, nor end the program.
   evconnlistener_set_error_cb(listener_.get(), [](evconnlistener*, void* arg) {
-    auto* self = static_cast<Front*>(arg);
+    auto* self = static_cast<FrontEnd*>(arg);
     self->MakeRoom();
     self->Pause();
   });
@@ -104,15 +105,15 @@
   port_ = ntohs(address.sin_port);
 }
 
-Front::~Front() = default;
+FrontEnd::~FrontEnd() = default;
 
-void Front::Pause() {
+void FrontEnd::Pause() {
   if (!listener_) return;
   evconnlistener_disable(listener_.get());
   resume_.Start(kAcceptAgain);
 }
 
-void Front::OnAccept(evutil_socket_t fd) {
+void FrontEnd::OnAccept(evutil_socket_t fd) {
   auto made = std::make_unique<Client>();
   Client* c = made.get();
   c->owner = this;
@@ -161,7 +162,7 @@
 // Guards usual clients against floods: for a new connection one goes that is of no use any more, or has said
 // nothing whole since it came, or else has asked once and no more, or has been idle the longest. While all
 // that could go have only just come, further ones wait in the listener's backlog.
-bool Front::MakeRoom() {
+bool FrontEnd::MakeRoom() {
   const Time now = core::Now();
   Client* best = nullptr;
   int best_rank = 0;
@@ -184,18 +185,18 @@
   return best != nullptr;
 }
 
-bool Front::Unread(const Client& client) const {
+bool FrontEnd::Unread(const Client& client) const {
   int bytes = 0;
   return ioctl(bufferevent_getfd(client.stream.get()), FIONREAD, &bytes) == 0 && bytes > 0;
 }
 
-bool Front::Idle(const Client& client) const {
-  return client.serial == 0 && !client.reader.begun() &&
+bool FrontEnd::Idle(const Client& client) const {
+  return client.serial == 0 && !client.reader.started() &&
          evbuffer_get_length(bufferevent_get_input(client.stream.get())) == 0 &&
          evbuffer_get_length(bufferevent_get_output(client.stream.get())) == 0;
 }
 
-void Front::OnRead(Client& client) {
+void FrontEnd::OnRead(Client& client) {
   const std::uint64_t number = client.number;
   while (clients_.contains(number) && Read(client)) {
   }
@@ -203,7 +204,7 @@
 
 // Reads up to the end of one request; whether to go on. One request is served at a time: what a client sends
 // ahead waits in the stream, and beyond its bound is not read.
-bool Front::Read(Client& client) {
+bool FrontEnd::Read(Client& client) {
   evbuffer* input = bufferevent_get_input(client.stream.get());
   const std::size_t size = evbuffer_get_contiguous_space(input);
   if (size == 0) return false;
@@ -216,18 +217,18 @@
   }
   if (client.serial != 0 && evbuffer_get_length(input) >= kMostAhead) return Flooded(client);
   if (client.serial != 0 || !(bufferevent_get_enabled(client.stream.get()) & EV_READ)) return false;
-  if (!client.reader.begun() && client.asked > 0) client.unfinished.Start(kWhole);
+  if (!client.reader.started() && client.asked > 0) client.unfinished.Start(kWhole);
   client.idle.Stop();
   const auto* bytes = reinterpret_cast<const char*>(evbuffer_pullup(input, static_cast<ev_ssize_t>(size)));
   evbuffer_drain(input, client.reader.Feed({bytes, size}));
-  if (client.reader.spoilt()) {
+  if (client.reader.malformed()) {
     client.last = true;  // where the next request would begin cannot be told
-    TurnAway(client, client.reader.status(), client.reader.why());
-  } else if (client.reader.whole()) {
+    TurnAway(client, client.reader.status(), client.reader.error());
+  } else if (client.reader.complete()) {
     client.unfinished.Stop();
     ++client.asked;
     OnRequest(client);
-  } else if (client.reader.continues() && !std::exchange(client.told, true)) {
+  } else if (client.reader.expects_continue() && !std::exchange(client.told, true)) {
     bufferevent_write(client.stream.get(), "HTTP/1.1 100 Continue\r\n\r\n", 25);
   }
   return true;
@@ -236,7 +237,7 @@
 // Clients send one request at a time. Of one that sends so much ahead nothing more is served, and what it
 // sends is read on: its bound would stop the reading, and with it hide that the client has left. Whether to
 // go on.
-bool Front::Flooded(Client& client) {
+bool FrontEnd::Flooded(Client& client) {
   evbuffer* input = bufferevent_get_input(client.stream.get());
   client.last = true;
   client.dropped += evbuffer_get_length(input);
@@ -246,18 +247,18 @@
 }
 
 // The answer is all written; the last one ends the connection.
-void Front::OnWritten(Client& client) {
+void FrontEnd::OnWritten(Client& client) {
   client.unread.Stop();
   if (client.closing) shutdown(bufferevent_getfd(client.stream.get()), SHUT_WR);
 }
 
-void Front::Reply(Client& client, int status, const std::string& body, const std::string& headers) {
-  client.last = client.last || draining_ || !client.reader.keeps();
+void FrontEnd::Reply(Client& client, int status, const std::string& body, const std::string& headers) {
+  client.last = client.last || draining_ || !client.reader.keeps_alive();
   const std::string text =
       "HTTP/1.1 " + std::to_string(status) + " " + Phrase(status) +
       "\r\nContent-Type: application/octet-stream\r\nContent-Length: " + std::to_string(body.size()) +
       "\r\n" + headers + (client.last ? "Connection: close\r\n\r\n" : "\r\n") + body;
-  client.reader = Reader(Reader::Kind::kRequest);
+  client.reader = MessageReader(MessageReader::Kind::kRequest);
   client.told = false;
   client.since = core::Now();
   client.unfinished.Stop();
@@ -273,7 +274,7 @@
 
 // What cannot be taken is answered here and goes no further. Who sends such requests gets no more than a few
 // of them read in a second, so that a flood of them leaves time for usual clients.
-void Front::TurnAway(Client& client, int status, const std::string& why) {
+void FrontEnd::TurnAway(Client& client, int status, const std::string& why) {
   const bool more = evbuffer_get_length(bufferevent_get_input(client.stream.get())) > 0;
   client.last = client.last || more || status == 408;
   Reply(client, status, why + "\n", status == 405 ? "Allow: GET, PUT\r\n" : "");
@@ -282,8 +283,8 @@
   client.pause.Start(kPause);
 }
 
-void Front::OnRequest(Client& client) {
-  Reader& read = client.reader;
+void FrontEnd::OnRequest(Client& client) {
+  MessageReader& read = client.reader;
   if (read.uri() == "/-/ready") {
     if (read.method() != "GET") return TurnAway(client, 405, "it is asked by a GET");
     return Reply(client, ready_ ? 200 : 503, ready_ ? "ready\n" : "not yet\n");
@@ -296,7 +297,7 @@
       return TurnAway(client, 400, std::string(name) + " stands there more than once");
   }
   auto payload = std::make_shared<Request>();
-  payload->put = read.method() == "PUT";
+  payload->is_put = read.method() == "PUT";
   payload->uri = read.uri();
   if (const char* id = header("X-Request-Id")) payload->id = id;
   // By it targets drop the repeats of a keyed request.
@@ -306,14 +307,14 @@
 
   if (config_.digests.on && !TakeDigests(client, payload.get())) return;
 
-  core::Arrived arrived;
+  core::RequestReceived arrived;
   Time patience = 0;
   if (const auto wrong = ReadRequest(config_, *payload, header, &arrived, &patience))
     return TurnAway(client, 400, *wrong);
 
-  arrived.serial = client.serial = serials_->next++;
-  arrived.wire = core::Wire::kHttp;
-  arrived.name = payload->id;
+  arrived.request = client.serial = serials_->next++;
+  arrived.protocol = core::Protocol::kHttp;
+  arrived.client_request_id = payload->id;
   // The client's wait began when it sent this; of what the loop spent before it got here, only the clock at
   // its wake-up tells.
   timeval woke{}, now{};
@@ -324,10 +325,10 @@
   arrived.deadline = core::Now() + left;
   arrived.payload = std::move(payload);
 
-  Held& held = held_[arrived.serial];
+  Held& held = held_[arrived.request];
   held.client = client.number;
-  const core::Serial serial = arrived.serial;
-  held.deadline = loop::MakeTimer(base_, [this, serial] { post_(core::Expired{serial}); });
+  const core::RequestNumber serial = arrived.request;
+  held.deadline = loop::MakeTimer(base_, [this, serial] { post_(core::DeadlineExpired{serial}); });
   held.came = core::Now();
   held.until = arrived.deadline + kDeadlineGuard;
   held.deadline.Start((end_ > 0 ? std::min(held.until, end_) : held.until) - core::Now());
@@ -336,15 +337,15 @@
 
 // A write that came damaged must reach no box; what came without a digest gets one here, so that it is
 // covered from here on.
-bool Front::TakeDigests(Client& client, Request* payload) {
-  const DigestCheck check = CheckDigests(client.reader, payload->body, payload->put);
+bool FrontEnd::TakeDigests(Client& client, Request* payload) {
+  const DigestCheck check = CheckDigests(client.reader, payload->body, payload->is_put);
   if (check.match == integrity::Match::kDifferent) {
     log::Event(log::Level::kWarn, "request_damaged", {{"request", payload->id}});
     TurnAway(client, 400, "the digest is not that of the content");
     return false;
   }
   payload->headers += check.headers;
-  if (payload->put && check.headers.empty() && config_.digests.compute)
+  if (payload->is_put && check.headers.empty() && config_.digests.compute)
     payload->headers +=
         "Content-Digest: " + integrity::DigestField(*config_.digests.compute, payload->body) + "\r\n";
   bool asked = false;
@@ -353,25 +354,25 @@
     if (field.empty()) continue;
     asked = true;
     payload->headers += std::string(name) + ": " + field + "\r\n";
-    if (!payload->wanted) payload->wanted = integrity::Wanted(field);
+    if (!payload->wanted_digest) payload->wanted_digest = integrity::Wanted(field);
   }
-  if (!asked && !payload->put && config_.digests.compute)
+  if (!asked && !payload->is_put && config_.digests.compute)
     payload->headers +=
         "Want-Content-Digest: " + std::string(integrity::NameOf(*config_.digests.compute)) + "=1\r\n";
   return true;
 }
 
-void Front::Finish(const core::Answer& answer) {
-  const auto at = held_.find(answer.serial);
+void FrontEnd::Respond(const core::Response& answer) {
+  const auto at = held_.find(answer.request);
   if (at == held_.end()) return;  // the client has left
   Client& client = *clients_.at(at->second.client);
   client.serial = 0;
   client.dropped = 0;
-  last_answers_.Answered(core::Now() - at->second.came);
+  last_answers_.OnResponse(core::Now() - at->second.came);
   held_.erase(at);
-  switch (answer.verdict) {
-    case core::Verdict::kServed: {
-      const auto& whole = static_cast<const Answer&>(*answer.payload);
+  switch (answer.status) {
+    case core::ResponseStatus::kServed: {
+      const auto& whole = static_cast<const Response&>(*answer.payload);
       if (Fits(whole.body.size())) {
         Reply(client, 200, whole.body, whole.headers);
       } else {
@@ -379,50 +380,50 @@
       }
       break;
     }
-    case core::Verdict::kRefused:
-      Reply(client, 503, "refused\n", "Retry-After: " + Seconds(answer.hold_off) + "\r\n");
+    case core::ResponseStatus::kRejected:
+      Reply(client, 503, "refused\n", "Retry-After: " + Seconds(answer.retry_after) + "\r\n");
       break;
-    case core::Verdict::kTimedOut:
+    case core::ResponseStatus::kTimedOut:
       Reply(client, 504, "timed out\n");
       break;
-    case core::Verdict::kFailed:
+    case core::ResponseStatus::kFailed:
       Reply(client, 500, "failed\n");
       break;
-    case core::Verdict::kRepeated:
+    case core::ResponseStatus::kDuplicate:
       TurnAway(client, 409, "a request with this X-Request-Id is open");
       break;
   }
   OnRead(client);  // what was sent ahead
 }
 
-bool Front::Waits(core::Serial serial) {
+bool FrontEnd::IsClientConnected(core::RequestNumber serial) {
   const auto at = held_.find(serial);
   if (at == held_.end()) return false;
   Client& client = *clients_.at(at->second.client);
-  if (!loop::HasLeft(bufferevent_getfd(client.stream.get()))) return true;
+  if (!loop::PeerHasClosed(bufferevent_getfd(client.stream.get()))) return true;
   End(client);
   return false;
 }
 
 // Guards the memory: large answers wait for as long as clients are slow to read theirs.
-bool Front::Fits(std::size_t size) const {
+bool FrontEnd::Fits(std::size_t size) const {
   if (size <= kUsualBody) return true;
   for (const auto& [number, c] : clients_)
     size += evbuffer_get_length(bufferevent_get_output(c->stream.get()));
   return size <= (static_cast<std::size_t>(config_.memory_mb) << 20) / kUnreadPart;
 }
 
-void Front::End(Client& client) {
+void FrontEnd::End(Client& client) {
   const auto at = clients_.find(client.number);
   if (at == clients_.end()) return;
   const std::unique_ptr<Client> gone = std::move(at->second);
   clients_.erase(at);
-  if (gone->serial != 0 && held_.erase(gone->serial) > 0) post_(core::Departed{gone->serial});
+  if (gone->serial != 0 && held_.erase(gone->serial) > 0) post_(core::ClientClosed{gone->serial});
 }
 
 // Guards against requests that the end of the program would find unanswered, and keeps idle connections until
 // then: a client that lost one now would find nobody to ask on a new one.
-void Front::EndBy(Time end) {
+void FrontEnd::SetShutdownDeadline(Time end) {
   end_ = end;
   for (auto& [serial, held] : held_) {
     if (held.until > end) held.deadline.Start(end - core::Now());
@@ -434,8 +435,8 @@
 // one is shut for writing first and read until its client has closed it, so that no reset reaches a client
 // that just sent something. So is, at last, one that holds half a request or what is not read yet. Idle ones
 // go on for as long as they can: they would find nobody else.
-void Front::Close(Time left) {
-  if (!draining_ && last_answers_.Due(left)) {
+void FrontEnd::BeginGracefulShutdown(Time left) {
+  if (!draining_ && last_answers_.IsLastResponse(left)) {
     draining_ = true;
     StopAccepting();
   }
@@ -450,7 +451,7 @@
 }
 
 // What the kernel has accepted by now is taken: its requests count as ours.
-void Front::StopAccepting() {
+void FrontEnd::StopAccepting() {
   const evutil_socket_t fd = evconnlistener_get_fd(listener_.get());
   for (int client; (client = accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0;)
     OnAccept(client);
--- a/src/http/message_reader.cpp
+++ b/src/http/message_reader.cpp
@@ -50,9 +50,9 @@
 
 }  // namespace
 
-std::size_t Reader::Feed(std::string_view bytes) {
+std::size_t MessageReader::Feed(std::string_view bytes) {
   const std::size_t size = bytes.size();
-  while (!bytes.empty() && !whole() && !spoilt()) {
+  while (!bytes.empty() && !complete() && !malformed()) {
     if (state_ == State::kToEnd) {
       if (bytes.size() > most_ - body_.size()) {
         Spoil(413, "the body is too long");
@@ -90,11 +90,11 @@
   return size - bytes.size();
 }
 
-void Reader::End() {
+void MessageReader::End() {
   if (state_ == State::kToEnd) state_ = State::kWhole;
 }
 
-void Reader::OnLine(std::string_view line) {
+void MessageReader::OnLine(std::string_view line) {
   if (std::any_of(line.begin(), line.end(), IsControl)) return Spoil(400, "a control character in a line");
   switch (state_) {
     case State::kStart:
@@ -115,7 +115,7 @@
   }
 }
 
-void Reader::OnStart(std::string_view line) {
+void MessageReader::OnStart(std::string_view line) {
   if (kind_ == Kind::kRequest) {
     if (line.empty()) return;  // some senders end a body with an empty line of their own
     const std::size_t first = line.find(' '), last = line.rfind(' ');
@@ -139,20 +139,20 @@
   state_ = State::kFields;
 }
 
-void Reader::OnField(std::string_view line) {
+void MessageReader::OnField(std::string_view line) {
   const std::size_t colon = line.find(':');
   if (colon == line.npos || !IsToken(line.substr(0, colon))) return Spoil(400, "a header without a name");
   fields_.emplace_back(line.substr(0, colon), Trim(line.substr(colon + 1)));
 }
 
-const char* Reader::Find(std::string_view name) const {
+const char* MessageReader::Find(std::string_view name) const {
   for (const auto& [known, value] : fields_) {
     if (Same(known, name)) return value.c_str();
   }
   return nullptr;
 }
 
-std::string Reader::Joined(std::string_view name) const {
+std::string MessageReader::Joined(std::string_view name) const {
   std::string joined;
   for (const auto& [field, value] : fields_) {
     if (Same(field, name)) joined += (joined.empty() ? "" : ", ") + value;
@@ -160,15 +160,15 @@
   return joined;
 }
 
-std::size_t Reader::Count(std::string_view name) const {
+std::size_t MessageReader::Count(std::string_view name) const {
   return static_cast<std::size_t>(std::count_if(fields_.begin(), fields_.end(),
                                                 [&](const auto& field) { return Same(field.first, name); }));
 }
 
 // Says how the body is framed. Guards against a message within a message: whoever reads the length otherwise
 // takes a part of the body for a message of its own.
-void Reader::OnHead() {
-  if (kind_ == Kind::kAnswer && code_ < 200) {  // an answer that another follows; nobody asked to switch
+void MessageReader::OnHead() {
+  if (kind_ == Kind::kResponse && code_ < 200) {  // an answer that another follows; nobody asked to switch
     if (code_ == 101) return Spoil(502, "another protocol");
     fields_.clear();
     state_ = State::kStart;
@@ -190,7 +190,7 @@
     if (digits.empty() || !plain) return Spoil(400, "Content-Length is not a number");
     if (!ReadNumber(digits, 10, &left_) || left_ > most_) return Spoil(413, "the body is too long");
     state_ = left_ > 0 ? State::kBody : State::kWhole;
-  } else if (kind_ == Kind::kAnswer && code_ != 204 && code_ != 304) {
+  } else if (kind_ == Kind::kResponse && code_ != 204 && code_ != 304) {
     state_ = State::kToEnd;  // RFC 9112, 6.3: it ends with the connection
     keeps_ = false;
   } else {
@@ -200,13 +200,13 @@
   continues_ = expects && Same(expects, "100-continue") && state_ != State::kWhole;
 }
 
-void Reader::OnSize(std::string_view line) {
+void MessageReader::OnSize(std::string_view line) {
   if (!ReadNumber(Trim(line.substr(0, line.find(';'))), 16, &left_)) return Spoil(400, "no size of a chunk");
   if (left_ > most_ - body_.size()) return Spoil(413, "the body is too long");
   state_ = left_ > 0 ? State::kData : State::kTrailer;
 }
 
-void Reader::Spoil(int status, std::string why) {
+void MessageReader::Spoil(int status, std::string why) {
   state_ = State::kSpoilt;
   left_ = 0;
   status_ = status;
--- a/src/http/message_reader.h
+++ b/src/http/message_reader.h
@@ -15,11 +15,11 @@
 
 namespace walnutspur::http {
 
-class Reader {
+class MessageReader {
  public:
-  enum class Kind { kRequest, kAnswer };
+  enum class Kind { kRequest, kResponse };
   // `most` bounds the body: 64 KiB, as the protocol has it for requests; answers of targets go beyond it.
-  explicit Reader(Kind kind, std::size_t most = 64 << 10) : kind_(kind), most_(most) {}
+  explicit MessageReader(Kind kind, std::size_t most = 64 << 10) : kind_(kind), most_(most) {}
 
   // Takes bytes up to the end of the message at most; returns how many it took. The rest is not its own.
   std::size_t Feed(std::string_view bytes);
@@ -27,12 +27,12 @@
   // no end: nothing of it may come here.
   void End();
 
-  bool begun() const { return taken_ > 0; }
-  bool head() const { return state_ > State::kFields; }  // the head is read whole
-  bool whole() const { return state_ == State::kWhole; }
-  bool spoilt() const { return state_ == State::kSpoilt; }
-  int status() const { return status_; }           // spoilt: the HTTP status that says how
-  const std::string& why() const { return why_; }  // spoilt: in a few words
+  bool started() const { return taken_ > 0; }
+  bool head_complete() const { return state_ > State::kFields; }  // the head is read whole
+  bool complete() const { return state_ == State::kWhole; }
+  bool malformed() const { return state_ == State::kSpoilt; }
+  int status() const { return status_; }             // spoilt: the HTTP status that says how
+  const std::string& error() const { return why_; }  // spoilt: in a few words
 
   const std::string& method() const { return method_; }  // of a request
   const std::string& uri() const { return uri_; }
@@ -43,11 +43,11 @@
   // All values of a header that is a list, as one (RFC 9110, 5.3); empty: there is none.
   std::string Joined(std::string_view name) const;
   std::string& body() { return body_; }
-  std::size_t claimed() const {
+  std::size_t declared_body_bytes() const {
     return body_.size() + static_cast<std::size_t>(left_);
-  }                                              // of the body, so far
-  bool keeps() const { return keeps_; }          // the sender goes on with the connection after this
-  bool continues() const { return continues_; }  // a request whose body waits for a 100
+  }                                                     // of the body, so far
+  bool keeps_alive() const { return keeps_; }           // the sender goes on with the connection after this
+  bool expects_continue() const { return continues_; }  // a request whose body waits for a 100
 
  private:
   enum class State { kStart, kFields, kBody, kToEnd, kSize, kData, kDataEnd, kTrailer, kWhole, kSpoilt };
--- a/src/http/messages.cpp
+++ b/src/http/messages.cpp
@@ -55,8 +55,8 @@
 }  // namespace
 
 std::optional<std::string> ReadRequest(const Config& config, const Request& request, const Header& header,
-                                       core::Arrived* arrived, Time* patience) {
-  walnutspur::Arrival& what = arrived->what;
+                                       core::RequestReceived* arrived, Time* patience) {
+  walnutspur::RequestArrived& what = arrived->attributes;
   if (!IsHex16(request.id)) return "X-Request-Id is not 16 hex digits";
   const std::string_view path = std::string_view(request.uri).substr(0, request.uri.find('?'));
   const std::size_t last = path.rfind('/');
@@ -78,21 +78,21 @@
   std::optional<double> units;
   std::optional<int> shard, hosts;
   if (!io || !ReadIo(io, &units, &shard, &hosts)) return "X-IO does not tell units, shard and hosts";
-  if (!(*units > 0) || *units > config.settings.largest_units) return "X-IO: units out of range";
+  if (!(*units > 0) || *units > config.settings.max_request_units) return "X-IO: units out of range";
   if (*shard < -1 || (config.shards > 0 && *shard >= config.shards)) return "X-IO: no such shard";
   if (*hosts < 1) return "X-IO: hosts out of range";
-  if (!request.put && !request.body.empty()) return "a GET has no body";
-  if (!config.writes.empty() && config.writes[static_cast<std::size_t>(what.request_class)] != request.put)
-    return request.put ? "this class reads: it is a GET" : "this class writes: it is a PUT";
+  if (!request.is_put && !request.body.empty()) return "a GET has no body";
+  if (!config.writes.empty() && config.writes[static_cast<std::size_t>(what.request_class)] != request.is_put)
+    return request.is_put ? "this class reads: it is a GET" : "this class writes: it is a PUT";
   what.units = *units;
-  what.cell = *shard;
-  what.mounts = *hosts;
+  what.shard = *shard;
+  what.initiator_count = *hosts;
   const char* retry = header("X-Retry");
-  what.repeat = retry && std::strcmp(retry, "1") == 0;
+  what.is_client_retry = retry && std::strcmp(retry, "1") == 0;
   return std::nullopt;
 }
 
-DigestCheck CheckDigests(const Reader& reader, std::string_view content, bool describes) {
+DigestCheck CheckDigests(const MessageReader& reader, std::string_view content, bool describes) {
   DigestCheck check;
   for (const char* name : {"Content-Digest", "Repr-Digest"}) {
     const std::string field = reader.Joined(name);
@@ -111,18 +111,19 @@
 Outcome OutcomeOf(int code, const Header& header) {
   if (code == 200) return Outcome::kCompleted;
   const char* not_run = header("X-Not-Run");
-  if ((code == 503 || code == 504) && not_run && std::strcmp(not_run, "1") == 0) return Outcome::kSaturated;
+  if ((code == 503 || code == 504) && not_run && std::strcmp(not_run, "1") == 0) return Outcome::kOverloaded;
   return Outcome::kErrored;
 }
 
-void ReadTold(const std::vector<std::string>& fields, const Header& header, core::Ended* ended) {
+void ReadLoadHeaders(const std::vector<std::string>& fields, const Header& header,
+                     core::AttemptResult* ended) {
   if (const char* use = header("X-Volume-Use")) {
     const auto percent = Number<double>(use);
-    if (percent && *percent >= 0 && *percent < 1e9) ended->seen_use = static_cast<int>(*percent) + 1;
+    if (percent && *percent >= 0 && *percent < 1e9) ended->reported_usage = static_cast<int>(*percent) + 1;
   }
   if (const char* others = header("X-Served-Elsewhere")) {
     const double units = Positive(others).value_or(0);
-    ended->others_got = units < kMostElsewhere ? units : 0;
+    ended->units_served_elsewhere = units < kMostElsewhere ? units : 0;
   }
   const char* load = header("X-Load");
   if (!load) return;
@@ -131,32 +132,32 @@
   for (const std::string& field : fields) {
     const auto value = report.find(field);
     if (value != report.end() && !value->is_number()) {  // a report that cannot be read tells nothing
-      ended->report.clear();
+      ended->load_report.clear();
       return;
     }
-    ended->report.push_back(value != report.end() ? value->get<double>() : 0.0);
+    ended->load_report.push_back(value != report.end() ? value->get<double>() : 0.0);
   }
 }
 
-TargetList ReadList(const Config& config, const json& j) {
-  TargetList list;
+EndpointList ReadEndpointList(const Config& config, const json& j) {
+  EndpointList list;
   list.revision = j.at("revision").get<long>();
   list.complete = j.at("complete").get<bool>();
   for (const json& member : j.at("members")) {
-    walnutspur::ListEntry e;
+    walnutspur::Endpoint e;
     e.target = member.at("id").get<std::string>();
     const auto phase = member.at("phase").get<std::string>();
     // An unknown phase is none in which new work is wanted.
-    e.phase = phase == "SERVING"   ? walnutspur::Phase::kLive
-              : phase == "DELETED" ? walnutspur::Phase::kDead
-                                   : walnutspur::Phase::kQuiescing;
-    e.cell = member.value("cell", 0);
+    e.state = phase == "SERVING"   ? walnutspur::EndpointState::kActive
+              : phase == "DELETED" ? walnutspur::EndpointState::kTerminated
+                                   : walnutspur::EndpointState::kDraining;
+    e.shard = member.value("cell", 0);
     e.zone = std::max(0, IndexOf(config.names.zones, member.value("locality", "")));
     e.kind = std::max(0, IndexOf(config.names.kinds, member.value("flavor", "")));
     e.scale = member.value("size", 1.0);
-    e.launched = member.value("up_since_ms", Time{0}) * 1000;
+    e.started_at = member.value("up_since_ms", Time{0}) * 1000;
     list.addresses.push_back(member.value("host_port", ""));
-    list.entries.push_back(std::move(e));
+    list.endpoints.push_back(std::move(e));
   }
   return list;
 }
--- a/src/http/messages.h
+++ b/src/http/messages.h
@@ -15,12 +15,12 @@
 
 // A request as it came: passes on to a target byte for byte.
 struct Request : core::Payload {
-  bool put = false;
+  bool is_put = false;
   std::string uri, id, body;
-  std::string headers;                         // a key and digest fields that pass on, as lines
-  std::optional<integrity::Algorithm> wanted;  // the digest that the client wants of the answer
+  std::string headers;                                // a key and digest fields that pass on, as lines
+  std::optional<integrity::Algorithm> wanted_digest;  // the digest that the client wants of the answer
 };
-struct Answer : core::Payload {
+struct Response : core::Payload {
   std::string body;
   std::string headers;  // digest fields that pass on, as lines with their ends
 };
@@ -32,27 +32,28 @@
   integrity::Match match = integrity::Match::kNone;
   std::string headers;  // the fields that were there, as lines
 };
-DigestCheck CheckDigests(const Reader& reader, std::string_view content, bool describes);
+DigestCheck CheckDigests(const MessageReader& reader, std::string_view content, bool describes);
 
 using Header = std::function<const char*(const char*)>;  // the value of a header, or null
 
 // Reads what the decisions need. Returns what is wrong, if anything is.
 std::optional<std::string> ReadRequest(const Config& config, const Request& request, const Header& header,
-                                       core::Arrived* arrived, Time* patience);
+                                       core::RequestReceived* arrived, Time* patience);
 
 // The outcome that a target's whole answer stands for.
 Outcome OutcomeOf(int code, const Header& header);
 // What else an answer tells.
-void ReadTold(const std::vector<std::string>& fields, const Header& header, core::Ended* ended);
+void ReadLoadHeaders(const std::vector<std::string>& fields, const Header& header,
+                     core::AttemptResult* ended);
 
-struct TargetList {
+struct EndpointList {
   long revision = 0;
   bool complete = false;
-  std::vector<walnutspur::ListEntry> entries;
+  std::vector<walnutspur::Endpoint> endpoints;
   std::vector<std::string> addresses;  // of the entries; empty: none told
 };
 // Throws std::exception on what is malformed.
-TargetList ReadList(const Config& config, const nlohmann::json& json);
+EndpointList ReadEndpointList(const Config& config, const nlohmann::json& json);
 
 std::string Seconds(Time time);  // as decimals
 
--- a/src/http/target_pool.h
+++ b/src/http/target_pool.h
@@ -15,45 +15,45 @@
 
 #include "core/port.h"
 #include "http/config.h"
-#include "http/messages.h"
 #include "http/message_reader.h"
+#include "http/messages.h"
 #include "loop/loop.h"
 
 namespace walnutspur::http {
 
-class Targets : public core::Connector {
+class TargetPool : public core::Connector {
  public:
-  Targets(event_base* base, const Config& config, core::Post post);
-  ~Targets() override;
+  TargetPool(event_base* base, const Config& config, core::SubmitInput post);
+  ~TargetPool() override;
 
   // Where a target listens; it may move.
-  void Learn(const TargetId& target, const std::string& address);
+  void SetAddress(const TargetId& target, const std::string& address);
   // Takes the address of a target that is gone out of memory.
-  void Forget(const TargetId& target);
+  void Remove(const TargetId& target);
   // Forgets all but those that a complete list names.
-  void KeepOnly(const std::set<TargetId>& targets);
+  void RetainOnly(const std::set<TargetId>& targets);
 
-  void Start(const core::Attempt& attempt) override;
-  void Stop(core::Serial serial, int trial) override;
-  void Withdraw(const TargetId& target) override;
-  void Probe(const TargetId& target);
+  void Start(const core::StartAttempt& attempt) override;
+  void Cancel(core::RequestNumber serial, int trial) override;
+  void Drain(const TargetId& target) override;
+  void CheckHealth(const TargetId& target);
 
   // Asked before an attempt goes into the stream of a connection that has come up: its client may have left
   // meanwhile.
-  std::function<bool(core::Serial)> waits = [](core::Serial) { return true; };
+  std::function<bool(core::RequestNumber)> is_client_connected = [](core::RequestNumber) { return true; };
   // Called with each read whose answer came with a digest: whether its content fits.
   std::function<void(const TargetId& target, const std::string& uri, bool good, const std::string& body)>
-      on_checked;
+      on_digest_checked;
   std::size_t connections() const { return connections_.size(); }
-  std::size_t ready(const TargetId& target) const {  // connections that an attempt can take
+  std::size_t idle_connections(const TargetId& target) const {  // connections that an attempt can take
     const auto at = idle_.find(target);
     return at == idle_.end() ? 0 : at->second.size();
   }
-  std::map<TargetId, std::uint32_t> by_target() const;
-  std::size_t known() const { return addresses_.size() + idle_.size(); }
+  std::map<TargetId, std::uint32_t> connections_by_target() const;
+  std::size_t tracked_targets() const { return addresses_.size() + idle_.size(); }
 
  private:
-  using Key = std::pair<core::Serial, int>;  // an attempt; serial 0: a probe
+  using Key = std::pair<core::RequestNumber, int>;  // an attempt; serial 0: a probe
 
   // kDialing: coming up for its attempt, of which nothing has gone into the stream. kSpare: coming up though
   // its attempt was given up. kSettling: up, and its attempt waits until nothing more can come of the last
@@ -61,7 +61,7 @@
   enum class State { kDialing, kSpare, kSettling, kBusy, kIdle };
 
   struct Connection {
-    Targets* owner = nullptr;
+    TargetPool* owner = nullptr;
     std::uint64_t number = 0;
     TargetId target;
     State state = State::kDialing;
@@ -74,9 +74,9 @@
     std::string uri;                             // of a GET, where digests are on
     std::optional<integrity::Algorithm> wanted;  // the digest that its client wants
     Time sent = 0;
-    Reader answer{Reader::Kind::kAnswer};
-    loop::Watcher connect, settled, limit, idle;
-    std::unique_ptr<bufferevent, loop::Freed<bufferevent_free>> stream;
+    MessageReader answer{MessageReader::Kind::kResponse};
+    loop::EventHandle connect, settled, limit, idle;
+    std::unique_ptr<bufferevent, loop::Deleter<bufferevent_free>> stream;
   };
 
   Connection* Open(const TargetId& target);
@@ -95,13 +95,13 @@
   void OnAnswer(Connection& connection);
   void Damaged(Connection& connection);
   void Break(Connection& connection, Outcome outcome);
-  void Report(Connection& connection, core::Ended ended);
+  void Report(Connection& connection, core::AttemptResult ended);
   void Discard(Connection& connection);
   void CloseIdle(const TargetId& target);
 
   event_base* base_;
   const Config& config_;
-  core::Post post_;
+  core::SubmitInput post_;
   std::size_t most_, most_bytes_;
   std::uint64_t next_ = 1;
   std::uint64_t probes_ = 0;
@@ -111,7 +111,7 @@
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
   std::map<Key, Connection*> attempts_;
   std::vector<std::unique_ptr<Connection>> discarded_;  // freed outside of their own callbacks
-  loop::Watcher sweep_;
+  loop::EventHandle sweep_;
 };
 
 }  // namespace walnutspur::http
--- a/src/integrity/ledger.cpp
+++ b/src/integrity/ledger.cpp
@@ -5,8 +5,8 @@
 #include <optional>
 #include <utility>
 
-#include "integrity/crc32c.h"
 #include "filestore/atomic_file.h"
+#include "integrity/crc32c.h"
 
 namespace walnutspur::integrity {
 namespace {
@@ -197,7 +197,7 @@
 // ---- the file ----
 
 LedgerFile::Found LedgerFile::Load(Ledger* ledger, std::string* what) {
-  const std::optional<std::string> bytes = filestore::ReadWhole(path());
+  const std::optional<std::string> bytes = filestore::ReadWholeFile(path());
   if (!bytes) return Found::kNone;
   std::string why;
   if (ledger->Decode(*bytes, &why)) return Found::kRead;
@@ -211,7 +211,7 @@
     std::rename(path().c_str(), (path() + ".refused").c_str());
     refused_ = false;
   }
-  return filestore::WriteWhole(folder_, kName, bytes, what);
+  return filestore::WriteFileAtomically(folder_, kName, bytes, what);
 }
 
 }  // namespace walnutspur::integrity
--- a/src/lab/box/box.cpp
+++ b/src/lab/box/box.cpp
@@ -36,16 +36,16 @@
   int path = 0;
   bool http = false;
   nbd::ServerSession session;
-  http::Reader reader{http::Reader::Kind::kRequest, 1 << 20};
-  std::map<std::uint64_t, loop::Watcher> delayed;
+  http::MessageReader reader{http::MessageReader::Kind::kRequest, 1 << 20};
+  std::map<std::uint64_t, loop::EventHandle> delayed;
   std::uint64_t next = 1;
-  std::unique_ptr<bufferevent, loop::Freed<bufferevent_free>> stream;
+  std::unique_ptr<bufferevent, loop::Deleter<bufferevent_free>> stream;
 };
 
 struct Box::Listener {
   Box* owner = nullptr;
   int path = 0;
-  std::unique_ptr<evconnlistener, loop::Freed<evconnlistener_free>> listener;
+  std::unique_ptr<evconnlistener, loop::Deleter<evconnlistener_free>> listener;
 };
 
 Box::Box(const BoxOptions& options) : options_(options) {
@@ -64,7 +64,7 @@
 
 void Box::Listen() {
   base_.reset(event_base_new());
-  stop_ = loop::Watcher(base_.get(), -1, EV_PERSIST, [this] { event_base_loopbreak(base_.get()); });
+  stop_ = loop::EventHandle(base_.get(), -1, EV_PERSIST, [this] { event_base_loopbreak(base_.get()); });
   for (std::size_t i = 0; i < ports_.size(); ++i) {
     auto made = std::make_unique<Listener>();
     made->owner = this;
@@ -98,7 +98,7 @@
   }
   connections_.clear();
   listeners_.clear();
-  stop_ = loop::Watcher();
+  stop_ = loop::EventHandle();
   base_.reset();
 }
 
@@ -208,11 +208,11 @@
   const std::uint64_t number = c.number;
   if (c.http) {
     std::string_view left(bytes);
-    while (!left.empty() && !c.reader.spoilt()) {
+    while (!left.empty() && !c.reader.malformed()) {
       left.remove_prefix(c.reader.Feed(left));
-      if (c.reader.whole()) OnHttp(c);
+      if (c.reader.complete()) OnHttp(c);
     }
-    if (c.reader.spoilt()) connections_.erase(number);
+    if (c.reader.malformed()) connections_.erase(number);
     return;
   }
   std::string out;
@@ -298,7 +298,7 @@
 // strikes the body alone, as on a disk or a path that knows nothing of it.
 void Box::OnHttp(Connection& c) {
   ++commands_;
-  http::Reader& read = c.reader;
+  http::MessageReader& read = c.reader;
   std::string head = "HTTP/1.1 200 OK\r\n", body;
   const std::string key = read.uri();
   if (key == "/-/healthy") {
@@ -344,7 +344,7 @@
     body = "nothing";
   }
   Send(c, head + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
-  c.reader = http::Reader(http::Reader::Kind::kRequest, 1 << 20);
+  c.reader = http::MessageReader(http::MessageReader::Kind::kRequest, 1 << 20);
 }
 
 }  // namespace walnutspur::lab
--- a/src/lab/box/box.h
+++ b/src/lab/box/box.h
@@ -104,8 +104,8 @@
   std::map<std::string, std::string> objects_, previous_;  // by HTTP; and what stood there before
   std::vector<nbd::Export> exports_;
   std::vector<int> ports_;
-  loop::BaseRef base_;
-  loop::Watcher stop_;
+  loop::EventBasePtr base_;
+  loop::EventHandle stop_;
   std::vector<std::unique_ptr<Listener>> listeners_;
   std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;
   std::uint64_t next_ = 1;
--- a/src/lab/discovery.cpp
+++ b/src/lab/discovery.cpp
@@ -23,17 +23,17 @@
 
 struct Discovery::Connection {
   Discovery* owner = nullptr;
-  http::Reader reader{http::Reader::Kind::kRequest};
+  http::MessageReader reader{http::MessageReader::Kind::kRequest};
   bool watches = false;
-  std::unique_ptr<bufferevent, loop::Freed<bufferevent_free>> stream;
+  std::unique_ptr<bufferevent, loop::Deleter<bufferevent_free>> stream;
 };
 
 Discovery::Discovery() : listener_(nullptr, evconnlistener_free) {
   static const int threads = evthread_use_pthreads();
   if (threads != 0) throw std::runtime_error("libevent has no threads");
   base_.reset(event_base_new());
-  stop_ = loop::Watcher(base_.get(), -1, EV_PERSIST, [this] { event_base_loopbreak(base_.get()); });
-  changed_ = loop::Watcher(base_.get(), -1, EV_PERSIST, [this] {
+  stop_ = loop::EventHandle(base_.get(), -1, EV_PERSIST, [this] { event_base_loopbreak(base_.get()); });
+  changed_ = loop::EventHandle(base_.get(), -1, EV_PERSIST, [this] {
     std::string line;
     {
       const std::lock_guard lock(mutex_);
@@ -44,7 +44,7 @@
       if (connection->watches) Tell(*connection, line);
     }
   });
-  beat_ = loop::Watcher(base_.get(), -1, EV_PERSIST, [this] {
+  beat_ = loop::EventHandle(base_.get(), -1, EV_PERSIST, [this] {
     for (auto& [key, connection] : connections_) {
       if (connection->watches) Tell(*connection, "");
     }
@@ -132,14 +132,14 @@
   std::string bytes(evbuffer_get_length(input), '\0');
   evbuffer_remove(input, bytes.data(), bytes.size());
   c.reader.Feed(bytes);
-  if (!c.reader.whole()) return;
+  if (!c.reader.complete()) return;
   std::string list;
   {
     const std::lock_guard lock(mutex_);
     list = List(true, members_);
   }
   c.watches = c.reader.uri().find("follow=1") != std::string::npos;
-  c.reader = http::Reader(http::Reader::Kind::kRequest);
+  c.reader = http::MessageReader(http::MessageReader::Kind::kRequest);
   if (c.watches) {
     const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     bufferevent_write(c.stream.get(), head.data(), head.size());
--- a/src/lab/discovery.h
+++ b/src/lab/discovery.h
@@ -46,8 +46,8 @@
   int revision_ = 1;
   std::map<std::string, Member> members_, news_;
   int port_ = 0;
-  loop::BaseRef base_;
-  loop::Watcher stop_, changed_, beat_;
+  loop::EventBasePtr base_;
+  loop::EventHandle stop_, changed_, beat_;
   std::unique_ptr<evconnlistener, void (*)(evconnlistener*)> listener_;
   std::map<Connection*, std::unique_ptr<Connection>> connections_;
   std::thread thread_;
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -129,7 +129,8 @@
   std::set<std::string> names;
   for (const ClassPlan& c : e.classes) {
     if (!names.insert(c.name).second) return "class '" + c.name + "' is there twice";
-    if (c.cls.aim > c.cls.deadline) return "class '" + c.name + "': its aim is over its deadline";
+    if (c.cls.latency_objective > c.cls.deadline)
+      return "class '" + c.name + "': its aim is over its deadline";
   }
   names.clear();
   for (const TenantPlan& p : e.tenants) {
@@ -202,22 +203,22 @@
   e.pieces = root.Number("load.pieces");
   e.largest_units = root.Number("load.largest_units");
   e.try_limit = count(root, "rules.try_limit");
-  e.rules.ask_every = 10'000'000;
+  e.rules.poll_interval = 10'000'000;
   e.rules.drain_grace = millis(root, "rules.drain_grace_ms");
-  e.rules.grace_to_answer = 8'000;
-  e.rules.cold_share = root.Number("rules.cold_share");
-  e.rules.warm_up = seconds(root, "rules.warm_up_s");
-  e.rules.tip_multiple = root.Number("rules.tip_multiple");
-  e.rules.overload_for = seconds(root, "rules.overload_for_s");
+  e.rules.answer_grace = 8'000;
+  e.rules.slow_start_fraction = root.Number("rules.cold_share");
+  e.rules.slow_start_duration = seconds(root, "rules.warm_up_s");
+  e.rules.overload_threshold = root.Number("rules.tip_multiple");
+  e.rules.overload_window = seconds(root, "rules.overload_for_s");
   for (const config::Table& t : tables("class")) {
     ClassPlan c;
     c.name = t.Text("name");
-    c.cls.aim = millis(t, "aim_ms");
+    c.cls.latency_objective = millis(t, "aim_ms");
     c.cls.deadline = millis(t, "deadline_ms");
     c.writes = t.Text("effect") == "unsafe";
-    c.cls.effect = c.writes ? Effect::kUnsafe : Effect::kSafe;
-    c.cls.worth = t.Number("worth");
-    c.cls.late_worth = t.Number("late_worth");
+    c.cls.idempotency = c.writes ? Idempotency::kNotIdempotent : Idempotency::kIdempotent;
+    c.cls.priority_weight = t.Number("worth");
+    c.cls.late_weight_fraction = t.Number("late_worth");
     c.share = t.Number("share");
     c.units = t.Number("units");
     e.classes.push_back(c);
@@ -225,13 +226,13 @@
   if (e.classes.empty()) {
     ClassPlan read, write;
     read.name = "read";
-    read.cls.aim = 120'000;
+    read.cls.latency_objective = 120'000;
     read.cls.deadline = 2'000'000;
-    read.cls.late_worth = 0.2;
+    read.cls.late_weight_fraction = 0.2;
     read.share = 3;
     write = read;
     write.name = "write";
-    write.cls.effect = Effect::kUnsafe;
+    write.cls.idempotency = Idempotency::kNotIdempotent;
     write.writes = true;
     write.share = 1;
     e.classes = {read, write};
@@ -287,7 +288,7 @@
 walnutspur::Settings Experiment::SettingsOf() const {
   walnutspur::Settings s;
   s.instances = initiators;
-  s.discovery = Discovery::kSubscribe;
+  s.discovery = DiscoveryMode::kSubscribe;
   for (const ClassPlan& c : classes) s.classes.push_back(c.cls);
   double weights = 0;
   for (const TenantPlan& p : tenants) weights += p.weight;
@@ -295,21 +296,21 @@
     Plan plan;
     plan.rate =
         std::max(1e-3, RequestsASecond() * MeanUnits() * p.weight / std::max(weights, 1e-9) / p.volumes);
-    plan.floor_rate = p.reserve * plan.rate;
+    plan.reserved_rate = p.reserve * plan.rate;
     s.plans.push_back(plan);
   }
   s.rules = rules;
-  s.try_limit = try_limit;
-  s.may_cancel = true;
+  s.max_attempts = try_limit;
+  s.can_cancel = true;
   s.max_retry_after = 500'000;
-  s.retry_after = true;
-  s.usual_units = MeanUnits();
-  s.largest_units = largest_units;
+  s.sends_retry_after = true;
+  s.mean_request_units = MeanUnits();
+  s.max_request_units = largest_units;
   // What a cold box bears of all initiators together without toppling, less a tenth.
-  s.cold_units =
-      0.9 * rules.cold_share * power() * rules.tip_multiple * static_cast<double>(rules.overload_for) / 1e6;
-  s.fair_worth = 0.35;
-  s.beyond_worth = 0.08;
+  s.slow_start_units = 0.9 * rules.slow_start_fraction * power() * rules.overload_threshold *
+                       static_cast<double>(rules.overload_window) / 1e6;
+  s.fair_share_weight = 0.35;
+  s.excess_weight = 0.08;
   return s;
 }
 
@@ -330,14 +331,15 @@
       << "\nzipf = " << e.zipf << "\nfresh = " << e.fresh << "\nreread = " << e.reread
       << "\npieces = " << e.pieces << "\nlargest_units = " << e.largest_units
       << "\n[rules]\ntry_limit = " << e.try_limit << "\ndrain_grace_ms = " << ms(e.rules.drain_grace)
-      << "\ncold_share = " << e.rules.cold_share << "\nwarm_up_s = " << s(e.rules.warm_up)
-      << "\ntip_multiple = " << e.rules.tip_multiple << "\noverload_for_s = " << s(e.rules.overload_for)
-      << "\n";
+      << "\ncold_share = " << e.rules.slow_start_fraction
+      << "\nwarm_up_s = " << s(e.rules.slow_start_duration)
+      << "\ntip_multiple = " << e.rules.overload_threshold
+      << "\noverload_for_s = " << s(e.rules.overload_window) << "\n";
   for (const ClassPlan& c : e.classes)
-    out << "[[class]]\nname = \"" << c.name << "\"\naim_ms = " << ms(c.cls.aim)
+    out << "[[class]]\nname = \"" << c.name << "\"\naim_ms = " << ms(c.cls.latency_objective)
         << "\ndeadline_ms = " << ms(c.cls.deadline) << "\neffect = \"" << (c.writes ? "unsafe" : "safe")
-        << "\"\nworth = " << c.cls.worth << "\nlate_worth = " << c.cls.late_worth << "\nshare = " << c.share
-        << "\nunits = " << c.units << "\n";
+        << "\"\nworth = " << c.cls.priority_weight << "\nlate_worth = " << c.cls.late_weight_fraction
+        << "\nshare = " << c.share << "\nunits = " << c.units << "\n";
   for (const TenantPlan& p : e.tenants)
     out << "[[plan]]\nname = \"" << p.name << "\"\nvolumes = " << p.volumes << "\nweight = " << p.weight
         << "\nreserve = " << p.reserve << "\n";
--- a/src/lab/sim/checker.cpp
+++ b/src/lab/sim/checker.cpp
@@ -10,7 +10,7 @@
 
 bool NeverRan(std::int64_t outcome) {
   const auto known = static_cast<Outcome>(outcome);
-  return known == Outcome::kSaturated || known == Outcome::kRefusedConn || known == Outcome::kSuperseded;
+  return known == Outcome::kOverloaded || known == Outcome::kConnectFailed || known == Outcome::kNotSent;
 }
 
 std::int64_t Pair(int initiator, int box) {
@@ -52,7 +52,7 @@
   if (heard == heard_.end()) {
     Break("unlisted", e, "sent to a box that this initiator has not heard of");
   } else {
-    if (heard->second.phase != Phase::kLive && e.at > heard->second.since + grace_)
+    if (heard->second.phase != EndpointState::kActive && e.at > heard->second.since + grace_)
       Break("drain", e, "sent to a box later than the grace after the notice of its drain");
     if (r->cell >= 0 && heard->second.cell != r->cell)
       Break("cell", e, "sent to a box that has not its data");
@@ -68,10 +68,10 @@
   if (r->answered) return Break("one-answer", e, "a second answer");
   r->answered = true;
   if (e.at > r->deadline + kLate) Break("in-time", e, "the answer came after the client's deadline");
-  const auto verdict = static_cast<core::Verdict>(e.a);
-  if (verdict == core::Verdict::kServed && r->runs == 0)
+  const auto verdict = static_cast<core::ResponseStatus>(e.a);
+  if (verdict == core::ResponseStatus::kServed && r->runs == 0)
     Break("served-unrun", e, "told to be served and never run");
-  if (verdict == core::Verdict::kRefused && r->unsafe) {
+  if (verdict == core::ResponseStatus::kRejected && r->unsafe) {
     // "No, and a new try does no harm": the client will ask again.
     for (const Trial& trial : r->trials) {
       if (!trial.known || trial.may_have) Break("refused-run", e, "refused though it may have run");
@@ -143,9 +143,9 @@
       break;
     case What::kTold: {
       Heard& heard = heard_[Pair(e.initiator, e.box)];
-      const auto phase = static_cast<Phase>(e.a);
+      const auto phase = static_cast<EndpointState>(e.a);
       // A drain counts from its first notice; the end of the box does not begin a new grace.
-      if (phase == Phase::kLive || heard.phase == Phase::kLive) heard.since = e.at;
+      if (phase == EndpointState::kActive || heard.phase == EndpointState::kActive) heard.since = e.at;
       heard.phase = phase;
       heard.cell = e.b;
       break;
--- a/src/lab/sim/checker.h
+++ b/src/lab/sim/checker.h
@@ -45,7 +45,7 @@
     std::vector<Trial> trials;
   };
   struct Heard {  // by an initiator, of a box
-    Phase phase = Phase::kDead;
+    EndpointState phase = EndpointState::kTerminated;
     Time since = 0;
     std::int64_t cell = -1;
   };
--- a/src/lab/sim/policies.cpp
+++ b/src/lab/sim/policies.cpp
@@ -35,12 +35,12 @@
 
  private:
   struct Box {
-    ListEntry entry;
+    Endpoint entry;
     int out = 0;
     std::deque<RequestId> waiting;
   };
   struct Held {
-    Arrival what;
+    RequestArrived what;
     Time deadline = 0;
     int tries = 0;
     std::optional<TargetId> at;  // of the attempt that is out
@@ -51,13 +51,13 @@
     std::deque<RequestId> waiting;
   };
 
-  void On(const Started&) { actions_.push_back(Subscribe{}); }
-  void On(const Membership& list) {
-    if (list.mode == Mode::kFailed) return;
-    if (list.mode != Mode::kDelta) boxes_.clear();
-    for (const ListEntry& entry : list.entries) boxes_[entry.target].entry = entry;
+  void On(const Started&) { actions_.push_back(WatchEndpoints{}); }
+  void On(const EndpointUpdate& list) {
+    if (list.kind == EndpointUpdateKind::kFailed) return;
+    if (list.kind != EndpointUpdateKind::kDelta) boxes_.clear();
+    for (const Endpoint& entry : list.endpoints) boxes_[entry.target].entry = entry;
   }
-  void On(const Arrival& arrival) {
+  void On(const RequestArrived& arrival) {
     Held& held = held_[arrival.id];
     held.what = arrival;
     held.deadline = now_ + arrival.ttl;
@@ -68,45 +68,46 @@
     Drip(arrival.volume);
     Tick();
   }
-  void On(const Done& done) {
+  void On(const AttemptFinished& done) {
     const auto box = boxes_.find(done.target);
     if (box != boxes_.end()) box->second.out = std::max(0, box->second.out - 1);
     const auto at = held_.find(done.id);
     if (at != held_.end()) {
       Held& held = at->second;
       held.at.reset();
-      const bool never = done.outcome == Outcome::kSaturated || done.outcome == Outcome::kRefusedConn ||
-                         done.outcome == Outcome::kSuperseded;
-      const Effect effect = settings_.classes[static_cast<std::size_t>(held.what.request_class)].effect;
-      if (done.settled) {
+      const bool never = done.outcome == Outcome::kOverloaded || done.outcome == Outcome::kConnectFailed ||
+                         done.outcome == Outcome::kNotSent;
+      const Idempotency effect =
+          settings_.classes[static_cast<std::size_t>(held.what.request_class)].idempotency;
+      if (done.request_finished) {
         held_.erase(at);
-      } else if ((never || effect == Effect::kSafe) && held.tries < settings_.try_limit &&
+      } else if ((never || effect == Idempotency::kIdempotent) && held.tries < settings_.max_attempts &&
                  now_ < held.deadline) {
         Place(done.id);
       } else {
-        if (never) actions_.push_back(Refuse{done.id, 0});
-        if (!never) actions_.push_back(Fail{done.id});
+        if (never) actions_.push_back(RejectRequest{done.id, 0});
+        if (!never) actions_.push_back(FailRequest{done.id});
         held_.erase(at);
       }
     }
     if (box != boxes_.end()) Next(box->second);
   }
-  void On(const Bell&) {
+  void On(const TimerFired&) {
     ticking_ = false;
     for (auto& [volume, bucket] : buckets_) {
       if (!bucket.waiting.empty()) Drip(volume);
     }
     Tick();
   }
-  void On(const Abandoned& gone) { held_.erase(gone.id); }
-  void On(const ProbeDone&) {}
+  void On(const ClientDisconnected& gone) { held_.erase(gone.id); }
+  void On(const HealthCheckFinished&) {}
   void On(const FleetSize&) {}
-  void On(const Streaming&) {}
+  void On(const ResponseStarted&) {}
 
   double Rate(int plan) const {
     return settings_.plans[static_cast<std::size_t>(plan)].rate / std::max(1, mounts_);
   }
-  double Most(int plan) const { return std::max(settings_.largest_units, kBucketSpan * Rate(plan)); }
+  double Most(int plan) const { return std::max(settings_.max_request_units, kBucketSpan * Rate(plan)); }
 
   // Each host has an even part of the volume's rate, whatever the others do with theirs.
   void Drip(const std::string& volume) {
@@ -117,7 +118,7 @@
         bucket.waiting.pop_front();
         continue;
       }
-      mounts_ = at->second.what.mounts;
+      mounts_ = at->second.what.initiator_count;
       const double seconds = static_cast<double>(now_ - bucket.at) / 1e6;
       const int plan = at->second.what.plan;
       if (bucket.at != 0) bucket.tokens = std::min(Most(plan), bucket.tokens + seconds * Rate(plan));
@@ -133,18 +134,19 @@
     const bool any = std::any_of(buckets_.begin(), buckets_.end(),
                                  [](const auto& b) { return !b.second.waiting.empty(); });
     if (!any || std::exchange(ticking_, true)) return;
-    actions_.push_back(Wake{0, kTick});
+    actions_.push_back(StartTimer{0, kTick});
   }
 
   void Place(const RequestId& id) {
     Held& held = held_.at(id);
     std::vector<Box*> fit;
     for (auto& [name, box] : boxes_) {
-      if (box.entry.phase == Phase::kLive && (held.what.cell < 0 || box.entry.cell == held.what.cell))
+      if (box.entry.state == EndpointState::kActive &&
+          (held.what.shard < 0 || box.entry.shard == held.what.shard))
         fit.push_back(&box);
     }
     if (fit.empty()) {
-      actions_.push_back(Refuse{id, 0});
+      actions_.push_back(RejectRequest{id, 0});
       held_.erase(id);
       return;
     }
@@ -162,14 +164,14 @@
     ++held.tries;
     ++box.out;
     held.at = box.entry.target;
-    actions_.push_back(Send{id, box.entry.target, 0});
+    actions_.push_back(SendAttempt{id, box.entry.target, 0});
   }
   void Next(Box& box) {
     while (box.out < kMostOut && !box.waiting.empty()) {
       const RequestId id = box.waiting.front();
       box.waiting.pop_front();
       if (!held_.contains(id)) continue;
-      if (box.entry.phase != Phase::kLive) {
+      if (box.entry.state != EndpointState::kActive) {
         Place(id);
       } else {
         Out(box, id);
@@ -191,12 +193,12 @@
 
 }  // namespace
 
-core::Decide MakePolicy(const std::string& name, const Settings& settings, std::uint64_t seed) {
+core::DecisionFunction MakePolicy(const std::string& name, const Settings& settings, std::uint64_t seed) {
   if (name == "walnutspur") {
     auto scheduler = std::make_shared<Scheduler>(settings, seed);
     return [scheduler](const Event& event, Time now) { return scheduler->Handle(event, now); };
   }
-  const auto plain = [&](Plain::Kind kind) -> core::Decide {
+  const auto plain = [&](Plain::Kind kind) -> core::DecisionFunction {
     auto policy = std::make_shared<Plain>(kind, settings, seed);
     return [policy](const Event& event, Time now) { return policy->Handle(event, now); };
   };
--- a/src/lab/sim/policies.h
+++ b/src/lab/sim/policies.h
@@ -13,7 +13,7 @@
 // "walnutspur"; "at-once": everything goes out as it comes; "buckets": even token buckets at the plans'
 // rates, without the loop that moves them; "least-out": new objects to the box with the least outstanding,
 // under a bound for each box. Throws std::runtime_error for any other name.
-core::Decide MakePolicy(const std::string& name, const Settings& settings, std::uint64_t seed);
+core::DecisionFunction MakePolicy(const std::string& name, const Settings& settings, std::uint64_t seed);
 
 }  // namespace walnutspur::lab
 
--- a/src/lab/sim/world.cpp
+++ b/src/lab/sim/world.cpp
@@ -168,9 +168,9 @@
   void Ask();
   void Feed(int initiator, const core::Input& input);
   void Do(int initiator, std::vector<core::Output> outputs);
-  void Send(int initiator, const core::Attempt& attempt);
+  void Send(int initiator, const core::StartAttempt& attempt);
   void Report(int initiator, std::int64_t request, int trial, Outcome outcome);
-  void Answer(int initiator, const core::Answer& answer);
+  void Answer(int initiator, const core::Response& answer);
   void Forget(std::int64_t request);
 
   void Arrive(const Item& item);
@@ -181,7 +181,7 @@
   void End(Box& box);
   void Start(Box& box, bool cold);
   double Power(const Box& box) const;  // part of the full one
-  void Tell(const Box& box, Phase phase);
+  void Tell(const Box& box, EndpointState phase);
   void Fault(const FaultPlan& fault, int step, bool begins);
   TargetId Id(int box) const { return "b" + std::to_string(box); }
 
@@ -202,7 +202,7 @@
   std::vector<double> surges_;             // of each plan
   std::set<int> cut_;                      // zones
   bool deaf_ = false;
-  std::vector<std::pair<int, Phase>> untold_;
+  std::vector<std::pair<int, EndpointState>> untold_;
   std::unordered_map<std::int64_t, Request> requests_;
   Time last_ask_ = 0;
   Outcomes outcomes_;
@@ -242,7 +242,7 @@
   for (int i = 0; i < e_.initiators; ++i) {
     Initiator initiator;
     const std::uint64_t seed = e_.seed * 1'000'003 + static_cast<std::uint64_t>(i);
-    core::Decide decide = MakePolicy(e_.policy, settings, seed);
+    core::DecisionFunction decide = MakePolicy(e_.policy, settings, seed);
     if (meddling_.decide) decide = meddling_.decide(std::move(decide));
     initiator.engine = std::make_unique<core::Engine>(settings, std::move(decide));
     initiator.zone = i % e_.zones;
@@ -253,16 +253,16 @@
   for (int i = 0; i < e_.initiators; ++i) {
     Initiator& initiator = initiators_[static_cast<std::size_t>(i)];
     Do(i, initiator.engine->Start(Local(initiator, now_)));
-    Membership list;
+    EndpointUpdate list;
     for (const Box& box : boxes_) {
-      ListEntry entry;
+      Endpoint entry;
       entry.target = Id(box.number);
-      entry.cell = box.cell;
+      entry.shard = box.cell;
       entry.zone = box.zone;
-      list.entries.push_back(entry);
-      Note(What::kTold, i, -1, -1, box.number, static_cast<int>(Phase::kLive), box.cell);
+      list.endpoints.push_back(entry);
+      Note(What::kTold, i, -1, -1, box.number, static_cast<int>(EndpointState::kActive), box.cell);
     }
-    Feed(i, core::Listed{std::move(list)});
+    Feed(i, core::EndpointsUpdated{std::move(list)});
   }
   for (std::size_t f = 0; f < e_.faults.size(); ++f) {
     const FaultPlan& fault = e_.faults[f];
@@ -314,14 +314,14 @@
     case Happens::kFinishes:
       return Finish(boxes_[static_cast<std::size_t>(item.box)], static_cast<std::uint64_t>(item.number));
     case Happens::kLimit:
-      return Report(item.who, item.number, item.trial, Outcome::kOverdue);
+      return Report(item.who, item.number, item.trial, Outcome::kTimedOut);
     case Happens::kDeadline: {
       const auto at = requests_.find(item.number);
       if (at == requests_.end() || at->second.answered) return;
-      return Feed(item.who, core::Expired{static_cast<core::Serial>(item.number)});
+      return Feed(item.who, core::DeadlineExpired{static_cast<core::RequestNumber>(item.number)});
     }
     case Happens::kRings:
-      return Feed(item.who, core::Rang{item.number});
+      return Feed(item.who, core::TimerExpired{item.number});
     case Happens::kCancels: {
       Box& box = boxes_[static_cast<std::size_t>(item.box)];
       const auto at = std::find_if(box.queue.begin(), box.queue.end(), [&](const Work& w) {
@@ -333,27 +333,27 @@
       return Drop(box, work, false);
     }
     case Happens::kProbes: {
-      ProbeDone done;
+      HealthCheckFinished done;
       done.target = Id(item.box);
       done.outcome =
-          boxes_[static_cast<std::size_t>(item.box)].up ? Outcome::kCompleted : Outcome::kRefusedConn;
-      done.delay = item.extra;
-      return Feed(item.who, core::Probed{done});
+          boxes_[static_cast<std::size_t>(item.box)].up ? Outcome::kCompleted : Outcome::kConnectFailed;
+      done.latency = item.extra;
+      return Feed(item.who, core::HealthCheckResult{done});
     }
     case Happens::kHears: {
       const Box& box = boxes_[static_cast<std::size_t>(item.box)];
-      Membership list;
-      list.mode = Mode::kDelta;
-      ListEntry entry;
+      EndpointUpdate list;
+      list.kind = EndpointUpdateKind::kDelta;
+      Endpoint entry;
       entry.target = Id(item.box);
-      entry.phase = static_cast<Phase>(item.number);
-      entry.cell = box.cell;
+      entry.state = static_cast<EndpointState>(item.number);
+      entry.shard = box.cell;
       entry.zone = box.zone;
       const Initiator& hearer = initiators_[static_cast<std::size_t>(item.who)];
-      if (box.started > 0) entry.launched = Local(hearer, box.started);
-      list.entries.push_back(entry);
+      if (box.started > 0) entry.started_at = Local(hearer, box.started);
+      list.endpoints.push_back(entry);
       Note(What::kTold, item.who, -1, -1, item.box, item.number, box.cell);
-      return Feed(item.who, core::Listed{std::move(list)});
+      return Feed(item.who, core::EndpointsUpdated{std::move(list)});
     }
     case Happens::kFault:
       return Fault(e_.faults[static_cast<std::size_t>(item.number)], item.who, item.box != 0);
@@ -418,36 +418,36 @@
   request.volume = number;
   const double drawn = chosen.units * (0.5 + arrivals_.Exponential(0.5));
   request.units = std::llround(1000 * std::clamp(drawn, 0.1, e_.largest_units));
-  core::Arrived arrived;
-  arrived.serial = static_cast<core::Serial>(id);
-  Arrival& what = arrived.what;
+  core::RequestReceived arrived;
+  arrived.request = static_cast<core::RequestNumber>(id);
+  RequestArrived& what = arrived.attributes;
   what.request_class = request.cls;
   what.plan = request.plan;
   what.volume = volume.name;
   what.units = static_cast<double>(request.units) / 1000;
-  what.mounts = mounts;
+  what.initiator_count = mounts;
   // As many draws whatever has happened before: what is asked must not hang on how it was answered.
   const double special = arrivals_.Part();
   const std::uint64_t piece = arrivals_.Below(std::uint64_t{1} << 40);
   if (chosen.writes && special < e_.fresh) {
     request.fresh = true;
     what.key = volume.name + "/new" + std::to_string(id);
-    what.cell = -1;
+    what.shard = -1;
   } else if (!chosen.writes && !volume.recent.empty() && special < e_.reread) {
     const auto& [key, cell] = volume.recent[piece % volume.recent.size()];
     what.key = key;
-    what.cell = cell;
+    what.shard = cell;
   } else {
     what.key = volume.name + "/" + std::to_string(piece % static_cast<std::uint64_t>(e_.pieces));
-    what.cell = static_cast<int>(Random::Hash(what.key) % static_cast<std::uint64_t>(e_.boxes));
+    what.shard = static_cast<int>(Random::Hash(what.key) % static_cast<std::uint64_t>(e_.boxes));
   }
   request.key = what.key;
   ++outcomes_.requests;
   const auto second = static_cast<std::size_t>((now_ - kEpoch) / 1'000'000);
   if (outcomes_.seconds.size() <= second) outcomes_.seconds.resize(second + 1);
-  outcomes_.seconds[second].due += chosen.cls.worth;
+  outcomes_.seconds[second].due += chosen.cls.priority_weight;
   ++outcomes_.seconds[second].asked;
-  Note(What::kAsk, request.initiator, id, -1, what.cell, request.cls, request.units);
+  Note(What::kAsk, request.initiator, id, -1, what.shard, request.cls, request.units);
   const Initiator& initiator = initiators_[static_cast<std::size_t>(request.initiator)];
   const int at = request.initiator;
   const Time deadline = request.deadline;
@@ -456,9 +456,9 @@
   Put(deadline, Happens::kDeadline, at, 0, 0, id);
 }
 
-void World::Impl::Answer(int initiator, const core::Answer& answer) {
-  const auto id = static_cast<std::int64_t>(answer.serial);
-  Note(What::kAnswer, initiator, id, -1, -1, static_cast<int>(answer.verdict));
+void World::Impl::Answer(int initiator, const core::Response& answer) {
+  const auto id = static_cast<std::int64_t>(answer.request);
+  Note(What::kAnswer, initiator, id, -1, -1, static_cast<int>(answer.status));
   const auto at = requests_.find(id);
   if (at == requests_.end() || at->second.answered) return;
   Request& request = at->second;
@@ -466,20 +466,20 @@
   const auto second = static_cast<std::size_t>((request.asked - kEpoch) / 1'000'000);
   Second& s = outcomes_.seconds[second];
   const RequestClass& cls = e_.classes[static_cast<std::size_t>(request.cls)].cls;
-  switch (answer.verdict) {
-    case core::Verdict::kServed: {
+  switch (answer.status) {
+    case core::ResponseStatus::kServed: {
       request.served = true;
       const Time took = now_ - request.asked;
       outcomes_.latencies.push_back(static_cast<float>(static_cast<double>(took) / 1000));
       ++s.served;
-      if (took <= cls.aim) s.earned += cls.worth;
-      if (took > cls.aim) ++s.late, s.earned += cls.worth * cls.late_worth;
+      if (took <= cls.latency_objective) s.earned += cls.priority_weight;
+      if (took > cls.latency_objective) ++s.late, s.earned += cls.priority_weight * cls.late_weight_fraction;
       break;
     }
-    case core::Verdict::kRefused:
+    case core::ResponseStatus::kRejected:
       ++s.refused;
       break;
-    case core::Verdict::kTimedOut:
+    case core::ResponseStatus::kTimedOut:
       ++s.timed_out;
       break;
     default:
@@ -509,22 +509,22 @@
     return static_cast<Time>(static_cast<double>(local) / initiator.rate);
   };
   for (const core::Output& output : outputs) {
-    if (const auto* attempt = std::get_if<core::Attempt>(&output)) {
+    if (const auto* attempt = std::get_if<core::StartAttempt>(&output)) {
       Send(number, *attempt);
-    } else if (const auto* cancel = std::get_if<core::Cancel>(&output)) {
-      const auto id = static_cast<std::int64_t>(cancel->serial);
+    } else if (const auto* cancel = std::get_if<core::AbortAttempt>(&output)) {
+      const auto id = static_cast<std::int64_t>(cancel->request);
       const auto at = requests_.find(id);
-      if (at == requests_.end() || cancel->trial >= static_cast<int>(at->second.trials.size())) continue;
-      const int box = at->second.trials[static_cast<std::size_t>(cancel->trial)].box;
+      if (at == requests_.end() || cancel->attempt >= static_cast<int>(at->second.trials.size())) continue;
+      const int box = at->second.trials[static_cast<std::size_t>(cancel->attempt)].box;
       if (box >= 0 && box < static_cast<int>(boxes_.size()) &&
           !Cut(initiator.zone, boxes_[static_cast<std::size_t>(box)].zone))
-        Put(now_ + Delay(), Happens::kCancels, number, box, cancel->trial, id);
-      Put(now_, Happens::kReplies, number, box, cancel->trial, id, static_cast<int>(Outcome::kRecalled));
-    } else if (const auto* answer = std::get_if<core::Answer>(&output)) {
+        Put(now_ + Delay(), Happens::kCancels, number, box, cancel->attempt, id);
+      Put(now_, Happens::kReplies, number, box, cancel->attempt, id, static_cast<int>(Outcome::kCancelled));
+    } else if (const auto* answer = std::get_if<core::Response>(&output)) {
       Answer(number, *answer);
-    } else if (const auto* ring = std::get_if<core::Ring>(&output)) {
-      Put(now_ + lasts(ring->after), Happens::kRings, number, 0, 0, ring->mark);
-    } else if (const auto* check = std::get_if<core::Check>(&output)) {
+    } else if (const auto* ring = std::get_if<core::ArmTimer>(&output)) {
+      Put(now_ + lasts(ring->delay), Happens::kRings, number, 0, 0, ring->timer_id);
+    } else if (const auto* check = std::get_if<core::StartHealthCheck>(&output)) {
       const int box = std::stoi(check->target.substr(1));
       const Time there = Delay() + Delay();
       Put(now_ + there, Happens::kProbes, number, box, 0, 0, there);
@@ -533,33 +533,33 @@
   }
 }
 
-void World::Impl::Send(int number, const core::Attempt& attempt) {
-  const auto id = static_cast<std::int64_t>(attempt.serial);
+void World::Impl::Send(int number, const core::StartAttempt& attempt) {
+  const auto id = static_cast<std::int64_t>(attempt.request);
   const int box = std::stoi(attempt.target.substr(1));
   const Initiator& initiator = initiators_[static_cast<std::size_t>(number)];
   ++outcomes_.attempts;
-  Note(What::kSend, number, id, attempt.trial, box);
+  Note(What::kSend, number, id, attempt.attempt, box);
   const auto at = requests_.find(id);
   if (at == requests_.end()) return;
   auto& trials = at->second.trials;
-  if (trials.size() <= static_cast<std::size_t>(attempt.trial))
-    trials.resize(static_cast<std::size_t>(attempt.trial) + 1);
-  trials[static_cast<std::size_t>(attempt.trial)].box = box;
-  trials[static_cast<std::size_t>(attempt.trial)].sent = now_;
-  const auto limit = static_cast<Time>(static_cast<double>(attempt.limit) / initiator.rate);
-  Put(now_ + limit, Happens::kLimit, number, box, attempt.trial, id);
+  if (trials.size() <= static_cast<std::size_t>(attempt.attempt))
+    trials.resize(static_cast<std::size_t>(attempt.attempt) + 1);
+  trials[static_cast<std::size_t>(attempt.attempt)].box = box;
+  trials[static_cast<std::size_t>(attempt.attempt)].sent = now_;
+  const auto limit = static_cast<Time>(static_cast<double>(attempt.timeout) / initiator.rate);
+  Put(now_ + limit, Happens::kLimit, number, box, attempt.attempt, id);
   if (box < 0 || box >= static_cast<int>(boxes_.size())) {  // nobody is there
-    Put(now_ + Delay(), Happens::kReplies, number, 0, attempt.trial, id,
-        static_cast<int>(Outcome::kRefusedConn));
+    Put(now_ + Delay(), Happens::kReplies, number, 0, attempt.attempt, id,
+        static_cast<int>(Outcome::kConnectFailed));
     return;
   }
   if (Cut(initiator.zone, boxes_[static_cast<std::size_t>(box)].zone)) return;
   if (e_.loss > 0 && network_.Chance(e_.loss)) {  // before the box has it, or after
-    Put(now_ + kBroken, Happens::kReplies, number, box, attempt.trial, id,
-        static_cast<int>(Outcome::kSevered));
+    Put(now_ + kBroken, Happens::kReplies, number, box, attempt.attempt, id,
+        static_cast<int>(Outcome::kConnectionReset));
     if (network_.Chance(0.5)) return;
   }
-  Put(now_ + Delay(), Happens::kArrives, number, box, attempt.trial, id, at->second.units);
+  Put(now_ + Delay(), Happens::kArrives, number, box, attempt.attempt, id, at->second.units);
 }
 
 // The first that is heard of an attempt counts, as at a connector; what comes later is dropped there.
@@ -574,11 +574,11 @@
     recent.emplace_back(at->second.key, boxes_[static_cast<std::size_t>(known.box)].cell);
     if (recent.size() > kRecent) recent.pop_front();
   }
-  core::Ended ended;
-  ended.serial = static_cast<core::Serial>(id);
-  ended.trial = trial;
+  core::AttemptResult ended;
+  ended.request = static_cast<core::RequestNumber>(id);
+  ended.attempt = trial;
   ended.outcome = outcome;
-  ended.delay = now_ - known.sent;
+  ended.latency = now_ - known.sent;
   Feed(number, ended);
   Forget(id);
 }
@@ -588,8 +588,8 @@
 double World::Impl::Power(const Box& box) const {
   if (box.started == 0) return 1;
   const double part = std::min(1.0, static_cast<double>(now_ - box.started) /
-                                        static_cast<double>(std::max<Time>(1, e_.rules.warm_up)));
-  return e_.rules.cold_share + (1 - e_.rules.cold_share) * part;
+                                        static_cast<double>(std::max<Time>(1, e_.rules.slow_start_duration)));
+  return e_.rules.slow_start_fraction + (1 - e_.rules.slow_start_fraction) * part;
 }
 
 void World::Impl::Reply(const Box& box, const Work& work, Outcome outcome) {
@@ -601,7 +601,7 @@
 void World::Impl::Arrive(const Item& item) {
   Box& box = boxes_[static_cast<std::size_t>(item.box)];
   const Work work{item.number, item.trial, item.who, item.extra, next_ticket_++};
-  if (!box.up) return Reply(box, work, Outcome::kRefusedConn);
+  if (!box.up) return Reply(box, work, Outcome::kConnectFailed);
   if (box.errors && choices_.Chance(box.factor)) {
     // Half of such have done the work before they say that it has failed.
     Note(What::kTaken, work.initiator, work.request, work.trial, box.number, 0, work.units);
@@ -616,15 +616,15 @@
   // What is sent to it counts, not what it takes: turning away is work as well.
   const double power = Power(box);
   if (box.started > 0 && power < 1) {
-    const Time from = now_ - e_.rules.overload_for;
+    const Time from = now_ - e_.rules.overload_window;
     box.lately.emplace_back(now_, static_cast<double>(work.units) / 1000);
     box.lately_units += box.lately.back().second;
     while (box.lately.front().first < from) {
       box.lately_units -= box.lately.front().second;
       box.lately.pop_front();
     }
-    const double bears = e_.power() * box.speed * power * e_.rules.tip_multiple *
-                         static_cast<double>(e_.rules.overload_for) / 1e6 * kTipSlack;
+    const double bears = e_.power() * box.speed * power * e_.rules.overload_threshold *
+                         static_cast<double>(e_.rules.overload_window) / 1e6 * kTipSlack;
     if (box.lately_units > bears) {
       Note(What::kTopple, -1, -1, -1, box.number);
       ++outcomes_.toppled;
@@ -635,7 +635,7 @@
   }
   if (static_cast<int>(box.queue.size()) >= e_.queue) {
     Note(What::kFull, work.initiator, work.request, work.trial, box.number);
-    return Reply(box, work, Outcome::kSaturated);
+    return Reply(box, work, Outcome::kOverloaded);
   }
   Note(What::kTaken, work.initiator, work.request, work.trial, box.number, 0, work.units);
   box.queue.push_back(work);
@@ -688,14 +688,14 @@
   for (const bool begun : {false, true}) {
     for (const Work& work : begun ? box.working : std::vector<Work>(box.queue.begin(), box.queue.end())) {
       Drop(box, work, begun);
-      Reply(box, work, Outcome::kSevered);
+      Reply(box, work, Outcome::kConnectionReset);
     }
   }
   box.queue.clear();
   box.working.clear();
   box.lately.clear();
   box.lately_units = 0;
-  Tell(box, Phase::kDead);
+  Tell(box, EndpointState::kTerminated);
 }
 
 void World::Impl::Start(Box& box, bool cold) {
@@ -704,10 +704,10 @@
   box.frozen = 0;
   box.started = cold ? now_ : 0;
   Note(What::kUp, -1, -1, -1, box.number, cold);
-  Tell(box, Phase::kLive);
+  Tell(box, EndpointState::kActive);
 }
 
-void World::Impl::Tell(const Box& box, Phase phase) {
+void World::Impl::Tell(const Box& box, EndpointState phase) {
   if (deaf_) {
     untold_.emplace_back(box.number, phase);
     return;
@@ -754,7 +754,7 @@
       if (begins) {
         Box& old = box_of();
         old.draining = true;
-        Tell(old, Phase::kQuiescing);
+        Tell(old, EndpointState::kDraining);
         break;
       }
       Box& old = box_of();
--- a/src/lab/sim/world.h
+++ b/src/lab/sim/world.h
@@ -43,7 +43,7 @@
   // Called with what the engine of an initiator wants; may add to it, change or clear it.
   std::function<void(int initiator, Time now, std::vector<core::Output>* outputs)> outputs;
   // In place of the policy's own decisions.
-  std::function<core::Decide(core::Decide)> decide;
+  std::function<core::DecisionFunction(core::DecisionFunction)> decide;
   // May change an entry, or drop it by returning false, before it is logged.
   std::function<bool(Entry* entry)> entry;
 };
--- a/src/limits/abandonment_estimate.cpp
+++ b/src/limits/abandonment_estimate.cpp
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-void Patience::Note(double age, bool left, Time now) {
+void AbandonmentEstimate::Record(double age, bool left, Time now) {
   const double place = age * kAges;
   for (std::size_t i = 0; i < kAges && static_cast<double>(i) <= place; ++i) {
     ages_[i].reached.Add(1, now, kFades);
@@ -19,7 +19,7 @@
   }
 }
 
-double Patience::Part(Time now) const {
+double AbandonmentEstimate::SafeFraction(Time now) const {
   double stay = 1;
   for (const Age& age : ages_) {
     const double left = age.left.Now(now, kFades);
--- a/src/limits/abandonment_estimate.h
+++ b/src/limits/abandonment_estimate.h
@@ -17,18 +17,18 @@
 
 namespace walnutspur::limits {
 
-class Patience {
+class AbandonmentEstimate {
  public:
   // A request was open up to this age, in parts of its aim; then its client left, or it ended otherwise.
-  void Note(double age, bool left, Time now);
+  void Record(double age, bool left, Time now);
   // The part of an aim by which work has to be done.
-  double Part(Time now) const;
+  double SafeFraction(Time now) const;
 
  private:
   static constexpr std::size_t kAges = 10;  // even parts of an aim
   struct Age {
-    Fading reached;    // requests that were open there
-    Fading left, sum;  // clients that left there, and the sum of their ages
+    DecayingCounter reached;    // requests that were open there
+    DecayingCounter left, sum;  // clients that left there, and the sum of their ages
   };
   std::array<Age, kAges> ages_;
 };
