--- a/src/limits/backoff.h
+++ b/src/limits/backoff.h
@@ -19,13 +19,13 @@
   Backoff(Time first, Time most) : first_(first), most_(most) {}
 
   // The gap after one more failure, us; `random` is drawn evenly from [0, 1).
-  Time Failed(double random) {
+  Time NextDelay(double random) {
     const Time longest = std::min(most_, first_ << std::min(failures_, 30));
     ++failures_;
     return longest / 4 + static_cast<Time>(random * 0.75 * static_cast<double>(longest));
   }
-  void Succeeded() { failures_ = 0; }
-  void Bounds(Time first, Time most) { first_ = std::min(first, most), most_ = most; }
+  void Reset() { failures_ = 0; }
+  void SetBounds(Time first, Time most) { first_ = std::min(first, most), most_ = most; }
 
  private:
   Time first_, most_;
@@ -36,32 +36,33 @@
 // nothing. One that waited in its turn until it was given up tells that all hosts together ask too fast, and
 // what was given up is worked off all the same: they must spread over as long as it takes. A call that was
 // answered did not wait in vain, however soon its subscription broke: what is missed then counts as told 6 s
-// after it fell silent, of which noticing takes up to 2.5 s and the next call up to 2 s (http/discovery_client.cpp).
-class ListCalls {
+// after it fell silent, of which noticing takes up to 2.5 s and the next call up to 2 s
+// (http/discovery_client.cpp).
+class PollBackoff {
  public:
   // `most` is the longest gap, us; no less than kLeast.
-  ListCalls(int hosts, Time most) : longest_(most), refused_(kFirst, most), overdue_(kFirst, most) {
-    Among(hosts);
+  PollBackoff(int hosts, Time most) : longest_(most), refused_(kFirst, most), overdue_(kFirst, most) {
+    SetInstanceCount(hosts);
   }
 
   // There are so many hosts now. Of few, each may ask so often that it has the list well within the 6 s after
   // which a change counts as told, whatever became of the calls before; of many, that would only fill the
   // service's queue, and nobody would be answered.
-  void Among(int hosts) {
-    refused_.Bounds(kFirst, std::clamp(hosts * kEachRefused, kLeast, longest_));
-    overdue_.Bounds(std::clamp(hosts * kEach / 2, kFirst, longest_),
-                    std::clamp(hosts * kEach, kLeast, longest_));
+  void SetInstanceCount(int hosts) {
+    refused_.SetBounds(kFirst, std::clamp(hosts * kEachRefused, kLeast, longest_));
+    overdue_.SetBounds(std::clamp(hosts * kEach / 2, kFirst, longest_),
+                       std::clamp(hosts * kEach, kLeast, longest_));
   }
-  void Asked(Time now) { asked_ = now; }
+  void OnPoll(Time now) { asked_ = now; }
   // The gap until the next ask, us, after a call that failed or a subscription that ended.
-  Time Failed(Time now, double random) {
+  Time NextDelay(Time now, double random) {
     const bool waited = asked_ >= 0 && now - asked_ >= kWaited;
-    return (waited ? overdue_ : refused_).Failed(random);
+    return (waited ? overdue_ : refused_).NextDelay(random);
   }
-  void Answered() {
+  void OnResponse() {
     asked_ = -1;
-    refused_.Succeeded();
-    overdue_.Succeeded();
+    refused_.Reset();
+    overdue_.Reset();
   }
 
  private:
--- a/src/limits/decaying_counter.h
+++ b/src/limits/decaying_counter.h
@@ -9,7 +9,7 @@
 
 namespace walnutspur::limits {
 
-struct Fading {
+struct DecayingCounter {
   double sum = 0;
   Time at = 0;  // of its last change
   // What is left of it at `now`; `fades` is the time, us, in which it falls to 1/e.
--- a/src/limits/shutdown_deadline_estimate.h
+++ b/src/limits/shutdown_deadline_estimate.h
@@ -12,15 +12,17 @@
 
 namespace walnutspur::limits {
 
-class LastAnswers {
+class ShutdownDeadlineEstimate {
  public:
   // An answer was given, `took` us after its request had come.
-  void Answered(Time took) {
+  void OnResponse(Time took) {
     const double gap = static_cast<double>(took) - slow_;
     slow_ += (gap > 0 ? kRise : kFall) * gap;
   }
   // With `left` us until all has to be answered: whether the next answer of each connection is its last.
-  bool Due(Time left) const { return left <= std::clamp(static_cast<Time>(kSpare * slow_), kLeast, kMost); }
+  bool IsLastResponse(Time left) const {
+    return left <= std::clamp(static_cast<Time>(kSpare * slow_), kLeast, kMost);
+  }
 
  private:
   static constexpr double kRise = 0.2, kFall = 0.05;  // so that four fifths of the answers take less
--- a/src/limits/slow_start.cpp
+++ b/src/limits/slow_start.cpp
@@ -14,31 +14,31 @@
 
 }  // namespace
 
-void Usual::Served(double units, Time now) {
+void SteadyStateRate::Record(double units, Time now) {
   if (silent_ >= 0) served_.at += now - silent_;  // the gap does not count
   silent_ = -1;
   served_.Add(units, now, kUsualFades);
 }
 
-void Usual::Silent(Time now) {
+void SteadyStateRate::Suspend(Time now) {
   if (silent_ < 0) silent_ = now;
 }
 
-double Usual::Rate(Time now, Time born) const {
+double SteadyStateRate::Rate(Time now, Time born) const {
   const Time until = silent_ >= 0 ? std::min(now, silent_) : now;
   const double seen = std::max(kSecond, kUsualFades * -std::expm1(double(born - until) / kUsualFades));
   return served_.Now(until, kUsualFades) / seen * kSecond;
 }
 
-void ColdStart::Start(Time launched, Time now, double usual, double first) {
+void SlowStart::Start(Time launched, Time now, double usual, double first) {
   launched_ = launched;
   usual_ = usual;
   tokens_ = first;
   filled_ = now;
 }
 
-bool ColdStart::Cold(const Settings& settings, Time now) const {
-  return launched_ > 0 && now < launched_ + settings.rules.warm_up;
+bool SlowStart::IsActive(const Settings& settings, Time now) const {
+  return launched_ > 0 && now < launched_ + settings.rules.slow_start_duration;
 }
 
 // The stated units scale with the growth that is promised at least, and the hosts share them evenly. Of
@@ -46,28 +46,30 @@
 // boxes can do, so each host may also send that times growth and multiple. What leaves within any span is
 // under the rule's bound at its end if what leaves at each moment is. kPart takes boxes to be half used: it
 // would be too much for one that was used up and warms no faster than it must (docs/design/fleet.md).
-bool ColdStart::Room(const Settings& settings, double units, double demand, Time now) {
+bool SlowStart::Admits(const Settings& settings, double units, double demand, Time now) {
   const Rules& rules = settings.rules;
-  const Time since = now - rules.overload_for;
+  const Time since = now - rules.overload_window;
   while (!sent_.empty() && sent_.front().first <= since) sent_.pop_front();
-  if (!Cold(settings, now)) return true;
+  if (!IsActive(settings, now)) return true;
   const auto grown = [&rules, this](Time at) {
-    const double age = std::clamp(double(at - launched_) / double(rules.warm_up), 0.0, 1.0);
-    return rules.cold_share + (1 - rules.cold_share) * age;
+    const double age = std::clamp(double(at - launched_) / double(rules.slow_start_duration), 0.0, 1.0);
+    return rules.slow_start_fraction + (1 - rules.slow_start_fraction) * age;
   };
-  const double rate = kPart * rules.tip_multiple * grown(now) * ((1 - kMoved) * usual_ + kMoved * demand);
-  tokens_ = std::min(settings.largest_units, tokens_ + rate * double(now - filled_) / kSecond);
+  const double rate =
+      kPart * rules.overload_threshold * grown(now) * ((1 - kMoved) * usual_ + kMoved * demand);
+  tokens_ = std::min(settings.max_request_units, tokens_ + rate * double(now - filled_) / kSecond);
   filled_ = now;
   if (tokens_ >= units) return true;
   double sent = 0;
   for (const auto& [at, was] : sent_) sent += was;
-  return sent + units <= kCaution * settings.cold_units * grown(since) / rules.cold_share *
-                             (settings.part > 0 ? settings.part : 1.0 / settings.instances);
+  return sent + units <=
+         kCaution * settings.slow_start_units * grown(since) / rules.slow_start_fraction *
+             (settings.traffic_fraction > 0 ? settings.traffic_fraction : 1.0 / settings.instances);
 }
 
-void ColdStart::Sent(const Settings& settings, double units, Time now) {
+void SlowStart::OnSent(const Settings& settings, double units, Time now) {
   sent_.emplace_back(now, units);
-  if (Cold(settings, now)) tokens_ -= units;
+  if (IsActive(settings, now)) tokens_ -= units;
 }
 
 }  // namespace walnutspur::limits
--- a/src/limits/slow_start.h
+++ b/src/limits/slow_start.h
@@ -16,32 +16,32 @@
 namespace walnutspur::limits {
 
 // What a box serves to this host while all is well.
-class Usual {
+class SteadyStateRate {
  public:
-  void Served(double units, Time now);
+  void Record(double units, Time now);
   // An attempt there ended without an answer: until the next one is served nothing is known of what the box
   // would have been asked, so what was known by then stands.
-  void Silent(Time now);
+  void Suspend(Time now);
   // Units a second by `now`, of a host that has counted since `born`.
   double Rate(Time now, Time born) const;
 
  private:
-  Fading served_;
+  DecayingCounter served_;
   Time silent_ = -1;
 };
 
 // What may be sent to a box by the rule on cold ones, with its figures in the settings.
-class ColdStart {
+class SlowStart {
  public:
   // The box has started at `launched` (0: long ago) and this host hears of it now. `usual` is what it was
   // served there before, units a second; `first` units may leave at once.
   void Start(Time launched, Time now, double usual, double first);
-  bool Cold(const Settings& settings, Time now) const;
+  bool IsActive(const Settings& settings, Time now) const;
   // Whether `units` more may leave now. `demand` is what the host would be served there if what it is served
   // everywhere were dealt out by what it is asked now, units a second.
-  bool Room(const Settings& settings, double units, double demand, Time now);
-  void Sent(const Settings& settings, double units, Time now);
-  std::size_t remembered() const { return sent_.size(); }
+  bool Admits(const Settings& settings, double units, double demand, Time now);
+  void OnSent(const Settings& settings, double units, Time now);
+  std::size_t table_entries() const { return sent_.size(); }
 
  private:
   Time launched_ = 0, filled_ = 0;
--- a/src/loop/loop.h
+++ b/src/loop/loop.h
@@ -15,14 +15,14 @@
 namespace walnutspur::loop {
 
 template <auto Free>
-struct Freed {
+struct Deleter {
   template <typename T>
   void operator()(T* object) const {
     Free(object);
   }
 };
-using BaseRef = std::unique_ptr<event_base, Freed<event_base_free>>;
-using EventRef = std::unique_ptr<event, Freed<event_free>>;
+using EventBasePtr = std::unique_ptr<event_base, Deleter<event_base_free>>;
+using EventPtr = std::unique_ptr<event, Deleter<event_free>>;
 
 inline timeval ToTimeval(Time after) {
   after = std::max<Time>(after, 0);
@@ -30,10 +30,10 @@
 }
 
 // An event of the loop that calls a function: a timer, a signal or a socket.
-class Watcher {
+class EventHandle {
  public:
-  Watcher() = default;
-  Watcher(event_base* base, evutil_socket_t fd, short what, std::function<void()> call)
+  EventHandle() = default;
+  EventHandle(event_base* base, evutil_socket_t fd, short what, std::function<void()> call)
       : call_(std::make_unique<std::function<void()>>(std::move(call))),
         event_(event_new(
             base, fd, what,
@@ -55,11 +55,11 @@
 
  private:
   std::unique_ptr<std::function<void()>> call_;
-  EventRef event_;
+  EventPtr event_;
 };
 
-inline Watcher MakeTimer(event_base* base, std::function<void()> call) {
-  return Watcher(base, -1, 0, std::move(call));
+inline EventHandle MakeTimer(event_base* base, std::function<void()> call) {
+  return EventHandle(base, -1, 0, std::move(call));
 }
 
 }  // namespace walnutspur::loop
--- a/src/loop/peer.cpp
+++ b/src/loop/peer.cpp
@@ -7,7 +7,7 @@
 
 namespace walnutspur::loop {
 
-bool HasLeft(evutil_socket_t fd) {
+bool PeerHasClosed(evutil_socket_t fd) {
   pollfd polled{fd, POLLIN | POLLRDHUP, 0};
   if (poll(&polled, 1, 0) <= 0) return false;
   if (polled.revents & (POLLRDHUP | POLLHUP | POLLERR)) return true;
--- a/src/loop/peer.h
+++ b/src/loop/peer.h
@@ -8,7 +8,7 @@
 
 // Guards against a loop that is late, and against unread bytes in front of an end: both hide a client's
 // leaving from whoever waits to read it.
-bool HasLeft(evutil_socket_t fd);
+bool PeerHasClosed(evutil_socket_t fd);
 
 }  // namespace walnutspur::loop
 
--- a/src/nbd/config.cpp
+++ b/src/nbd/config.cpp
@@ -122,52 +122,53 @@
   const auto micros = [&](const char* key) { return static_cast<Time>(root.Number(key) * 1e6); };
   Config c;
   c.listen = root.Text("listen");
-  c.handshake = micros("handshake_s");
-  c.idle = micros("idle_s");
-  c.dial = micros("dial_s");
+  c.handshake_timeout = micros("handshake_s");
+  c.idle_timeout = micros("idle_s");
+  c.connect_timeout = micros("dial_s");
   c.unit_bytes = root.Number("unit_bytes");
   c.classes[kRead] = Index(classes, root.Text("commands.read"));
   c.classes[kWrite] = Index(classes, root.Text("commands.write"));
   c.classes[kFlush] = Index(classes, root.Text("commands.flush"));
   for (const config::Table& t : tables("box")) {
-    Box box;
+    Target box;
     box.id = t.Text("id");
     box.addresses = {t.Text("address")};
     if (t.Has("paths")) {
       for (const std::string& path : t.Texts("paths")) box.addresses.push_back(path);
     }
     box.listed = t.Bool("listed");
-    c.boxes.push_back(box);
+    c.targets.push_back(box);
   }
   for (const config::Table& t : tables("export")) {
     Volume v;
     v.front.name = t.Text("name");
     v.front.size = static_cast<std::uint64_t>(t.Integer("size"));
-    v.front.largest =
-        static_cast<std::uint32_t>(std::min(kMostBytes, std::floor(settings.largest_units * c.unit_bytes)));
-    v.checked = t.Bool("checksums");
-    if (v.checked) {
-      v.raw = v.front.size;
-      v.journal = static_cast<std::uint64_t>(t.Integer("journal"));
-      const auto geometry = integrity::Fit(v.raw, v.journal);
+    v.front.largest = static_cast<std::uint32_t>(
+        std::min(kMostBytes, std::floor(settings.max_request_units * c.unit_bytes)));
+    v.checksummed = t.Bool("checksums");
+    if (v.checksummed) {
+      v.raw_bytes = v.front.size;
+      v.journal_bytes = static_cast<std::uint64_t>(t.Integer("journal"));
+      const auto geometry = integrity::Fit(v.raw_bytes, v.journal_bytes);
       if (!geometry)
         throw std::runtime_error("export '" + v.front.name +
                                  "' is smaller than its tags and journal; allowed are " +
-                                 std::to_string(v.journal + 16 * integrity::kBlock) + " bytes or more");
+                                 std::to_string(v.journal_bytes + 16 * integrity::kBlock) + " bytes or more");
       v.front.size = geometry->data_size();
     }
     v.volume = t.Text("volume");
     v.plan = Index(plans, t.Text("plan"));
     v.shard = static_cast<int>(t.Integer("shard"));
-    v.hosts = static_cast<int>(t.Integer("hosts"));
-    if (v.checked && v.hosts != 1)
-      throw std::runtime_error("export '" + v.front.name + "': hosts is " + std::to_string(v.hosts) +
+    v.initiator_count = static_cast<int>(t.Integer("hosts"));
+    if (v.checksummed && v.initiator_count != 1)
+      throw std::runtime_error("export '" + v.front.name + "': hosts is " +
+                               std::to_string(v.initiator_count) +
                                "; with checksums one initiator writes it: allowed is 1");
-    v.box = t.Text("box");
+    v.target = t.Text("box");
     v.remote = t.Has("remote") ? t.Text("remote") : v.front.name;
     const auto box =
-        std::find_if(c.boxes.begin(), c.boxes.end(), [&](const Box& b) { return b.id == v.box; });
-    if (box == c.boxes.end()) throw std::runtime_error("export '" + v.front.name + "' names no box");
+        std::find_if(c.targets.begin(), c.targets.end(), [&](const Target& b) { return b.id == v.target; });
+    if (box == c.targets.end()) throw std::runtime_error("export '" + v.front.name + "' names no box");
     // A shard of the platform's own must not be sent to a box that discovery does not know.
     if (!box->listed && v.shard < shards)
       throw std::runtime_error("export '" + v.front.name +
--- a/src/nbd/config.h
+++ b/src/nbd/config.h
@@ -12,7 +12,7 @@
 
 namespace walnutspur::nbd {
 
-struct Box {
+struct Target {
   std::string id;                      // as discovery lists it
   std::vector<std::string> addresses;  // where it speaks NBD: the paths to it
   bool listed = true;                  // false: discovery does not know it; it is taken to be live
@@ -22,21 +22,21 @@
 // An export that clients see, and where its data is.
 struct Volume {
   Export front;
-  std::string volume, box, remote;  // the volume's name in the module, the box and the name of its export
-  int plan = 0, shard = 0, hosts = 1;
-  bool checked = false;       // the initiator keeps checksums of it
-  std::uint64_t raw = 0;      // checked: bytes of the export at the box, tags and journal included
-  std::uint64_t journal = 0;  // checked: bytes
+  std::string volume, target, remote;  // the volume's name in the module, the box and the name of its export
+  int plan = 0, shard = 0, initiator_count = 1;
+  bool checksummed = false;         // the initiator keeps checksums of it
+  std::uint64_t raw_bytes = 0;      // checked: bytes of the export at the box, tags and journal included
+  std::uint64_t journal_bytes = 0;  // checked: bytes
 };
 
 struct Config {
   std::string listen;
-  Time handshake = 2'500'000;
-  Time idle = 30'000'000;
-  Time dial = 250'000;
+  Time handshake_timeout = 2'500'000;
+  Time idle_timeout = 30'000'000;
+  Time connect_timeout = 250'000;
   double unit_bytes = 4096;
   std::map<std::uint16_t, int> classes;  // of commands
-  std::vector<Box> boxes;
+  std::vector<Target> targets;
   std::vector<Volume> volumes;
   std::vector<Export> exports;  // the volumes' fronts, in their order
 };
--- a/src/nbd/front_end.cpp
+++ b/src/nbd/front_end.cpp
@@ -31,23 +31,23 @@
 
 }  // namespace
 
-Error ErrorOf(core::Verdict verdict) {
+Error ErrorOf(core::ResponseStatus verdict) {
   switch (verdict) {
-    case core::Verdict::kServed:
+    case core::ResponseStatus::kServed:
       return kOk;
-    case core::Verdict::kRefused:
+    case core::ResponseStatus::kRejected:
       return kNoMemory;  // for want of resources: trying again is harmless
-    case core::Verdict::kFailed:
-    case core::Verdict::kTimedOut:
+    case core::ResponseStatus::kFailed:
+    case core::ResponseStatus::kTimedOut:
       return kIo;  // the effect is unknown
-    case core::Verdict::kRepeated:
+    case core::ResponseStatus::kDuplicate:
       return kInvalid;
   }
   return kIo;
 }
 
-Front::Front(event_base* base, const Config& config, const Settings& settings, std::size_t most,
-             core::Serials* serials, core::Post post)
+FrontEnd::FrontEnd(event_base* base, const Config& config, const Settings& settings, std::size_t most,
+                   core::RequestNumbers* serials, core::SubmitInput post)
     : base_(base),
       config_(config),
       settings_(settings),
@@ -62,28 +62,28 @@
   listener_.reset(evconnlistener_new_bind(
       base,
       [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* arg) {
-        static_cast<Front*>(arg)->OnAccept(fd);
+        static_cast<FrontEnd*>(arg)->OnAccept(fd);
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC, -1,
       reinterpret_cast<sockaddr*>(&address), sizeof address));
   if (!listener_) throw std::runtime_error("cannot listen at " + config.listen + ": " + std::strerror(errno));
   evconnlistener_set_error_cb(listener_.get(),
-                              [](evconnlistener*, void* arg) { static_cast<Front*>(arg)->Pause(); });
+                              [](evconnlistener*, void* arg) { static_cast<FrontEnd*>(arg)->Pause(); });
   socklen_t length = sizeof address;
   getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&address), &length);
   port_ = ntohs(address.sin_port);
 }
 
-Front::~Front() = default;
+FrontEnd::~FrontEnd() = default;
 
 // Out of descriptors: the listener stays readable, so it rests instead of spinning.
-void Front::Pause() {
+void FrontEnd::Pause() {
   if (!listener_) return;
   evconnlistener_disable(listener_.get());
   resume_.Start(kAcceptAgain);
 }
 
-void Front::OnAccept(evutil_socket_t fd) {
+void FrontEnd::OnAccept(evutil_socket_t fd) {
   auto client = std::make_unique<Client>(config_.exports);
   client->owner = this;
   client->number = next_client_++;
@@ -99,7 +99,7 @@
   Client* c = client.get();
   // A handshake that stalls, at whatever byte, ends with this timer and leaves nothing behind.
   c->handshake = loop::MakeTimer(base_, [c] { c->owner->End(*c); });
-  c->handshake.Start(config_.handshake);
+  c->handshake.Start(config_.handshake_timeout);
   // So does a command: a client that stops inside of one would be waited for as long as it likes.
   c->unfinished = loop::MakeTimer(base_, [c] { c->owner->End(*c); });
   bufferevent_setcb(
@@ -127,7 +127,7 @@
 
 // Guards usual clients against floods: the client goes that has been in its handshake the longest, or else
 // has asked nothing since. One that has asked is not ended while others may wait: a device is mounted on it.
-bool Front::MakeRoom() {
+bool FrontEnd::MakeRoom() {
   const Time now = core::Now();
   Client* best = nullptr;
   for (const auto& [number, c] : clients_) {
@@ -140,12 +140,12 @@
   return best != nullptr;
 }
 
-void Front::Write(Client& client, const std::string& bytes) {
+void FrontEnd::Write(Client& client, const std::string& bytes) {
   if (!bytes.empty()) bufferevent_write(client.stream.get(), bytes.data(), bytes.size());
 }
 
 // Reads on only while there is room for more of the client's commands and answers: both are bounded.
-void Front::OnRead(Client& client) {
+void FrontEnd::OnRead(Client& client) {
   evbuffer* input = bufferevent_get_input(client.stream.get());
   if (client.closing) {
     evbuffer_drain(input, evbuffer_get_length(input));
@@ -176,7 +176,7 @@
   EndIfIdle(client);
 }
 
-void Front::Take(Client& client, Request request) {
+void FrontEnd::Take(Client& client, Request request) {
   const Export& chosen = *client.session.chosen();
   const Volume& volume = config_.volumes[&chosen - config_.exports.data()];
   const std::uint64_t cookie = request.cookie;
@@ -199,48 +199,48 @@
   } else if (request.length != 0 || request.offset != 0) {
     return refuse(kInvalid, "a flush has no range");
   }
-  core::Arrived arrived;
-  arrived.serial = serials_->next++;
-  arrived.wire = core::Wire::kNbd;
-  arrived.what.request_class = cls->second;
-  arrived.what.plan = volume.plan;
-  arrived.what.volume = volume.volume;
-  arrived.what.key = volume.volume + "/" + std::to_string(request.offset);
-  arrived.what.units = UnitsOf(config_, request.length);
+  core::RequestReceived arrived;
+  arrived.request = serials_->next++;
+  arrived.protocol = core::Protocol::kNbd;
+  arrived.attributes.request_class = cls->second;
+  arrived.attributes.plan = volume.plan;
+  arrived.attributes.volume = volume.volume;
+  arrived.attributes.key = volume.volume + "/" + std::to_string(request.offset);
+  arrived.attributes.units = UnitsOf(config_, request.length);
   // A write of a checksummed export goes into the journal and later in place: the box does it twice.
-  if (volume.checked && request.type == kWrite)
-    arrived.what.units = std::min(2 * arrived.what.units, settings_.largest_units);
-  arrived.what.cell = volume.shard;
-  arrived.what.mounts = volume.hosts;
+  if (volume.checksummed && request.type == kWrite)
+    arrived.attributes.units = std::min(2 * arrived.attributes.units, settings_.max_request_units);
+  arrived.attributes.shard = volume.shard;
+  arrived.attributes.initiator_count = volume.initiator_count;
   const Time patience = settings_.classes[cls->second].deadline;
   arrived.deadline = core::Now() + patience;
   auto payload = std::make_shared<CommandPayload>();
   payload->request = std::move(request);
   payload->remote = volume.remote;
-  if (volume.checked) payload->volume = static_cast<int>(&volume - config_.volumes.data());
+  if (volume.checksummed) payload->volume = static_cast<int>(&volume - config_.volumes.data());
   arrived.payload = std::move(payload);
-  client.in_flight[cookie] = arrived.serial;
-  const core::Serial serial = arrived.serial;
+  client.in_flight[cookie] = arrived.request;
+  const core::RequestNumber serial = arrived.request;
   Held& held = held_[serial];
   held.client = client.number;
   held.cookie = cookie;
-  held.deadline = loop::MakeTimer(base_, [this, serial] { post_(core::Expired{serial}); });
+  held.deadline = loop::MakeTimer(base_, [this, serial] { post_(core::DeadlineExpired{serial}); });
   held.came = core::Now();
   held.until = arrived.deadline + kDeadlineGuard;
   held.deadline.Start((end_ > 0 ? std::min(held.until, end_) : held.until) - core::Now());
   post_(std::move(arrived));
 }
 
-void Front::Finish(const core::Answer& answer) {
-  const auto at = held_.find(answer.serial);
+void FrontEnd::Respond(const core::Response& answer) {
+  const auto at = held_.find(answer.request);
   if (at == held_.end()) return;  // the client has left
   Client& client = *clients_.at(at->second.client);
   const std::uint64_t cookie = at->second.cookie;
-  last_answers_.Answered(core::Now() - at->second.came);
+  last_answers_.OnResponse(core::Now() - at->second.came);
   held_.erase(at);
   client.in_flight.erase(cookie);
   std::string out;
-  if (answer.verdict == core::Verdict::kServed) {
+  if (answer.status == core::ResponseStatus::kServed) {
     const auto& pieces = static_cast<const ReplyPayload&>(*answer.payload).pieces;
     if (pieces.empty()) {
       client.session.Reply(cookie, kOk, "", &out);
@@ -248,15 +248,15 @@
       client.session.Reply(cookie, pieces, &out);
     }
   } else {
-    const std::string why = answer.verdict == core::Verdict::kRefused
-                                ? "refused: come back in " + HoldOff(answer.hold_off)
-                            : answer.verdict == core::Verdict::kTimedOut ? "timed out"
-                                                                         : "failed";
+    const std::string why = answer.status == core::ResponseStatus::kRejected
+                                ? "refused: come back in " + HoldOff(answer.retry_after)
+                            : answer.status == core::ResponseStatus::kTimedOut ? "timed out"
+                                                                               : "failed";
     const auto* partial = static_cast<const ReplyPayload*>(answer.payload.get());
     if (partial && !partial->bad.empty()) {
       client.session.Reply(cookie, partial->pieces, partial->bad, &out);
     } else {
-      client.session.Reply(cookie, ErrorOf(answer.verdict), why, &out);
+      client.session.Reply(cookie, ErrorOf(answer.status), why, &out);
     }
   }
   Write(client, out);
@@ -265,10 +265,10 @@
 }
 
 // A client that said goodbye, or sent what is no NBD, gets no further answers; nor is one kept at the end.
-void Front::EndIfIdle(Client& client) {
+void FrontEnd::EndIfIdle(Client& client) {
   if (client.session.ended()) {
     if (evbuffer_get_length(bufferevent_get_output(client.stream.get())) == 0) return End(client);
-    return client.handshake.Start(config_.handshake);  // it may never read what is left for it
+    return client.handshake.Start(config_.handshake_timeout);  // it may never read what is left for it
   }
   if (!draining_ || client.closing || !client.in_flight.empty() || client.session.unfinished() ||
       evbuffer_get_length(bufferevent_get_output(client.stream.get())) > 0)
@@ -278,26 +278,26 @@
   shutdown(bufferevent_getfd(client.stream.get()), SHUT_WR);
 }
 
-void Front::End(Client& client) {
+void FrontEnd::End(Client& client) {
   const auto at = clients_.find(client.number);
   if (at == clients_.end()) return;
   const std::unique_ptr<Client> gone = std::move(at->second);
   clients_.erase(at);
   for (const auto& [cookie, serial] : gone->in_flight) {
-    if (held_.erase(serial) > 0) post_(core::Departed{serial});
+    if (held_.erase(serial) > 0) post_(core::ClientClosed{serial});
   }
 }
 
-bool Front::Waits(core::Serial serial) {
+bool FrontEnd::IsClientConnected(core::RequestNumber serial) {
   const auto at = held_.find(serial);
   if (at == held_.end()) return false;
   Client& client = *clients_.at(at->second.client);
-  if (!loop::HasLeft(bufferevent_getfd(client.stream.get()))) return true;
+  if (!loop::PeerHasClosed(bufferevent_getfd(client.stream.get()))) return true;
   End(client);
   return false;
 }
 
-void Front::EndBy(Time end) {
+void FrontEnd::SetShutdownDeadline(Time end) {
   end_ = end;
   for (auto& [serial, held] : held_) {
     if (held.until > end) held.deadline.Start(end - core::Now());
@@ -306,8 +306,8 @@
 
 // NBD has no last answer: commands that come from here on are refused unrun, and once none is in flight the
 // connection is shut for writing and read until the client has closed it.
-void Front::Close(Time left) {
-  if (!draining_ && last_answers_.Due(left)) {
+void FrontEnd::BeginGracefulShutdown(Time left) {
+  if (!draining_ && last_answers_.IsLastResponse(left)) {
     draining_ = true;
     resume_.Stop();
     listener_.reset();
--- a/src/nbd/front_end.h
+++ b/src/nbd/front_end.h
@@ -20,20 +20,20 @@
 
 namespace walnutspur::nbd {
 
-using StreamRef = std::unique_ptr<bufferevent, loop::Freed<bufferevent_free>>;
+using StreamPtr = std::unique_ptr<bufferevent, loop::Deleter<bufferevent_free>>;
 
-class Front : public core::Front {
+class FrontEnd : public core::FrontEnd {
  public:
   // `most` bounds the clients. Throws std::runtime_error if it cannot listen.
-  Front(event_base* base, const Config& config, const Settings& settings, std::size_t most,
-        core::Serials* serials, core::Post post);
-  ~Front() override;
+  FrontEnd(event_base* base, const Config& config, const Settings& settings, std::size_t most,
+           core::RequestNumbers* serials, core::SubmitInput post);
+  ~FrontEnd() override;
 
-  void Finish(const core::Answer& answer) override;
-  std::size_t held() const override { return held_.size(); }
-  bool Waits(core::Serial serial) override;
-  void EndBy(Time end) override;
-  void Close(Time left) override;
+  void Respond(const core::Response& answer) override;
+  std::size_t pending_requests() const override { return held_.size(); }
+  bool IsClientConnected(core::RequestNumber serial) override;
+  void SetShutdownDeadline(Time end) override;
+  void BeginGracefulShutdown(Time left) override;
   std::size_t connections() const override { return clients_.size(); }
   int port() const { return port_; }
 
@@ -43,23 +43,23 @@
  private:
   struct Client {
     Client(const std::vector<Export>& exports) : session(exports) {}
-    Front* owner = nullptr;
+    FrontEnd* owner = nullptr;
     std::uint64_t number = 0;
     ServerSession session;
-    std::map<std::uint64_t, core::Serial> in_flight;  // by the client's cookie
-    bool asked = false;                               // it has sent a command
-    Time since = 0;                                   // when it connected
-    loop::Watcher handshake;
-    bool waiting = false;      // for the rest of a command
-    bool closing = false;      // shut for writing: what still comes is dropped
-    loop::Watcher unfinished;  // a command that does not become whole
-    StreamRef stream;
+    std::map<std::uint64_t, core::RequestNumber> in_flight;  // by the client's cookie
+    bool asked = false;                                      // it has sent a command
+    Time since = 0;                                          // when it connected
+    loop::EventHandle handshake;
+    bool waiting = false;          // for the rest of a command
+    bool closing = false;          // shut for writing: what still comes is dropped
+    loop::EventHandle unfinished;  // a command that does not become whole
+    StreamPtr stream;
   };
   struct Held {
     std::uint64_t client = 0;
     std::uint64_t cookie = 0;
     Time came = 0, until = 0;
-    loop::Watcher deadline;
+    loop::EventHandle deadline;
   };
 
   void OnAccept(evutil_socket_t fd);
@@ -75,21 +75,21 @@
   const Config& config_;
   const Settings& settings_;
   std::size_t most_;
-  core::Serials* serials_;
-  core::Post post_;
+  core::RequestNumbers* serials_;
+  core::SubmitInput post_;
   bool draining_ = false;
   Time end_ = 0;  // 0: none is in sight
-  limits::LastAnswers last_answers_;
+  limits::ShutdownDeadlineEstimate last_answers_;
   int port_ = 0;
   std::uint64_t next_client_ = 1;
   std::unordered_map<std::uint64_t, std::unique_ptr<Client>> clients_;
-  std::unordered_map<core::Serial, Held> held_;
-  loop::Watcher resume_;
-  std::unique_ptr<evconnlistener, loop::Freed<evconnlistener_free>> listener_;
+  std::unordered_map<core::RequestNumber, Held> held_;
+  loop::EventHandle resume_;
+  std::unique_ptr<evconnlistener, loop::Deleter<evconnlistener_free>> listener_;
 };
 
 // The one table from the engine's verdicts to NBD errors; docs/architecture.md shows it.
-Error ErrorOf(core::Verdict verdict);
+Error ErrorOf(core::ResponseStatus verdict);
 
 }  // namespace walnutspur::nbd
 
--- a/src/nbd/target_pool.cpp
+++ b/src/nbd/target_pool.cpp
@@ -38,14 +38,14 @@
 // leaves no effect, so there the reply may be believed.
 Outcome OutcomeOf(Error error, std::uint16_t command) {
   if (error == kOk) return Outcome::kCompleted;
-  if (command == kRead && (error == kShutdown || error == kNoMemory)) return Outcome::kSaturated;
+  if (command == kRead && (error == kShutdown || error == kNoMemory)) return Outcome::kOverloaded;
   return Outcome::kErrored;
 }
 
-Boxes::Boxes(event_base* base, const Config& config, std::size_t most, core::Post post)
+TargetPool::TargetPool(event_base* base, const Config& config, std::size_t most, core::SubmitInput post)
     : base_(base), config_(config), most_(most), post_(std::move(post)) {}
 
-Boxes::Connection* Boxes::Find(const Place& place) {
+TargetPool::Connection* TargetPool::Find(const Place& place) {
   Connection* best = nullptr;
   for (const auto& [number, c] : connections_) {
     const std::size_t load = c->in_flight.size() + c->waiting.size();
@@ -55,17 +55,17 @@
   return best;
 }
 
-std::optional<std::uint16_t> Boxes::flags(const TargetId& target, const std::string& remote) const {
+std::optional<std::uint16_t> TargetPool::flags(const TargetId& target, const std::string& remote) const {
   for (const auto& [number, c] : connections_) {
     if (c->place.box == target && c->place.remote == remote && c->session.ready()) return c->session.flags();
   }
   return std::nullopt;
 }
 
-Boxes::Connection* Boxes::Open(const Place& place) {
-  const auto box = std::find_if(config_.boxes.begin(), config_.boxes.end(),
-                                [&](const Box& b) { return b.id == place.box; });
-  if (box == config_.boxes.end() || connections_.size() >= most_) return nullptr;
+TargetPool::Connection* TargetPool::Open(const Place& place) {
+  const auto box = std::find_if(config_.targets.begin(), config_.targets.end(),
+                                [&](const Target& b) { return b.id == place.box; });
+  if (box == config_.targets.end() || connections_.size() >= most_) return nullptr;
   auto connection = std::make_unique<Connection>(place.remote);
   Connection* c = connection.get();
   c->owner = this;
@@ -97,7 +97,7 @@
   sockaddr_in address =
       loop::ToSocket(loop::ParseAddress(box->addresses[static_cast<std::size_t>(place.path)]));
   connections_[c->number] = std::move(connection);
-  c->connect.Start(config_.dial);
+  c->connect.Start(config_.connect_timeout);
   if (bufferevent_socket_connect(c->stream.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) !=
       0) {
     connections_.erase(c->number);
@@ -106,8 +106,8 @@
   return c;
 }
 
-void Boxes::Start(const core::Attempt& attempt) {
-  const Key key{attempt.serial, attempt.trial};
+void TargetPool::Start(const core::StartAttempt& attempt) {
+  const Key key{attempt.request, attempt.attempt};
   Out& out = out_[key];
   out.attempt = attempt;
   out.sent = core::Now();
@@ -115,10 +115,10 @@
   const Place place{attempt.target, command.remote, command.path};
   Connection* c = Find(place);
   if (!c) c = Open(place);
-  if (!c) return Report(key, Outcome::kRefusedConn);
+  if (!c) return Report(key, Outcome::kConnectFailed);
   out.connection = c;
-  out.limit = loop::MakeTimer(base_, [this, key] { GiveUp(key, Outcome::kOverdue); });
-  out.limit.Start(attempt.limit);
+  out.limit = loop::MakeTimer(base_, [this, key] { GiveUp(key, Outcome::kTimedOut); });
+  out.limit.Start(attempt.timeout);
   c->idle.Stop();
   if (c->session.ready()) {
     Send(*c, key);
@@ -127,7 +127,7 @@
   }
 }
 
-void Boxes::Send(Connection& c, const Key& key) {
+void TargetPool::Send(Connection& c, const Key& key) {
   Out& out = out_.at(key);
   const auto command = std::static_pointer_cast<const CommandPayload>(out.attempt.payload);
   Request request;  // its data follows without a copy
@@ -153,14 +153,14 @@
 }
 
 // Whether the command's last byte has left for the box.
-bool Boxes::Written(const Connection& c, std::uint64_t cookie) const {
+bool TargetPool::Written(const Connection& c, std::uint64_t cookie) const {
   if (cookie == 0) return false;
   const std::uint64_t left = evbuffer_get_length(bufferevent_get_output(c.stream.get()));
   const auto at = std::find_if(c.unsent.begin(), c.unsent.end(), [&](auto& u) { return u.first == cookie; });
   return at == c.unsent.end() || at->second <= c.queued - left;
 }
 
-void Boxes::OnRead(Connection& c) {
+void TargetPool::OnRead(Connection& c) {
   evbuffer* input = bufferevent_get_input(c.stream.get());
   std::string bytes(evbuffer_get_length(input), '\0'), out;
   evbuffer_remove(input, bytes.data(), bytes.size());
@@ -180,7 +180,7 @@
   Rest(c);
 }
 
-void Boxes::OnReply(Connection& c, Reply reply) {
+void TargetPool::OnReply(Connection& c, Reply reply) {
   std::erase_if(c.unsent, [&](const auto& u) { return u.first == reply.cookie; });
   const auto at = c.in_flight.find(reply.cookie);
   if (at == c.in_flight.end()) return;  // it was given up
@@ -198,7 +198,7 @@
 
 // A command cannot be called back by NBD. It is answered for without the box, whose reply is dropped when it
 // comes; the connection gets nothing new, since a command stuck there would hold up what follows it.
-void Boxes::GiveUp(const Key& key, Outcome outcome) {
+void TargetPool::GiveUp(const Key& key, Outcome outcome) {
   const auto at = out_.find(key);
   if (at == out_.end()) return;
   Connection& c = *at->second.connection;
@@ -207,15 +207,17 @@
   std::erase(c.waiting, key);
   c.in_flight.erase(cookie);
   if (cookie != 0) c.retired = true;
-  Report(key, written || outcome == Outcome::kRecalled ? outcome : Outcome::kRefusedConn);
+  Report(key, written || outcome == Outcome::kCancelled ? outcome : Outcome::kConnectFailed);
   Rest(c);
 }
 
-void Boxes::Stop(core::Serial serial, int trial) { GiveUp({serial, trial}, Outcome::kRecalled); }
+void TargetPool::Cancel(core::RequestNumber serial, int trial) {
+  GiveUp({serial, trial}, Outcome::kCancelled);
+}
 
 // Nothing new to a box that drains: what has not left whole is taken back. A part of a command may be in the
 // stream, so the connection goes with it.
-void Boxes::Withdraw(const TargetId& target) {
+void TargetPool::Drain(const TargetId& target) {
   std::vector<Connection*> unsent;
   for (const auto& [number, c] : connections_) {
     if (c->place.box != target) continue;
@@ -227,34 +229,35 @@
   for (Connection* c : unsent) Break(*c);
 }
 
-void Boxes::Report(const Key& key, Outcome outcome, core::PayloadRef payload) {
+void TargetPool::Report(const Key& key, Outcome outcome, core::PayloadRef payload) {
   const auto at = out_.find(key);
-  core::Ended ended;
-  ended.serial = key.first;
-  ended.trial = key.second;
+  core::AttemptResult ended;
+  ended.request = key.first;
+  ended.attempt = key.second;
   ended.outcome = outcome;
-  ended.delay = core::Now() - at->second.sent;
+  ended.latency = core::Now() - at->second.sent;
   ended.payload = std::move(payload);
   out_.erase(at);
   post_(std::move(ended));
 }
 
 // The connection ends: what never left whole never ran, the rest may have.
-void Boxes::Break(Connection& c) {
+void TargetPool::Break(Connection& c) {
   const auto at = connections_.find(c.number);
   if (at == connections_.end()) return;
   const std::unique_ptr<Connection> gone = std::move(at->second);
   connections_.erase(at);
-  for (const Key& key : gone->waiting) Report(key, Outcome::kRefusedConn);
+  for (const Key& key : gone->waiting) Report(key, Outcome::kConnectFailed);
   for (const auto& [cookie, key] : gone->in_flight)
-    Report(key, Written(*gone, cookie) ? Outcome::kSevered : Outcome::kRefusedConn);
+    Report(key, Written(*gone, cookie) ? Outcome::kConnectionReset : Outcome::kConnectFailed);
 }
 
 // Without work a connection closes: at once if it takes none any more, else before the box would close it.
-void Boxes::Rest(Connection& c) {
+void TargetPool::Rest(Connection& c) {
   if (!c.in_flight.empty() || !c.waiting.empty()) return;
   if (c.retired) return c.idle.Start(0);
-  if (c.session.ready()) c.idle.Start(static_cast<Time>(kIdlePart * static_cast<double>(config_.idle)));
+  if (c.session.ready())
+    c.idle.Start(static_cast<Time>(kIdlePart * static_cast<double>(config_.idle_timeout)));
 }
 
 }  // namespace walnutspur::nbd
--- a/src/nbd/target_pool.h
+++ b/src/nbd/target_pool.h
@@ -20,21 +20,21 @@
 
 namespace walnutspur::nbd {
 
-class Boxes : public core::Connector {
+class TargetPool : public core::Connector {
  public:
   // `most` bounds the connections.
-  Boxes(event_base* base, const Config& config, std::size_t most, core::Post post);
+  TargetPool(event_base* base, const Config& config, std::size_t most, core::SubmitInput post);
 
-  void Start(const core::Attempt& attempt) override;
-  void Stop(core::Serial serial, int trial) override;
-  void Withdraw(const TargetId& target) override;
+  void Start(const core::StartAttempt& attempt) override;
+  void Cancel(core::RequestNumber serial, int trial) override;
+  void Drain(const TargetId& target) override;
 
   std::size_t connections() const { return connections_.size(); }
   // What the box said of an export, as far as a connection to it is up; else nothing.
   std::optional<std::uint16_t> flags(const TargetId& target, const std::string& remote) const;
 
  private:
-  using Key = std::pair<core::Serial, int>;
+  using Key = std::pair<core::RequestNumber, int>;
   struct Place {  // an export at a box, by one of its addresses
     TargetId box;
     std::string remote;
@@ -44,7 +44,7 @@
 
   struct Connection {
     explicit Connection(std::string remote) : session(std::move(remote)) {}
-    Boxes* owner = nullptr;
+    TargetPool* owner = nullptr;
     std::uint64_t number = 0;
     Place place;
     ClientSession session;
@@ -53,15 +53,15 @@
     std::vector<std::pair<std::uint64_t, std::uint64_t>> unsent;  // cookie, end in the bytes written so far
     std::uint64_t queued = 0;  // bytes handed to the stream since the start
     bool retired = false;      // takes no new command
-    loop::Watcher connect, idle;
-    StreamRef stream;
+    loop::EventHandle connect, idle;
+    StreamPtr stream;
   };
   struct Out {
-    core::Attempt attempt;
+    core::StartAttempt attempt;
     Connection* connection = nullptr;
     std::uint64_t cookie = 0;  // 0: waits for the handshake
     Time sent = 0;
-    loop::Watcher limit;
+    loop::EventHandle limit;
   };
 
   Connection* Find(const Place& place);
@@ -78,7 +78,7 @@
   event_base* base_;
   const Config& config_;
   std::size_t most_;
-  core::Post post_;
+  core::SubmitInput post_;
   std::uint64_t next_connection_ = 1, next_cookie_ = 1;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
   std::map<Key, Out> out_;
--- a/src/pcap/traffic.h
+++ b/src/pcap/traffic.h
@@ -63,8 +63,8 @@
     loop::Address address;
     bool ended = false;
     std::function<void()> end;
-    loop::Watcher quiet;
-    std::unique_ptr<bufferevent, loop::Freed<bufferevent_free>> stream;
+    loop::EventHandle quiet;
+    std::unique_ptr<bufferevent, loop::Deleter<bufferevent_free>> stream;
   };
   void Start(Play& play);
   void Next();
@@ -74,7 +74,7 @@
   std::vector<Result> results_;
   std::vector<std::unique_ptr<Play>> plays_;
   std::size_t open_ = 0, next_ = 0;
-  loop::Watcher step_;
+  loop::EventHandle step_;
   std::function<void()> done_;
 };
 
--- a/src/routing/outcome_history.cpp
+++ b/src/routing/outcome_history.cpp
@@ -10,15 +10,15 @@
 
 }  // namespace
 
-void Record::Note(bool bad, Time now) { (bad ? bad_ : good_).Add(1, now, kFades); }
+void OutcomeHistory::Record(bool bad, Time now) { (bad ? bad_ : good_).Add(1, now, kFades); }
 
-double Record::Risk(double before, double weight, Time now) const {
+double OutcomeHistory::FailureProbability(double before, double weight, Time now) const {
   const double bad = bad_.Now(now, kFades), good = good_.Now(now, kFades);
   return (bad + before * weight) / (bad + good + weight);
 }
 
-double Risk(const Record& box, const Record& zone, Time now) {
-  return box.Risk(zone.Risk(0, kZoneWeight, now), kBoxWeight, now);
+double FailureProbability(const OutcomeHistory& box, const OutcomeHistory& zone, Time now) {
+  return box.FailureProbability(zone.FailureProbability(0, kZoneWeight, now), kBoxWeight, now);
 }
 
 }  // namespace walnutspur::routing
--- a/src/routing/outcome_history.h
+++ b/src/routing/outcome_history.h
@@ -12,19 +12,19 @@
 namespace walnutspur::routing {
 
 // Attempts of a box, or of a zone, that came to nothing and that did not.
-class Record {
+class OutcomeHistory {
  public:
-  void Note(bool bad, Time now);
+  void Record(bool bad, Time now);
   // Between 0 and 1. `before` is what is believed while nothing is known, `weight` how many attempts that is
   // worth.
-  double Risk(double before, double weight, Time now) const;
+  double FailureProbability(double before, double weight, Time now) const;
 
  private:
-  limits::Fading bad_, good_;
+  limits::DecayingCounter bad_, good_;
 };
 
 // The risk of an attempt at a box of a zone.
-double Risk(const Record& box, const Record& zone, Time now);
+double FailureProbability(const OutcomeHistory& box, const OutcomeHistory& zone, Time now);
 
 }  // namespace walnutspur::routing
 
--- a/src/simulator/adapter_main.cpp
+++ b/src/simulator/adapter_main.cpp
@@ -1,4 +1,5 @@
-// walnutspur_simulator_adapter: plays the bench's wire on standard input and output to instances of the module.
+// walnutspur_simulator_adapter: plays the bench's wire on standard input and output to instances of the
+// module.
 #include <cstdio>
 #include <exception>
 #include <iostream>
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -38,39 +38,45 @@
   throw std::runtime_error("unknown word '" + name + "'");
 }
 
-Effect ParseEffect(const std::string& name) {
-  return Named<Effect>(name,
-                       {{"safe", Effect::kSafe}, {"keyed", Effect::kKeyed}, {"unsafe", Effect::kUnsafe}});
+Idempotency ParseEffect(const std::string& name) {
+  return Named<Idempotency>(name, {{"safe", Idempotency::kIdempotent},
+                                   {"keyed", Idempotency::kIdempotentWithKey},
+                                   {"unsafe", Idempotency::kNotIdempotent}});
 }
 
-Group ParseGroup(const std::string& name) {
-  return Named<Group>(name, {{"all", Group::kAll}, {"zone", Group::kZone}, {"cell", Group::kCell}});
+DeduplicationScope ParseGroup(const std::string& name) {
+  return Named<DeduplicationScope>(name, {{"all", DeduplicationScope::kAll},
+                                          {"zone", DeduplicationScope::kZone},
+                                          {"cell", DeduplicationScope::kShard}});
 }
 
-Phase ParsePhase(const std::string& name) {
-  return Named<Phase>(name,
-                      {{"live", Phase::kLive}, {"quiescing", Phase::kQuiescing}, {"dead", Phase::kDead}});
+EndpointState ParsePhase(const std::string& name) {
+  return Named<EndpointState>(name, {{"live", EndpointState::kActive},
+                                     {"quiescing", EndpointState::kDraining},
+                                     {"dead", EndpointState::kTerminated}});
 }
 
-Mode ParseMode(const std::string& name) {
-  return Named<Mode>(
-      name,
-      {{"delta", Mode::kDelta}, {"full", Mode::kFull}, {"cached", Mode::kCached}, {"failed", Mode::kFailed}});
+EndpointUpdateKind ParseMode(const std::string& name) {
+  return Named<EndpointUpdateKind>(name, {{"delta", EndpointUpdateKind::kDelta},
+                                          {"full", EndpointUpdateKind::kFull},
+                                          {"cached", EndpointUpdateKind::kCached},
+                                          {"failed", EndpointUpdateKind::kFailed}});
 }
 
-Discovery ParseDiscovery(const std::string& name) {
-  return Named<Discovery>(name, {{"automatic", Discovery::kAutomatic}, {"subscribe", Discovery::kSubscribe}});
+DiscoveryMode ParseDiscovery(const std::string& name) {
+  return Named<DiscoveryMode>(
+      name, {{"automatic", DiscoveryMode::kAutomatic}, {"subscribe", DiscoveryMode::kSubscribe}});
 }
 
 Outcome ParseOutcome(const std::string& name) {
   return Named<Outcome>(name, {{"completed", Outcome::kCompleted},
                                {"errored", Outcome::kErrored},
-                               {"saturated", Outcome::kSaturated},
-                               {"overdue", Outcome::kOverdue},
-                               {"refused_conn", Outcome::kRefusedConn},
-                               {"severed", Outcome::kSevered},
-                               {"recalled", Outcome::kRecalled},
-                               {"superseded", Outcome::kSuperseded}});
+                               {"saturated", Outcome::kOverloaded},
+                               {"overdue", Outcome::kTimedOut},
+                               {"refused_conn", Outcome::kConnectFailed},
+                               {"severed", Outcome::kConnectionReset},
+                               {"recalled", Outcome::kCancelled},
+                               {"superseded", Outcome::kNotSent}});
 }
 
 std::vector<double> ParseReport(const json& event) {
@@ -83,58 +89,58 @@
 
 RequestClass ParseClass(const json& j) {
   RequestClass c;
-  c.aim = Need<Time>(j, "aim");
+  c.latency_objective = Need<Time>(j, "aim");
   c.deadline = Need<Time>(j, "deadline");
-  c.effect = ParseEffect(Need<std::string>(j, "effect"));
-  c.group = ParseGroup(Or<std::string>(j, "group", "all"));
-  c.memory_span = Or<Time>(j, "memorySpan", 0);
-  c.worth = Or(j, "worth", c.worth);
-  c.late_worth = Or(j, "lateWorth", c.late_worth);
-  c.serial_by_key = Or(j, "serialByKey", false);
+  c.idempotency = ParseEffect(Need<std::string>(j, "effect"));
+  c.deduplication_scope = ParseGroup(Or<std::string>(j, "group", "all"));
+  c.deduplication_window = Or<Time>(j, "memorySpan", 0);
+  c.priority_weight = Or(j, "worth", c.priority_weight);
+  c.late_weight_fraction = Or(j, "lateWorth", c.late_weight_fraction);
+  c.ordered_by_key = Or(j, "serialByKey", false);
   return c;
 }
 
 Plan ParsePlan(const json& j) {
   Plan p;
   p.rate = Or(j, "rate", p.rate);
-  p.floor_rate = Or(j, "floorRate", p.floor_rate);
+  p.reserved_rate = Or(j, "floorRate", p.reserved_rate);
   p.limit = Or(j, "limit", p.limit);
   p.burst = Or(j, "burst", p.burst);
-  p.parts = Or(j, "parts", p.parts);
-  p.value_factor = Or(j, "valueFactor", p.value_factor);
+  p.weight = Or(j, "parts", p.weight);
+  p.priority_factor = Or(j, "valueFactor", p.priority_factor);
   return p;
 }
 
 Rules ParseRules(const json& j) {
   Rules r;
-  r.ask_every = Or<Time>(j, "askEvery", 0);
+  r.poll_interval = Or<Time>(j, "askEvery", 0);
   r.drain_grace = Or<Time>(j, "drainGrace", 0);
-  r.grace_to_answer = Or<Time>(j, "graceToAnswer", 0);
-  r.cold_share = Or(j, "coldShare", r.cold_share);
-  r.warm_up = Or<Time>(j, "warmUp", 0);
-  r.tip_multiple = Or(j, "tipMultiple", r.tip_multiple);
-  r.overload_for = Or<Time>(j, "overloadFor", 0);
-  r.key_rest = Maybe<Time>(j, "keyRest");
-  r.budget_span = Maybe<Time>(j, "budgetSpan");
-  r.further_ratio = Maybe<double>(j, "furtherRatio");
-  r.extra_floor = Or(j, "extraFloor", r.extra_floor);
+  r.answer_grace = Or<Time>(j, "graceToAnswer", 0);
+  r.slow_start_fraction = Or(j, "coldShare", r.slow_start_fraction);
+  r.slow_start_duration = Or<Time>(j, "warmUp", 0);
+  r.overload_threshold = Or(j, "tipMultiple", r.overload_threshold);
+  r.overload_window = Or<Time>(j, "overloadFor", 0);
+  r.key_quarantine = Maybe<Time>(j, "keyRest");
+  r.retry_budget_window = Maybe<Time>(j, "budgetSpan");
+  r.retry_budget_ratio = Maybe<double>(j, "furtherRatio");
+  r.retry_budget_minimum = Or(j, "extraFloor", r.retry_budget_minimum);
   return r;
 }
 
-ListEntry ParseEntry(const json& j) {
-  ListEntry e;
+Endpoint ParseEntry(const json& j) {
+  Endpoint e;
   e.target = Need<std::string>(j, "target");
-  e.phase = ParsePhase(Need<std::string>(j, "phase"));
-  e.cell = Need<int>(j, "cohort");
+  e.state = ParsePhase(Need<std::string>(j, "phase"));
+  e.shard = Need<int>(j, "cohort");
   e.zone = Or(j, "regionPart", 0);
   e.kind = Or(j, "classOfHost", 0);
   e.scale = Or(j, "scale", 1.0);
-  e.launched = Or<Time>(j, "launched", 0);
+  e.started_at = Or<Time>(j, "launched", 0);
   return e;
 }
 
-Arrival ParseArrival(const json& j) {
-  Arrival a;
+RequestArrived ParseArrival(const json& j) {
+  RequestArrived a;
   a.id = Need<std::string>(j, "tid");
   a.request_class = Need<int>(j, "tierClass");
   a.plan = Or(j, "serviceLevel", 0);
@@ -142,60 +148,60 @@
   a.volume = Or<std::string>(j, "owner", "");
   a.ttl = Need<Time>(j, "ttl");
   a.units = Or(j, "priceUnits", 1.0);
-  a.cell = static_cast<int>(Or(j, "liesIn", -1.0));
-  a.mounts = static_cast<int>(Or(j, "mounts", 1.0));
-  a.repeat = Or(j, "isRetry", false);
+  a.shard = static_cast<int>(Or(j, "liesIn", -1.0));
+  a.initiator_count = static_cast<int>(Or(j, "mounts", 1.0));
+  a.is_client_retry = Or(j, "isRetry", false);
   return a;
 }
 
-Done ParseDone(const json& j) {
-  Done d;
+AttemptFinished ParseDone(const json& j) {
+  AttemptFinished d;
   d.id = Need<std::string>(j, "tid");
-  d.trial = Need<int>(j, "trial");
+  d.attempt = Need<int>(j, "trial");
   d.target = Need<std::string>(j, "target");
   d.outcome = ParseOutcome(Need<std::string>(j, "rc"));
-  d.delay = Need<Time>(j, "delaySeen");
-  d.settled = Need<bool>(j, "settled");
-  d.seen_use = Or(j, "seenUse", 0);
-  d.others_got = Or(j, "othersGot", 0.0);
-  d.report = ParseReport(j);
+  d.latency = Need<Time>(j, "delaySeen");
+  d.request_finished = Need<bool>(j, "settled");
+  d.reported_usage = Or(j, "seenUse", 0);
+  d.units_served_elsewhere = Or(j, "othersGot", 0.0);
+  d.load_report = ParseReport(j);
   return d;
 }
 
-ProbeDone ParseProbe(const json& j) {
-  ProbeDone p;
+HealthCheckFinished ParseProbe(const json& j) {
+  HealthCheckFinished p;
   p.target = Need<std::string>(j, "target");
   p.outcome = ParseOutcome(Need<std::string>(j, "rc"));
-  p.delay = Need<Time>(j, "delaySeen");
-  p.report = ParseReport(j);
+  p.latency = Need<Time>(j, "delaySeen");
+  p.load_report = ParseReport(j);
   return p;
 }
 
 struct ToJson {
   int instance;
-  json operator()(const Send& a) const {
+  json operator()(const SendAttempt& a) const {
     return {{"op", "send"},
             {"initiatorId", instance},
             {"tid", a.id},
             {"target", a.target},
-            {"tryFor", a.try_for}};
+            {"tryFor", a.timeout}};
   }
-  json operator()(const Refuse& a) const {
-    return {{"op", "notNow"}, {"initiatorId", instance}, {"tid", a.id}, {"holdOff", a.hold_off}};
+  json operator()(const RejectRequest& a) const {
+    return {{"op", "notNow"}, {"initiatorId", instance}, {"tid", a.id}, {"holdOff", a.retry_after}};
   }
-  json operator()(const Fail& a) const {
+  json operator()(const FailRequest& a) const {
     return {{"op", "giveUp"}, {"initiatorId", instance}, {"tid", a.id}};
   }
-  json operator()(const Wake& a) const {
-    return {{"op", "wakeMe"}, {"initiatorId", instance}, {"mark", a.mark}, {"sleepFor", a.after}};
+  json operator()(const StartTimer& a) const {
+    return {{"op", "wakeMe"}, {"initiatorId", instance}, {"mark", a.timer_id}, {"sleepFor", a.delay}};
   }
-  json operator()(const Retract& a) const {
-    return {{"op", "retract"}, {"initiatorId", instance}, {"tid", a.id}, {"trial", a.trial}};
+  json operator()(const CancelAttempt& a) const {
+    return {{"op", "retract"}, {"initiatorId", instance}, {"tid", a.id}, {"trial", a.attempt}};
   }
-  json operator()(const Probe& a) const {
+  json operator()(const CheckHealth& a) const {
     return {{"op", "sample"}, {"initiatorId", instance}, {"target", a.target}};
   }
-  json operator()(const Subscribe&) const {
+  json operator()(const WatchEndpoints&) const {
     return {{"op", "track"}, {"initiatorId", instance}, {"on", true}};
   }
 };
@@ -206,26 +212,26 @@
   Settings s;
   s.instances = Need<int>(j, "nInstances");
   s.discovery = ParseDiscovery(Or<std::string>(j, "discovery", "automatic"));
-  s.granularity = Or<Time>(j, "granularity", 0);
+  s.event_granularity = Or<Time>(j, "granularity", 0);
   for (const json& c : Need<json>(j, "classes")) s.classes.push_back(ParseClass(c));
   for (const json& p : Or(j, "policies", json::array())) s.plans.push_back(ParsePlan(p));
   s.rules = ParseRules(Or(j, "rules", json::object()));
   const json limits = Or(j, "limits", json::object());
-  s.try_limit = Or(limits, "tryLimit", s.try_limit);
-  s.may_cancel = Or(limits, "cancel", s.may_cancel);
-  s.may_probe = Or(limits, "probing", s.may_probe);
-  s.retry_after = Or(limits, "retryAfter", s.retry_after);
+  s.max_attempts = Or(limits, "tryLimit", s.max_attempts);
+  s.can_cancel = Or(limits, "cancel", s.can_cancel);
+  s.can_check_health = Or(limits, "probing", s.can_check_health);
+  s.sends_retry_after = Or(limits, "retryAfter", s.sends_retry_after);
   s.max_retry_after = Or<Time>(limits, "maxRetryAfter", 0);
   const json extra = Or(j, "extra", json::object());
-  s.cold_units = Or(extra, "coldUnits", s.cold_units);
-  s.usual_units = Or(extra, "usualUnits", s.usual_units);
-  s.largest_units = Or(extra, "largest", s.largest_units);
-  s.fair_worth = Or(extra, "fairWorth", s.fair_worth);
-  s.beyond_worth = Or(extra, "beyondShare", s.beyond_worth);
-  s.meter_period = Or<Time>(extra, "meterPeriod", 0);
-  s.counts_others = Or(extra, "countsOthers", s.counts_others);
+  s.slow_start_units = Or(extra, "coldUnits", s.slow_start_units);
+  s.mean_request_units = Or(extra, "usualUnits", s.mean_request_units);
+  s.max_request_units = Or(extra, "largest", s.max_request_units);
+  s.fair_share_weight = Or(extra, "fairWorth", s.fair_share_weight);
+  s.excess_weight = Or(extra, "beyondShare", s.excess_weight);
+  s.usage_report_interval = Or<Time>(extra, "meterPeriod", 0);
+  s.reports_remote_usage = Or(extra, "countsOthers", s.reports_remote_usage);
   const json telemetry = Or(j, "telemetry", json::object());
-  s.report_fields = Or(telemetry, "fields", std::vector<std::string>{});
+  s.load_report_fields = Or(telemetry, "fields", std::vector<std::string>{});
   return s;
 }
 
@@ -257,7 +263,7 @@
     return true;
   }
   if (op == "census") {
-    std::vector<ListEntry> entries;
+    std::vector<Endpoint> entries;
     for (const json& item : Need<json>(j, "items")) entries.push_back(ParseEntry(item));
     lists_[Need<int>(j, "list")] = std::move(entries);
     return false;
@@ -270,13 +276,13 @@
   } else if (op == "kill") {
     instances_.erase(instance);
   } else if (op == "membership") {
-    Membership m;
-    m.mode = ParseMode(Need<std::string>(j, "mode"));
-    if (m.mode != Mode::kFailed) {
+    EndpointUpdate m;
+    m.kind = ParseMode(Need<std::string>(j, "mode"));
+    if (m.kind != EndpointUpdateKind::kFailed) {
       const int number = Need<int>(j, "list");
       const auto list = lists_.find(number);
       if (list == lists_.end()) throw std::runtime_error("no list " + std::to_string(number));
-      m.entries = list->second;
+      m.endpoints = list->second;
     }
     Play(instance, m);
   } else if (op == "arrival") {
@@ -284,13 +290,13 @@
   } else if (op == "done") {
     Play(instance, ParseDone(j));
   } else if (op == "bell") {
-    Play(instance, Bell{Need<std::int64_t>(j, "mark")});
+    Play(instance, TimerFired{Need<std::int64_t>(j, "mark")});
   } else if (op == "probeDone") {
     Play(instance, ParseProbe(j));
   } else if (op == "abandoned") {
-    Play(instance, Abandoned{Need<std::string>(j, "tid")});
+    Play(instance, ClientDisconnected{Need<std::string>(j, "tid")});
   } else if (op == "streaming") {
-    Play(instance, Streaming{Need<std::string>(j, "tid")});
+    Play(instance, ResponseStarted{Need<std::string>(j, "tid")});
   } else if (op != "peer") {  // peers are never spoken to
     throw std::runtime_error("unknown op '" + op + "'");
   }
--- a/src/simulator/wire.h
+++ b/src/simulator/wire.h
@@ -28,7 +28,7 @@
   Time now_ = 0;
   std::string reply_;
   std::map<int, Scheduler> instances_;
-  std::map<int, std::vector<ListEntry>> lists_;
+  std::map<int, std::vector<Endpoint>> lists_;
 };
 
 }  // namespace walnutspur::wire
--- a/tests/lab/sim_test.cpp
+++ b/tests/lab/sim_test.cpp
@@ -16,10 +16,10 @@
 namespace walnutspur::lab {
 namespace {
 
-using core::Answer;
-using core::Attempt;
 using core::Output;
-using core::Verdict;
+using core::Response;
+using core::ResponseStatus;
+using core::StartAttempt;
 using Outputs = std::vector<Output>;
 
 const std::string kBase =
@@ -156,9 +156,10 @@
   meddling.outputs = std::move(call);
   return meddling;
 }
-Meddling OnDecisions(std::function<std::vector<Action>(const core::Decide&, const Event&, Time)> call) {
+Meddling OnDecisions(
+    std::function<std::vector<Action>(const core::DecisionFunction&, const Event&, Time)> call) {
   Meddling meddling;
-  meddling.decide = [call = std::move(call)](core::Decide decide) -> core::Decide {
+  meddling.decide = [call = std::move(call)](core::DecisionFunction decide) -> core::DecisionFunction {
     return
         [decide = std::move(decide), call](const Event& event, Time now) { return call(decide, event, now); };
   };
@@ -169,9 +170,9 @@
   meddling.entry = std::move(call);
   return meddling;
 }
-void ChangeAnswers(Outputs* outputs, Verdict from, Verdict to) {
+void ChangeResponses(Outputs* outputs, ResponseStatus from, ResponseStatus to) {
   for (Output& output : *outputs) {
-    if (auto* answer = std::get_if<Answer>(&output); answer && answer->verdict == from) answer->verdict = to;
+    if (auto* answer = std::get_if<Response>(&output); answer && answer->status == from) answer->status = to;
   }
 }
 
@@ -187,7 +188,7 @@
        [] {
          return OnOutputs([](int, Time, Outputs* outputs) {
            for (std::size_t i = 0, size = outputs->size(); i < size; ++i) {
-             if (std::holds_alternative<Answer>((*outputs)[i])) outputs->push_back((*outputs)[i]);
+             if (std::holds_alternative<Response>((*outputs)[i])) outputs->push_back((*outputs)[i]);
            }
          });
        }},
@@ -195,7 +196,7 @@
        [] {
          return OnOutputs([seen = 0](int, Time, Outputs* outputs) mutable {
            std::erase_if(*outputs, [&](const Output& o) {
-             return std::holds_alternative<Answer>(o) && ++seen % 100 == 0;
+             return std::holds_alternative<Response>(o) && ++seen % 100 == 0;
            });
          });
        }},
@@ -205,7 +206,7 @@
                               int i, Time now, Outputs* outputs) mutable {
            Outputs next;
            for (Output& output : *outputs) {
-             if (std::holds_alternative<Answer>(output)) {
+             if (std::holds_alternative<Response>(output)) {
                held[i].emplace_back(now, output);
              } else {
                next.push_back(std::move(output));
@@ -221,22 +222,23 @@
        }},
       {"sends again whatever failed", "unsafe-resent",
        [] {
-         return OnDecisions([](const core::Decide& decide, const Event& event, Time now) {
+         return OnDecisions([](const core::DecisionFunction& decide, const Event& event, Time now) {
            std::vector<Action> actions = decide(event, now);
-           const auto* done = std::get_if<Done>(&event);
+           const auto* done = std::get_if<AttemptFinished>(&event);
            for (Action& action : actions) {
-             if (done && std::holds_alternative<Fail>(action)) action = Send{done->id, done->target, 0};
+             if (done && std::holds_alternative<FailRequest>(action))
+               action = SendAttempt{done->id, done->target, 0};
            }
            return actions;
          });
        }},
       {"does not hear of drains", "drain",
        [] {
-         return OnDecisions([](const core::Decide& decide, const Event& event, Time now) {
-           const auto* list = std::get_if<Membership>(&event);
+         return OnDecisions([](const core::DecisionFunction& decide, const Event& event, Time now) {
+           const auto* list = std::get_if<EndpointUpdate>(&event);
            if (!list) return decide(event, now);
-           Membership deaf = *list;
-           for (ListEntry& entry : deaf.entries) entry.phase = Phase::kLive;
+           EndpointUpdate deaf = *list;
+           for (Endpoint& entry : deaf.endpoints) entry.state = EndpointState::kActive;
            return decide(deaf, now);
          });
        }},
@@ -244,10 +246,10 @@
        [] {
          return OnOutputs([](int, Time, Outputs* outputs) {
            for (std::size_t i = 0, size = outputs->size(); i < size; ++i) {
-             const auto* attempt = std::get_if<Attempt>(&(*outputs)[i]);
-             if (!attempt || attempt->trial != 2) continue;
-             Attempt next = *attempt;
-             next.trial = 3;
+             const auto* attempt = std::get_if<StartAttempt>(&(*outputs)[i]);
+             if (!attempt || attempt->attempt != 2) continue;
+             StartAttempt next = *attempt;
+             next.attempt = 3;
              outputs->push_back(next);
            }
          });
@@ -256,7 +258,7 @@
        [] {
          return OnOutputs([](int, Time, Outputs* outputs) {
            for (Output& output : *outputs) {
-             if (auto* attempt = std::get_if<Attempt>(&output)) ++attempt->trial;
+             if (auto* attempt = std::get_if<StartAttempt>(&output)) ++attempt->attempt;
            }
          });
        }},
@@ -264,7 +266,7 @@
        [] {
          return OnOutputs([](int, Time, Outputs* outputs) {
            for (Output& output : *outputs) {
-             if (auto* attempt = std::get_if<Attempt>(&output)) attempt->target = "b0";
+             if (auto* attempt = std::get_if<StartAttempt>(&output)) attempt->target = "b0";
            }
          });
        }},
@@ -272,7 +274,7 @@
        [] {
          return OnOutputs([](int, Time, Outputs* outputs) {
            for (Output& output : *outputs) {
-             if (auto* attempt = std::get_if<Attempt>(&output); attempt && attempt->target == "b1")
+             if (auto* attempt = std::get_if<StartAttempt>(&output); attempt && attempt->target == "b1")
                attempt->target = "b6";
            }
          });
@@ -280,48 +282,52 @@
       {"says that failed work was served", "served-unrun",
        [] {
          return OnOutputs([](int, Time, Outputs* outputs) {
-           ChangeAnswers(outputs, Verdict::kRefused, Verdict::kServed);
-           ChangeAnswers(outputs, Verdict::kTimedOut, Verdict::kServed);
+           ChangeResponses(outputs, ResponseStatus::kRejected, ResponseStatus::kServed);
+           ChangeResponses(outputs, ResponseStatus::kTimedOut, ResponseStatus::kServed);
          });
        }},
       {"refuses what may have run", "refused-run",
        [] {
          return OnOutputs([](int, Time, Outputs* outputs) {
-           ChangeAnswers(outputs, Verdict::kFailed, Verdict::kRefused);
-           ChangeAnswers(outputs, Verdict::kTimedOut, Verdict::kRefused);
+           ChangeResponses(outputs, ResponseStatus::kFailed, ResponseStatus::kRejected);
+           ChangeResponses(outputs, ResponseStatus::kTimedOut, ResponseStatus::kRejected);
          });
        }},
       {"takes cold boxes for warm ones, and sends all at once", "cold",
        [] {
          Meddling meddling;
-         meddling.decide = [](const core::Decide&) { return MakePolicy("at-once", Base().SettingsOf(), 1); };
+         meddling.decide = [](const core::DecisionFunction&) {
+           return MakePolicy("at-once", Base().SettingsOf(), 1);
+         };
          return meddling;
        }},
       {"goes on after the answer", "after-answer",
        [] {
-         return OnOutputs([last = std::map<core::Serial, Attempt>()](int, Time, Outputs* outputs) mutable {
-           for (std::size_t i = 0, size = outputs->size(); i < size; ++i) {
-             if (const auto* attempt = std::get_if<Attempt>(&(*outputs)[i])) last[attempt->serial] = *attempt;
-             const auto* answer = std::get_if<Answer>(&(*outputs)[i]);
-             if (!answer || !last.contains(answer->serial)) continue;
-             Attempt more = last[answer->serial];
-             ++more.trial;
-             outputs->push_back(more);
-           }
-         });
+         return OnOutputs(
+             [last = std::map<core::RequestNumber, StartAttempt>()](int, Time, Outputs* outputs) mutable {
+               for (std::size_t i = 0, size = outputs->size(); i < size; ++i) {
+                 if (const auto* attempt = std::get_if<StartAttempt>(&(*outputs)[i]))
+                   last[attempt->request] = *attempt;
+                 const auto* answer = std::get_if<Response>(&(*outputs)[i]);
+                 if (!answer || !last.contains(answer->request)) continue;
+                 StartAttempt more = last[answer->request];
+                 ++more.attempt;
+                 outputs->push_back(more);
+               }
+             });
        }},
       {"sends each attempt twice", "unsafe-twice",
        [] {
          return OnOutputs([](int, Time, Outputs* outputs) {
            for (std::size_t i = 0, size = outputs->size(); i < size; ++i) {
-             if (std::holds_alternative<Attempt>((*outputs)[i])) outputs->push_back((*outputs)[i]);
+             if (std::holds_alternative<StartAttempt>((*outputs)[i])) outputs->push_back((*outputs)[i]);
            }
          });
        }},
       {"a connector that calls everything unseen", "never-ran",
        [] {
          return OnEntries([](Entry* entry) {
-           if (entry->what == What::kOutcome) entry->a = static_cast<int>(Outcome::kSaturated);
+           if (entry->what == What::kOutcome) entry->a = static_cast<int>(Outcome::kOverloaded);
            return true;
          });
        }},
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 
 TEST(ModuleSize, LinesAndWidth) {
-  std::ifstream in(std::string(WALNUTSPUR_ROOT) + "/src/decide.cpp");
+  std::ifstream in(std::string(WALNUTSPUR_ROOT) + "/src/decision/scheduler.cpp");
   ASSERT_TRUE(in);
   int lines = 0;
   int number = 0;
@@ -19,7 +19,7 @@
 }
 
 TEST(ModuleSize, TheInterfaceIsNamedAtTheTop) {
-  std::ifstream in(std::string(WALNUTSPUR_ROOT) + "/src/decide.cpp");
+  std::ifstream in(std::string(WALNUTSPUR_ROOT) + "/src/decision/scheduler.cpp");
   std::string line;
   std::getline(in, line);
   EXPECT_NE(line.find("include/walnutspur/scheduler.h"), std::string::npos);
--- a/tests/net/brink_test.cpp
+++ b/tests/net/brink_test.cpp
@@ -12,7 +12,7 @@
 namespace walnutspur::test {
 namespace {
 
-using core::Wire;
+using core::Protocol;
 
 const std::string kOk = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
 
@@ -20,23 +20,23 @@
 class Connector {
  public:
   Connector() {
-    config.dial = 100'000;
+    config.connect_timeout = 100'000;
     base.reset(event_base_new());
-    targets = std::make_unique<http::Targets>(base.get(), config, [this](core::Input input) {
-      ended.push_back(std::get<core::Ended>(std::move(input)));
+    targets = std::make_unique<http::TargetPool>(base.get(), config, [this](core::Input input) {
+      ended.push_back(std::get<core::AttemptResult>(std::move(input)));
     });
     listener = Socket::Listen(&port);
-    targets->Learn("a", "127.0.0.1:" + std::to_string(port));
+    targets->SetAddress("a", "127.0.0.1:" + std::to_string(port));
   }
   ~Connector() {  // libevent frees a stream whose callback is still due only once the loop has turned
     targets.reset();
     event_base_loop(base.get(), EVLOOP_NONBLOCK);
   }
-  void Start(core::Serial serial, Time begin_by = 0, int trial = 0) {
+  void Start(core::RequestNumber serial, Time begin_by = 0, int trial = 0) {
     auto request = std::make_shared<http::Request>();
     request->uri = "/api/" + std::to_string(serial);
     request->id = "9b1f03aa5c7e2d41";
-    core::Attempt attempt{serial, trial, Wire::kHttp, "a", 2'000'000, request, begin_by};
+    core::StartAttempt attempt{serial, trial, Protocol::kHttp, "a", 2'000'000, request, begin_by};
     targets->Start(attempt);
   }
   // Turns until it holds; every wait of the loop is bounded by the timers of what it waits for.
@@ -61,9 +61,9 @@
   }
 
   http::Config config;
-  loop::BaseRef base;
-  std::unique_ptr<http::Targets> targets;
-  std::vector<core::Ended> ended;
+  loop::EventBasePtr base;
+  std::unique_ptr<http::TargetPool> targets;
+  std::vector<core::AttemptResult> ended;
   Socket listener;
   int port = 0;
 };
@@ -99,14 +99,14 @@
   SUBCASE("the dial time is over") {}
   SUBCASE("the client has left") {
     recalled = true;
-    net.targets->Stop(1, 0);
+    net.targets->Cancel(1, 0);
   }
   net.Until([&] { return net.ended.size() == 1; });
-  CHECK(net.ended[0].outcome == (recalled ? Outcome::kRecalled : Outcome::kRefusedConn));
+  CHECK(net.ended[0].outcome == (recalled ? Outcome::kCancelled : Outcome::kConnectFailed));
   CHECK(net.targets->connections() == 1);
   jam.Clear(net.listener);
   Socket link = net.Accept();  // the kernel asks again within a second or two
-  net.Until([&] { return net.targets->ready("a") == 1; });
+  net.Until([&] { return net.targets->idle_connections("a") == 1; });
   net.Start(2);
   CHECK(net.Heard(link) == "GET /api/2");
   CHECK(link.bytes.empty());
@@ -120,9 +120,9 @@
   Connector net;
   Jam jam(net.listener, net.port);
   net.Start(1);
-  net.targets->Withdraw("a");
+  net.targets->Drain("a");
   REQUIRE(net.ended.size() == 1);
-  CHECK(net.ended[0].outcome == Outcome::kRefusedConn);
+  CHECK(net.ended[0].outcome == Outcome::kConnectFailed);
   CHECK(net.targets->connections() == 0);
 }
 
@@ -130,7 +130,7 @@
   Connector net;
   net.Start(1, core::Now() - 1);
   REQUIRE(net.ended.size() == 1);
-  CHECK(net.ended[0].outcome == Outcome::kRefusedConn);
+  CHECK(net.ended[0].outcome == Outcome::kConnectFailed);
   CHECK_FALSE(net.listener.Readable(0));
   net.Start(2, core::Now() + 20'000);  // it would be in time, but the loop is late when its connection is up
   Socket link = net.listener.Accept();
@@ -138,7 +138,7 @@
   while (core::Now() < over) {
   }
   net.Until([&] { return net.ended.size() == 2; });
-  CHECK(net.ended[1].outcome == Outcome::kRefusedConn);
+  CHECK(net.ended[1].outcome == Outcome::kConnectFailed);
   CHECK_FALSE(link.Readable(0));
   net.Start(3, core::Now() + 2'000'000);
   CHECK(net.Heard(link) == "GET /api/3");
@@ -171,7 +171,7 @@
   }
   net.Until([&] { return net.ended.size() == 2; });
   CHECK(net.ended[1].outcome == Outcome::kCompleted);
-  CHECK(static_cast<const http::Answer&>(*net.ended[1].payload).body == "next");
+  CHECK(static_cast<const http::Response&>(*net.ended[1].payload).body == "next");
   CHECK(net.targets->connections() == 1);
 }
 
@@ -183,21 +183,21 @@
   link.Send(kOk + "mine");
   net.Until([&] { return net.ended.size() == 1; });
   net.Start(2);
-  net.targets->Stop(2, 0);
+  net.targets->Cancel(2, 0);
   net.Start(3);
   CHECK(net.Heard(link) == "GET /api/3");
-  CHECK(net.ended[1].outcome == Outcome::kRecalled);
+  CHECK(net.ended[1].outcome == Outcome::kCancelled);
 }
 
 TEST_CASE("nothing is begun for a client that left while its connection was coming up") {
   Connector net;
   bool here = true;
-  net.targets->waits = [&](core::Serial) { return here; };
+  net.targets->is_client_connected = [&](core::RequestNumber) { return here; };
   net.Start(1);
   here = false;
   Socket link = net.listener.Accept();
   net.Until([&] { return net.ended.size() == 1; });
-  CHECK(net.ended[0].outcome == Outcome::kSuperseded);
+  CHECK(net.ended[0].outcome == Outcome::kNotSent);
   here = true;
   net.Start(2);
   CHECK(net.Heard(link) == "GET /api/2");
@@ -208,15 +208,15 @@
   Socket listener = Socket::Listen(&port);
   Socket client = Socket::Connect(port);
   Socket server = listener.Accept();
-  CHECK_FALSE(loop::HasLeft(server.fd()));
+  CHECK_FALSE(loop::PeerHasClosed(server.fd()));
   client.Send("rubbish behind a request");
   REQUIRE(server.Readable(1'000));
-  CHECK_FALSE(loop::HasLeft(server.fd()));
+  CHECK_FALSE(loop::PeerHasClosed(server.fd()));
   bool reset = false;
   SUBCASE("by a FIN, behind unread bytes") {}
   SUBCASE("by a reset") { reset = true; }
   client.Close(reset);
-  while (!loop::HasLeft(server.fd())) {
+  while (!loop::PeerHasClosed(server.fd())) {
   }
 }
 
@@ -237,7 +237,7 @@
   int port = 0;
   const Socket holder = Socket::Listen(&port);
   Socket link;  // outlives the stage
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   stage.Play(Of("c", '1') + "client c expect nothing 20");
   if (!behind.empty()) stage.Play("client c send bytes \"" + behind + "\"");
   stage.Play(reset ? "client c close reset" : "client c close");
@@ -256,7 +256,7 @@
 
 TEST_CASE(
     "a client that sends too much behind its request gets its answer, and nothing of the rest is served") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   stage.Play("client c send read\n box a expect read\n client c send bytes \"" + std::string(100'000, 'x') +
              "\"\n" + R"(
     box a send ok
@@ -271,7 +271,7 @@
   config["settings"]["classes"][1]["effect"] = "keyed";
   config["settings"]["classes"][1]["group"] = "cell";
   config["settings"]["classes"][1]["memorySpan"] = 5'000'000;
-  Stage stage(Wire::kHttp, config);
+  ScenarioRunner stage(Protocol::kHttp, config);
   const auto put = [](const std::string& keys) {
     return "client c send bytes \"PUT /api/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\\r\\nX-Request-Id: "
            "9b1f03aa5c7e2d41\\r\\nX-Class: write\\r\\nX-Plan: basic\\r\\nX-Deadline: 1.2\\r\\nX-IO: "
@@ -289,7 +289,7 @@
 // Whatever became of a call, the next one comes so soon that its answer is there within the 6 s after which a
 // change counts as told: the stage waits no longer than that, and the drain that it brings is kept.
 TEST_CASE("after a call that failed in whatever way the list is asked for in time, and its drain is kept") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   stage.Play("discovery close\n discovery expect watch");
   SUBCASE("silent from the first byte") {}
   SUBCASE("answered by a 503, twice") {
--- a/tests/net/checked_test.cpp
+++ b/tests/net/checked_test.cpp
@@ -11,8 +11,8 @@
 #include <nlohmann/json.hpp>
 
 #include "app/control.h"
-#include "integrity/cursor.h"
 #include "filestore/atomic_file.h"
+#include "integrity/cursor.h"
 #include "lab/box/box.h"
 #include "lab/discovery.h"
 #include "lab/process.h"
@@ -296,7 +296,8 @@
   w.End();
   CHECK_FALSE(std::filesystem::exists(path));
   std::string what;
-  const auto kept = integrity::DecodeCursors(*filestore::ReadWhole(w.folder.path() + "/scrub.cursor"), &what);
+  const auto kept =
+      integrity::DecodeCursors(*filestore::ReadWholeFile(w.folder.path() + "/scrub.cursor"), &what);
   REQUIRE(kept);
   CHECK(kept->at("letters").block / 16 + 1 >= position);
   CHECK(kept->at("letters").rounds >= rounds);
@@ -311,7 +312,7 @@
 TEST_CASE("a control socket that a dead process left is replaced, and a file of another kind is not") {
   const lab::Folder folder;
   const std::string path = app::ControlPath(folder.path());
-  const loop::BaseRef base(event_base_new());
+  const loop::EventBasePtr base(event_base_new());
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
   path.copy(address.sun_path, sizeof address.sun_path - 1);
@@ -321,7 +322,7 @@
   { const app::Control control(base.get(), path, nullptr); }
   folder.Put("control.sock", "a letter");
   CHECK_THROWS_WITH(app::Control(base.get(), path, nullptr), (path + " is there and is no socket").c_str());
-  CHECK(filestore::ReadWhole(path) == "a letter");
+  CHECK(filestore::ReadWholeFile(path) == "a letter");
   CHECK_THROWS(app::Control(base.get(), path + std::string(120, 'x'), nullptr));
 }
 
--- a/tests/net/digest_http_test.cpp
+++ b/tests/net/digest_http_test.cpp
@@ -30,8 +30,9 @@
     "Content-Digest: " + integrity::DigestField(integrity::Algorithm::kSha256, "letter") + "\r\n";
 const std::string kId = "00000000000000a1";
 
-struct Digesting : Stage {
-  Digesting() : Stage(core::Wire::kHttp, BasicConfig(), {}, {true, integrity::Algorithm::kCrc32c}) {}
+struct Digesting : ScenarioRunner {
+  Digesting()
+      : ScenarioRunner(core::Protocol::kHttp, BasicConfig(), {}, {true, integrity::Algorithm::kCrc32c}) {}
 };
 
 TEST_CASE("a damaged write is turned away and reaches no box; a whole one passes its digest on") {
@@ -88,7 +89,7 @@
 }
 
 TEST_CASE("switched off, digests change nothing") {
-  Stage stage(core::Wire::kHttp);
+  ScenarioRunner stage(core::Protocol::kHttp);
   stage.Play(Step("client c", Ask("PUT", kId, kGood, "lettes")) + "\nbox a expect write");
   CHECK(stage.box_message("a").Header("Content-Digest").empty());
   stage.Play("box a send ok\nclient c expect served");
--- a/tests/net/end_test.cpp
+++ b/tests/net/end_test.cpp
@@ -80,19 +80,19 @@
 }  // namespace
 
 TEST_CASE("connections are told of the end early enough for answers as slow as the last ones") {
-  limits::LastAnswers quick, slow;
-  for (int i = 0; i < 100; ++i) quick.Answered(20'000), slow.Answered(i % 4 ? 300'000 : 600'000);
-  CHECK(quick.Due(200'000));
-  CHECK_FALSE(quick.Due(250'000));
-  CHECK(slow.Due(500'000));
-  CHECK_FALSE(slow.Due(800'000));
-  for (int i = 0; i < 100; ++i) slow.Answered(60'000'000);
-  CHECK_FALSE(slow.Due(1'100'000));  // however slow, the end is not the whole time
-  CHECK_FALSE(limits::LastAnswers().Due(250'000));
+  limits::ShutdownDeadlineEstimate quick, slow;
+  for (int i = 0; i < 100; ++i) quick.OnResponse(20'000), slow.OnResponse(i % 4 ? 300'000 : 600'000);
+  CHECK(quick.IsLastResponse(200'000));
+  CHECK_FALSE(quick.IsLastResponse(250'000));
+  CHECK(slow.IsLastResponse(500'000));
+  CHECK_FALSE(slow.IsLastResponse(800'000));
+  for (int i = 0; i < 100; ++i) slow.OnResponse(60'000'000);
+  CHECK_FALSE(slow.IsLastResponse(1'100'000));  // however slow, the end is not the whole time
+  CHECK_FALSE(limits::ShutdownDeadlineEstimate().IsLastResponse(250'000));
 }
 
 TEST_CASE("after SIGTERM 50 clients that send on are answered on each connection up to its end, none lost") {
-  Stage stage(core::Wire::kHttp);
+  ScenarioRunner stage(core::Protocol::kHttp);
   std::jthread box([&stage] { Serve(stage.box_listener("a")); });
   std::vector<Tally> tallies(50);
   {
@@ -117,7 +117,7 @@
 }
 
 TEST_CASE("half a request at the end is shut in order while the program still reads, and never reset") {
-  Stage stage(core::Wire::kHttp);
+  ScenarioRunner stage(core::Protocol::kHttp);
   Socket half = Socket::Connect(stage.http_port());
   half.Send("GET /api/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\nX-Request-Id: 9b1f");
   stage.Play("signal TERM\n signal TERM\n signal HUP");
@@ -129,7 +129,7 @@
 }
 
 TEST_CASE("after SIGTERM what NBD clients send near the end is refused unrun, then the connection ends") {
-  Stage stage(core::Wire::kNbd);
+  ScenarioRunner stage(core::Protocol::kNbd);
   stage.Play(R"(
     client c send read
     box a expect read
--- a/tests/net/garble_test.cpp
+++ b/tests/net/garble_test.cpp
@@ -7,8 +7,8 @@
 namespace walnutspur::test {
 namespace {
 
-using core::Wire;
-using http::Reader;
+using core::Protocol;
+using http::MessageReader;
 
 TEST_CASE("a spoilt answer may have run: a write fails and is never sent again, a read goes again") {
   const char* kSpoilt[] = {
@@ -28,7 +28,7 @@
   };
   for (const std::string answer : kSpoilt) {
     CAPTURE(answer);
-    Stage stage(Wire::kHttp);
+    ScenarioRunner stage(Protocol::kHttp);
     stage.Play("client c send write\n box a expect write\n box a send bytes \"" + answer + "\"\n" + R"(
       client c expect failed
       box a expect nothing 60
@@ -44,7 +44,7 @@
 }
 
 TEST_CASE("a head that never ends and a body cut short are no answers") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   stage.Play("client c send write\n box a expect write\n box a send bytes \"HTTP/1.1 200 OK\\r\\n" +
              std::string(17'000, 'x') + "\"\n client c expect failed\n box a expect nothing 60");
   stage.Play(R"(
@@ -61,7 +61,7 @@
   const auto write = [](const std::string& bytes) {
     return "client c send write\n box a expect write\n box a send bytes \"" + bytes + "\"\n";
   };
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   stage.Play(write(answer) + R"(
     client c expect nothing 50
     box a close
@@ -99,7 +99,7 @@
     cls["aim"] = 8'000'000;
     cls["deadline"] = 16'000'000;
   }
-  Stage stage(Wire::kHttp, config);
+  ScenarioRunner stage(Protocol::kHttp, config);
   const std::string body(400'000, 'x');
   stage.Play("client c send read\n box a expect read\n" + Large(body.size()) + body +
              "\"\nclient c expect served");
@@ -120,7 +120,7 @@
         "\n client c expect served\n box a send bytes \"HTTP/1.1 200 OK\\r\\nContent-Length: "
         "5\\r\\n\\r\\nfalse\"";
   }
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   stage.Play(
       std::string("client c send write\n box a expect write\n box a send bytes \"HTTP/1.1 200 OK\\r\\n") +
       "Content-Length: 4\\r\\n\\r\\nmine" + more + "\"" + wait);
@@ -143,7 +143,7 @@
       R"(HTTP/1.1 200 OK\r\nX-Load: {{{[[\r\nX-Volume-Use: 1e999\r\nX-Served-Elsewhere: nan\r\nContent-Length: 4\r\n\r\ngood)",
       R"(HTTP/1.1 200 OK\r\nX-Load: [1]\r\nX-Volume-Use: -5\r\nX-Served-Elsewhere: 1e300\r\nContent-Length: 4\r\n\r\ngood)",
   };
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   for (const std::string answer : kGood) {
     CAPTURE(answer);
     stage.Play("client c send read\n box a expect read\n box a send bytes \"" + answer + "\"\n" +
@@ -157,30 +157,30 @@
       "PUT /x HTTP/1.1\r\nHost: s\r\nConnection: x, Close\r\nTransfer-Encoding: "
       "chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
   for (std::size_t step = 1; step < text.size(); ++step) {
-    Reader reader(Reader::Kind::kRequest);
+    MessageReader reader(MessageReader::Kind::kRequest);
     for (std::size_t at = 0; at < text.size(); at += step) {
       const std::string part = text.substr(at, step);
       REQUIRE(reader.Feed(part) == part.size());
     }
-    REQUIRE(reader.whole());
+    REQUIRE(reader.complete());
     CHECK(reader.body() == "hello");
-    CHECK_FALSE(reader.keeps());
+    CHECK_FALSE(reader.keeps_alive());
   }
-  Reader next(Reader::Kind::kAnswer);
+  MessageReader next(MessageReader::Kind::kResponse);
   CHECK(next.Feed("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nabc") == 39);  // the rest is not its own
-  Reader open(Reader::Kind::kAnswer, 4);
+  MessageReader open(MessageReader::Kind::kResponse, 4);
   open.Feed("HTTP/1.1 200 OK\r\n\r\nabcd");
-  CHECK_FALSE(open.whole());
-  CHECK_FALSE(open.keeps());
-  Reader ended = open;
+  CHECK_FALSE(open.complete());
+  CHECK_FALSE(open.keeps_alive());
+  MessageReader ended = open;
   ended.End();
-  CHECK(ended.whole());
+  CHECK(ended.complete());
   CHECK(ended.body() == "abcd");
   open.Feed("e");
-  CHECK(open.spoilt());
-  Reader huge(Reader::Kind::kAnswer);
+  CHECK(open.malformed());
+  MessageReader huge(MessageReader::Kind::kResponse);
   huge.Feed("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n");
-  CHECK(huge.spoilt());
+  CHECK(huge.malformed());
   CHECK(huge.Feed("abc") == 0);
   CHECK(huge.body().empty());
 }
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -15,10 +15,10 @@
 namespace walnutspur::test {
 namespace {
 
-using core::Wire;
+using core::Protocol;
 
 TEST_CASE("503 proves that a request never ran only with X-Not-Run") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   stage.Play(R"(
     client c send write
     box a expect write
@@ -30,7 +30,7 @@
 }
 
 TEST_CASE("a refusal is final at once and says when to come back") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   stage.Play(R"(
     box a close listener
     client c send write
@@ -41,10 +41,10 @@
 }
 
 TEST_CASE("body, path, query and id pass on as the bytes that came") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   stage.Play(R"(
     client c send bytes "PUT /api/00000003B4d60021/7f3a9c21e0b4d655?x=%2F%zz&y HTTP/1.1\r\nHost: s\r\nX-Request-Id: 9B1f03aa5c7e2d41\r\nX-Class: write\r\nX-Plan: basic\r\nX-Deadline: 1.20\r\nX-IO: hosts=3, shard=0,units=1\r\nContent-Length: 5\r\n\r\n\x00\xff\n\r\"")");
-  Stage* s = &stage;
+  ScenarioRunner* s = &stage;
   s->Play("box a expect write");
   CHECK(s->box_message("a").start == "PUT /api/00000003B4d60021/7f3a9c21e0b4d655?x=%2F%zz&y HTTP/1.1");
   CHECK(s->box_message("a").Header("X-Request-Id") == "9B1f03aa5c7e2d41");
@@ -94,7 +94,7 @@
       {"FOO " + path + " HTTP/1.1\r\nHost: s\r\n" + id + cls + plan + deadline + io + "\r\n", "405"},
       {"GET\r\n\r\n", "400"},
   };
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   for (const auto& [text, status] : cases) {
     CAPTURE(text);
     Socket socket = Socket::Connect(stage.http_port());
@@ -109,7 +109,7 @@
 // evhttp stops reading while a request waits; a client that sends early must neither end the program nor lose
 // its next request.
 TEST_CASE("a request that comes before the answer to the last is taken in its turn") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   stage.Play(R"(
     client c send read
     client c send read
@@ -123,7 +123,7 @@
 }
 
 TEST_CASE("connections are reused, and closed before targets would close them") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   stage.Play(R"(
     client c send read
     box a expect read
@@ -161,7 +161,7 @@
 }
 
 TEST_CASE("discovery: a failed call, a reset and a restart are followed by a watch from what is held") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   stage.Play(R"(
     discovery close
     discovery expect watch since=42
@@ -175,7 +175,7 @@
 }
 
 TEST_CASE("discovery: a watch that says nothing is given up") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   const Time before = core::Now();
   stage.Play("discovery expect watch since=42");
   CHECK(core::Now() - before < 5'500'000);
@@ -183,7 +183,7 @@
 
 TEST_CASE(
     "SIGHUP: the new discovery is watched at once, from the whole list; requests and connections go on") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   stage.Play(R"(
     client c send read
     box a expect read
@@ -216,7 +216,7 @@
 }
 
 TEST_CASE("SIGHUP with a bad file leaves the old one in force; the next good one holds") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   stage.Play(R"(
     config bad
     signal HUP
@@ -238,7 +238,7 @@
 }
 
 TEST_CASE("SIGHUP: a new discovery that fails is asked again") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   stage.Play(R"(
     discovery moves
     signal HUP
@@ -252,7 +252,7 @@
 }
 
 TEST_CASE("after SIGTERM what arrives is taken and answered, then the program ends") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   stage.Play(R"(
     client c send read
     box a expect read
@@ -286,8 +286,8 @@
 TEST_CASE("after SIGTERM what cannot be answered by the end is timed out before it") {
   auto config = BasicConfig();
   config["settings"]["limits"]["cancel"] = false;  // attempts go on to the client's deadline
-  for (const Wire wire : {Wire::kHttp, Wire::kNbd}) {
-    Stage stage(wire, config);
+  for (const Protocol wire : {Protocol::kHttp, Protocol::kNbd}) {
+    ScenarioRunner stage(wire, config);
     stage.Play("client c send read\n box a expect read\n box a send ok\n client c expect served");
     const Time before = core::Now();
     stage.Play(R"(
@@ -302,7 +302,7 @@
 }
 
 TEST_CASE("after SIGTERM connections stay until shortly before the end, also those that are idle for long") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   stage.Play(R"(
     client c send read
     box a expect read
@@ -319,7 +319,7 @@
 }
 
 TEST_CASE("after SIGTERM a program without clients ends at once") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   stage.Play("signal TERM");
   CHECK(stage.Ended(1'000));
 }
@@ -327,7 +327,7 @@
 TEST_CASE("without descriptors the program goes on, and takes clients again once there are some") {
   rlimit before{};
   getrlimit(RLIMIT_NOFILE, &before);
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   std::vector<Socket> many;
   int fds[13];
   for (int& fd : fds) fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -350,7 +350,7 @@
 TEST_CASE("clients that only hold connections make room for those that come") {
   auto config = BasicConfig();
   config["limits"]["sockets"] = 100;
-  Stage stage(Wire::kHttp, config);
+  ScenarioRunner stage(Protocol::kHttp, config);
   std::vector<Socket> idle(70);
   const auto ask = [&stage](Socket& socket) {
     socket = Socket::Connect(stage.http_port());
@@ -398,17 +398,17 @@
   auto json = BasicConfig();
   json["discovery"] = "127.0.0.1:1";
   const http::Config config = app::ParseConfig(json);
-  const loop::BaseRef base(event_base_new());
-  std::vector<core::Probed> heard;
-  http::Targets targets(base.get(), config, [&](core::Input input) {
-    heard.push_back(std::get<core::Probed>(input));
+  const loop::EventBasePtr base(event_base_new());
+  std::vector<core::HealthCheckResult> heard;
+  http::TargetPool targets(base.get(), config, [&](core::Input input) {
+    heard.push_back(std::get<core::HealthCheckResult>(input));
     event_base_loopbreak(base.get());
   });
   int port = 0;
   Socket listener = Socket::Listen(&port);
-  targets.Learn("t", "127.0.0.1:" + std::to_string(port));
-  targets.Probe("nowhere");
-  targets.Probe("t");
+  targets.SetAddress("t", "127.0.0.1:" + std::to_string(port));
+  targets.CheckHealth("nowhere");
+  targets.CheckHealth("t");
   std::thread box([&] {
     Socket link = listener.Accept();
     Message request;
@@ -417,28 +417,28 @@
     link.Fill(2'000);
   });
   event_base_dispatch(base.get());
-  targets.Withdraw("t");  // closes the idle connection
+  targets.Drain("t");  // closes the idle connection
   event_base_loop(base.get(), EVLOOP_ONCE | EVLOOP_NONBLOCK);
   box.join();
   REQUIRE(heard.size() == 2);
-  CHECK(heard[0].result.outcome == Outcome::kRefusedConn);
+  CHECK(heard[0].result.outcome == Outcome::kConnectFailed);
   CHECK(heard[1].result.outcome == Outcome::kCompleted);
-  CHECK(heard[1].result.report == std::vector<double>{4});
+  CHECK(heard[1].result.load_report == std::vector<double>{4});
 }
 
 TEST_CASE("targets that are gone leave no address behind") {
   auto json = BasicConfig();
   json["discovery"] = "127.0.0.1:1";
   const http::Config config = app::ParseConfig(json);
-  const loop::BaseRef base(event_base_new());
-  http::Targets targets(base.get(), config, [](core::Input) {});
+  const loop::EventBasePtr base(event_base_new());
+  http::TargetPool targets(base.get(), config, [](core::Input) {});
   for (int i = 0; i < 1'000; ++i) {
-    targets.Learn("t" + std::to_string(i), "127.0.0.1:1");
-    targets.Withdraw("t" + std::to_string(i));
-    if (i % 2) targets.Forget("t" + std::to_string(i));
+    targets.SetAddress("t" + std::to_string(i), "127.0.0.1:1");
+    targets.Drain("t" + std::to_string(i));
+    if (i % 2) targets.Remove("t" + std::to_string(i));
   }
-  targets.KeepOnly({"t998"});
-  CHECK(targets.known() == 1);
+  targets.RetainOnly({"t998"});
+  CHECK(targets.tracked_targets() == 1);
 }
 
 TEST_CASE("a list entry: an unknown phase wants nothing new, times are microseconds") {
@@ -447,14 +447,15 @@
     json["discovery"] = "127.0.0.1:1";
     return json;
   }());
-  const auto list = http::ReadList(config, nlohmann::json::parse(R"({"revision":7,"complete":true,"members":[
+  const auto list =
+      http::ReadEndpointList(config, nlohmann::json::parse(R"({"revision":7,"complete":true,"members":[
       {"id":"x","phase":"ODD","up_since_ms":5,"cell":2},{"id":"y","phase":"DELETED"},{"id":"z","phase":"SERVING"}]})"));
-  CHECK(list.entries[0].phase == Phase::kQuiescing);
-  CHECK(list.entries[0].launched == 5000);
-  CHECK(list.entries[0].cell == 2);
-  CHECK(list.entries[1].phase == Phase::kDead);
-  CHECK(list.entries[2].phase == Phase::kLive);
-  CHECK_THROWS(http::ReadList(config, nlohmann::json::parse(R"({"revision":7})")));
+  CHECK(list.endpoints[0].state == EndpointState::kDraining);
+  CHECK(list.endpoints[0].started_at == 5000);
+  CHECK(list.endpoints[0].shard == 2);
+  CHECK(list.endpoints[1].state == EndpointState::kTerminated);
+  CHECK(list.endpoints[2].state == EndpointState::kActive);
+  CHECK_THROWS(http::ReadEndpointList(config, nlohmann::json::parse(R"({"revision":7})")));
 }
 
 TEST_CASE("what answers tell") {
@@ -463,17 +464,17 @@
   const http::Header header = [&](const char* name) {
     return said.contains(name) ? said[name].c_str() : nullptr;
   };
-  core::Ended ended;
-  http::ReadTold({"queue", "absent"}, header, &ended);
-  CHECK(ended.seen_use == 86);  // the simulator's figure counts one more
-  CHECK(ended.others_got == 3);
-  CHECK(ended.report == std::vector<double>{2, 0});
+  core::AttemptResult ended;
+  http::ReadLoadHeaders({"queue", "absent"}, header, &ended);
+  CHECK(ended.reported_usage == 86);  // the simulator's figure counts one more
+  CHECK(ended.units_served_elsewhere == 3);
+  CHECK(ended.load_report == std::vector<double>{2, 0});
   said["X-Load"] = "{";
   said["X-Volume-Use"] = "many";
-  core::Ended none;
-  http::ReadTold({"queue"}, header, &none);
-  CHECK(none.seen_use == 0);
-  CHECK(none.report.empty());
+  core::AttemptResult none;
+  http::ReadLoadHeaders({"queue"}, header, &none);
+  CHECK(none.reported_usage == 0);
+  CHECK(none.load_report.empty());
 }
 
 }  // namespace
--- a/tests/net/list_test.cpp
+++ b/tests/net/list_test.cpp
@@ -64,7 +64,7 @@
 }
 
 TEST_CASE("a watch whose lists are indented, in pieces or on one line is followed, without a call too many") {
-  Stage stage(core::Wire::kHttp);
+  ScenarioRunner stage(core::Protocol::kHttp);
   const std::string live = Revision(43, 2), gone = Revision(46, 2, "DRAINING");
   stage.DiscoveryWrites(live + "\n", 1);
   stage.Play(R"(
@@ -89,7 +89,7 @@
   for (const bool beat : {false, true}) {
     nlohmann::json config = BasicConfig();
     config["settings"]["nInstances"] = 300;
-    Stage stage(core::Wire::kHttp, config);
+    ScenarioRunner stage(core::Protocol::kHttp, config);
     if (beat) {  // nothing has changed: the sign of life is all the answer there is
       stage.Play("discovery close\n discovery expect watch since=42");
       stage.DiscoveryWrites("\n", 1);
--- a/tests/net/nbd_test.cpp
+++ b/tests/net/nbd_test.cpp
@@ -1,16 +1,16 @@
 // NBD: the codec against bytes of the public specification, and the hard cases on sockets.
 #include <doctest/doctest.h>
 
-#include "nbd/target_pool.h"
 #include "nbd/config.h"
 #include "nbd/front_end.h"
+#include "nbd/target_pool.h"
 #include "scenario_runner.h"
 
 namespace walnutspur::test {
 namespace {
 
 using namespace std::string_literals;
-using core::Wire;
+using core::Protocol;
 
 constexpr std::uint16_t kFlags = nbd::kHasFlags | nbd::kSendFlush;
 const std::vector<nbd::Export> kExports = {{"a", 1 << 20, 65536, kFlags}, {"other", 4096, 4096, kFlags}};
@@ -257,19 +257,19 @@
     CHECK(nbd::OutcomeOf(error, nbd::kWrite) == Outcome::kErrored);
     CHECK(nbd::OutcomeOf(error, nbd::kFlush) == Outcome::kErrored);
   }
-  CHECK(nbd::OutcomeOf(nbd::kShutdown, nbd::kRead) == Outcome::kSaturated);
+  CHECK(nbd::OutcomeOf(nbd::kShutdown, nbd::kRead) == Outcome::kOverloaded);
   CHECK(nbd::OutcomeOf(nbd::kIo, nbd::kRead) == Outcome::kErrored);
 }
 
 TEST_CASE("verdicts have NBD errors") {
-  CHECK(nbd::ErrorOf(core::Verdict::kServed) == nbd::kOk);
-  CHECK(nbd::ErrorOf(core::Verdict::kRefused) == nbd::kNoMemory);
-  CHECK(nbd::ErrorOf(core::Verdict::kFailed) == nbd::kIo);
-  CHECK(nbd::ErrorOf(core::Verdict::kTimedOut) == nbd::kIo);
+  CHECK(nbd::ErrorOf(core::ResponseStatus::kServed) == nbd::kOk);
+  CHECK(nbd::ErrorOf(core::ResponseStatus::kRejected) == nbd::kNoMemory);
+  CHECK(nbd::ErrorOf(core::ResponseStatus::kFailed) == nbd::kIo);
+  CHECK(nbd::ErrorOf(core::ResponseStatus::kTimedOut) == nbd::kIo);
 }
 
 TEST_CASE("the box's chunks reach the client whole or as an error") {
-  Stage stage(Wire::kNbd);
+  ScenarioRunner stage(Protocol::kNbd);
   stage.Play(R"(
     client c send read
     box a expect read
@@ -286,7 +286,7 @@
 }
 
 TEST_CASE("a connection that ends inside a chunk, or names an unknown cookie, breaks") {
-  Stage stage(Wire::kNbd);
+  ScenarioRunner stage(Protocol::kNbd);
   stage.Play(R"(
     client c send read
     box a expect read
@@ -310,7 +310,7 @@
   for (const char* start : {"", "\\x00\\x00", "\\x00\\x00\\x00\\x03IHAV",
                             "\\x00\\x00\\x00\\x03IHAVEOPT\\x00\\x00\\x00\\x07\\x00\\x00\\x00\\x07\\x00"}) {
     CAPTURE(start);
-    Stage stage(Wire::kNbd);
+    ScenarioRunner stage(Protocol::kNbd);
     stage.Play("client c send bytes \""s + start + "\"\n client c expect closed");
     stage.Halt();
     CHECK(stage.initiator().nbd_front()->connections() == 0);
@@ -319,7 +319,7 @@
 
 TEST_CASE(
     "a handshake that stalls at a box never ran anything: the write is refused, no connection is left") {
-  Stage stage(Wire::kNbd);
+  ScenarioRunner stage(Protocol::kNbd);
   stage.Play("client c send write");  // the box's listener takes the connection and says nothing
   stage.Play("client c expect refused\n wait 150");  // the module may give up before the handshake's timer
   stage.Halt();
@@ -327,7 +327,7 @@
 }
 
 TEST_CASE("a write that waits for a handshake when its box begins to drain never reaches it") {
-  Stage stage(Wire::kNbd);
+  ScenarioRunner stage(Protocol::kNbd);
   stage.Play(R"(
     client c send write
     wait 30
@@ -338,7 +338,7 @@
 }
 
 TEST_CASE("several commands are in flight at once and answered by cookie") {
-  Stage stage(Wire::kNbd);
+  ScenarioRunner stage(Protocol::kNbd);
   stage.Play(R"(
     client c send read
     client c send write
@@ -359,7 +359,7 @@
 }
 
 TEST_CASE("a write to a box whose flush covers one connection only is durable by itself") {
-  Stage stage(Wire::kNbd);
+  ScenarioRunner stage(Protocol::kNbd);
   stage.Play("client c send write\n box a expect write");
   CHECK(stage.box_request("a").flags == nbd::kFua);
   stage.Play("box a send ok\n client c expect served\n client c send read\n box a expect read");
@@ -367,7 +367,7 @@
 }
 
 TEST_CASE("a disconnect in flight takes the commands along") {
-  Stage stage(Wire::kNbd);
+  ScenarioRunner stage(Protocol::kNbd);
   stage.Play(R"(
     client c send write
     box a expect write
@@ -377,7 +377,7 @@
 }
 
 TEST_CASE("commands that cannot be get an error and never reach a box") {
-  Stage stage(Wire::kNbd);
+  ScenarioRunner stage(Protocol::kNbd);
   stage.Play("client c send read\n box a expect read\n box a send ok\n client c expect served");
   const std::pair<std::uint16_t, std::uint32_t> cases[] = {
       {4, 4096}, {nbd::kRead, 0}, {nbd::kRead, 0x7fffffff}, {nbd::kFlush, 4096}};  // 4: TRIM, not offered
@@ -402,7 +402,7 @@
 }
 
 // A client that has chosen its export, by hand.
-Socket Mounted(const Stage& stage) {
+Socket Mounted(const ScenarioRunner& stage) {
   Socket socket = Socket::Connect(stage.nbd_port());
   socket.Send(nbd::ClientFlags() + Go("a"));
   while (socket.bytes.find(kReplyMagic + "\0\0\0\x07\0\0\0\x01"s) == std::string::npos)
@@ -412,7 +412,7 @@
 }
 
 TEST_CASE("a client that stops inside of a command is ended in time, whatever trickles in") {
-  Stage stage(Wire::kNbd);
+  ScenarioRunner stage(Protocol::kNbd);
   std::string command;
   nbd::Request request;
   request.type = nbd::kWrite;
@@ -433,7 +433,7 @@
 TEST_CASE("silent NBD connections leave room for a usual client; one that has asked is not ended for them") {
   auto config = BasicConfig();
   config["limits"]["sockets"] = 100;  // six clients
-  Stage stage(Wire::kNbd, config);
+  ScenarioRunner stage(Protocol::kNbd, config);
   stage.Play("client c send read\n box a expect read\n box a send ok\n client c expect served");
   std::vector<Socket> silent;
   for (int i = 0; i < 3; ++i) silent.push_back(Mounted(stage));
@@ -456,7 +456,7 @@
 
 TEST_CASE("the file of the front that the repository ships is read; wrong ones give one line") {
   Settings settings;
-  settings.largest_units = 6;
+  settings.max_request_units = 6;
   const std::vector<std::string> classes = {"read", "write", "sweep"}, plans = {"standard"};
   const nbd::Config config =
       nbd::LoadConfig(WALNUTSPUR_ROOT "/deploy/nbd.toml", classes, plans, settings, 10);
--- a/tests/net/pcap_test.cpp
+++ b/tests/net/pcap_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using namespace std::string_literals;
-using core::Wire;
+using core::Protocol;
 
 struct File {
   File() { close(mkstemp(path.data())); }
@@ -98,12 +98,12 @@
 }
 
 // Records a day of one request, then plays the file to a new initiator, whose boxes see the same request.
-void RecordAndReplay(Wire wire) {
+void RecordAndReplay(Protocol wire) {
   File file;
   {
     app::Options options;
     options.record = file.path;
-    Stage stage(wire, BasicConfig(), options);
+    ScenarioRunner stage(wire, BasicConfig(), options);
     stage.Play(R"(
       client c send write
       box a expect write
@@ -120,7 +120,7 @@
   REQUIRE(streams.size() == 1);
   app::Options options;
   options.replay = file.path;
-  Stage again(wire, BasicConfig(), options);
+  ScenarioRunner again(wire, BasicConfig(), options);
   again.Play(R"(
     box a expect write
     box a send ok
@@ -131,8 +131,8 @@
   REQUIRE(again.initiator().player()->results().size() == 1);
   const auto& result = again.initiator().player()->results()[0];
   CHECK(result.sent == streams[0].to_server.bytes());
-  if (wire == Wire::kNbd) CHECK(result.received == streams[0].to_client.bytes());
-  if (wire == Wire::kHttp) {  // all but the date
+  if (wire == Protocol::kNbd) CHECK(result.received == streams[0].to_client.bytes());
+  if (wire == Protocol::kHttp) {  // all but the date
     CHECK(result.received.size() == streams[0].to_client.bytes().size());
     CHECK(streams[0].to_client.bytes().starts_with("HTTP/1.1 200 OK\r\n"));
     CHECK(streams[0].to_client.bytes().ends_with("stored"));
@@ -140,8 +140,8 @@
   }
 }
 
-TEST_CASE("traffic served over HTTP is recorded and played again") { RecordAndReplay(Wire::kHttp); }
-TEST_CASE("traffic served over NBD is recorded and played again") { RecordAndReplay(Wire::kNbd); }
+TEST_CASE("traffic served over HTTP is recorded and played again") { RecordAndReplay(Protocol::kHttp); }
+TEST_CASE("traffic served over NBD is recorded and played again") { RecordAndReplay(Protocol::kNbd); }
 
 }  // namespace
 }  // namespace walnutspur::test
--- a/tests/net/rude_test.cpp
+++ b/tests/net/rude_test.cpp
@@ -10,7 +10,7 @@
 namespace walnutspur::test {
 namespace {
 
-using core::Wire;
+using core::Protocol;
 
 const std::string kPath = "/api/00000003b4d60021/7f3a9c21e0b4d655";
 const std::string kFields =
@@ -22,7 +22,7 @@
 }
 
 // Sends the text and returns the status of the answer, "closed", or "nothing" if neither came in time.
-std::string Told(const Stage& stage, const std::string& text, int ms = 2'900) {
+std::string Told(const ScenarioRunner& stage, const std::string& text, int ms = 2'900) {
   Socket socket = Socket::Connect(stage.http_port());
   socket.Send(text);
   Message answer;
@@ -56,7 +56,7 @@
       {"PUT " + kPath + " HTTP/2.0\r\n" + kFields + "\r\n" + hidden, "505"},
       {"PUT " + kPath + " HTTP/1.1\r\nX: " + std::string(20'000, 'x') + "\r\n\r\n", "431"},
   };
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   for (const auto& [text, status] : cases) {
     CAPTURE(text);
     CHECK(Told(stage, text) == status);
@@ -65,7 +65,7 @@
 }
 
 TEST_CASE("a client that does not get to the end of its request is told so within 3 s of connecting") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   std::string part;
   SUBCASE("it says nothing") {}
   SUBCASE("half a head") { part = "PUT " + kPath + " HTTP/1.1\r\nHost"; }
@@ -76,7 +76,7 @@
 }
 
 TEST_CASE("bytes that trickle in do not put off the end") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   Socket socket = Socket::Connect(stage.http_port());
   const Time before = core::Now();
   socket.Send("GET " + kPath + " HTTP/1.1\r\n");
@@ -85,7 +85,7 @@
 }
 
 TEST_CASE("a huge body is turned away unread and its connection ended, whether or not the client reads") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   Socket socket = Socket::Connect(stage.http_port());
   const Time before = core::Now();
   socket.Send(Put("Content-Length: 60000000\r\n\r\n"));
@@ -97,7 +97,7 @@
 }
 
 TEST_CASE("an id that is open is turned away and reaches no target; then it is free") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   const std::string request = Put("Content-Length: 0\r\n\r\n");
   Socket first = Socket::Connect(stage.http_port());
   first.Send(request);
@@ -114,7 +114,7 @@
 }
 
 TEST_CASE("a client that is turned away over and over is answered each time, but not at any rate") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   Socket socket = Socket::Connect(stage.http_port());
   const Time before = core::Now();
   Message answer;
@@ -133,7 +133,7 @@
 TEST_CASE("silent connections by the hundred leave room for a usual client, at once") {
   auto config = BasicConfig();
   config["limits"]["sockets"] = 100;
-  Stage stage(Wire::kHttp, config);
+  ScenarioRunner stage(Protocol::kHttp, config);
   stage.Play("client c send read\n box a expect read\n box a send ok\n client c expect served");
   std::vector<Socket> silent;
   for (int i = 0; i < 200; ++i) silent.push_back(Socket::Connect(stage.http_port()));
@@ -153,12 +153,12 @@
 }
 
 TEST_CASE("a loop that stalls ends no connection whose request has come but was not read yet") {
-  std::unique_ptr<event_base, loop::Freed<event_base_free>> base(event_base_new());
+  std::unique_ptr<event_base, loop::Deleter<event_base_free>> base(event_base_new());
   http::Config config;
   config.listen = loop::ParseAddress("127.0.0.1:0");
   config.sockets = 4;  // room for one client
-  core::Serials serials;
-  http::Front front(base.get(), config, &serials, [](core::Input) {});
+  core::RequestNumbers serials;
+  http::FrontEnd front(base.get(), config, &serials, [](core::Input) {});
   front.on_accept = [](bufferevent*) { std::this_thread::sleep_for(std::chrono::milliseconds(60)); };
   Socket first = Socket::Connect(front.port());
   first.Send("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n");
@@ -170,7 +170,7 @@
 }
 
 TEST_CASE("a connection that has asked once ends when it stays idle; one that asks on is kept") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   Socket once = Socket::Connect(stage.http_port()), again = Socket::Connect(stage.http_port());
   const std::string ask = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
   Message answer;
@@ -190,7 +190,7 @@
 TEST_CASE("clients that ask once and stay leave room for others, and go before one that asks again") {
   auto config = BasicConfig();
   config["limits"]["sockets"] = 100;
-  Stage stage(Wire::kHttp, config);
+  ScenarioRunner stage(Protocol::kHttp, config);
   stage.Play(R"(
     client c send read
     box a expect read
@@ -222,7 +222,7 @@
   auto config = BasicConfig();
   config["limits"]["sockets"] = 100;
   for (auto& cls : config["settings"]["classes"]) cls["aim"] = cls["deadline"] = 9'000'000;
-  Stage stage(Wire::kHttp, config);
+  ScenarioRunner stage(Protocol::kHttp, config);
   std::vector<Socket> busy;
   for (int i = 0; i < 32; ++i) {  // the box never answers
     busy.push_back(Socket::Connect(stage.http_port()));
@@ -235,7 +235,7 @@
 }
 
 TEST_CASE("a usual client that waits for 100 Continue gets it") {
-  Stage stage(Wire::kHttp);
+  ScenarioRunner stage(Protocol::kHttp);
   Socket socket = Socket::Connect(stage.http_port());
   socket.Send(Put("Expect: 100-continue\r\nContent-Length: 4\r\n\r\n"));
   Message answer;
--- a/tests/net/scenario_runner.cpp
+++ b/tests/net/scenario_runner.cpp
@@ -182,7 +182,9 @@
             {"telemetry", {{"fields", {"queue"}}}}}}};
 }
 
-Stage::Stage(core::Wire wire, const json& basic, app::Options options, http::Digests digests) : wire_(wire) {
+ScenarioRunner::ScenarioRunner(core::Protocol wire, const json& basic, app::Options options,
+                               http::DigestOptions digests)
+    : wire_(wire) {
   json config = basic;
   int port = 0;
   discovery_ = Socket::Listen(&port);
@@ -195,7 +197,7 @@
     box.listener = Socket::Listen(&box.port);
     box.cell = cell++;
   }
-  if (wire == core::Wire::kNbd) {
+  if (wire == core::Protocol::kNbd) {
     char path[] = "/tmp/walnutspur-nbd-XXXXXX";
     close(mkstemp(path));
     options.nbd = nbd_file_ = path;
@@ -227,23 +229,23 @@
   Play("discovery expect watch\n discovery send a=SERVING b=SERVING");
 }
 
-Stage::~Stage() {
+ScenarioRunner::~ScenarioRunner() {
   Halt();
   if (!nbd_file_.empty()) std::remove(nbd_file_.c_str());
 }
 
-void Stage::Halt() {
+void ScenarioRunner::Halt() {
   initiator_->Halt();
   if (thread_.joinable()) thread_.join();
 }
 
-bool Stage::Ended(int ms) {
+bool ScenarioRunner::Ended(int ms) {
   const Time until = core::Now() + ms * 1000;
   while (!ended_ && core::Now() < until) poll(nullptr, 0, 5);
   return ended_;
 }
 
-void Stage::Play(const std::string& scenario) {
+void ScenarioRunner::Play(const std::string& scenario) {
   std::istringstream lines(scenario);
   for (std::string line; std::getline(lines, line);) {
     const auto words = Words(line);
@@ -252,7 +254,7 @@
   }
 }
 
-void Stage::Step(const std::vector<std::string>& w, const std::string& line) {
+void ScenarioRunner::Step(const std::vector<std::string>& w, const std::string& line) {
   if (w[0] == "wait") {
     poll(nullptr, 0, std::stoi(w[1]));
   } else if (w[0] == "client") {
@@ -301,9 +303,9 @@
 
 // ---- clients ----
 
-void Stage::ClientSend(Client& c, const std::string& name, const std::vector<std::string>& w,
-                       const std::string& line) {
-  const bool is_nbd = wire_ == core::Wire::kNbd;
+void ScenarioRunner::ClientSend(Client& c, const std::string& name, const std::vector<std::string>& w,
+                                const std::string& line) {
+  const bool is_nbd = wire_ == core::Protocol::kNbd;
   if (c.socket.fd() < 0) {
     c = Client();
     c.socket = Socket::Connect(is_nbd ? nbd_port_ : http_port_);
@@ -344,8 +346,8 @@
       ",hosts=1\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body));
 }
 
-std::string Stage::ClientHears(Client& c, int ms) {
-  if (wire_ == core::Wire::kNbd && c.session) {
+std::string ScenarioRunner::ClientHears(Client& c, int ms) {
+  if (wire_ == core::Protocol::kNbd && c.session) {
     std::string out;
     while (c.replies.empty()) {
       if (!c.socket.Fill(ms)) return c.socket.fd() < 0 ? "closed" : "nothing";
@@ -365,7 +367,7 @@
   return code == "200" ? "served" : code == "503" || code == "429" ? "refused" : "failed";
 }
 
-void Stage::ClientExpect(Client& c, const std::vector<std::string>& w) {
+void ScenarioRunner::ClientExpect(Client& c, const std::vector<std::string>& w) {
   if (w[3] == "text") {
     CHECK(last_.body == w[4]);
     return;
@@ -386,7 +388,7 @@
 
 // ---- boxes ----
 
-std::string Stage::BoxHears(Box& box, int ms) {
+std::string ScenarioRunner::BoxHears(Box& box, int ms) {
   const Time until = core::Now() + ms * 1000;
   while (true) {
     for (auto& link : box.links) {
@@ -396,7 +398,7 @@
         box.last = link.get();
         return box.request.type == nbd::kWrite ? "write" : box.request.type == nbd::kFlush ? "flush" : "read";
       }
-      if (wire_ == core::Wire::kHttp && link->socket.bytes.find("\r\n\r\n") != std::string::npos) {
+      if (wire_ == core::Protocol::kHttp && link->socket.bytes.find("\r\n\r\n") != std::string::npos) {
         REQUIRE(ReadMessage(link->socket, &box.message, kPatience));
         box.last = link.get();
         return box.message.start.substr(0, 3) == "PUT" ? "write" : "read";
@@ -410,7 +412,7 @@
       box.links.push_back(std::make_unique<Link>());
       Link& link = *box.links.back();
       link.socket = box.listener.Accept();
-      if (wire_ == core::Wire::kNbd) {
+      if (wire_ == core::Protocol::kNbd) {
         link.session = std::make_unique<nbd::ServerSession>(exports_);
         link.socket.Send(nbd::Greeting());
       }
@@ -427,14 +429,14 @@
   }
 }
 
-void Stage::BoxSend(Box& box, const std::string& what, const std::string& line) {
+void ScenarioRunner::BoxSend(Box& box, const std::string& what, const std::string& line) {
   REQUIRE(box.last);
   Socket& socket = box.last->socket;
   if (what == "bytes") {
     REQUIRE(socket.Send(Quoted(line)));
     return;
   }
-  if (wire_ == core::Wire::kHttp) {
+  if (wire_ == core::Protocol::kHttp) {
     if (what == "noise") {
       REQUIRE(socket.Send(std::string("\0noise\r\n\r\n", 10)));
       return;
@@ -496,7 +498,7 @@
 
 // ---- discovery ----
 
-std::string Stage::DiscoveryHears(int ms) {
+std::string ScenarioRunner::DiscoveryHears(int ms) {
   const Time until = core::Now() + ms * 1000;
   Message request;
   if (discovery_.Readable(ms)) watch_ = discovery_.Accept();
@@ -504,7 +506,7 @@
   return watch_asked_ = request.start;
 }
 
-void Stage::DiscoverySend(const std::vector<std::string>& w) {
+void ScenarioRunner::DiscoverySend(const std::vector<std::string>& w) {
   json list = {{"revision", ++revision_}, {"complete", true}, {"members", json::array()}};
   for (std::size_t i = 2; i < w.size(); ++i) {
     if (w[i] == "503") {
@@ -525,7 +527,7 @@
   DiscoveryWrites(list.dump() + "\n", 20);
 }
 
-void Stage::DiscoveryWrites(const std::string& text, std::size_t piece) {
+void ScenarioRunner::DiscoveryWrites(const std::string& text, std::size_t piece) {
   char size[16];
   std::string out;
   if (watch_.bytes != "open") out += "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
--- a/tests/net/scenario_runner.h
+++ b/tests/net/scenario_runner.h
@@ -57,11 +57,11 @@
 // The settings that scenarios play under, as the platform would tell them.
 nlohmann::json BasicConfig();
 
-class Stage {
+class ScenarioRunner {
  public:
-  explicit Stage(core::Wire wire, const nlohmann::json& config = BasicConfig(), app::Options options = {},
-                 http::Digests digests = {});
-  ~Stage();
+  explicit ScenarioRunner(core::Protocol wire, const nlohmann::json& config = BasicConfig(),
+                          app::Options options = {}, http::DigestOptions digests = {});
+  ~ScenarioRunner();
 
   void Play(const std::string& scenario);
   // On the open watch, in chunks of so many bytes.
@@ -113,7 +113,7 @@
   void DiscoverySend(const std::vector<std::string>& words);
   std::string DiscoveryHears(int ms);
 
-  core::Wire wire_;
+  core::Protocol wire_;
   nlohmann::json config_;
   std::atomic<int> discovery_port_ = 0;  // that a configuration read now names
   std::atomic<bool> bad_config_ = false;
--- a/tests/net/scenarios_test.cpp
+++ b/tests/net/scenarios_test.cpp
@@ -185,9 +185,9 @@
 TEST_CASE("the same scenarios give the same outcomes and scores under both protocols") {
   for (const Scenario& scenario : kScenarios) {
     SUBCASE(scenario.name) {
-      for (const core::Wire wire : {core::Wire::kHttp, core::Wire::kNbd}) {
-        CAPTURE(wire == core::Wire::kHttp ? "HTTP" : "NBD");
-        Stage stage(wire);
+      for (const core::Protocol wire : {core::Protocol::kHttp, core::Protocol::kNbd}) {
+        CAPTURE(wire == core::Protocol::kHttp ? "HTTP" : "NBD");
+        ScenarioRunner stage(wire);
         stage.Play(scenario.steps);
         CHECK(stage.score() == doctest::Approx(scenario.score));
       }
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -17,45 +17,45 @@
 inline Settings Basic() {
   Settings s;
   RequestClass read;
-  read.aim = 400 * kMs;
+  read.latency_objective = 400 * kMs;
   read.deadline = 2 * kSec;
-  read.worth = 3;
-  read.late_worth = 0.1;
+  read.priority_weight = 3;
+  read.late_weight_fraction = 0.1;
   RequestClass write = read;
-  write.effect = Effect::kUnsafe;
+  write.idempotency = Idempotency::kNotIdempotent;
   RequestClass keyed = read;
-  keyed.effect = Effect::kKeyed;
-  keyed.group = Group::kCell;
-  keyed.memory_span = 500 * kMs;
+  keyed.idempotency = Idempotency::kIdempotentWithKey;
+  keyed.deduplication_scope = DeduplicationScope::kShard;
+  keyed.deduplication_window = 500 * kMs;
   s.classes = {read, write, keyed};
   Plan open;
   open.rate = 10;
-  open.floor_rate = 8;
+  open.reserved_rate = 8;
   Plan limited = open;
   limited.limit = 20;
   limited.burst = 24;
   s.plans = {open, limited};
-  s.rules.ask_every = 10 * kSec;
+  s.rules.poll_interval = 10 * kSec;
   s.rules.drain_grace = kSec;
-  s.rules.grace_to_answer = 8 * kMs;
-  s.rules.cold_share = 0.2;
-  s.rules.warm_up = 10 * kSec;
-  s.rules.tip_multiple = 4;
-  s.rules.overload_for = kSec;
-  s.try_limit = 4;
-  s.retry_after = true;
+  s.rules.answer_grace = 8 * kMs;
+  s.rules.slow_start_fraction = 0.2;
+  s.rules.slow_start_duration = 10 * kSec;
+  s.rules.overload_threshold = 4;
+  s.rules.overload_window = kSec;
+  s.max_attempts = 4;
+  s.sends_retry_after = true;
   s.max_retry_after = kSec;
-  s.cold_units = 20;
-  s.usual_units = 2;
-  s.largest_units = 6;
-  s.fair_worth = 0.4;
-  s.beyond_worth = 0.1;
+  s.slow_start_units = 20;
+  s.mean_request_units = 2;
+  s.max_request_units = 6;
+  s.fair_share_weight = 0.4;
+  s.excess_weight = 0.1;
   return s;
 }
 
-class Rig {
+class SchedulerFixture {
  public:
-  explicit Rig(const Settings& settings = Basic(), Time start = 1'000 * kSec)
+  explicit SchedulerFixture(const Settings& settings = Basic(), Time start = 1'000 * kSec)
       : settings_(settings), scheduler_(settings, 7), now_(start) {
     Play(Started{});
   }
@@ -66,45 +66,48 @@
     return actions;
   }
 
-  void List(Mode mode, std::vector<ListEntry> entries) { Play(Membership{mode, std::move(entries)}); }
+  void List(EndpointUpdateKind mode, std::vector<Endpoint> entries) {
+    Play(EndpointUpdate{mode, std::move(entries)});
+  }
 
   // `count` live targets t0, t1, ... that hold cells 0, 1, ...
   void Fleet(int count) {
-    std::vector<ListEntry> entries;
+    std::vector<Endpoint> entries;
     for (int i = 0; i < count; ++i) entries.push_back(Entry("t" + std::to_string(i), i));
-    List(Mode::kFull, entries);
+    List(EndpointUpdateKind::kFull, entries);
   }
 
-  static ListEntry Entry(const std::string& target, int cell, Phase phase = Phase::kLive, Time launched = 0) {
-    ListEntry e;
+  static Endpoint Entry(const std::string& target, int cell, EndpointState phase = EndpointState::kActive,
+                        Time launched = 0) {
+    Endpoint e;
     e.target = target;
-    e.cell = cell;
-    e.phase = phase;
-    e.launched = launched;
+    e.shard = cell;
+    e.state = phase;
+    e.started_at = launched;
     return e;
   }
 
-  static Arrival Request(const std::string& id, int request_class = 0, int cell = 0) {
-    Arrival a;
+  static RequestArrived Request(const std::string& id, int request_class = 0, int cell = 0) {
+    RequestArrived a;
     a.id = id;
     a.request_class = request_class;
     a.volume = "v";
     a.key = "k" + id;
     a.ttl = 2 * kSec;
     a.units = 2;
-    a.cell = cell;
+    a.shard = cell;
     return a;
   }
 
   std::vector<Action> End(const std::string& id, Outcome outcome, Time delay = 20 * kMs, int trial = 0,
                           const std::string& target = "t0", bool settled = false) {
-    Done d;
+    AttemptFinished d;
     d.id = id;
-    d.trial = trial;
+    d.attempt = trial;
     d.target = target;
     d.outcome = outcome;
-    d.delay = delay;
-    d.settled = settled || outcome == Outcome::kCompleted;
+    d.latency = delay;
+    d.request_finished = settled || outcome == Outcome::kCompleted;
     return Play(d);
   }
 
@@ -113,7 +116,7 @@
     const Time until = now_ + span;
     while (now_ + 20 * kMs <= until) {
       now_ += 20 * kMs;
-      Play(Bell{0});
+      Play(TimerFired{0});
     }
     now_ = until;
   }
@@ -129,17 +132,17 @@
 
   int Sends(const std::string& id) const {
     int n = 0;
-    for (const Send& s : Of<Send>()) n += s.id == id;
+    for (const SendAttempt& s : Of<SendAttempt>()) n += s.id == id;
     return n;
   }
   int Refusals(const std::string& id) const {
     int n = 0;
-    for (const Refuse& r : Of<Refuse>()) n += r.id == id;
+    for (const RejectRequest& r : Of<RejectRequest>()) n += r.id == id;
     return n;
   }
   int Failures(const std::string& id) const {
     int n = 0;
-    for (const Fail& f : Of<Fail>()) n += f.id == id;
+    for (const FailRequest& f : Of<FailRequest>()) n += f.id == id;
     return n;
   }
   int Finals(const std::string& id) const { return Refusals(id) + Failures(id); }
--- a/tests/unit/keep_test.cpp
+++ b/tests/unit/keep_test.cpp
@@ -6,9 +6,9 @@
 #include <future>
 #include <vector>
 
-#include "integrity/cursor.h"
-#include "filestore/file_store.h"
 #include "filestore/atomic_file.h"
+#include "filestore/file_store.h"
+#include "integrity/cursor.h"
 #include "lab/process.h"
 
 namespace walnutspur::filestore {
@@ -19,23 +19,23 @@
 TEST_CASE("a file that cannot be replaced stays as it was") {
   const lab::Folder folder;
   std::string what;
-  REQUIRE(WriteWhole(folder.path(), "a", "old", &what));
+  REQUIRE(WriteFileAtomically(folder.path(), "a", "old", &what));
   std::filesystem::create_directory(folder.path() + "/a.new");  // where the next one would be written
   std::filesystem::create_directory(folder.path() + "/a.new/full");
-  CHECK_FALSE(WriteWhole(folder.path(), "a", "new", &what));
+  CHECK_FALSE(WriteFileAtomically(folder.path(), "a", "new", &what));
   CHECK(what == "cannot open " + folder.path() + "/a.new: Is a directory");
-  CHECK(ReadWhole(folder.path() + "/a") == "old");
+  CHECK(ReadWholeFile(folder.path() + "/a") == "old");
   std::filesystem::remove_all(folder.path() + "/a.new");
-  CHECK(WriteWhole(folder.path(), "a", "new", &what));
-  CHECK(ReadWhole(folder.path() + "/a") == "new");
-  CHECK_FALSE(ReadWhole(folder.path() + "/b"));
+  CHECK(WriteFileAtomically(folder.path(), "a", "new", &what));
+  CHECK(ReadWholeFile(folder.path() + "/a") == "new");
+  CHECK_FALSE(ReadWholeFile(folder.path() + "/b"));
 }
 
 TEST_CASE("while a disk hangs, Put returns, and of what waits the newest alone is written") {
   std::promise<void> entered, release;
   std::vector<std::string> wrote;
   {
-    Keeper keeper(
+    FileStore keeper(
         [&](const std::string&, const std::string& bytes, std::string*) {
           wrote.push_back(bytes);
           if (wrote.size() == 1) {
@@ -48,9 +48,9 @@
     keeper.Put("a", "1");
     entered.get_future().wait();
     for (int i = 2; i <= 1000; ++i) keeper.Put("a", std::to_string(i));
-    CHECK_FALSE(keeper.Settle(milliseconds(1)));
+    CHECK_FALSE(keeper.Flush(milliseconds(1)));
     release.set_value();
-    CHECK(keeper.Settle(milliseconds(10000)));
+    CHECK(keeper.Flush(milliseconds(10000)));
   }
   CHECK(wrote == std::vector<std::string>{"1", "1000"});
 }
@@ -60,7 +60,7 @@
   std::atomic<int> tries = 0;
   std::vector<std::string> told, wrote;
   {
-    Keeper keeper(
+    FileStore keeper(
         [&](const std::string&, const std::string& bytes, std::string* what) {
           ++tries;
           if (broken) *what = "no room";
@@ -72,7 +72,7 @@
     while (tries < 5) std::this_thread::yield();
     keeper.Put("a", "new");
     broken = false;
-    REQUIRE(keeper.Settle(milliseconds(10000)));
+    REQUIRE(keeper.Flush(milliseconds(10000)));
     CHECK(keeper.failed() >= 4);
     broken = true;
     keeper.Put("a", "last");  // the end gives it one more try, and does not go on for ever
--- a/tests/unit/limits_test.cpp
+++ b/tests/unit/limits_test.cpp
@@ -6,9 +6,9 @@
 #include <random>
 #include <vector>
 
+#include "limits/abandonment_estimate.h"
 #include "limits/backoff.h"
 #include "limits/slow_start.h"
-#include "limits/abandonment_estimate.h"
 
 namespace walnutspur::limits {
 namespace {
@@ -17,22 +17,22 @@
 
 const Settings kSettings = [] {
   Settings s;
-  s.rules.warm_up = 17 * kSecond, s.rules.overload_for = 2 * kSecond;
-  s.rules.cold_share = 0.18, s.rules.tip_multiple = 2;
-  s.cold_units = 11, s.largest_units = 6, s.instances = 100;
+  s.rules.slow_start_duration = 17 * kSecond, s.rules.overload_window = 2 * kSecond;
+  s.rules.slow_start_fraction = 0.18, s.rules.overload_threshold = 2;
+  s.slow_start_units = 11, s.max_request_units = 6, s.instances = 100;
   return s;
 }();
 
 // Whether a request left; one always waits.
-bool Leaves(ColdStart& cold, double units, double demand, Time now) {
-  const bool room = cold.Room(kSettings, units, demand, now);
-  if (room) cold.Sent(kSettings, units, now);
+bool Leaves(SlowStart& cold, double units, double demand, Time now) {
+  const bool room = cold.Admits(kSettings, units, demand, now);
+  if (room) cold.OnSent(kSettings, units, now);
   return room;
 }
 
 // Units that leave within ten seconds after the start.
 double Sent(double usual, double demand) {
-  ColdStart cold;
+  SlowStart cold;
   cold.Start(kStart, kStart, usual, 0);
   double sent = 0;
   for (Time now = kStart; now < kStart + 10 * kSecond; now += kStep) sent += 2 * Leaves(cold, 2, demand, now);
@@ -42,14 +42,14 @@
 }  // namespace
 
 TEST_CASE("what a box served counts as of before it fell silent") {
-  Usual lost, kept;
+  SteadyStateRate lost, kept;
   const Time end = kStart + 6 * kSecond, later = end + 6 * kSecond;
-  for (Time now = kStart; now < end; now += kSecond / 2) lost.Served(2, now), kept.Served(2, now);
-  lost.Silent(end);
+  for (Time now = kStart; now < end; now += kSecond / 2) lost.Record(2, now), kept.Record(2, now);
+  lost.Suspend(end);
   CHECK(lost.Rate(end, kStart) == doctest::Approx(4).epsilon(0.1));
   CHECK(lost.Rate(later, kStart) == lost.Rate(end, kStart));
   CHECK(kept.Rate(later, kStart) < 0.7 * kept.Rate(end, kStart));
-  lost.Served(2, later), kept.Served(2, later);  // nor does the gap count once it serves again
+  lost.Record(2, later), kept.Record(2, later);  // nor does the gap count once it serves again
   CHECK(lost.Rate(later, kStart) > 1.2 * kept.Rate(later, kStart));
 }
 
@@ -62,39 +62,39 @@
 }
 
 TEST_CASE("hosts that were served all a box can do stay within the rule at any moment") {
-  std::vector<ColdStart> hosts(40);  // of one unit a second each; the box starts with the least
+  std::vector<SlowStart> hosts(40);  // of one unit a second each; the box starts with the least
   for (std::size_t i = 0; i < hosts.size(); ++i) hosts[i].Start(kStart, kStart, 1, double(i) / 40);
   std::vector<Time> left;
   for (Time now = kStart; now < kStart + 17 * kSecond; now += kStep) {
-    for (ColdStart& host : hosts) left.insert(left.end(), Leaves(host, 1, 0.5, now), now);
+    for (SlowStart& host : hosts) left.insert(left.end(), Leaves(host, 1, 0.5, now), now);
     const auto within = left.end() - std::upper_bound(left.begin(), left.end(), now - 2 * kSecond);
     REQUIRE(double(within) <= 2 * 40 * 2 * (0.18 + 0.82 * double(now - kStart) / (17 * kSecond)));
   }
 }
 
 TEST_CASE("a warm box is not held back") {
-  ColdStart cold, old;
+  SlowStart cold, old;
   cold.Start(kStart, kStart, 0, 0), old.Start(0, kStart, 0, 0);
-  CHECK_FALSE(cold.Room(kSettings, 6, 0, kStart + kSecond));
-  CHECK(cold.Room(kSettings, 6, 0, kStart + 17 * kSecond));
-  CHECK(old.Room(kSettings, 6, 0, kStart));
+  CHECK_FALSE(cold.Admits(kSettings, 6, 0, kStart + kSecond));
+  CHECK(cold.Admits(kSettings, 6, 0, kStart + 17 * kSecond));
+  CHECK(old.Admits(kSettings, 6, 0, kStart));
 }
 
 // A service that takes calls in turn, each 66 ms of work, fails what has waited for 2 s and works it off all
 // the same. How many hosts that all call at once have no list after `seconds`; `steady`: all try again within
 // 1 s.
 static int WithoutList(int hosts, bool steady, int seconds) {
-  std::vector<ListCalls> calls(static_cast<std::size_t>(hosts), ListCalls(hosts, 16 * kSecond));
+  std::vector<PollBackoff> calls(static_cast<std::size_t>(hosts), PollBackoff(hosts, 16 * kSecond));
   std::multimap<Time, std::size_t> due;
   for (std::size_t i = 0; i < calls.size(); ++i) due.emplace(0, i);
   std::minstd_rand random(7);
   const auto draw = [&random] { return double(random() % 1000) / 1000; };
   for (Time busy = 0; !due.empty() && due.begin()->first < seconds * kSecond; due.erase(due.begin())) {
     const auto [now, host] = *due.begin();
-    calls[host].Asked(now);
+    calls[host].OnPoll(now);
     busy = std::max(busy, now) + 66'000;
     if (busy - now <= 2 * kSecond) continue;
-    const Time gap = calls[host].Failed(now + 2 * kSecond, draw());
+    const Time gap = calls[host].NextDelay(now + 2 * kSecond, draw());
     due.emplace(now + 2 * kSecond + (steady ? kSecond / 2 + Time(draw() * kSecond / 2) : gap), host);
   }
   return static_cast<int>(due.size());
@@ -108,76 +108,76 @@
 }
 
 TEST_CASE("a call that was refused at once is made again soon, at first, whatever the number of hosts") {
-  ListCalls calls(300, 16 * kSecond);
-  calls.Asked(kStart);
-  CHECK(calls.Failed(kStart + 5'000, 0.99) <= kSecond);
-  CHECK(calls.Failed(kStart + 2 * kSecond, 0.99) > 10 * kSecond);
-  for (int i = 0; i < 40; ++i) CHECK(calls.Failed(kStart, 0.99) <= 16 * kSecond);
-  calls.Answered();
-  CHECK(calls.Failed(kStart, 0.99) <= kSecond);
+  PollBackoff calls(300, 16 * kSecond);
+  calls.OnPoll(kStart);
+  CHECK(calls.NextDelay(kStart + 5'000, 0.99) <= kSecond);
+  CHECK(calls.NextDelay(kStart + 2 * kSecond, 0.99) > 10 * kSecond);
+  for (int i = 0; i < 40; ++i) CHECK(calls.NextDelay(kStart, 0.99) <= 16 * kSecond);
+  calls.OnResponse();
+  CHECK(calls.NextDelay(kStart, 0.99) <= kSecond);
 }
 
 // join+mass: watches that fell silent right after their first list were asked for again 4 to 16 s later.
 TEST_CASE(
     "a subscription that breaks soon after its answer is asked for again soon, among any number of hosts") {
   for (const Time lasted : {kSecond, 4 * kSecond, 60 * kSecond}) {
-    ListCalls calls(300, 16 * kSecond);
-    calls.Asked(kStart);
-    calls.Answered();
-    CHECK(calls.Failed(kStart + lasted, 0.99) <= kSecond);
-    CHECK(calls.Failed(kStart + lasted + 3 * kSecond, 0.99) <= 2 * kSecond);  // and again, refused at once
-    calls.Asked(kStart);  // one that waits in vain is still spread
-    CHECK(calls.Failed(kStart + 2 * kSecond, 0.99) > 10 * kSecond);
+    PollBackoff calls(300, 16 * kSecond);
+    calls.OnPoll(kStart);
+    calls.OnResponse();
+    CHECK(calls.NextDelay(kStart + lasted, 0.99) <= kSecond);
+    CHECK(calls.NextDelay(kStart + lasted + 3 * kSecond, 0.99) <= 2 * kSecond);  // and again, refused at once
+    calls.OnPoll(kStart);  // one that waits in vain is still spread
+    CHECK(calls.NextDelay(kStart + 2 * kSecond, 0.99) > 10 * kSecond);
   }
 }
 
 TEST_CASE(
     "where the fleet is known, its size sets the pace of asks and this host's part what a cold box may get") {
-  ListCalls calls(300, 16 * kSecond);
-  calls.Among(5);
-  calls.Asked(kStart);
-  CHECK(calls.Failed(kStart + 2 * kSecond, 0.99) <= kSecond);
+  PollBackoff calls(300, 16 * kSecond);
+  calls.SetInstanceCount(5);
+  calls.OnPoll(kStart);
+  CHECK(calls.NextDelay(kStart + 2 * kSecond, 0.99) <= kSecond);
   Settings known = kSettings;
-  known.part = 0.5;
-  ColdStart even, half;
+  known.traffic_fraction = 0.5;
+  SlowStart even, half;
   even.Start(kStart, kStart, 0, 0), half.Start(kStart, kStart, 0, 0);
-  CHECK_FALSE(even.Room(kSettings, 2, 0, kStart + 2 * kSecond));  // a hundredth
-  CHECK(half.Room(known, 2, 0, kStart + 2 * kSecond));
+  CHECK_FALSE(even.Admits(kSettings, 2, 0, kStart + 2 * kSecond));  // a hundredth
+  CHECK(half.Admits(known, 2, 0, kStart + 2 * kSecond));
 }
 
 TEST_CASE("clients that leave at random do not make all work late, however many were refused before") {
-  Patience bursts, all, none;
+  AbandonmentEstimate bursts, all, none;
   Time now = kStart;
   for (int i = 0; i < 200; ++i, now += kSecond / 50) {
     // One in eight leaves, soon; five are refused sooner than that, for their sake; two are answered.
-    bursts.Note(i % 8 == 0 ? 0.04 : i % 8 <= 5 ? 0.02 : 0.3, i % 8 == 0, now);
-    all.Note(0.45, true, now);
-    none.Note(1.5, false, now);
+    bursts.Record(i % 8 == 0 ? 0.04 : i % 8 <= 5 ? 0.02 : 0.3, i % 8 == 0, now);
+    all.Record(0.45, true, now);
+    none.Record(1.5, false, now);
   }
-  CHECK(bursts.Part(now) == 1);
-  CHECK(all.Part(now) == doctest::Approx(0.45));
-  CHECK(none.Part(now) == 1);
-  CHECK(all.Part(now + 60 * kSecond) == 1);  // it was long ago
-  for (int i = 0; i < 1'000; ++i) all.Note(1.2, false, now);
-  CHECK(all.Part(now) == 1);
+  CHECK(bursts.SafeFraction(now) == 1);
+  CHECK(all.SafeFraction(now) == doctest::Approx(0.45));
+  CHECK(none.SafeFraction(now) == 1);
+  CHECK(all.SafeFraction(now + 60 * kSecond) == 1);  // it was long ago
+  for (int i = 0; i < 1'000; ++i) all.Record(1.2, false, now);
+  CHECK(all.SafeFraction(now) == 1);
 }
 
 TEST_CASE("two of three clients leave at an age: work has to be done by then, though the others would stay") {
-  Patience most;
-  for (int i = 0; i < 100; ++i) most.Note(i % 3 ? 0.25 : 0.9, i % 3, kStart);
-  CHECK(most.Part(kStart) == doctest::Approx(0.25));
+  AbandonmentEstimate most;
+  for (int i = 0; i < 100; ++i) most.Record(i % 3 ? 0.25 : 0.9, i % 3, kStart);
+  CHECK(most.SafeFraction(kStart) == doctest::Approx(0.25));
 }
 
 // A change counts as told 6 s after discovery had it and could be reached: 2 s of it are for the call itself.
 TEST_CASE(
     "few hosts ask again within 2 s however often calls failed; many spread over what discovery can bear") {
   for (const int hosts : {1, 6, 20, 300}) {
-    ListCalls refused(hosts, 16 * kSecond), waited(hosts, 16 * kSecond);
+    PollBackoff refused(hosts, 16 * kSecond), waited(hosts, 16 * kSecond);
     Time longest_refused = 0, longest_waited = 0, now = kStart;
     for (int i = 0; i < 40; ++i, now += 20 * kSecond) {
-      refused.Asked(now), waited.Asked(now);
-      longest_refused = std::max(longest_refused, refused.Failed(now + 1'000, 0.999));
-      longest_waited = std::max(longest_waited, waited.Failed(now + 2 * kSecond, 0.999));
+      refused.OnPoll(now), waited.OnPoll(now);
+      longest_refused = std::max(longest_refused, refused.NextDelay(now + 1'000, 0.999));
+      longest_waited = std::max(longest_waited, waited.NextDelay(now + 2 * kSecond, 0.999));
     }
     CHECK(longest_refused <= (hosts <= 20 ? 2 : 9) * kSecond);
     CHECK(longest_waited <= (hosts <= 20 ? 2 : 16) * kSecond);
