--- a/src/checksummed/checksummed_exports.cpp
+++ b/src/checksummed/checksummed_exports.cpp
@@ -34,12 +34,15 @@
       post_(std::move(post)),
       boxes_(base, config, most, [this](core::Input input) { Post(std::move(input)); }),
       next_asked_(kOwn) {
-  for (const nbd::Target& box : config_.targets)
+  for (const nbd::Target& box : config_.targets) {
     paths_.emplace(box.id, integrity::Paths(static_cast<int>(box.addresses.size())));
+  }
   exports_.resize(config_.volumes.size());
   for (std::size_t i = 0; i < exports_.size(); ++i) {
     exports_[i].config = &config_.volumes[i];
-    if (!exports_[i].config->checksummed) continue;
+    if (!exports_[i].config->checksummed) {
+      continue;
+    }
     exports_[i].held = true;  // until the list says that its box is live
     exports_[i].volume = std::make_unique<Volume>(integrity::VolumeOptions{});
     exports_[i].tick = loop::MakeTimer(base_, [this, i] { Tick(i); });
@@ -51,10 +54,13 @@
   std::vector<PathStatus> all;
   std::set<std::string> told;
   for (const Export& e : exports_) {
-    if (!e.volume || !told.insert(e.config->target).second) continue;
+    if (!e.volume || !told.insert(e.config->target).second) {
+      continue;
+    }
     const int count = paths_.at(e.config->target).count();
-    for (int path = 0; path < count; ++path)
+    for (int path = 0; path < count; ++path) {
       all.push_back({e.config->target, path, PathOf(e.config->target, path)});
+    }
   }
   return all;
 }
@@ -83,23 +89,35 @@
 // ends at once comes back here by another call, which leaves it to the first.
 void ChecksummedExports::Pump(std::size_t number) {
   Export& e = exports_[number];
-  if (std::exchange(e.pumping, true)) return;
+  if (std::exchange(e.pumping, true)) {
+    return;
+  }
   while (true) {
     std::vector<Io> ios = e.volume->TakeIo();
     std::vector<integrity::Result> results = e.volume->TakeResults();
-    if (ios.empty() && results.empty()) break;
-    for (Io& io : ios) Launch(number, std::move(io));
-    for (integrity::Result& result : results) OnResult(number, std::move(result));
+    if (ios.empty() && results.empty()) {
+      break;
+    }
+    for (Io& io : ios) {
+      Launch(number, std::move(io));
+    }
+    for (integrity::Result& result : results) {
+      OnResult(number, std::move(result));
+    }
   }
   e.pumping = false;
-  if (e.volume->state() == Volume::State::kReady) e.rest = 0;
+  if (e.volume->state() == Volume::State::kReady) {
+    e.rest = 0;
+  }
   if (e.volume->state() == Volume::State::kBroken && !std::exchange(e.told, true)) {
     log::Event(log::Level::kError, "export_not_attached",
                {{"export", e.config->front.name}, {"what", e.volume->why()}});
     // A box that did not answer may come back; what stands there will not change by itself, but an operator
     // may restore it meanwhile.
     e.rest = std::clamp(e.rest * 2, kLeastRest, kMostRest);
-    if (!e.held) e.again.Start(e.rest);
+    if (!e.held) {
+      e.again.Start(e.rest);
+    }
   }
   if (e.volume->dirty() && e.dirty_since == 0) {
     e.dirty_since = core::Now();
@@ -125,7 +143,9 @@
 
 void ChecksummedExports::Launch(std::size_t number, Io io) {
   Export& e = exports_[number];
-  if (e.held) return e.volume->Ended(io.id, IoEnd::kNeverRan);
+  if (e.held) {
+    return e.volume->Ended(io.id, IoEnd::kNeverRan);
+  }
   nbd::Request request;
   request.type = io.kind == IoKind::kRead    ? nbd::kRead
                  : io.kind == IoKind::kWrite ? nbd::kWrite
@@ -159,8 +179,9 @@
 }
 
 void ChecksummedExports::Post(core::Input input) {
-  if (const auto* ended = std::get_if<core::AttemptResult>(&input); ended && ended->request >= kOwn)
+  if (const auto* ended = std::get_if<core::AttemptResult>(&input); ended && ended->request >= kOwn) {
     return OnIo(*ended);
+  }
   post_(std::move(input));
 }
 
@@ -168,8 +189,12 @@
 // the box must have said that it can.
 bool ChecksummedExports::Fits(const Export& e) const {
   const auto flags = boxes_.flags(e.config->target, e.config->remote);
-  if (!flags) return false;  // the connection has ended meanwhile: the next try asks again
-  if ((*flags & nbd::kSendFlush) && (*flags & (nbd::kSendFua | nbd::kCanMultiConn))) return true;
+  if (!flags) {
+    return false;  // the connection has ended meanwhile: the next try asks again
+  }
+  if ((*flags & nbd::kSendFlush) && (*flags & (nbd::kSendFua | nbd::kCanMultiConn))) {
+    return true;
+  }
   log::Event(log::Level::kError, "box_unfit",
              {{"box", e.config->target},
               {"export", e.config->front.name},
@@ -179,7 +204,9 @@
 
 void ChecksummedExports::OnIo(const core::AttemptResult& ended) {
   const auto at = asked_.find(ended.request);
-  if (at == asked_.end()) return;
+  if (at == asked_.end()) {
+    return;
+  }
   Asked asked = std::move(at->second);
   asked_.erase(at);
   Export& e = exports_[asked.number];
@@ -194,16 +221,23 @@
     flush.type = nbd::kFlush;
     return Ask(asked, std::move(flush), Choose(e, flush));
   }
-  if (end == IoEnd::kDone && asked.io.fua && !asked.syncing) end = IoEnd::kFailed;
-  if (e.volume->state() == Volume::State::kAttaching && !Fits(e)) end = IoEnd::kFailed;
+  if (end == IoEnd::kDone && asked.io.fua && !asked.syncing) {
+    end = IoEnd::kFailed;
+  }
+  if (e.volume->state() == Volume::State::kAttaching && !Fits(e)) {
+    end = IoEnd::kFailed;
+  }
   std::string data;
   if (end == IoEnd::kDone && asked.io.kind == IoKind::kRead) {
     // What the boxes made for this attempt alone: its bytes may be taken out of it.
     auto payload = std::const_pointer_cast<core::Payload>(ended.payload);
     auto& pieces = static_cast<nbd::ReplyPayload&>(*payload).pieces;
-    if (pieces.size() == 1 && pieces[0].hole == 0) data = std::exchange(pieces[0].data, {});
-    for (const nbd::Piece& piece : pieces)
+    if (pieces.size() == 1 && pieces[0].hole == 0) {
+      data = std::exchange(pieces[0].data, {});
+    }
+    for (const nbd::Piece& piece : pieces) {
       piece.hole > 0 ? data.append(piece.hole, '\0') : data.append(piece.data);
+    }
   }
   e.volume->Ended(asked.io.id, end, std::move(data));
   Pump(asked.number);
@@ -218,7 +252,9 @@
   if (paths.count() > 1 && damages_->cases().open() > 0 && request.type == nbd::kRead && request.length > 0) {
     const std::uint64_t last = (request.offset + request.length - 1) / integrity::kBlock;
     for (std::uint64_t block = request.offset / integrity::kBlock; block <= last; ++block) {
-      for (const int path : damages_->cases().PathsOf(PlaceOf(e, block))) avoid.insert(path);
+      for (const int path : damages_->cases().PathsOf(PlaceOf(e, block))) {
+        avoid.insert(path);
+      }
     }
   }
   return paths.Choose(core::Now(), avoid);
@@ -226,7 +262,9 @@
 
 void ChecksummedExports::Start(const core::StartAttempt& attempt) {
   auto payload = std::static_pointer_cast<const nbd::CommandPayload>(attempt.payload);
-  if (payload->volume < 0) return boxes_.Start(attempt);
+  if (payload->volume < 0) {
+    return boxes_.Start(attempt);
+  }
   const auto number = static_cast<std::size_t>(payload->volume);
   Export& e = exports_[number];
   const CommandId id = next_command_++;
@@ -239,7 +277,9 @@
   out.limit = loop::MakeTimer(base_, [this, id] { GiveUp(id, Outcome::kTimedOut); });
   out.limit.Start(attempt.timeout);
   commands_[out.key] = id;
-  if (e.held) return Report(id, Outcome::kConnectFailed);
+  if (e.held) {
+    return Report(id, Outcome::kConnectFailed);
+  }
   using Kind = integrity::Command::Kind;
   integrity::Command command;
   command.id = id;
@@ -257,7 +297,9 @@
 
 void ChecksummedExports::Cancel(core::RequestNumber serial, int trial) {
   const auto at = commands_.find({serial, trial});
-  if (at == commands_.end()) return boxes_.Cancel(serial, trial);
+  if (at == commands_.end()) {
+    return boxes_.Cancel(serial, trial);
+  }
   GiveUp(at->second, Outcome::kCancelled);
 }
 
@@ -265,7 +307,9 @@
 // ends.
 void ChecksummedExports::GiveUp(CommandId command, Outcome outcome) {
   const auto at = out_.find(command);
-  if (at == out_.end()) return;
+  if (at == out_.end()) {
+    return;
+  }
   const std::size_t number = at->second.number;
   Report(command, outcome);
   exports_[number].volume->Abandon(command);
@@ -274,7 +318,9 @@
 
 void ChecksummedExports::Report(CommandId command, Outcome outcome, core::PayloadRef payload) {
   const auto at = out_.find(command);
-  if (at == out_.end()) return;
+  if (at == out_.end()) {
+    return;
+  }
   core::AttemptResult ended;
   ended.request = at->second.key.first;
   ended.attempt = at->second.key.second;
@@ -288,12 +334,16 @@
 
 void ChecksummedExports::OnResult(std::size_t number, integrity::Result result) {
   const auto at = out_.find(result.id);
-  if (at == out_.end()) return;
+  if (at == out_.end()) {
+    return;
+  }
   const Out& out = at->second;
   const nbd::Request& request = out.payload->request;
   Export& e = exports_[number];
   const bool reads = request.type == nbd::kRead;
-  if (reads) Judge(number, out, result);
+  if (reads) {
+    Judge(number, out, result);
+  }
   switch (result.status) {
     case integrity::Result::Status::kRefused:
       return Report(result.id, Outcome::kConnectFailed);
@@ -337,7 +387,9 @@
   integrity::Paths& paths = paths_.at(e.config->target);
   if (result.status == integrity::Result::Status::kDone) {
     paths.Good(out.path, now);
-    if (damages_->calm()) return;
+    if (damages_->calm()) {
+      return;
+    }
   } else if (result.status != integrity::Result::Status::kDamaged) {
     return;
   }
@@ -357,7 +409,9 @@
     }
     const auto verdict = damages_->Note(place, paths.count(), reading, now);
     if (verdict) {
-      if (verdict->fault == integrity::Fault::kPath) paths.Bad(verdict->path, now);
+      if (verdict->fault == integrity::Fault::kPath) {
+        paths.Bad(verdict->path, now);
+      }
     } else if (!reading.good && on_suspected_corruption) {
       on_suspected_corruption(number, block);
     }
@@ -369,7 +423,9 @@
 void ChecksummedExports::Drain(const TargetId& target) {
   boxes_.Drain(target);
   for (Export& e : exports_) {
-    if (!e.volume || e.config->target != target) continue;
+    if (!e.volume || e.config->target != target) {
+      continue;
+    }
     e.held = true;
     e.again.Stop();
   }
@@ -378,8 +434,12 @@
 void ChecksummedExports::Activate(const TargetId& target) {
   for (std::size_t i = 0; i < exports_.size(); ++i) {
     Export& e = exports_[i];
-    if (!e.volume || e.config->target != target || !std::exchange(e.held, false)) continue;
-    if (e.volume->state() == Volume::State::kBroken || e.volume->state() == Volume::State::kNew) Attach(i);
+    if (!e.volume || e.config->target != target || !std::exchange(e.held, false)) {
+      continue;
+    }
+    if (e.volume->state() == Volume::State::kBroken || e.volume->state() == Volume::State::kNew) {
+      Attach(i);
+    }
   }
 }
 
--- a/src/checksummed/corruption_tracker.cpp
+++ b/src/checksummed/corruption_tracker.cpp
@@ -14,25 +14,32 @@
 }  // namespace
 
 CorruptionTracker::CorruptionTracker(event_base* base, const std::string& folder) : folder_(folder) {
-  if (folder.empty()) return;
+  if (folder.empty()) {
+    return;
+  }
   file_ = std::make_unique<integrity::LedgerFile>(folder);
   std::string what;
-  if (file_->Load(&ledger_, &what) == integrity::LedgerFile::Found::kRefused)
+  if (file_->Load(&ledger_, &what) == integrity::LedgerFile::Found::kRefused) {
     log::Event(log::Level::kError, "ledger_refused", {{"what", what}});
+  }
   keeper_ = std::make_unique<filestore::FileStore>(
       [this](const std::string& name, const std::string& bytes, std::string* why) {
         return name == kLedger ? file_->Write(bytes, why)
                                : filestore::WriteFileAtomically(folder_, name, bytes, why);
       },
       [](const std::string& why) {
-        if (why.empty()) return log::Event(log::Level::kWarn, "folder_works_again", {});
+        if (why.empty()) {
+          return log::Event(log::Level::kWarn, "folder_works_again", {});
+        }
         log::Event(log::Level::kError, "folder_not_written", {{"what", why}});
       });
   save_ = loop::MakeTimer(base, [this] { Save(); });
 }
 
 CorruptionTracker::~CorruptionTracker() {
-  if (keeper_ && ledger_.changed()) Save();
+  if (keeper_ && ledger_.changed()) {
+    Save();
+  }
 }
 
 void CorruptionTracker::Save() {
@@ -42,9 +49,13 @@
 
 std::optional<integrity::Verdict> CorruptionTracker::Note(const integrity::Place& place, int paths,
                                                           const integrity::Reading& reading, Time now) {
-  if (!reading.good) ++mismatches_;
+  if (!reading.good) {
+    ++mismatches_;
+  }
   auto verdict = cases_.Note(place, paths, reading, now);
-  if (reading.good) ledger_.Mend(place, now);
+  if (reading.good) {
+    ledger_.Mend(place, now);
+  }
   if (verdict) {
     ++verdicts_;
     ledger_.Note(place, *verdict, now);
@@ -55,7 +66,9 @@
                 {"fault", integrity::NameOf(verdict->fault)},
                 {"path", std::to_string(verdict->path)}});
   }
-  if (keeper_ && ledger_.changed() && !std::exchange(saving_, true)) save_.Start(kSave);
+  if (keeper_ && ledger_.changed() && !std::exchange(saving_, true)) {
+    save_.Start(kSave);
+  }
   return verdict;
 }
 
--- a/src/checksummed/scrub.cpp
+++ b/src/checksummed/scrub.cpp
@@ -22,7 +22,9 @@
   const Time now = core::Now();
   for (std::size_t i = 0; i < config_.volumes.size(); ++i) {
     const nbd::Volume& volume = config_.volumes[i];
-    if (!volume.checksummed) continue;
+    if (!volume.checksummed) {
+      continue;
+    }
     Box& box = boxes_[volume.target];
     if (!box.budget) {
       box.budget = std::make_unique<background::Budget>(options_.pressure);
@@ -43,17 +45,25 @@
     jobs_.push_back({i, volume.target, box.budget->Add(job, progress, now), std::move(scrubber)});
   }
   report_ = loop::MakeTimer(base_, [this] { Report(); });
-  if (!options_.on) return;
+  if (!options_.on) {
+    return;
+  }
   report_.Start(kReport);
-  for (auto& [name, box] : boxes_) box.turn.Start(kLook);
+  for (auto& [name, box] : boxes_) {
+    box.turn.Start(kLook);
+  }
 }
 
 Scrub::~Scrub() {
-  if (options_.on) KeepCursors();
+  if (options_.on) {
+    KeepCursors();
+  }
 }
 
 void Scrub::KeepCursors() {
-  if (!options_.keep_cursors) return;
+  if (!options_.keep_cursors) {
+    return;
+  }
   integrity::Cursors now = options_.cursors;  // of exports that are not served at present, too
   for (const Job& job : jobs_) {
     const background::Progress& progress = boxes_.at(job.box).budget->progress(job.id);
@@ -61,7 +71,9 @@
                                                    progress.since};
   }
   kept_ = core::Now();
-  if (now == known_) return;
+  if (now == known_) {
+    return;
+  }
   known_ = std::move(now);
   options_.keep_cursors(integrity::Encode(known_));
 }
@@ -69,31 +81,43 @@
 // A second without any live request is calm as well.
 void Scrub::Report() {
   background::Report report;
-  if (answers_ > 0) report.missed = static_cast<double>(missed_) / static_cast<double>(answers_);
+  if (answers_ > 0) {
+    report.missed = static_cast<double>(missed_) / static_cast<double>(answers_);
+  }
   report.bound = waiting_;
   answers_ = missed_ = 0;
   waiting_ = 0;
-  for (auto& [name, box] : boxes_) box.budget->Take(report, core::Now());
-  if (core::Now() - kept_ >= kKeep) KeepCursors();
-  if (!stopped_) report_.Start(kReport);
+  for (auto& [name, box] : boxes_) {
+    box.budget->Take(report, core::Now());
+  }
+  if (core::Now() - kept_ >= kKeep) {
+    KeepCursors();
+  }
+  if (!stopped_) {
+    report_.Start(kReport);
+  }
 }
 
 void Scrub::ObserveResponse(const core::Response& answer) {
   ++answers_;
-  missed_ += !answer.met_objective;
+  missed_ += static_cast<unsigned long>(!answer.met_objective);
   waiting_ = std::max(waiting_, answer.queued_fraction);
 }
 
 void Scrub::OnTargetState(const std::string& name, bool live, Time launched) {
   const auto at = boxes_.find(name);
-  if (at == boxes_.end()) return;
+  if (at == boxes_.end()) {
+    return;
+  }
   at->second.live = live;
   at->second.launched = launched;
 }
 
 void Scrub::Recheck(std::size_t number, std::uint64_t block) {
   for (Job& job : jobs_) {
-    if (job.number == number) job.scrubber.Recheck(block);
+    if (job.number == number) {
+      job.scrubber.Recheck(block);
+    }
   }
 }
 
@@ -106,13 +130,17 @@
 }
 
 void Scrub::Turn(const std::string& name) {
-  if (stopped_) return;
+  if (stopped_) {
+    return;
+  }
   Box& box = boxes_.at(name);
   const Time now = core::Now();
   box.budget->Hold(!box.live || !Warm(box, now));
   while (const auto granted = box.budget->Next(now)) {
     for (std::size_t i = 0; i < jobs_.size(); ++i) {
-      if (jobs_[i].box == name && jobs_[i].id == *granted) Begin(i);
+      if (jobs_[i].box == name && jobs_[i].id == *granted) {
+        Begin(i);
+      }
     }
   }
   const auto next = box.budget->NextAt(now);
@@ -122,7 +150,9 @@
 void Scrub::Begin(std::size_t number) {
   Job& job = jobs_[number];
   const auto range = job.scrubber.Next();
-  if (!range) return boxes_.at(job.box).budget->Return(job.id);
+  if (!range) {
+    return boxes_.at(job.box).budget->Return(job.id);
+  }
   const nbd::Volume& volume = config_.volumes[job.number];
   core::RequestReceived arrived;
   arrived.request = serials_->next++;
@@ -154,13 +184,16 @@
 
 void Scrub::Respond(const core::Response& answer) {
   const auto at = held_.find(answer.request);
-  if (at == held_.end()) return;
+  if (at == held_.end()) {
+    return;
+  }
   const Held held = std::move(at->second);
   held_.erase(at);
   Job& job = jobs_[held.job];
   const auto* partial = static_cast<const nbd::ReplyPayload*>(answer.payload.get());
   // Damage that was found is an answer too: it is in the ledger.
-  const bool read = answer.status == core::ResponseStatus::kServed || (partial && !partial->bad.empty());
+  const bool read =
+      answer.status == core::ResponseStatus::kServed || ((partial != nullptr) && !partial->bad.empty());
   int done = 0;
   if (read) {
     done = job.scrubber.Done(held.range);
--- a/src/filestore/atomic_file.cpp
+++ b/src/filestore/atomic_file.cpp
@@ -15,8 +15,12 @@
 bool WriteAll(int fd, std::string_view bytes) {
   while (!bytes.empty()) {
     const ssize_t size = write(fd, bytes.data(), bytes.size());
-    if (size < 0 && errno == EINTR) continue;
-    if (size <= 0) return false;
+    if (size < 0 && errno == EINTR) {
+      continue;
+    }
+    if (size <= 0) {
+      return false;
+    }
     bytes.remove_prefix(static_cast<std::size_t>(size));
   }
   return true;
@@ -26,14 +30,17 @@
 
 bool WriteFileAtomically(const std::string& folder, const std::string& name, std::string_view bytes,
                          std::string* what) {
-  const std::string path = folder + "/" + name, next = path + ".new";
+  const std::string path = folder + "/" + name;
+  const std::string next = path + ".new";
   const auto fail = [&](const char* step) {
     *what = std::string(step) + " " + next + ": " + std::strerror(errno);
     std::remove(next.c_str());
     return false;
   };
   const int fd = open(next.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0640);
-  if (fd < 0) return fail("cannot open");
+  if (fd < 0) {
+    return fail("cannot open");
+  }
   if (!WriteAll(fd, bytes)) {
     close(fd);
     return fail("cannot write");
@@ -45,20 +52,30 @@
     return fail("cannot sync");
   }
   close(fd);
-  if (std::rename(next.c_str(), path.c_str()) != 0) return fail("cannot rename");
+  if (std::rename(next.c_str(), path.c_str()) != 0) {
+    return fail("cannot rename");
+  }
   const int at = open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   const bool synced = at >= 0 && fsync(at) == 0;
-  if (at >= 0) close(at);
-  if (!synced) return fail("cannot sync the folder of");
+  if (at >= 0) {
+    close(at);
+  }
+  if (!synced) {
+    return fail("cannot sync the folder of");
+  }
   return true;
 }
 
 std::optional<std::string> ReadWholeFile(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
-  if (!file) return std::nullopt;
+  if (!file) {
+    return std::nullopt;
+  }
   std::stringstream bytes;
   bytes << file.rdbuf();
-  if (file.bad() || bytes.bad()) return std::nullopt;
+  if (file.bad() || bytes.bad()) {
+    return std::nullopt;
+  }
   return bytes.str();
 }
 
--- a/src/filestore/file_store.cpp
+++ b/src/filestore/file_store.cpp
@@ -49,14 +49,18 @@
   std::unique_lock lock(mutex_);
   while (true) {
     changed_.wait(lock, [this] { return ends_ || !waiting_.empty(); });
-    if (waiting_.empty()) return;
+    if (waiting_.empty()) {
+      return;
+    }
     const auto [name, bytes] = *waiting_.begin();
     waiting_.erase(waiting_.begin());
     writing_ = true;
     lock.unlock();
     std::string what;
     const bool done = write_(name, bytes, &what);
-    if (done == failing) told_(done ? "" : what);
+    if (done == failing) {
+      told_(done ? "" : what);
+    }
     failing = !done;
     lock.lock();
     writing_ = false;
@@ -67,7 +71,9 @@
       continue;
     }
     ++failed_;
-    if (ends_) return;                  // that was the last try
+    if (ends_) {
+      return;  // that was the last try
+    }
     waiting_.try_emplace(name, bytes);  // unless a newer one has come meanwhile
     // A disk that fails gets time: neither a burst of changes nor a retry may keep it busy.
     changed_.wait_for(lock, rest, [this] { return ends_; });
--- a/src/integrity/blame.cpp
+++ b/src/integrity/blame.cpp
@@ -26,7 +26,9 @@
 
 Paths::Paths(int count, const PathOptions& options)
     : options_(options), paths_(static_cast<std::size_t>(std::max(1, count))) {
-  for (Path& path : paths_) path.rest = options_.rest;
+  for (Path& path : paths_) {
+    path.rest = options_.rest;
+  }
 }
 
 void Paths::Age(Path& path, Time now) {
@@ -41,8 +43,9 @@
     path.state = PathState::kProbation;
     path.goods = 0;
   }
-  if (path.state == PathState::kSuspect && path.bad < options_.healthy_below)
+  if (path.state == PathState::kSuspect && path.bad < options_.healthy_below) {
     path.state = PathState::kHealthy;
+  }
 }
 
 PathState Paths::StateOf(int path, Time now) {
@@ -54,7 +57,8 @@
 int Paths::Choose(Time now, const std::set<int>& avoid) {
   ++turn_;
   const auto count = paths_.size();
-  int best = 0, best_rank = 1000;
+  int best = 0;
+  int best_rank = 1000;
   for (std::size_t i = 0; i < count; ++i) {
     const int number = static_cast<int>((turn_ + i) % count);
     Path& path = paths_[static_cast<std::size_t>(number)];
@@ -75,7 +79,9 @@
         rank = 4;
         break;
     }
-    if (avoid.contains(number)) rank += 10;
+    if (avoid.contains(number)) {
+      rank += 10;
+    }
     if (rank < best_rank) {
       best_rank = rank;
       best = number;
@@ -88,7 +94,9 @@
   Path& p = paths_[static_cast<std::size_t>(path)];
   Age(p, now);
   p.good += 1;
-  if (p.state != PathState::kProbation || ++p.goods < options_.probation_goods) return;
+  if (p.state != PathState::kProbation || ++p.goods < options_.probation_goods) {
+    return;
+  }
   p.state = PathState::kHealthy;
   p.bad = 0;
   p.rest = options_.rest;  // served its time: the next quarantine is short again
@@ -115,7 +123,9 @@
 std::optional<Verdict> Cases::Note(const Place& place, int paths, const Reading& reading, Time now) {
   auto at = open_.find(place);
   if (at == open_.end()) {
-    if (reading.good) return std::nullopt;
+    if (reading.good) {
+      return std::nullopt;
+    }
     if (open_.size() >= most_) {
       const auto oldest = std::min_element(open_.begin(), open_.end(), [](const auto& a, const auto& b) {
         return a.second.since < b.second.since;
@@ -126,21 +136,29 @@
   }
   at->second.readings.push_back(reading);
   const auto verdict = Judge(at->second.readings, paths);
-  if (verdict) open_.erase(at);
+  if (verdict) {
+    open_.erase(at);
+  }
   return verdict;
 }
 
 std::set<int> Cases::PathsOf(const Place& place) const {
   std::set<int> paths;
   const auto at = open_.find(place);
-  if (at == open_.end()) return paths;
-  for (const Reading& r : at->second.readings) paths.insert(r.path);
+  if (at == open_.end()) {
+    return paths;
+  }
+  for (const Reading& r : at->second.readings) {
+    paths.insert(r.path);
+  }
   return paths;
 }
 
 std::vector<Place> Cases::places() const {
   std::vector<Place> all;
-  for (const auto& [place, open] : open_) all.push_back(place);
+  for (const auto& [place, open] : open_) {
+    all.push_back(place);
+  }
   return all;
 }
 
@@ -159,7 +177,9 @@
     }
     std::set<int> bad;
     for (const Reading& r : readings) {
-      if (!r.good) bad.insert(r.path);
+      if (!r.good) {
+        bad.insert(r.path);
+      }
     }
     // Bad on all paths there are, or on the only one: not one path's doing.
     const bool one = bad.size() == 1 && paths > 1;
@@ -176,7 +196,7 @@
   int equal = 0;
   for (const Reading& r : readings) {
     seen.insert(r.path);
-    equal += r.found == last.found && r.looks == last.looks;
+    equal += static_cast<int>(r.found == last.found && r.looks == last.looks);
   }
   const bool everywhere = static_cast<int>(seen.size()) >= paths;
   if (equal >= kSame && everywhere && equal == static_cast<int>(readings.size())) {
--- a/src/integrity/layout.cpp
+++ b/src/integrity/layout.cpp
@@ -14,13 +14,16 @@
 
 template <typename Bytes, typename T>
 void Put(Bytes* out, std::size_t at, T value) {
-  for (std::size_t i = 0; i < sizeof(T); ++i) (*out)[at + i] = static_cast<char>(value >> (8 * i) & 0xff);
+  for (std::size_t i = 0; i < sizeof(T); ++i) {
+    (*out)[at + i] = static_cast<char>(value >> (8 * i) & 0xff);
+  }
 }
 template <typename T>
 T Get(std::string_view in, std::size_t at) {
   std::uint64_t value = 0;
-  for (std::size_t i = 0; i < sizeof(T); ++i)
+  for (std::size_t i = 0; i < sizeof(T); ++i) {
     value |= static_cast<std::uint64_t>(static_cast<unsigned char>(in[at + i])) << (8 * i);
+  }
   return static_cast<T>(value);
 }
 
@@ -47,15 +50,23 @@
   journal = std::max(kLeastJournal, journal) / kBlock * kBlock;
   const std::uint64_t all = size / kBlock;
   const std::uint64_t fixed = journal / kBlock + 2;
-  if (all <= fixed) return std::nullopt;
+  if (all <= fixed) {
+    return std::nullopt;
+  }
   const std::uint64_t room = all - fixed;
   Geometry g;
   // The most blocks for which blocks + 2 * ceil(blocks / tags a block) fit.
   g.blocks = room * kTagsPerBlock / (kTagsPerBlock + 2);
   const auto tag_blocks = [](std::uint64_t n) { return (n + kTagsPerBlock - 1) / kTagsPerBlock; };
-  while (g.blocks + 1 + 2 * tag_blocks(g.blocks + 1) <= room) ++g.blocks;
-  while (g.blocks > 0 && g.blocks + 2 * tag_blocks(g.blocks) > room) --g.blocks;
-  if (g.blocks == 0) return std::nullopt;
+  while (g.blocks + 1 + 2 * tag_blocks(g.blocks + 1) <= room) {
+    ++g.blocks;
+  }
+  while (g.blocks > 0 && g.blocks + 2 * tag_blocks(g.blocks) > room) {
+    --g.blocks;
+  }
+  if (g.blocks == 0) {
+    return std::nullopt;
+  }
   g.tag_blocks = tag_blocks(g.blocks);
   g.tags_at = g.blocks * kBlock;
   g.journal_at = g.tags_at + 2 * g.tag_blocks * kBlock;
@@ -113,7 +124,8 @@
   s.tail_sequence = Get<std::uint64_t>(bytes, 72);
   s.tail_epoch = Get<std::uint64_t>(bytes, 80);
   const auto journal = Get<std::uint64_t>(bytes, 32);
-  const auto blocks = Get<std::uint64_t>(bytes, 24), super_at = Get<std::uint64_t>(bytes, 40);
+  const auto blocks = Get<std::uint64_t>(bytes, 24);
+  const auto super_at = Get<std::uint64_t>(bytes, 40);
   // What it says of the layout must be what this size gives: nothing is read or written on its word alone.
   const auto fits = Fit(size, journal);
   if (Get<std::uint32_t>(bytes, 12) != kBlock || !fits || fits->blocks != blocks ||
@@ -131,12 +143,23 @@
 
 SuperRead ChooseSuper(const SuperRead& a, const SuperRead& b) {
   // A newer version beside anything else may be the one that holds: it is not touched.
-  if (a.state == SuperState::kNewer) return a;
-  if (b.state == SuperState::kNewer) return b;
-  const bool whole_a = a.state == SuperState::kWhole, whole_b = b.state == SuperState::kWhole;
-  if (whole_a && whole_b) return a.super.sequence >= b.super.sequence ? a : b;
-  if (whole_a) return a;
-  if (whole_b) return b;
+  if (a.state == SuperState::kNewer) {
+    return a;
+  }
+  if (b.state == SuperState::kNewer) {
+    return b;
+  }
+  const bool whole_a = a.state == SuperState::kWhole;
+  const bool whole_b = b.state == SuperState::kWhole;
+  if (whole_a && whole_b) {
+    return a.super.sequence >= b.super.sequence ? a : b;
+  }
+  if (whole_a) {
+    return a;
+  }
+  if (whole_b) {
+    return b;
+  }
   return a.state == SuperState::kNone ? b : a;
 }
 
@@ -171,14 +194,20 @@
 std::optional<TagBlock> DecodeTags(std::string_view bytes, std::uint64_t export_id, std::uint64_t index) {
   TagBlock block;
   block.index = index;
-  if (bytes.size() < kBlock) return std::nullopt;
+  if (bytes.size() < kBlock) {
+    return std::nullopt;
+  }
   bytes = bytes.substr(0, kBlock);
-  if (AllZero(bytes)) return block;
+  if (AllZero(bytes)) {
+    return block;
+  }
   if (bytes.substr(0, kTagMagic.size()) != kTagMagic || Get<std::uint64_t>(bytes, 8) != export_id ||
-      Get<std::uint64_t>(bytes, 16) != index)
+      Get<std::uint64_t>(bytes, 16) != index) {
     return std::nullopt;
-  if (Get<std::uint32_t>(bytes, 32) != Crc32c(bytes.substr(kTagHead), Crc32c(bytes.substr(0, 32))))
+  }
+  if (Get<std::uint32_t>(bytes, 32) != Crc32c(bytes.substr(kTagHead), Crc32c(bytes.substr(0, 32)))) {
     return std::nullopt;
+  }
   block.version = Get<std::uint64_t>(bytes, 24);
   for (std::size_t i = 0; i < kTagsPerBlock; ++i) {
     const std::size_t at = kTagHead + i * kTagBytes;
@@ -217,13 +246,20 @@
 }
 
 std::optional<RecordHead> DecodeHead(std::string_view bytes, std::uint64_t export_id) {
-  if (bytes.size() < kSector || bytes.substr(0, kRecordMagic.size()) != kRecordMagic) return std::nullopt;
-  if (Get<std::uint64_t>(bytes, 8) != export_id) return std::nullopt;
+  if (bytes.size() < kSector || bytes.substr(0, kRecordMagic.size()) != kRecordMagic) {
+    return std::nullopt;
+  }
+  if (Get<std::uint64_t>(bytes, 8) != export_id) {
+    return std::nullopt;
+  }
   const std::size_t count = Get<std::uint16_t>(bytes, 52);
   const std::size_t size = HeadSize(count);
-  if (count > kMostRecordBlocks || bytes.size() < size) return std::nullopt;
-  if (Get<std::uint32_t>(bytes, 56) != Crc32c(bytes.substr(60, size - 60), Crc32c(bytes.substr(0, 56))))
+  if (count > kMostRecordBlocks || bytes.size() < size) {
     return std::nullopt;
+  }
+  if (Get<std::uint32_t>(bytes, 56) != Crc32c(bytes.substr(60, size - 60), Crc32c(bytes.substr(0, 56)))) {
+    return std::nullopt;
+  }
   RecordHead head;
   head.sequence = Get<std::uint64_t>(bytes, 16);
   head.epoch = Get<std::uint64_t>(bytes, 24);
@@ -240,7 +276,9 @@
   // Records that only fill may be of any size; the others have the one that their blocks give.
   const bool size_fits = count == 0 ? head.size >= kSector && head.size % kSector == 0
                                     : head.size == RecordSize(count, head.has_data);
-  if (!size_fits) return std::nullopt;
+  if (!size_fits) {
+    return std::nullopt;
+  }
   return head;
 }
 
@@ -249,13 +287,20 @@
 }
 
 bool DataFits(const RecordHead& head, std::string_view bytes, std::uint64_t export_id) {
-  if (head.blocks.empty()) return true;
-  if (bytes.size() < head.size) return false;
-  if (!head.has_data) return true;
+  if (head.blocks.empty()) {
+    return true;
+  }
+  if (bytes.size() < head.size) {
+    return false;
+  }
+  if (!head.has_data) {
+    return true;
+  }
   for (std::size_t i = 0; i < head.blocks.size(); ++i) {
     const RecordBlock& b = head.blocks[i];
-    if (TagSum(DataSum(DataOf(head, bytes, i)), export_id, head.first + i, b.generation) != b.sum)
+    if (TagSum(DataSum(DataOf(head, bytes, i)), export_id, head.first + i, b.generation) != b.sum) {
       return false;
+    }
   }
   return true;
 }
--- a/src/integrity/ledger.cpp
+++ b/src/integrity/ledger.cpp
@@ -21,8 +21,9 @@
  public:
   template <typename T>
   void Put(T value) {
-    for (std::size_t i = 0; i < sizeof(T); ++i)
+    for (std::size_t i = 0; i < sizeof(T); ++i) {
       out.push_back(static_cast<char>(static_cast<std::uint64_t>(value) >> (8 * i) & 0xff));
+    }
   }
   void Put(const std::string& text) {
     Put(static_cast<std::uint32_t>(text.size()));
@@ -36,17 +37,22 @@
   explicit Reader(std::string_view in) : in_(in) {}
   template <typename T>
   bool Get(T* value) {
-    if (in_.size() < sizeof(T)) return false;
+    if (in_.size() < sizeof(T)) {
+      return false;
+    }
     std::uint64_t bits = 0;
-    for (std::size_t i = 0; i < sizeof(T); ++i)
+    for (std::size_t i = 0; i < sizeof(T); ++i) {
       bits |= static_cast<std::uint64_t>(static_cast<unsigned char>(in_[i])) << (8 * i);
+    }
     in_.remove_prefix(sizeof(T));
     *value = static_cast<T>(bits);
     return true;
   }
   bool Get(std::string* text) {
     std::uint32_t size = 0;
-    if (!Get(&size) || size > kMostName || in_.size() < size) return false;
+    if (!Get(&size) || size > kMostName || in_.size() < size) {
+      return false;
+    }
     *text = in_.substr(0, size);
     in_.remove_prefix(size);
     return true;
@@ -64,7 +70,9 @@
 }  // namespace
 
 void Ledger::MakeRoom() {
-  if (entries_.size() < most_) return;
+  if (entries_.size() < most_) {
+    return;
+  }
   // What is mended goes first, then what was seen the longest ago.
   const auto least = std::min_element(entries_.begin(), entries_.end(), [](const auto& a, const auto& b) {
     return std::pair(!a.second.mended, a.second.last) < std::pair(!b.second.mended, b.second.last);
@@ -74,9 +82,13 @@
 }
 
 void Ledger::Note(const Place& place, const Verdict& verdict, std::int64_t now) {
-  if (!entries_.contains(place)) MakeRoom();
+  if (!entries_.contains(place)) {
+    MakeRoom();
+  }
   Entry& entry = entries_[place];
-  if (entry.times == 0) entry.first = now;
+  if (entry.times == 0) {
+    entry.first = now;
+  }
   entry.fault = verdict.fault;
   entry.last = now;
   entry.path = verdict.path;
@@ -93,9 +105,12 @@
     }
   } else if (verdict.fault == Fault::kLost) {
     for (const auto& [at, other] : entries_) {
-      if (other.fault != Fault::kAstray || other.mended || other.belongs_to != place.block || at == place)
+      if (other.fault != Fault::kAstray || other.mended || other.belongs_to != place.block || at == place) {
         continue;
-      if (at.box != place.box || at.remote != place.remote) continue;
+      }
+      if (at.box != place.box || at.remote != place.remote) {
+        continue;
+      }
       entry.fault = Fault::kAstray;
       entry.belongs_to = place.block;
       break;
@@ -105,7 +120,9 @@
 
 void Ledger::Mend(const Place& place, std::int64_t now) {
   const auto at = entries_.find(place);
-  if (at == entries_.end() || at->second.mended) return;
+  if (at == entries_.end() || at->second.mended) {
+    return;
+  }
   at->second.mended = true;
   at->second.last = now;
   changed_ = true;
@@ -118,7 +135,7 @@
 
 bool Ledger::IsBad(const Place& place) const {
   const Entry* entry = Find(place);
-  return entry && !entry->mended;
+  return (entry != nullptr) && !entry->mended;
 }
 
 std::size_t Ledger::bad() const {
@@ -156,40 +173,53 @@
     *what = std::move(why);
     return false;
   };
-  if (bytes.size() < kHead || bytes.substr(0, kMagic.size()) != kMagic) return refuse("is no damage ledger");
-  std::uint16_t version = 0, spare = 0;
-  std::uint32_t count = 0, dropped = 0, sum = 0;
+  if (bytes.size() < kHead || bytes.substr(0, kMagic.size()) != kMagic) {
+    return refuse("is no damage ledger");
+  }
+  std::uint16_t version = 0;
+  std::uint16_t spare = 0;
+  std::uint32_t count = 0;
+  std::uint32_t dropped = 0;
+  std::uint32_t sum = 0;
   Reader head(bytes.substr(kMagic.size(), kHead - kMagic.size()));
   head.Get(&version);
   head.Get(&spare);
   head.Get(&count);
   head.Get(&dropped);
   head.Get(&sum);
-  if (version > kLedgerVersion)
+  if (version > kLedgerVersion) {
     return refuse("is of version " + std::to_string(version) + "; known are versions up to " +
                   std::to_string(kLedgerVersion));
-  if (Crc32c(bytes.substr(kHead), Crc32c(bytes.substr(0, kHead - 4))) != sum)
+  }
+  if (Crc32c(bytes.substr(kHead), Crc32c(bytes.substr(0, kHead - 4))) != sum) {
     return refuse("is cut off or damaged: its checksum does not fit");
+  }
   Reader body(bytes.substr(kHead));
   std::map<Place, Entry> entries;
   for (std::uint32_t i = 0; i < count; ++i) {
     Place place;
     Entry entry;
-    std::uint8_t fault = 0, mended = 0;
+    std::uint8_t fault = 0;
+    std::uint8_t mended = 0;
     std::int32_t path = 0;
     if (!body.Get(&place.box) || !body.Get(&place.remote) || !body.Get(&place.block) || !body.Get(&fault) ||
         !body.Get(&mended) || !body.Get(&entry.first) || !body.Get(&entry.last) || !body.Get(&entry.times) ||
-        !body.Get(&path) || !body.Get(&entry.belongs_to) || fault >= kFaults)
+        !body.Get(&path) || !body.Get(&entry.belongs_to) || fault >= kFaults) {
       return refuse("holds an entry that cannot be read");
+    }
     entry.fault = static_cast<Fault>(fault);
     entry.mended = mended != 0;
     entry.path = path;
     entries[place] = entry;
   }
-  if (!body.done()) return refuse("holds more than it says");
+  if (!body.done()) {
+    return refuse("holds more than it says");
+  }
   entries_ = std::move(entries);
   dropped_ = dropped;
-  while (entries_.size() > most_) MakeRoom();
+  while (entries_.size() > most_) {
+    MakeRoom();
+  }
   changed_ = false;
   return true;
 }
@@ -198,9 +228,13 @@
 
 LedgerFile::Found LedgerFile::Load(Ledger* ledger, std::string* what) {
   const std::optional<std::string> bytes = filestore::ReadWholeFile(path());
-  if (!bytes) return Found::kNone;
+  if (!bytes) {
+    return Found::kNone;
+  }
   std::string why;
-  if (ledger->Decode(*bytes, &why)) return Found::kRead;
+  if (ledger->Decode(*bytes, &why)) {
+    return Found::kRead;
+  }
   *what = path() + " " + why;
   refused_ = true;
   return Found::kRefused;
--- a/src/integrity/scrubber.cpp
+++ b/src/integrity/scrubber.cpp
@@ -33,7 +33,9 @@
   }
   if (next_ >= chunks_) {
     // A round ends with its last answer: the next one must not overtake it.
-    if (!under_way_.empty() || chunks_ == 0) return std::nullopt;
+    if (!under_way_.empty() || chunks_ == 0) {
+      return std::nullopt;
+    }
     next_ = 0;
     ++rounds_;
   }
@@ -58,14 +60,20 @@
 }
 
 void Scrubber::Recheck(std::uint64_t block) {
-  if (block >= blocks_ || rechecking_.size() >= kMostRechecks || !rechecking_.insert(block).second) return;
+  if (block >= blocks_ || rechecking_.size() >= kMostRechecks || !rechecking_.insert(block).second) {
+    return;
+  }
   rechecks_.push_back(block);
 }
 
 std::uint64_t Scrubber::position() const {
   std::uint64_t least = next_;
-  if (!under_way_.empty()) least = std::min(least, *under_way_.begin());
-  for (const std::uint64_t chunk : again_) least = std::min(least, chunk);
+  if (!under_way_.empty()) {
+    least = std::min(least, *under_way_.begin());
+  }
+  for (const std::uint64_t chunk : again_) {
+    least = std::min(least, chunk);
+  }
   return least;
 }
 
--- a/src/integrity/volume.cpp
+++ b/src/integrity/volume.cpp
@@ -30,10 +30,11 @@
 std::vector<Io> FormatPlan(std::uint64_t size, std::uint64_t journal, std::uint64_t export_id,
                            std::uint32_t most_io) {
   const auto geometry = Fit(size, journal);
-  if (!geometry)
+  if (!geometry) {
     throw std::runtime_error(
         "an export of " + std::to_string(size) + " bytes has no room for tags and a journal; allowed are " +
         std::to_string(std::max(journal, kLeastJournal) + 16 * kBlock) + " bytes or more");
+  }
   std::vector<Io> plan;
   const auto add = [&](IoKind kind, std::uint64_t offset, std::string data, bool fua) {
     Io io;
@@ -48,9 +49,10 @@
   };
   // Old superblocks go first: a format that is cut off leaves no export that looks whole.
   add(IoKind::kWrite, geometry->super_at, std::string(2 * kBlock, '\0'), true);
-  for (std::uint64_t at = geometry->tags_at; at < geometry->journal_at; at += most_io)
+  for (std::uint64_t at = geometry->tags_at; at < geometry->journal_at; at += most_io) {
     add(IoKind::kWrite, at, std::string(std::min<std::uint64_t>(most_io, geometry->journal_at - at), '\0'),
         false);
+  }
   add(IoKind::kFlush, 0, "", false);
   Superblock super;
   super.export_id = export_id;
@@ -62,7 +64,9 @@
 
 std::string Io::All() const {
   std::string all = data;
-  for (const Slice& slice : tail) all += slice.bytes;
+  for (const Slice& slice : tail) {
+    all += slice.bytes;
+  }
   return all;
 }
 
@@ -89,7 +93,9 @@
   io.length = length;
   io.fua = fua;
   ios_[io.id] = io;
-  if (kind == IoKind::kFlush) flushes_[io.id] = acked_;
+  if (kind == IoKind::kFlush) {
+    flushes_[io.id] = acked_;
+  }
   io.data = std::move(data);
   io.tail = std::move(tail);
   out_.push_back(std::move(io));
@@ -99,12 +105,15 @@
 void Volume::Break(std::string why) {
   state_ = State::kBroken;
   why_ = std::move(why);
-  for (const Command& command : std::exchange(early_, {}))
+  for (const Command& command : std::exchange(early_, {})) {
     results_.push_back({command.id, Result::Status::kRefused, "", {}});
+  }
 }
 
 void Volume::Answer(Op& op, Result::Status status, std::string data, std::vector<BadBlock> bad) {
-  if (!op.abandoned) results_.push_back({op.command.id, status, std::move(data), std::move(bad)});
+  if (!op.abandoned) {
+    results_.push_back({op.command.id, status, std::move(data), std::move(bad)});
+  }
   const CommandId id = op.command.id;
   std::erase(spaceless_, id);
   std::erase(locked_, id);
@@ -114,19 +123,23 @@
   }
   const std::unique_ptr<Op> gone = std::move(ops_.at(id));
   ops_.erase(id);
-  if (gone->command.kind == Command::Kind::kWrite || gone->command.kind == Command::Kind::kTrim)
+  if (gone->command.kind == Command::Kind::kWrite || gone->command.kind == Command::Kind::kTrim) {
     Unlock(*gone);
+  }
 }
 
 // ---- attaching ----
 
 void Volume::Attach() {
-  if (state_ != State::kNew) return;
+  if (state_ != State::kNew) {
+    return;
+  }
   state_ = State::kAttaching;
   const std::uint64_t all = options_.size / kBlock;
-  if (all < 3 || options_.most_io < 2 * kBlock)
+  if (all < 3 || options_.most_io < 2 * kBlock) {
     return Break("an export of " + std::to_string(options_.size) +
                  " bytes is smaller than its reserved region");
+  }
   Ask(IoKind::kRead, IoFor::kSuper, 0, (all - 2) * kBlock, 2 * kBlock);
 }
 
@@ -134,7 +147,9 @@
   const std::string_view bytes(data);
   const SuperRead read = ChooseSuper(DecodeSuper(bytes.substr(0, kBlock), options_.size),
                                      DecodeSuper(bytes.substr(kBlock), options_.size));
-  if (read.state != SuperState::kWhole) return Break(read.what);
+  if (read.state != SuperState::kWhole) {
+    return Break(read.what);
+  }
   super_ = read.super;
   Superblock next = super_;
   ++next.epoch;
@@ -173,8 +188,12 @@
   bool any = false;
   for (std::uint64_t i = 0; i + kSector <= journal_.size(); i += kSector) {
     const auto head = DecodeHead(std::string_view(journal_).substr(i), super_.export_id);
-    if (!head || head->sequence <= sequence || head->epoch < epoch || head->durable < sequence) continue;
-    if (any && found->sequence <= head->sequence) continue;
+    if (!head || head->sequence <= sequence || head->epoch < epoch || head->durable < sequence) {
+      continue;
+    }
+    if (any && found->sequence <= head->sequence) {
+      continue;
+    }
     *found = *head;
     *at = i;
     any = true;
@@ -195,7 +214,9 @@
     Version version;
     version.sequence = head.sequence;
     version.tag = {head.blocks[i].generation, head.blocks[i].sum, 0};
-    if (head.has_data) version.data = Own(std::string(DataOf(head, bytes, i)));
+    if (head.has_data) {
+      version.data = Own(std::string(DataOf(head, bytes, i)));
+    }
     overlay_[head.first + i].push_back(std::move(version));
     bad_.erase(head.first + i);
   }
@@ -206,21 +227,26 @@
 }
 
 void Volume::Replay() {
-  std::uint64_t at = super_.tail_at, sequence = super_.tail_sequence, epoch = super_.tail_epoch;
+  std::uint64_t at = super_.tail_at;
+  std::uint64_t sequence = super_.tail_sequence;
+  std::uint64_t epoch = super_.tail_epoch;
   const std::uint64_t size = journal_.size();
   while (true) {
     auto head = DecodeHead(std::string_view(journal_).substr(at), super_.export_id);
     // A record of an earlier epoch than the one before it was given up by an earlier replay.
     if (head && (head->sequence != sequence || head->epoch < epoch || at + head->size > size ||
-                 head->first + head->blocks.size() > super_.geometry.blocks || used_ + head->size >= size))
+                 head->first + head->blocks.size() > super_.geometry.blocks || used_ + head->size >= size)) {
       head.reset();
+    }
     if (head && DataFits(*head, std::string_view(journal_).substr(at), super_.export_id)) {
       epoch = head->epoch;
       Recover(*head, at, true);
     } else {
       RecordHead beyond;
       std::uint64_t beyond_at = 0;
-      if (!FindBeyond(sequence, epoch, &beyond_at, &beyond)) break;  // here the journal ends
+      if (!FindBeyond(sequence, epoch, &beyond_at, &beyond)) {
+        break;  // here the journal ends
+      }
       if (head) {
         MarkBad(head->first, head->blocks.size());
         Recover(*head, at, false);
@@ -244,21 +270,28 @@
   acked_ = sequence - 1;
   flushed_ = super_.tail_sequence - 1;
   state_ = State::kReady;
-  for (Command& command : std::exchange(early_, {})) Submit(std::move(command));
+  for (Command& command : std::exchange(early_, {})) {
+    Submit(std::move(command));
+  }
   Checkpoint();
 }
 
 // ---- commands ----
 
 void Volume::Submit(Command command) {
-  if (state_ == State::kBroken) return results_.push_back({command.id, Result::Status::kRefused, "", {}});
-  if (state_ != State::kReady) return early_.push_back(std::move(command));
+  if (state_ == State::kBroken) {
+    return results_.push_back({command.id, Result::Status::kRefused, "", {}});
+  }
+  if (state_ != State::kReady) {
+    return early_.push_back(std::move(command));
+  }
   const bool ranged = command.kind != Command::Kind::kFlush;
   const std::uint64_t end = command.offset + command.length;
   if (command.id == 0 || ops_.contains(command.id) ||
       (ranged && (command.length == 0 || end > size() || end < command.offset ||
-                  (command.kind == Command::Kind::kWrite && command.data.bytes.size() != command.length))))
+                  (command.kind == Command::Kind::kWrite && command.data.bytes.size() != command.length)))) {
     return results_.push_back({command.id, Result::Status::kRefused, "", {}});
+  }
   auto made = std::make_unique<Op>();
   Op& op = *made;
   op.command = std::move(command);
@@ -273,8 +306,9 @@
   const CommandId id = op.command.id;
   ops_[id] = std::move(made);
   if (op.command.kind == Command::Kind::kWrite &&
-      (op.count > kMostRecordBlocks || RecordSize(op.count, true) > super_.geometry.journal_size / 2))
+      (op.count > kMostRecordBlocks || RecordSize(op.count, true) > super_.geometry.journal_size / 2)) {
     return Answer(op, Result::Status::kRefused);
+  }
   switch (op.command.kind) {
     case Command::Kind::kRead:
       return Load(op);
@@ -283,7 +317,9 @@
       Ask(IoKind::kFlush, IoFor::kBarrier, id, 0, 0);
       return;
     case Command::Kind::kTrim:
-      if (op.count == 0) return Answer(op, Result::Status::kDone);
+      if (op.count == 0) {
+        return Answer(op, Result::Status::kDone);
+      }
       [[fallthrough]];
     case Command::Kind::kWrite:
       if (Conflicts(op)) {
@@ -298,31 +334,43 @@
 // A write waits for earlier ones on its blocks, and for earlier ones that wait themselves.
 bool Volume::Conflicts(const Op& op) const {
   const auto at = locks_.lower_bound(op.first);
-  if (at != locks_.end() && at->first < op.first + op.count) return true;
+  if (at != locks_.end() && at->first < op.first + op.count) {
+    return true;
+  }
   for (const CommandId id : locked_) {
-    if (id == op.command.id) return false;
+    if (id == op.command.id) {
+      return false;
+    }
     const Op& other = *ops_.at(id);
-    if (other.first < op.first + op.count && op.first < other.first + other.count) return true;
+    if (other.first < op.first + op.count && op.first < other.first + other.count) {
+      return true;
+    }
   }
   return false;
 }
 
 void Volume::Begin(Op& op) {
-  for (std::uint64_t block = op.first; block < op.first + op.count; ++block) locks_[block] = op.command.id;
+  for (std::uint64_t block = op.first; block < op.first + op.count; ++block) {
+    locks_[block] = op.command.id;
+  }
   Load(op);
 }
 
 void Volume::Unlock(const Op& op) {
   for (std::uint64_t block = op.first; block < op.first + op.count; ++block) {
     const auto at = locks_.find(block);
-    if (at != locks_.end() && at->second == op.command.id) locks_.erase(at);
+    if (at != locks_.end() && at->second == op.command.id) {
+      locks_.erase(at);
+    }
   }
   // One after the other: each that begins may change what the next one meets.
   for (bool begun = true; begun;) {
     begun = false;
     for (const CommandId id : locked_) {
       Op& next = *ops_.at(id);
-      if (Conflicts(next)) continue;
+      if (Conflicts(next)) {
+        continue;
+      }
       std::erase(locked_, id);
       Begin(next);
       begun = true;
@@ -334,11 +382,15 @@
 void Volume::Abandon(CommandId command) {
   std::erase_if(early_, [&](const Command& c) { return c.id == command; });
   const auto at = ops_.find(command);
-  if (at == ops_.end()) return;
+  if (at == ops_.end()) {
+    return;
+  }
   Op& op = *at->second;
   op.abandoned = true;
   // What has asked the box for nothing that could run ends here.
-  if (op.phase == Op::Phase::kLocked || op.phase == Op::Phase::kSpace) Answer(op, Result::Status::kRefused);
+  if (op.phase == Op::Phase::kLocked || op.phase == Op::Phase::kSpace) {
+    Answer(op, Result::Status::kRefused);
+  }
 }
 
 // Asks for what the command needs to know: tags of all its blocks, and data of those that it reads.
@@ -352,19 +404,28 @@
   const CommandId id = op.command.id;
   const std::uint64_t last = op.first + op.count - 1;
   for (std::uint64_t index = TagIndex(op.first); index <= TagIndex(last); ++index) {
-    if (CachedTags(index)) continue;
+    if (CachedTags(index)) {
+      continue;
+    }
     op.tags_missing.insert(index);
     LoadTags(index, id);
   }
   const auto wants = [&](std::uint64_t block) {
-    if (Newest(block) || bad_.contains(block)) return false;
-    if (op.command.kind == Command::Kind::kTrim) return false;
+    if (Newest(block) || bad_.contains(block)) {
+      return false;
+    }
+    if (op.command.kind == Command::Kind::kTrim) {
+      return false;
+    }
     if (op.command.kind == Command::Kind::kWrite) {  // the ragged ends alone
-      const std::uint64_t begin = block * kBlock, end = begin + kBlock;
-      if (op.command.offset <= begin && op.command.offset + op.command.length >= end) return false;
+      const std::uint64_t begin = block * kBlock;
+      const std::uint64_t end = begin + kBlock;
+      if (op.command.offset <= begin && op.command.offset + op.command.length >= end) {
+        return false;
+      }
     }
     const TagBlock* tags = CachedTags(TagIndex(block));
-    return !tags || !IsHole(tags->tags[block % kTagsPerBlock]);
+    return (tags == nullptr) || !IsHole(tags->tags[block % kTagsPerBlock]);
   };
   for (std::uint64_t block = op.first; block <= last;) {
     if (!wants(block)) {
@@ -372,18 +433,24 @@
       continue;
     }
     std::uint64_t end = block + 1;
-    while (end <= last && wants(end) && (end + 1 - block) * kBlock <= options_.most_io) ++end;
+    while (end <= last && wants(end) && (end + 1 - block) * kBlock <= options_.most_io) {
+      ++end;
+    }
     ++op.reading;
     Ask(IoKind::kRead, IoFor::kData, id, block * kBlock, static_cast<std::uint32_t>((end - block) * kBlock));
     block = end;
   }
-  if (op.reading == 0 && op.tags_missing.empty()) Loaded(op);
+  if (op.reading == 0 && op.tags_missing.empty()) {
+    Loaded(op);
+  }
 }
 
 void Volume::LoadTags(std::uint64_t index, CommandId command) {
   const bool asked = tag_waiters_.contains(index);
   tag_waiters_[index].insert(command);
-  if (!asked) Ask(IoKind::kRead, IoFor::kTags, command, super_.geometry.SlotAt(index, 0), 2 * kBlock);
+  if (!asked) {
+    Ask(IoKind::kRead, IoFor::kTags, command, super_.geometry.SlotAt(index, 0), 2 * kBlock);
+  }
 }
 
 // Whether a slot that cannot be read must be looked at again before the other one is believed: if it is the
@@ -393,7 +460,9 @@
   const std::uint32_t sum = DataSum(data);
   doubt.times = doubt.sum == sum ? doubt.times + 1 : 1;
   doubt.sum = sum;
-  if (doubt.times < kSureAfter) return true;
+  if (doubt.times < kSureAfter) {
+    return true;
+  }
   doubts_.erase(index);
   return false;
 }
@@ -401,7 +470,9 @@
 void Volume::OnTags(const Io& io, IoEnd end, const std::string& data) {
   const std::uint64_t index = (io.offset - super_.geometry.tags_at) / (2 * kBlock);
   const auto waiting = tag_waiters_.find(index);
-  if (waiting == tag_waiters_.end()) return;
+  if (waiting == tag_waiters_.end()) {
+    return;
+  }
   std::set<CommandId> waiters = std::move(waiting->second);
   tag_waiters_.erase(waiting);
   bool good = false;
@@ -418,7 +489,9 @@
     } else {
       good = !Doubtful(index, data) && best && !stale;
     }
-    if (good) Cache(std::move(*best));
+    if (good) {
+      Cache(std::move(*best));
+    }
     if (!good && !doubts_.contains(index)) {  // it is sure that nothing there holds
       TagsBad(index);
       good = true;
@@ -438,16 +511,24 @@
       continue;
     }
     const auto at = ops_.find(id);
-    if (at == ops_.end()) continue;
+    if (at == ops_.end()) {
+      continue;
+    }
     Op& op = *at->second;
     if (!good && end != IoEnd::kDone && id != io.command) {  // another command's trouble is not this one's
       LoadTags(index, id);
       continue;
     }
     op.tags_missing.erase(index);
-    if (!good && end == IoEnd::kDone) op.tags_bad.insert(index);
-    if (!good && end != IoEnd::kDone) op.io_failed = true;
-    if (op.reading == 0 && op.tags_missing.empty()) Loaded(op);
+    if (!good && end == IoEnd::kDone) {
+      op.tags_bad.insert(index);
+    }
+    if (!good && end != IoEnd::kDone) {
+      op.io_failed = true;
+    }
+    if (op.reading == 0 && op.tags_missing.empty()) {
+      Loaded(op);
+    }
   }
 }
 
@@ -457,13 +538,17 @@
   lost.index = index;
   const auto known = versions_.find(index);
   lost.version = known == versions_.end() ? 1 : known->second;
-  for (Tag& tag : lost.tags) tag.generation = kUnknown;
+  for (Tag& tag : lost.tags) {
+    tag.generation = kUnknown;
+  }
   Cache(std::move(lost));
 }
 
 void Volume::OnData(const Io& io, IoEnd end, std::string data) {
   const auto at = ops_.find(io.command);
-  if (at == ops_.end()) return;
+  if (at == ops_.end()) {
+    return;
+  }
   Op& op = *at->second;
   --op.reading;
   if (end != IoEnd::kDone || data.size() != io.length) {
@@ -472,33 +557,54 @@
     op.whole = std::move(data);
   } else {
     const Slice all = Own(std::move(data));
-    for (std::uint32_t i = 0; i < io.length; i += kBlock)
+    for (std::uint32_t i = 0; i < io.length; i += kBlock) {
       op.read[(io.offset + i) / kBlock] = all.Part(i, kBlock);
+    }
+  }
+  if (op.reading == 0 && op.tags_missing.empty()) {
+    Loaded(op);
   }
-  if (op.reading == 0 && op.tags_missing.empty()) Loaded(op);
 }
 
 std::optional<std::string_view> Volume::Came(const Op& op, std::uint64_t block) {
-  if (const auto at = op.read.find(block); at != op.read.end()) return at->second.bytes;
-  if (op.whole.empty()) return std::nullopt;
+  if (const auto at = op.read.find(block); at != op.read.end()) {
+    return at->second.bytes;
+  }
+  if (op.whole.empty()) {
+    return std::nullopt;
+  }
   return std::string_view(op.whole).substr((block - op.first) * kBlock, kBlock);
 }
 
 void Volume::Loaded(Op& op) {
   const bool reads = op.command.kind == Command::Kind::kRead;
-  if (op.io_failed) return Answer(op, reads ? Result::Status::kFailed : Result::Status::kRefused);
+  if (op.io_failed) {
+    return Answer(op, reads ? Result::Status::kFailed : Result::Status::kRefused);
+  }
   // A tag block may have been dropped again while another was awaited.
   for (std::uint64_t index = TagIndex(op.first); index <= TagIndex(op.first + op.count - 1); ++index) {
-    if (!op.tags_bad.contains(index) && !CachedTags(index)) return Load(op);
+    if (!op.tags_bad.contains(index) && !CachedTags(index)) {
+      return Load(op);
+    }
   }
   std::vector<BadBlock> bad;
   bool again = false;
-  if (!Check(op, &bad, &again)) return Load(op);
-  if (again) return Load(op);
-  if (reads) return FinishRead(op, std::move(bad));
+  if (!Check(op, &bad, &again)) {
+    return Load(op);
+  }
+  if (again) {
+    return Load(op);
+  }
+  if (reads) {
+    return FinishRead(op, std::move(bad));
+  }
   // A write needs its blocks' generations: it looks again until it is sure of the tags.
-  if (!op.tags_bad.empty()) return Load(op);
-  if (!bad.empty()) return Answer(op, Result::Status::kDamaged, "", std::move(bad));
+  if (!op.tags_bad.empty()) {
+    return Load(op);
+  }
+  if (!bad.empty()) {
+    return Answer(op, Result::Status::kDamaged, "", std::move(bad));
+  }
   Journal(op);
 }
 
@@ -515,14 +621,18 @@
         !writes || (op.command.kind == Command::Kind::kWrite &&
                     (op.command.offset > begin || op.command.offset + op.command.length < begin + kBlock));
     if (bad_.contains(block)) {
-      if (needed) bad->push_back({block, Looks::kRecordBad, 0, 0});
+      if (needed) {
+        bad->push_back({block, Looks::kRecordBad, 0, 0});
+      }
       continue;
     }
     if (op.tags_bad.contains(TagIndex(block))) {  // a write needs the generation of every block
       bad->push_back({block, Looks::kTagsBad, 0, 0});
       continue;
     }
-    if (!needed) continue;
+    if (!needed) {
+      continue;
+    }
     const Tag tag = TagOf(block);
     if (tag.generation == kUnknown) {
       bad->push_back({block, Looks::kTagsBad, 0, 0});
@@ -533,8 +643,12 @@
       continue;
     }
     const auto came = Came(op, block);
-    if (!came) return false;
-    if (TagSum(DataSum(*came), super_.export_id, block, tag.generation) == tag.sum) continue;
+    if (!came) {
+      return false;
+    }
+    if (TagSum(DataSum(*came), super_.export_id, block, tag.generation) == tag.sum) {
+      continue;
+    }
     // Read before, checked after a checkpoint had changed it.
     if (op.applies != applies_) {
       *again = true;
@@ -562,8 +676,12 @@
     for (std::size_t i = 0; i < kTagsPerBlock; ++i) {
       const Tag& other = cached.tags.tags[i];
       const std::uint64_t number = index * kTagsPerBlock + i;
-      if (number == block || IsHole(other) || other.generation == kUnknown) continue;
-      if (TagSum(bad.found, super_.export_id, number, other.generation) != other.sum) continue;
+      if (number == block || IsHole(other) || other.generation == kUnknown) {
+        continue;
+      }
+      if (TagSum(bad.found, super_.export_id, number, other.generation) != other.sum) {
+        continue;
+      }
       bad.looks = Looks::kElsewhere;
       bad.belongs_to = number;
       return bad;
@@ -574,8 +692,9 @@
 
 void Volume::FinishRead(Op& op, std::vector<BadBlock> bad) {
   // The usual read: nothing of it in the journal, nothing bad, and just what came.
-  if (bad.empty() && op.read.empty() && op.whole.size() == op.command.length)
+  if (bad.empty() && op.read.empty() && op.whole.size() == op.command.length) {
     return Answer(op, Result::Status::kDone, std::move(op.whole));
+  }
   std::string data;
   data.reserve(op.command.length);
   const std::uint64_t end = op.command.offset + op.command.length;
@@ -593,10 +712,13 @@
 
 // The whole content that a block of the write will have.
 Slice Volume::Merged(const Op& op, std::uint64_t block) const {
-  const std::uint64_t begin = block * kBlock, end = begin + kBlock;
+  const std::uint64_t begin = block * kBlock;
+  const std::uint64_t end = begin + kBlock;
   const std::uint64_t from = std::max(begin, op.command.offset);
   const std::uint64_t to = std::min(end, op.command.offset + op.command.length);
-  if (from == begin && to == end) return op.command.data.Part(from - op.command.offset, kBlock);
+  if (from == begin && to == end) {
+    return op.command.data.Part(from - op.command.offset, kBlock);
+  }
   std::string content(*Came(op, block));
   content.replace(from - begin, to - from, op.command.data.bytes, from - op.command.offset, to - from);
   return Own(std::move(content));
@@ -642,7 +764,9 @@
   Record& record = Append(size);
   record.command = op.command.id;
   record.first = op.first;
-  for (Version& version : versions) version.sequence = record.sequence;
+  for (Version& version : versions) {
+    version.sequence = record.sequence;
+  }
   record.versions = std::move(versions);
   RecordHead head = HeadOf(record);
   head.has_data = has_data;
@@ -655,7 +779,9 @@
   for (const CommandId id : std::exchange(spaceless_, {})) {
     const auto at = ops_.find(id);
     // Its blocks are locked, but a checkpoint may have moved their tags out of memory.
-    if (at != ops_.end()) Load(*at->second);
+    if (at != ops_.end()) {
+      Load(*at->second);
+    }
   }
 }
 
@@ -676,8 +802,9 @@
   head.size = record.size;
   head.before_first = last_first_;
   head.before_count = last_count_;
-  for (const Version& version : record.versions)
+  for (const Version& version : record.versions) {
     head.blocks.push_back({version.tag.generation, version.tag.sum});
+  }
   return head;
 }
 
@@ -705,14 +832,18 @@
   std::string bytes = Encode(head, "", super_.export_id);
   record.asked = true;
   auto length = static_cast<std::uint32_t>(bytes.size());
-  for (const Slice& slice : data) length += static_cast<std::uint32_t>(slice.bytes.size());
+  for (const Slice& slice : data) {
+    length += static_cast<std::uint32_t>(slice.bytes.size());
+  }
   const IoId id = Ask(IoKind::kWrite, IoFor::kJournal, record.failed ? 0 : record.command,
                       super_.geometry.journal_at + record.at, length, std::move(bytes), fua, std::move(data));
   ios_.at(id).offset = record.sequence;  // by which its end is found
 }
 
 Volume::Record* Volume::Find(std::uint64_t sequence) {
-  if (records_.empty() || sequence < records_.front().sequence) return nullptr;
+  if (records_.empty() || sequence < records_.front().sequence) {
+    return nullptr;
+  }
   const std::uint64_t index = sequence - records_.front().sequence;
   return index < records_.size() ? &records_[index] : nullptr;
 }
@@ -727,7 +858,9 @@
 
 void Volume::OnRecord(std::uint64_t sequence, IoEnd end) {
   Record* record = Find(sequence);
-  if (!record) return;
+  if (!record) {
+    return;
+  }
   record->asked = false;
   if (end == IoEnd::kDone) {
     record->state = record->failed ? Record::State::kVoid : Record::State::kDone;
@@ -737,8 +870,9 @@
     const auto at = ops_.find(record->command);
     record->versions.clear();
     Void(*record);
-    if (at != ops_.end())
+    if (at != ops_.end()) {
       Answer(*at->second, end == IoEnd::kNeverRan ? Result::Status::kRefused : Result::Status::kFailed);
+    }
   }
   // A void one that fails as well waits for the owner's next Checkpoint: no use in asking a dead box at once.
 }
@@ -747,12 +881,17 @@
   for (Record* next = Find(acked_ + 1); next && next->state != Record::State::kWriting;
        next = Find(acked_ + 1)) {
     ++acked_;
-    if (options_.fua_journal) flushed_ = acked_;
-    for (std::size_t i = 0; i < next->versions.size(); ++i)
+    if (options_.fua_journal) {
+      flushed_ = acked_;
+    }
+    for (std::size_t i = 0; i < next->versions.size(); ++i) {
       overlay_[next->first + i].push_back(std::move(next->versions[i]));
+    }
     next->versions.clear();
     const auto at = ops_.find(next->command);
-    if (at == ops_.end() || next->command == 0 || next->failed) continue;
+    if (at == ops_.end() || next->command == 0 || next->failed) {
+      continue;
+    }
     Op& op = *at->second;
     if (op.command.fua && !options_.fua_journal) {
       // Not by a flag on the record: it would be durable without those before it.
@@ -763,18 +902,25 @@
     }
   }
   if (static_cast<double>(used_) >=
-      options_.checkpoint_at * static_cast<double>(super_.geometry.journal_size))
+      options_.checkpoint_at * static_cast<double>(super_.geometry.journal_size)) {
     Checkpoint();
+  }
 }
 
 // ---- checkpoints ----
 
 void Volume::Checkpoint() {
-  if (state_ != State::kReady) return;
+  if (state_ != State::kReady) {
+    return;
+  }
   for (Record& record : records_) {
-    if (record.failed && record.state == Record::State::kWriting && !record.asked) Void(record);
+    if (record.failed && record.state == Record::State::kWriting && !record.asked) {
+      Void(record);
+    }
+  }
+  if (stage_ != Stage::kNone || records_.empty() || acked_ < records_.front().sequence) {
+    return;
   }
-  if (stage_ != Stage::kNone || records_.empty() || acked_ < records_.front().sequence) return;
   target_ = acked_;
   stage_failed_ = false;
   Barrier(Stage::kBarrier);
@@ -793,30 +939,44 @@
   if (applying_.empty() && applying_unknown_.empty()) {
     for (const auto& [block, versions] : overlay_) {
       for (const Version& version : versions) {
-        if (version.sequence <= target_) applying_[block] = version;
+        if (version.sequence <= target_) {
+          applying_[block] = version;
+        }
       }
     }
     for (const auto& [block, looks] : bad_) {
-      if (!applying_.contains(block)) applying_unknown_.insert(block);
+      if (!applying_.contains(block)) {
+        applying_unknown_.insert(block);
+      }
     }
   }
   std::set<std::uint64_t> needed;
-  for (const auto& [block, version] : applying_) needed.insert(TagIndex(block));
-  for (const std::uint64_t block : applying_unknown_) needed.insert(TagIndex(block));
+  for (const auto& [block, version] : applying_) {
+    needed.insert(TagIndex(block));
+  }
+  for (const std::uint64_t block : applying_unknown_) {
+    needed.insert(TagIndex(block));
+  }
   bool all = true;
   for (const std::uint64_t index : needed) {
-    if (applying_tags_.contains(index)) continue;
+    if (applying_tags_.contains(index)) {
+      continue;
+    }
     if (const TagBlock* tags = CachedTags(index)) {
       applying_tags_[index] = *tags;
       continue;
     }
     all = false;
     if (!tag_waiters_[index].contains(0)) {
-      if (tag_waiters_[index].empty()) tag_waiters_.erase(index);
+      if (tag_waiters_[index].empty()) {
+        tag_waiters_.erase(index);
+      }
       LoadTags(index, 0);
     }
   }
-  if (all) Apply();
+  if (all) {
+    Apply();
+  }
 }
 
 void Volume::Apply() {
@@ -832,21 +992,31 @@
                                                                              : 0;
     tag = next;
   }
-  for (const std::uint64_t block : applying_unknown_)
+  for (const std::uint64_t block : applying_unknown_) {
     applying_tags_.at(TagIndex(block)).tags[block % kTagsPerBlock] = {kUnknown, 0, 0};
+  }
   std::vector<Slice> run;
-  std::uint64_t start = 0, length = 0;
+  std::uint64_t start = 0;
+  std::uint64_t length = 0;
   const auto put = [&] {
-    if (run.empty()) return;
+    if (run.empty()) {
+      return;
+    }
     ++stage_left_;
     Ask(IoKind::kWrite, IoFor::kApply, 0, start * kBlock, static_cast<std::uint32_t>(length), "", false,
         std::exchange(run, {}));
     length = 0;
   };
   for (const auto& [block, version] : applying_) {
-    if (!version.data) continue;
-    if (block != start + length / kBlock || length + kBlock > options_.most_io) put();
-    if (run.empty()) start = block;
+    if (!version.data) {
+      continue;
+    }
+    if (block != start + length / kBlock || length + kBlock > options_.most_io) {
+      put();
+    }
+    if (run.empty()) {
+      start = block;
+    }
     Join(&run, version.data);
     length += kBlock;
   }
@@ -857,12 +1027,18 @@
     Ask(IoKind::kWrite, IoFor::kApply, 0, super_.geometry.SlotAt(index, static_cast<int>(tags.version % 2)),
         kBlock, Encode(tags, super_.export_id));
   }
-  if (stage_left_ == 0) Barrier(Stage::kSecondBarrier);
+  if (stage_left_ == 0) {
+    Barrier(Stage::kSecondBarrier);
+  }
 }
 
 void Volume::OnStage(IoEnd end) {
-  if (end != IoEnd::kDone) stage_failed_ = true;
-  if (stage_left_ > 0 && --stage_left_ > 0) return;
+  if (end != IoEnd::kDone) {
+    stage_failed_ = true;
+  }
+  if (stage_left_ > 0 && --stage_left_ > 0) {
+    return;
+  }
   if (stage_failed_) {  // all of it again when the owner asks: what is in place already comes to the same
     stage_ = Stage::kNone;
     applying_.clear();
@@ -913,11 +1089,17 @@
   for (const auto& [block, version] : applying_) {
     auto& versions = overlay_.at(block);
     std::erase_if(versions, [&](const Version& v) { return v.sequence <= target_; });
-    if (versions.empty()) overlay_.erase(block);
+    if (versions.empty()) {
+      overlay_.erase(block);
+    }
+    bad_.erase(block);
+  }
+  for (const std::uint64_t block : applying_unknown_) {
     bad_.erase(block);
   }
-  for (const std::uint64_t block : applying_unknown_) bad_.erase(block);
-  for (auto& [index, tags] : applying_tags_) Cache(std::move(tags));
+  for (auto& [index, tags] : applying_tags_) {
+    Cache(std::move(tags));
+  }
   applying_.clear();
   applying_unknown_.clear();
   applying_tags_.clear();
@@ -927,36 +1109,48 @@
   Trim();
   const bool more = std::exchange(wanted_, false);
   Retry();
-  if (more && wanted_) Checkpoint();
+  if (more && wanted_) {
+    Checkpoint();
+  }
 }
 
 // ---- ends ----
 
 void Volume::Ended(IoId id, IoEnd end, std::string data) {
   const auto at = ios_.find(id);
-  if (at == ios_.end()) return;
+  if (at == ios_.end()) {
+    return;
+  }
   const Io io = at->second;
   ios_.erase(at);
   if (io.kind == IoKind::kFlush) {
     const std::uint64_t covered = flushes_.at(id);
     flushes_.erase(id);
-    if (end == IoEnd::kDone) flushed_ = std::max(flushed_, covered);
+    if (end == IoEnd::kDone) {
+      flushed_ = std::max(flushed_, covered);
+    }
+  }
+  if (state_ == State::kBroken) {
+    return;
   }
-  if (state_ == State::kBroken) return;
   if (state_ == State::kAttaching) {
     if (end != IoEnd::kDone || (io.kind == IoKind::kRead && data.size() != io.length)) {
       journal_parts_ = 0;
       ios_.clear();
       return Break("the box did not carry out what attaching the export needs");
     }
-    if (io.kind == IoKind::kRead && io.purpose == IoFor::kSuper) return OnSuper(data);
+    if (io.kind == IoKind::kRead && io.purpose == IoFor::kSuper) {
+      return OnSuper(data);
+    }
     if (io.kind == IoKind::kWrite) {
       ++super_.sequence;
       ++super_.epoch;
       return ReadJournal();
     }
     journal_.replace(io.offset - super_.geometry.journal_at, io.length, data);
-    if (--journal_parts_ == 0) Replay();
+    if (--journal_parts_ == 0) {
+      Replay();
+    }
     return;
   }
   switch (io.purpose) {
@@ -970,9 +1164,12 @@
     case IoFor::kSuper:
       return OnStage(end);
     case IoFor::kBarrier:
-      if (io.command == 0) return OnStage(end);
-      if (const auto op = ops_.find(io.command); op != ops_.end())
+      if (io.command == 0) {
+        return OnStage(end);
+      }
+      if (const auto op = ops_.find(io.command); op != ops_.end()) {
         Answer(*op->second, end == IoEnd::kDone ? Result::Status::kDone : Result::Status::kFailed);
+      }
   }
 }
 
@@ -989,7 +1186,9 @@
 
 TagBlock* Volume::CachedTags(std::uint64_t index) {
   const auto at = tags_.find(index);
-  if (at == tags_.end()) return nullptr;
+  if (at == tags_.end()) {
+    return nullptr;
+  }
   ages_.splice(ages_.begin(), ages_, at->second.age);
   return &at->second.tags;
 }
@@ -1012,7 +1211,9 @@
 void Volume::Trim() {
   for (auto at = ages_.end(); tags_.size() > options_.most_tag_blocks && at != ages_.begin();) {
     --at;
-    if (applying_tags_.contains(*at) || at == ages_.begin()) continue;
+    if (applying_tags_.contains(*at) || at == ages_.begin()) {
+      continue;
+    }
     tags_.erase(*at);
     at = ages_.erase(at);
   }
--- a/src/lab/box/box.cpp
+++ b/src/lab/box/box.cpp
@@ -50,13 +50,16 @@
 
 Box::Box(const BoxOptions& options) : options_(options) {
   static const int threads = evthread_use_pthreads();
-  if (threads != 0) throw std::runtime_error("libevent has no threads");
+  if (threads != 0) {
+    throw std::runtime_error("libevent has no threads");
+  }
   disk_ = std::make_unique<Disk>(options.size, options.seed, options.file);
   disk_->KeepHistory();
   exports_.push_back({options.export_name, options.size, kLargest, options.flags});
   ports_.assign(static_cast<std::size_t>(options.paths + (options.http ? 1 : 0)), 0);
-  for (std::size_t i = 0; options.first_port > 0 && i < ports_.size(); ++i)
+  for (std::size_t i = 0; options.first_port > 0 && i < ports_.size(); ++i) {
     ports_[i] = options.first_port + static_cast<int>(i);
+  }
   Listen();
 }
 
@@ -78,8 +81,9 @@
         },
         made.get(), LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC, 256,
         reinterpret_cast<sockaddr*>(&address), sizeof address));
-    if (!made->listener)
+    if (!made->listener) {
       throw std::runtime_error(std::string("the box cannot listen: ") + std::strerror(errno));
+    }
     socklen_t length = sizeof address;
     getsockname(evconnlistener_get_fd(made->listener.get()), reinterpret_cast<sockaddr*>(&address), &length);
     ports_[i] = ntohs(address.sin_port);
@@ -103,7 +107,9 @@
 }
 
 void Box::Restart(bool power) {
-  if (power) WithDisk([](Disk& disk) { disk.Crash(); });
+  if (power) {
+    WithDisk([](Disk& disk) { disk.Crash(); });
+  }
   Listen();
   Start();
 }
@@ -169,7 +175,9 @@
       nullptr,
       [](bufferevent*, short what, void* arg) {
         auto* self = static_cast<Connection*>(arg);
-        if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) self->owner->connections_.erase(self->number);
+        if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) {
+          self->owner->connections_.erase(self->number);
+        }
       },
       c);
   connections_[c->number] = std::move(made);
@@ -210,17 +218,27 @@
     std::string_view left(bytes);
     while (!left.empty() && !c.reader.malformed()) {
       left.remove_prefix(c.reader.Feed(left));
-      if (c.reader.complete()) OnHttp(c);
+      if (c.reader.complete()) {
+        OnHttp(c);
+      }
+    }
+    if (c.reader.malformed()) {
+      connections_.erase(number);
     }
-    if (c.reader.malformed()) connections_.erase(number);
     return;
   }
   std::string out;
   std::vector<nbd::Request> requests;
   c.session.Feed(bytes, &out, &requests);
-  if (!out.empty()) bufferevent_write(c.stream.get(), out.data(), out.size());
-  for (const nbd::Request& request : requests) OnNbd(c, request);
-  if (c.session.ended()) connections_.erase(number);
+  if (!out.empty()) {
+    bufferevent_write(c.stream.get(), out.data(), out.size());
+  }
+  for (const nbd::Request& request : requests) {
+    OnNbd(c, request);
+  }
+  if (c.session.ended()) {
+    connections_.erase(number);
+  }
 }
 
 Fault* Box::Fitting(std::initializer_list<Damage> kinds, int path, std::uint64_t offset,
@@ -234,15 +252,20 @@
 
 void Box::Struck(Fault& fault) {
   ++struck_[fault.damage];
-  if (fault.times > 0) --fault.times;
+  if (fault.times > 0) {
+    --fault.times;
+  }
 }
 
 // Of a longer read only the part that the fault is about is damaged.
 std::string Box::Read(int path, std::uint64_t offset, std::uint32_t length) {
   std::string data = disk_->Read(offset, length);
   Fault* fault = Fitting({Damage::kFlipPath, Damage::kStale}, path, offset, length);
-  if (!fault) return data;
-  const std::uint64_t from = std::max(fault->from, offset), to = std::min(fault->to, offset + length);
+  if (!fault) {
+    return data;
+  }
+  const std::uint64_t from = std::max(fault->from, offset);
+  const std::uint64_t to = std::min(fault->to, offset + length);
   std::string part;
   if (fault->damage == Damage::kStale) {
     part = disk_->Before(from, static_cast<std::uint32_t>(to - from));
@@ -257,12 +280,17 @@
 
 void Box::Write(std::uint64_t offset, const std::string& data, bool fua) {
   Fault* fault = Fitting({Damage::kLost, Damage::kAstray, Damage::kTorn}, -1, offset, data.size());
-  if (!fault) return disk_->Write(offset, data, fua);
-  const std::uint64_t from = std::max(fault->from, offset), to = std::min(fault->to, offset + data.size());
+  if (!fault) {
+    return disk_->Write(offset, data, fua);
+  }
+  const std::uint64_t from = std::max(fault->from, offset);
+  const std::uint64_t to = std::min(fault->to, offset + data.size());
   const std::string part = data.substr(from - offset, to - from);
   disk_->Write(offset, data.substr(0, from - offset), fua);
   disk_->Write(to, data.substr(to - offset), fua);
-  if (fault->damage == Damage::kAstray) disk_->Write(fault->elsewhere, part, fua);
+  if (fault->damage == Damage::kAstray) {
+    disk_->Write(fault->elsewhere, part, fua);
+  }
   if (fault->damage == Damage::kTorn) {
     const std::uint64_t sectors = part.size() / Disk::kSector;
     const std::uint64_t kept = 1 + disk_->Draw(sectors > 1 ? sectors - 1 : 1);
@@ -299,7 +327,8 @@
 void Box::OnHttp(Connection& c) {
   ++commands_;
   http::MessageReader& read = c.reader;
-  std::string head = "HTTP/1.1 200 OK\r\n", body;
+  std::string head = "HTTP/1.1 200 OK\r\n";
+  std::string body;
   const std::string key = read.uri();
   if (key == "/-/healthy") {
   } else if (read.method() == "PUT") {
@@ -311,26 +340,35 @@
       const auto old = objects_.find(key);
       const std::string before = old == objects_.end() ? "" : old->second.substr(old->second.find('\n') + 1);
       // The box's index has the new digest, its disk has not the new bytes.
-      if (fault->damage == Damage::kLost) stored = digest + "\n" + before;
+      if (fault->damage == Damage::kLost) {
+        stored = digest + "\n" + before;
+      }
       if (fault->damage == Damage::kAstray) {  // another object gets the bytes, and keeps its digest
         stored = digest + "\n" + before;
         for (auto& [name, other] : objects_) {
-          if (name == key) continue;
+          if (name == key) {
+            continue;
+          }
           other = other.substr(0, other.find('\n') + 1) + read.body();
           break;
         }
       }
-      if (fault->damage == Damage::kTorn)
+      if (fault->damage == Damage::kTorn) {
         stored = digest + "\n" + read.body().substr(0, read.body().size() / 2);
+      }
+    }
+    if (const auto old = objects_.find(key); old != objects_.end()) {
+      previous_[key] = old->second;
     }
-    if (const auto old = objects_.find(key); old != objects_.end()) previous_[key] = old->second;
     objects_[key] = stored;
     body = "stored";
   } else if (const auto at = objects_.find(key); at != objects_.end()) {
     const std::size_t end = at->second.find('\n');
     const std::string digest = at->second.substr(0, end);
     body = at->second.substr(end + 1);
-    if (!digest.empty()) head += "Content-Digest: " + digest + "\r\n";
+    if (!digest.empty()) {
+      head += "Content-Digest: " + digest + "\r\n";
+    }
     if (Fault* fault = Fitting({Damage::kFlipPath, Damage::kStale}, -1, 0, 1); fault && !body.empty()) {
       const auto old = previous_.find(key);
       if (fault->damage == Damage::kStale && old != previous_.end()) {
--- a/src/lab/box/main.cpp
+++ b/src/lab/box/main.cpp
@@ -47,14 +47,19 @@
     Box box(options);
     for (const Damage kind : {Damage::kFlipPath, Damage::kFlipRest, Damage::kLost, Damage::kAstray,
                               Damage::kStale, Damage::kTorn}) {
-      if (damage != NameOf(kind)) continue;
+      if (damage != NameOf(kind)) {
+        continue;
+      }
       fault.damage = kind;
       box.Add(fault);
     }
     box.Start();
-    for (int path = 0; path < options.paths; ++path)
+    for (int path = 0; path < options.paths; ++path) {
       std::printf("nbd %s:%d\n", options.host.c_str(), box.port(path));
-    if (options.http) std::printf("http %s:%d\n", options.host.c_str(), box.http_port());
+    }
+    if (options.http) {
+      std::printf("http %s:%d\n", options.host.c_str(), box.http_port());
+    }
     std::fflush(stdout);
     int signal = 0;
     sigwait(&ends, &signal);
--- a/src/lab/discovery.cpp
+++ b/src/lab/discovery.cpp
@@ -30,23 +30,31 @@
 
 Discovery::Discovery() : listener_(nullptr, evconnlistener_free) {
   static const int threads = evthread_use_pthreads();
-  if (threads != 0) throw std::runtime_error("libevent has no threads");
+  if (threads != 0) {
+    throw std::runtime_error("libevent has no threads");
+  }
   base_.reset(event_base_new());
   stop_ = loop::EventHandle(base_.get(), -1, EV_PERSIST, [this] { event_base_loopbreak(base_.get()); });
   changed_ = loop::EventHandle(base_.get(), -1, EV_PERSIST, [this] {
     std::string line;
     {
       const std::lock_guard lock(mutex_);
-      if (news_.empty()) return;
+      if (news_.empty()) {
+        return;
+      }
       line = List(false, std::exchange(news_, {}));
     }
     for (auto& [key, connection] : connections_) {
-      if (connection->watches) Tell(*connection, line);
+      if (connection->watches) {
+        Tell(*connection, line);
+      }
     }
   });
   beat_ = loop::EventHandle(base_.get(), -1, EV_PERSIST, [this] {
     for (auto& [key, connection] : connections_) {
-      if (connection->watches) Tell(*connection, "");
+      if (connection->watches) {
+        Tell(*connection, "");
+      }
     }
   });
   beat_.Start(kBeat);
@@ -58,7 +66,9 @@
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, 64, reinterpret_cast<sockaddr*>(&address),
       sizeof address));
-  if (!listener_) throw std::runtime_error("discovery cannot listen");
+  if (!listener_) {
+    throw std::runtime_error("discovery cannot listen");
+  }
   socklen_t length = sizeof address;
   getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&address), &length);
   port_ = ntohs(address.sin_port);
@@ -77,7 +87,9 @@
     const std::lock_guard lock(mutex_);
     ++revision_;
     members_[member.id] = news_[member.id] = member;
-    if (member.phase == "DELETED") members_.erase(member.id);
+    if (member.phase == "DELETED") {
+      members_.erase(member.id);
+    }
   }
   changed_.Activate();
 }
@@ -119,7 +131,9 @@
       nullptr,
       [](bufferevent*, short what, void* arg) {
         auto* self = static_cast<Connection*>(arg);
-        if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) self->owner->connections_.erase(self);
+        if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) {
+          self->owner->connections_.erase(self);
+        }
       },
       c);
   connections_[c] = std::move(made);
@@ -132,7 +146,9 @@
   std::string bytes(evbuffer_get_length(input), '\0');
   evbuffer_remove(input, bytes.data(), bytes.size());
   c.reader.Feed(bytes);
-  if (!c.reader.complete()) return;
+  if (!c.reader.complete()) {
+    return;
+  }
   std::string list;
   {
     const std::lock_guard lock(mutex_);
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -47,7 +47,9 @@
 
 const char* NameOf(Trouble trouble) {
   for (const auto& [known, name] : kTroubles) {
-    if (known == trouble) return name;
+    if (known == trouble) {
+      return name;
+    }
   }
   return "";
 }
@@ -55,7 +57,9 @@
 const std::vector<Key>& ExperimentKeys() {
   static const std::vector<Key> keys = [] {
     std::vector<std::string> troubles;
-    for (const auto& [trouble, name] : kTroubles) troubles.emplace_back(name);
+    for (const auto& [trouble, name] : kTroubles) {
+      troubles.emplace_back(name);
+    }
     Key fault = Word("fault[].kind", "", troubles, "what goes wrong");
     fault.needed = true;
     return std::vector<Key>{
@@ -128,13 +132,18 @@
   };
   std::set<std::string> names;
   for (const ClassPlan& c : e.classes) {
-    if (!names.insert(c.name).second) return "class '" + c.name + "' is there twice";
-    if (c.cls.latency_objective > c.cls.deadline)
+    if (!names.insert(c.name).second) {
+      return "class '" + c.name + "' is there twice";
+    }
+    if (c.cls.latency_objective > c.cls.deadline) {
       return "class '" + c.name + "': its aim is over its deadline";
+    }
   }
   names.clear();
   for (const TenantPlan& p : e.tenants) {
-    if (!names.insert(p.name).second) return "plan '" + p.name + "' is there twice";
+    if (!names.insert(p.name).second) {
+      return "plan '" + p.name + "' is there twice";
+    }
   }
   const auto tables = root.tables.find("fault");
   for (std::size_t i = 0; i < e.faults.size(); ++i) {
@@ -144,18 +153,25 @@
     const int most = f.trouble == Trouble::kCut     ? e.zones
                      : f.trouble == Trouble::kSurge ? static_cast<int>(e.tenants.size())
                                                     : e.boxes;
-    if (f.trouble != Trouble::kDeaf && f.first + f.count > most)
+    if (f.trouble != Trouble::kDeaf && f.first + f.count > most) {
       return what + "it names " + std::to_string(f.first + f.count) + " of " + std::to_string(most);
-    if (f.at >= e.length) return what + "it begins after the end";
+    }
+    if (f.at >= e.length) {
+      return what + "it begins after the end";
+    }
     for (std::size_t j = 0; j < i; ++j) {  // a box cannot end twice at once
       const FaultPlan& g = e.faults[j];
       const auto ends = [](Trouble t) { return t == Trouble::kRestart || t == Trouble::kReplace; };
-      if (!ends(f.trouble) || !ends(g.trouble)) continue;
+      if (!ends(f.trouble) || !ends(g.trouble)) {
+        continue;
+      }
       const bool same = f.first < g.first + g.count && g.first < f.first + f.count;
-      const Time f_end = f.at + f.lasts + f.apart * f.count, g_end = g.at + g.lasts + g.apart * g.count;
-      if (same && f.at < g_end && g.at < f_end)
+      const Time f_end = f.at + f.lasts + f.apart * f.count;
+      const Time g_end = g.at + g.lasts + g.apart * g.count;
+      if (same && f.at < g_end && g.at < f_end) {
         return what + "it contradicts the fault " + NameOf(g.trouble) +
                " before it, of the same boxes at the same time";
+      }
     }
   }
   return "";
@@ -165,7 +181,9 @@
 
 Experiment ParseExperiment(const std::string& text, const std::string& file) {
   const config::Document document = config::Read(text, ExperimentKeys());
-  if (!document.problems.empty()) throw std::runtime_error(config::Line(file, document.problems.front()));
+  if (!document.problems.empty()) {
+    throw std::runtime_error(config::Line(file, document.problems.front()));
+  }
   const config::Table& root = document.root;
   const auto millis = [](const config::Table& t, const char* key) { return Micros(t.Number(key) / 1000); };
   const auto seconds = [](const config::Table& t, const char* key) { return Micros(t.Number(key)); };
@@ -224,7 +242,8 @@
     e.classes.push_back(c);
   }
   if (e.classes.empty()) {
-    ClassPlan read, write;
+    ClassPlan read;
+    ClassPlan write;
     read.name = "read";
     read.cls.latency_objective = 120'000;
     read.cls.deadline = 2'000'000;
@@ -254,7 +273,9 @@
   for (const config::Table& t : tables("fault")) {
     FaultPlan f;
     for (const auto& [trouble, name] : kTroubles) {
-      if (t.Text("kind") == name) f.trouble = trouble;
+      if (t.Text("kind") == name) {
+        f.trouble = trouble;
+      }
     }
     f.at = seconds(t, "at_s");
     f.lasts = seconds(t, "for_s");
@@ -265,21 +286,28 @@
     e.faults.push_back(f);
   }
   const std::string wrong = Contradiction(e, root);
-  if (!wrong.empty()) throw std::runtime_error(file + ":" + (std::isdigit(wrong[0]) ? "" : " ") + wrong);
+  if (!wrong.empty()) {
+    throw std::runtime_error(file + ":" + (std::isdigit(wrong[0]) ? "" : " ") + wrong);
+  }
   return e;
 }
 
 Experiment LoadExperiment(const std::string& path) {
   std::ifstream file(path);
-  if (!file) throw std::runtime_error("cannot read " + path);
+  if (!file) {
+    throw std::runtime_error("cannot read " + path);
+  }
   std::stringstream text;
   text << file.rdbuf();
   return ParseExperiment(text.str(), path);
 }
 
 double Experiment::MeanUnits() const {
-  double units = 0, shares = 0;
-  for (const ClassPlan& c : classes) units += c.share * c.units, shares += c.share;
+  double units = 0;
+  double shares = 0;
+  for (const ClassPlan& c : classes) {
+    units += c.share * c.units, shares += c.share;
+  }
   return shares > 0 ? units / shares : 1;
 }
 
@@ -289,9 +317,13 @@
   walnutspur::Settings s;
   s.instances = initiators;
   s.discovery = DiscoveryMode::kSubscribe;
-  for (const ClassPlan& c : classes) s.classes.push_back(c.cls);
+  for (const ClassPlan& c : classes) {
+    s.classes.push_back(c.cls);
+  }
   double weights = 0;
-  for (const TenantPlan& p : tenants) weights += p.weight;
+  for (const TenantPlan& p : tenants) {
+    weights += p.weight;
+  }
   for (const TenantPlan& p : tenants) {  // what a volume of it usually asks
     Plan plan;
     plan.rate =
@@ -335,18 +367,21 @@
       << "\nwarm_up_s = " << s(e.rules.slow_start_duration)
       << "\ntip_multiple = " << e.rules.overload_threshold
       << "\noverload_for_s = " << s(e.rules.overload_window) << "\n";
-  for (const ClassPlan& c : e.classes)
+  for (const ClassPlan& c : e.classes) {
     out << "[[class]]\nname = \"" << c.name << "\"\naim_ms = " << ms(c.cls.latency_objective)
         << "\ndeadline_ms = " << ms(c.cls.deadline) << "\neffect = \"" << (c.writes ? "unsafe" : "safe")
         << "\"\nworth = " << c.cls.priority_weight << "\nlate_worth = " << c.cls.late_weight_fraction
         << "\nshare = " << c.share << "\nunits = " << c.units << "\n";
-  for (const TenantPlan& p : e.tenants)
+  }
+  for (const TenantPlan& p : e.tenants) {
     out << "[[plan]]\nname = \"" << p.name << "\"\nvolumes = " << p.volumes << "\nweight = " << p.weight
         << "\nreserve = " << p.reserve << "\n";
-  for (const FaultPlan& f : e.faults)
+  }
+  for (const FaultPlan& f : e.faults) {
     out << "[[fault]]\nkind = \"" << NameOf(f.trouble) << "\"\nat_s = " << s(f.at)
         << "\nfor_s = " << s(f.lasts) << "\nfirst = " << f.first << "\ncount = " << f.count
         << "\nfactor = " << f.factor << "\napart_s = " << s(f.apart) << "\n";
+  }
   return out.str();
 }
 
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -24,9 +24,14 @@
 }
 
 void PrintOutcomes(const Outcomes& o) {
-  std::uint64_t served = 0, late = 0, refused = 0, failed = 0, timed_out = 0;
-  for (const Second& s : o.seconds)
+  std::uint64_t served = 0;
+  std::uint64_t late = 0;
+  std::uint64_t refused = 0;
+  std::uint64_t failed = 0;
+  std::uint64_t timed_out = 0;
+  for (const Second& s : o.seconds) {
     served += s.served, late += s.late, refused += s.refused, failed += s.failed, timed_out += s.timed_out;
+  }
   std::printf("service %.4f, worst 10 s %.4f\n", o.service(), o.worst(10));
   std::printf("requests %llu: served %llu (late %llu), refused %llu, failed %llu, timed out %llu\n",
               (unsigned long long)o.requests, (unsigned long long)served, (unsigned long long)late,
@@ -51,45 +56,63 @@
   std::printf("%.1f s, %.1f us a request; log of %llu entries, sum %08x\n", seconds,
               1e6 * seconds / static_cast<double>(std::max<std::uint64_t>(1, outcomes.requests)),
               (unsigned long long)log.entries(), log.sum());
-  for (const Breach& breach : checker.breaches()) PrintBreach(breach);
+  for (const Breach& breach : checker.breaches()) {
+    PrintBreach(breach);
+  }
   return checker.clean() ? 0 : 1;
 }
 
 int Check(const std::string& path) {
   std::ifstream file(path);
-  if (!file) throw std::runtime_error("cannot read " + path);
+  if (!file) {
+    throw std::runtime_error("cannot read " + path);
+  }
   Checker checker;
   std::string line;
   for (int number = 1; std::getline(file, line); ++number) {
     const auto entry = ParseEntry(line);
-    if (!entry)
+    if (!entry) {
       throw std::runtime_error(path + ":" + std::to_string(number) + ": is no entry of an event log");
+    }
     checker.Take(*entry);
   }
-  for (const auto& [rule, count] : checker.counts())
+  for (const auto& [rule, count] : checker.counts()) {
     std::printf("%s: %llu\n", rule.c_str(), (unsigned long long)count);
-  for (const Breach& breach : checker.breaches()) PrintBreach(breach);
+  }
+  for (const Breach& breach : checker.breaches()) {
+    PrintBreach(breach);
+  }
   return checker.clean() ? 0 : 1;
 }
 
 int ExploreSeeds(const Experiment& base, std::uint64_t first, std::uint64_t last, const std::string& replay) {
   const int jobs = std::max(1u, std::thread::hardware_concurrency());
-  std::uint64_t worlds = 0, failing = 0, requests = 0;
+  std::uint64_t worlds = 0;
+  std::uint64_t failing = 0;
+  std::uint64_t requests = 0;
   std::optional<Checked> worst;
   Explore(base, first, last, jobs, false, [&](const Checked& run) {
     ++worlds;
     requests += run.outcomes.requests;
-    if (worlds % 10 == 0) std::fprintf(stderr, "\r%llu worlds", (unsigned long long)worlds);
-    if (run.breaches.empty()) return;
+    if (worlds % 10 == 0) {
+      std::fprintf(stderr, "\r%llu worlds", (unsigned long long)worlds);
+    }
+    if (run.breaches.empty()) {
+      return;
+    }
     ++failing;
     std::printf("seed %llu ", (unsigned long long)run.seed);
     PrintBreach(run.breaches.front());
-    if (!worst || run.seed < worst->seed) worst = run;
+    if (!worst || run.seed < worst->seed) {
+      worst = run;
+    }
   });
   std::fprintf(stderr, "\r");
   std::printf("%llu worlds, %llu requests, %llu broke a rule\n", (unsigned long long)worlds,
               (unsigned long long)requests, (unsigned long long)failing);
-  if (!worst) return 0;
+  if (!worst) {
+    return 0;
+  }
   const std::string rule = worst->breaches.front().rule;
   const Experiment small = Shrink(Draw(base, worst->seed), rule, kShrinkTries);
   if (replay.empty()) {
@@ -109,9 +132,13 @@
   cli.footer(
       "Exit codes: 0 done and every rule kept, 1 a rule broke, 2 the experiment or the command line is "
       "wrong.");
-  std::string file, log, replay, policy;
+  std::string file;
+  std::string log;
+  std::string replay;
+  std::string policy;
   std::optional<std::uint64_t> seed;
-  std::uint64_t first = 1, last = 100;
+  std::uint64_t first = 1;
+  std::uint64_t last = 100;
   CLI::App* simulate =
       cli.add_subcommand("simulate", "Play an experiment and hold the rules against its log");
   simulate->add_option("FILE", file, "The experiment (TOML)")->required();
@@ -141,10 +168,16 @@
       std::fputs(walnutspur::config::Example(ExperimentKeys()).c_str(), stdout);
       return 0;
     }
-    if (check->parsed()) return Check(file);
+    if (check->parsed()) {
+      return Check(file);
+    }
     Experiment experiment = LoadExperiment(file);
-    if (seed) experiment.seed = *seed;
-    if (!policy.empty()) experiment.policy = policy;
+    if (seed) {
+      experiment.seed = *seed;
+    }
+    if (!policy.empty()) {
+      experiment.policy = policy;
+    }
     return simulate->parsed() ? Simulate(experiment, log) : ExploreSeeds(experiment, first, last, replay);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "walnutspur-lab: %s\n", error.what());
--- a/src/lab/random.h
+++ b/src/lab/random.h
@@ -24,7 +24,9 @@
 
   static std::uint64_t Hash(std::string_view name) {
     std::uint64_t hash = 0xcbf29ce484222325ull;
-    for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ull;
+    for (const char c : name) {
+      hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ull;
+    }
     return hash;
   }
 
--- a/src/lab/sim/explore.cpp
+++ b/src/lab/sim/explore.cpp
@@ -19,9 +19,15 @@
   e.load = random.Between(0.2, 1.4);
   e.delay = static_cast<Time>(random.Between(50, 5000));
   e.jitter = static_cast<Time>(random.Between(0, 5000));
-  if (random.Chance(0.3)) e.reorder = random.Between(0, 0.1);
-  if (random.Chance(0.3)) e.loss = random.Between(0, 0.02);
-  if (random.Chance(0.3)) e.drift = random.Between(0, 0.002);
+  if (random.Chance(0.3)) {
+    e.reorder = random.Between(0, 0.1);
+  }
+  if (random.Chance(0.3)) {
+    e.loss = random.Between(0, 0.02);
+  }
+  if (random.Chance(0.3)) {
+    e.drift = random.Between(0, 0.002);
+  }
   e.list_delay = static_cast<Time>(random.Between(1'000, 400'000));
   e.list_jitter = static_cast<Time>(random.Between(0, 1'000'000));
   if (random.Chance(0.5)) {
@@ -55,7 +61,9 @@
         taken = taken || ends[static_cast<std::size_t>(b)];
         ends[static_cast<std::size_t>(b)] = true;
       }
-      if (taken) continue;  // a box ends once in a drawn world
+      if (taken) {
+        continue;  // a box ends once in a drawn world
+      }
     }
     e.faults.push_back(f);
   }
@@ -83,19 +91,27 @@
     for (std::uint64_t seed = next++; seed <= last && !stop; seed = next++) {
       const Checked run = RunChecked(Draw(base, seed), meddling);
       const std::lock_guard lock(mutex);
-      if (until_breach && !run.breaches.empty()) stop = true;
+      if (until_breach && !run.breaches.empty()) {
+        stop = true;
+      }
       each(run);
     }
   };
   std::vector<std::thread> threads;
-  for (int i = 0; i < jobs; ++i) threads.emplace_back(work);
-  for (std::thread& thread : threads) thread.join();
+  for (int i = 0; i < jobs; ++i) {
+    threads.emplace_back(work);
+  }
+  for (std::thread& thread : threads) {
+    thread.join();
+  }
 }
 
 Experiment Shrink(const Experiment& failing, const std::string& rule, int tries, const Meddling& meddling) {
   Experiment best = failing;
   const auto still = [&](const Experiment& smaller) {
-    if (tries-- <= 0) return false;
+    if (tries-- <= 0) {
+      return false;
+    }
     const Checked run = RunChecked(smaller, meddling);
     return std::any_of(run.breaches.begin(), run.breaches.end(),
                        [&](const Breach& b) { return b.rule == rule; });
@@ -127,7 +143,9 @@
     step([](Experiment* e) { e->drift = 0; });
     step([](Experiment* e) { e->pause_every = 0; });
     for (Experiment& candidate : steps) {
-      if (Write(candidate) == Write(best) || !fits(candidate) || !still(candidate)) continue;
+      if (Write(candidate) == Write(best) || !fits(candidate) || !still(candidate)) {
+        continue;
+      }
       best = std::move(candidate);
       smaller = true;
       break;
--- a/src/lab/sim/log.cpp
+++ b/src/lab/sim/log.cpp
@@ -24,7 +24,9 @@
   char* const end = at + text.size();
   const auto number = [&](std::int64_t value, char after) {
     at = std::to_chars(at, end, value).ptr;
-    if (at != end) *at++ = after;
+    if (at != end) {
+      *at++ = after;
+    }
   };
   number(e.at, ' ');
   const char* name = NameOf(e.what);
@@ -42,7 +44,9 @@
 }
 
 std::optional<Entry> ParseEntry(std::string_view line) {
-  if (!line.empty() && line.back() == '\n') line.remove_suffix(1);
+  if (!line.empty() && line.back() == '\n') {
+    line.remove_suffix(1);
+  }
   Entry e;
   const auto word = [&] {
     const std::size_t end = line.find(' ');
@@ -59,8 +63,12 @@
   number(&e.at);
   const std::string_view name = word();
   std::size_t what = 0;
-  while (what < kNames.size() && kNames[what] != name) ++what;
-  if (what == kNames.size()) return std::nullopt;
+  while (what < kNames.size() && kNames[what] != name) {
+    ++what;
+  }
+  if (what == kNames.size()) {
+    return std::nullopt;
+  }
   e.what = static_cast<What>(what);
   number(&e.initiator);
   number(&e.request);
@@ -68,14 +76,20 @@
   number(&e.box);
   number(&e.a);
   number(&e.b);
-  if (!good || !line.empty()) return std::nullopt;
+  if (!good || !line.empty()) {
+    return std::nullopt;
+  }
   return e;
 }
 
 Log::Log(const std::string& path) {
-  if (path.empty()) return;
+  if (path.empty()) {
+    return;
+  }
   file_.reset(std::fopen(path.c_str(), "w"));
-  if (!file_) throw std::runtime_error("cannot write " + path + ": " + std::strerror(errno));
+  if (!file_) {
+    throw std::runtime_error("cannot write " + path + ": " + std::strerror(errno));
+  }
 }
 
 void Log::Put(const Entry& entry) {
@@ -83,8 +97,12 @@
   bytes_ += line.size();
   ++entries_;
   sum_ = integrity::Crc32c(line, sum_);
-  if (file_) std::fwrite(line.data(), 1, line.size(), file_.get());
-  if (on_entry) on_entry(entry);
+  if (file_) {
+    std::fwrite(line.data(), 1, line.size(), file_.get());
+  }
+  if (on_entry) {
+    on_entry(entry);
+  }
 }
 
 }  // namespace walnutspur::lab
--- a/src/lab/sim/policies.cpp
+++ b/src/lab/sim/policies.cpp
@@ -51,26 +51,38 @@
     std::deque<RequestId> waiting;
   };
 
-  void On(const Started&) { actions_.push_back(WatchEndpoints{}); }
+  void On(const Started&) { actions_.emplace_back(WatchEndpoints{}); }
   void On(const EndpointUpdate& list) {
-    if (list.kind == EndpointUpdateKind::kFailed) return;
-    if (list.kind != EndpointUpdateKind::kDelta) boxes_.clear();
-    for (const Endpoint& entry : list.endpoints) boxes_[entry.target].entry = entry;
+    if (list.kind == EndpointUpdateKind::kFailed) {
+      return;
+    }
+    if (list.kind != EndpointUpdateKind::kDelta) {
+      boxes_.clear();
+    }
+    for (const Endpoint& entry : list.endpoints) {
+      boxes_[entry.target].entry = entry;
+    }
   }
   void On(const RequestArrived& arrival) {
     Held& held = held_[arrival.id];
     held.what = arrival;
     held.deadline = now_ + arrival.ttl;
-    if (kind_ != Kind::kBuckets) return Place(arrival.id);
+    if (kind_ != Kind::kBuckets) {
+      return Place(arrival.id);
+    }
     Bucket& bucket = buckets_[arrival.volume];
-    if (bucket.at == 0) bucket.tokens = Most(arrival.plan);
+    if (bucket.at == 0) {
+      bucket.tokens = Most(arrival.plan);
+    }
     bucket.waiting.push_back(arrival.id);
     Drip(arrival.volume);
     Tick();
   }
   void On(const AttemptFinished& done) {
     const auto box = boxes_.find(done.target);
-    if (box != boxes_.end()) box->second.out = std::max(0, box->second.out - 1);
+    if (box != boxes_.end()) {
+      box->second.out = std::max(0, box->second.out - 1);
+    }
     const auto at = held_.find(done.id);
     if (at != held_.end()) {
       Held& held = at->second;
@@ -85,17 +97,25 @@
                  now_ < held.deadline) {
         Place(done.id);
       } else {
-        if (never) actions_.push_back(RejectRequest{done.id, 0});
-        if (!never) actions_.push_back(FailRequest{done.id});
+        if (never) {
+          actions_.emplace_back(RejectRequest{done.id, 0});
+        }
+        if (!never) {
+          actions_.emplace_back(FailRequest{done.id});
+        }
         held_.erase(at);
       }
     }
-    if (box != boxes_.end()) Next(box->second);
+    if (box != boxes_.end()) {
+      Next(box->second);
+    }
   }
   void On(const TimerFired&) {
     ticking_ = false;
     for (auto& [volume, bucket] : buckets_) {
-      if (!bucket.waiting.empty()) Drip(volume);
+      if (!bucket.waiting.empty()) {
+        Drip(volume);
+      }
     }
     Tick();
   }
@@ -121,9 +141,13 @@
       mounts_ = at->second.what.initiator_count;
       const double seconds = static_cast<double>(now_ - bucket.at) / 1e6;
       const int plan = at->second.what.plan;
-      if (bucket.at != 0) bucket.tokens = std::min(Most(plan), bucket.tokens + seconds * Rate(plan));
+      if (bucket.at != 0) {
+        bucket.tokens = std::min(Most(plan), bucket.tokens + seconds * Rate(plan));
+      }
       bucket.at = now_;
-      if (bucket.tokens < at->second.what.units) return;
+      if (bucket.tokens < at->second.what.units) {
+        return;
+      }
       bucket.tokens -= at->second.what.units;
       const RequestId id = at->first;
       bucket.waiting.pop_front();
@@ -133,8 +157,10 @@
   void Tick() {
     const bool any = std::any_of(buckets_.begin(), buckets_.end(),
                                  [](const auto& b) { return !b.second.waiting.empty(); });
-    if (!any || std::exchange(ticking_, true)) return;
-    actions_.push_back(StartTimer{0, kTick});
+    if (!any || std::exchange(ticking_, true)) {
+      return;
+    }
+    actions_.emplace_back(StartTimer{0, kTick});
   }
 
   void Place(const RequestId& id) {
@@ -142,20 +168,25 @@
     std::vector<Box*> fit;
     for (auto& [name, box] : boxes_) {
       if (box.entry.state == EndpointState::kActive &&
-          (held.what.shard < 0 || box.entry.shard == held.what.shard))
+          (held.what.shard < 0 || box.entry.shard == held.what.shard)) {
         fit.push_back(&box);
+      }
     }
     if (fit.empty()) {
-      actions_.push_back(RejectRequest{id, 0});
+      actions_.emplace_back(RejectRequest{id, 0});
       held_.erase(id);
       return;
     }
     Box* box = fit[random_.Below(fit.size())];
     if (kind_ == Kind::kLeastOut) {
       for (Box* other : fit) {
-        if (other->out < box->out) box = other;
+        if (other->out < box->out) {
+          box = other;
+        }
+      }
+      if (box->out >= kMostOut) {
+        return box->waiting.push_back(id);
       }
-      if (box->out >= kMostOut) return box->waiting.push_back(id);
     }
     Out(*box, id);
   }
@@ -164,13 +195,15 @@
     ++held.tries;
     ++box.out;
     held.at = box.entry.target;
-    actions_.push_back(SendAttempt{id, box.entry.target, 0});
+    actions_.emplace_back(SendAttempt{id, box.entry.target, 0});
   }
   void Next(Box& box) {
     while (box.out < kMostOut && !box.waiting.empty()) {
       const RequestId id = box.waiting.front();
       box.waiting.pop_front();
-      if (!held_.contains(id)) continue;
+      if (!held_.contains(id)) {
+        continue;
+      }
       if (box.entry.state != EndpointState::kActive) {
         Place(id);
       } else {
@@ -202,9 +235,15 @@
     auto policy = std::make_shared<Plain>(kind, settings, seed);
     return [policy](const Event& event, Time now) { return policy->Handle(event, now); };
   };
-  if (name == "at-once") return plain(Plain::Kind::kAtOnce);
-  if (name == "buckets") return plain(Plain::Kind::kBuckets);
-  if (name == "least-out") return plain(Plain::Kind::kLeastOut);
+  if (name == "at-once") {
+    return plain(Plain::Kind::kAtOnce);
+  }
+  if (name == "buckets") {
+    return plain(Plain::Kind::kBuckets);
+  }
+  if (name == "least-out") {
+    return plain(Plain::Kind::kLeastOut);
+  }
   throw std::runtime_error("unknown policy '" + name +
                            "'; allowed are walnutspur, at-once, buckets, least-out");
 }
--- a/src/lab/sim/world.cpp
+++ b/src/lab/sim/world.cpp
@@ -52,8 +52,11 @@
 }  // namespace
 
 double Outcomes::service() const {
-  double due = 0, earned = 0;
-  for (const Second& s : seconds) due += s.due, earned += s.earned;
+  double due = 0;
+  double earned = 0;
+  for (const Second& s : seconds) {
+    due += s.due, earned += s.earned;
+  }
   return due > 0 ? earned / due : 1;
 }
 
@@ -61,15 +64,22 @@
   double least = 1;
   const std::size_t width = std::min(seconds.size(), static_cast<std::size_t>(span));
   for (std::size_t from = 0; width > 0 && from + width <= seconds.size(); ++from) {
-    double due = 0, earned = 0;
-    for (std::size_t i = from; i < from + width; ++i) due += seconds[i].due, earned += seconds[i].earned;
-    if (due > 0) least = std::min(least, earned / due);
+    double due = 0;
+    double earned = 0;
+    for (std::size_t i = from; i < from + width; ++i) {
+      due += seconds[i].due, earned += seconds[i].earned;
+    }
+    if (due > 0) {
+      least = std::min(least, earned / due);
+    }
   }
   return least;
 }
 
 double Outcomes::percentile(double part) const {
-  if (latencies.empty()) return 0;
+  if (latencies.empty()) {
+    return 0;
+  }
   std::vector<float> sorted = latencies;
   const auto index =
       std::min(sorted.size() - 1, static_cast<std::size_t>(part * static_cast<double>(sorted.size())));
@@ -147,7 +157,9 @@
   void Note(What what, int initiator = -1, std::int64_t request = -1, int trial = -1, int box = -1,
             std::int64_t a = 0, std::int64_t b = 0) {
     Entry entry{now_, what, initiator, request, trial, box, a, b};
-    if (meddling_.entry && !meddling_.entry(&entry)) return;
+    if (meddling_.entry && !meddling_.entry(&entry)) {
+      return;
+    }
     log_->Put(entry);
   }
 
@@ -158,7 +170,9 @@
   }
   Time Delay() {
     double time = static_cast<double>(e_.delay) + static_cast<double>(e_.jitter) * network_.Part();
-    if (e_.reorder > 0 && network_.Chance(e_.reorder)) time *= kLateBy;
+    if (e_.reorder > 0 && network_.Chance(e_.reorder)) {
+      time *= kLateBy;
+    }
     return static_cast<Time>(time);
   }
   bool Cut(int zone_a, int zone_b) const {
@@ -210,9 +224,10 @@
 
 void World::Impl::Prepare() {
   Note(What::kRules, -1, -1, -1, -1, e_.try_limit, e_.rules.drain_grace);
-  for (std::size_t i = 0; i < e_.classes.size(); ++i)
-    Note(What::kClass, -1, static_cast<std::int64_t>(i), -1, -1, e_.classes[i].writes,
-         e_.classes[i].cls.deadline);
+  for (std::size_t i = 0; i < e_.classes.size(); ++i) {
+    Note(What::kClass, -1, static_cast<std::int64_t>(i), -1, -1,
+         static_cast<std::int64_t>(e_.classes[i].writes), e_.classes[i].cls.deadline);
+  }
   Random speeds(e_.seed, "speeds");
   for (int b = 0; b < e_.boxes; ++b) {
     Box box;
@@ -222,8 +237,9 @@
     boxes_.push_back(box);
     by_cell_.push_back(b);
     Note(What::kUp, -1, -1, -1, b, 0);
-    if (e_.pause_every > 0)
+    if (e_.pause_every > 0) {
       Put(static_cast<Time>(work_.Exponential(static_cast<double>(e_.pause_every))), Happens::kPause, 0, b);
+    }
   }
   for (std::size_t p = 0; p < e_.tenants.size(); ++p) {
     of_plan_.emplace_back();
@@ -243,7 +259,9 @@
     Initiator initiator;
     const std::uint64_t seed = e_.seed * 1'000'003 + static_cast<std::uint64_t>(i);
     core::DecisionFunction decide = MakePolicy(e_.policy, settings, seed);
-    if (meddling_.decide) decide = meddling_.decide(std::move(decide));
+    if (meddling_.decide) {
+      decide = meddling_.decide(std::move(decide));
+    }
     initiator.engine = std::make_unique<core::Engine>(settings, std::move(decide));
     initiator.zone = i % e_.zones;
     initiator.rate = 1 + e_.drift * clocks.Between(-1, 1);
@@ -280,7 +298,9 @@
 Outcomes World::Impl::Run(const std::function<void(double)>& progress) {
   Prepare();
   Time longest = 0;
-  for (const ClassPlan& c : e_.classes) longest = std::max(longest, c.cls.deadline);
+  for (const ClassPlan& c : e_.classes) {
+    longest = std::max(longest, c.cls.deadline);
+  }
   const Time end = last_ask_ + longest + kAfter;
   int told = 0;
   while (!todo_.empty() && todo_.top().at <= end) {
@@ -290,13 +310,19 @@
     ++outcomes_.events;
     Play(item);
     const int percent = static_cast<int>(100 * now_ / end);
-    if (progress && percent > std::exchange(told, percent)) progress(percent / 100.0);
+    if (progress && percent > std::exchange(told, percent)) {
+      progress(percent / 100.0);
+    }
   }
   now_ = end;
   for (const Box& box : boxes_) {
     std::int64_t held = 0;
-    for (const Work& work : box.queue) held += work.units;
-    for (const Work& work : box.working) held += work.units;
+    for (const Work& work : box.queue) {
+      held += work.units;
+    }
+    for (const Work& work : box.working) {
+      held += work.units;
+    }
     Note(What::kLeft, -1, -1, -1, box.number, 0, held);
   }
   Note(What::kEnd);
@@ -317,7 +343,9 @@
       return Report(item.who, item.number, item.trial, Outcome::kTimedOut);
     case Happens::kDeadline: {
       const auto at = requests_.find(item.number);
-      if (at == requests_.end() || at->second.answered) return;
+      if (at == requests_.end() || at->second.answered) {
+        return;
+      }
       return Feed(item.who, core::DeadlineExpired{static_cast<core::RequestNumber>(item.number)});
     }
     case Happens::kRings:
@@ -327,7 +355,9 @@
       const auto at = std::find_if(box.queue.begin(), box.queue.end(), [&](const Work& w) {
         return w.request == item.number && w.trial == item.trial && w.initiator == item.who;
       });
-      if (at == box.queue.end()) return;  // it is worked on, or over
+      if (at == box.queue.end()) {
+        return;  // it is worked on, or over
+      }
       const Work work = *at;
       box.queue.erase(at);
       return Drop(box, work, false);
@@ -350,7 +380,9 @@
       entry.shard = box.cell;
       entry.zone = box.zone;
       const Initiator& hearer = initiators_[static_cast<std::size_t>(item.who)];
-      if (box.started > 0) entry.started_at = Local(hearer, box.started);
+      if (box.started > 0) {
+        entry.started_at = Local(hearer, box.started);
+      }
       list.endpoints.push_back(entry);
       Note(What::kTold, item.who, -1, -1, item.box, item.number, box.cell);
       return Feed(item.who, core::EndpointsUpdated{std::move(list)});
@@ -362,15 +394,20 @@
       box.frozen =
           std::max(box.frozen, now_ + static_cast<Time>(work_.Exponential(static_cast<double>(e_.pause))));
       Put(box.frozen, Happens::kStarts, 1, item.box);
-      if (now_ < last_ask_)
+      if (now_ < last_ask_) {
         Put(now_ + static_cast<Time>(work_.Exponential(static_cast<double>(e_.pause_every))), Happens::kPause,
             0, item.box);
+      }
       return;
     }
     case Happens::kStarts: {
       Box& box = boxes_[static_cast<std::size_t>(item.box)];
-      if (item.who == 1) return Begin(box);  // a pause is over
-      if (!box.up && !box.gone) Start(box, true);
+      if (item.who == 1) {
+        return Begin(box);  // a pause is over
+      }
+      if (!box.up && !box.gone) {
+        Start(box, true);
+      }
       return;
     }
   }
@@ -380,29 +417,40 @@
 
 void World::Impl::Ask() {
   double weights = 0;
-  for (std::size_t p = 0; p < e_.tenants.size(); ++p) weights += e_.tenants[p].weight * surges_[p];
+  for (std::size_t p = 0; p < e_.tenants.size(); ++p) {
+    weights += e_.tenants[p].weight * surges_[p];
+  }
   double plain = 0;
-  for (const TenantPlan& tenant : e_.tenants) plain += tenant.weight;
+  for (const TenantPlan& tenant : e_.tenants) {
+    plain += tenant.weight;
+  }
   const double part = static_cast<double>(now_ - kEpoch) / static_cast<double>(e_.length);
   const double grown = 1 + (e_.ramp_to - 1) * part;
   const double rate = e_.RequestsASecond() * grown * (plain > 0 ? weights / plain : 1);
   const Time next = now_ + static_cast<Time>(arrivals_.Exponential(1e6 / std::max(rate, 1e-6)));
-  if (next < last_ask_) Put(next, Happens::kAsk, 0);
+  if (next < last_ask_) {
+    Put(next, Happens::kAsk, 0);
+  }
   // Which plan, volume, class and piece.
   double pick = arrivals_.Part() * weights;
   std::size_t plan = 0;
-  while (plan + 1 < e_.tenants.size() && pick >= e_.tenants[plan].weight * surges_[plan])
+  while (plan + 1 < e_.tenants.size() && pick >= e_.tenants[plan].weight * surges_[plan]) {
     pick -= e_.tenants[plan].weight * surges_[plan], ++plan;
+  }
   const auto& sums = zipf_[plan];
   const auto in_plan = static_cast<std::size_t>(
       std::upper_bound(sums.begin(), sums.end(), arrivals_.Part() * sums.back()) - sums.begin());
   const int number = of_plan_[plan][std::min(in_plan, sums.size() - 1)];
   Volume& volume = volumes_[static_cast<std::size_t>(number)];
   double shares = 0;
-  for (const ClassPlan& c : e_.classes) shares += c.share;
+  for (const ClassPlan& c : e_.classes) {
+    shares += c.share;
+  }
   pick = arrivals_.Part() * shares;
   std::size_t cls = 0;
-  while (cls + 1 < e_.classes.size() && pick >= e_.classes[cls].share) pick -= e_.classes[cls].share, ++cls;
+  while (cls + 1 < e_.classes.size() && pick >= e_.classes[cls].share) {
+    pick -= e_.classes[cls].share, ++cls;
+  }
   const ClassPlan& chosen = e_.classes[cls];
 
   const std::int64_t id = next_request_++;
@@ -444,7 +492,9 @@
   request.key = what.key;
   ++outcomes_.requests;
   const auto second = static_cast<std::size_t>((now_ - kEpoch) / 1'000'000);
-  if (outcomes_.seconds.size() <= second) outcomes_.seconds.resize(second + 1);
+  if (outcomes_.seconds.size() <= second) {
+    outcomes_.seconds.resize(second + 1);
+  }
   outcomes_.seconds[second].due += chosen.cls.priority_weight;
   ++outcomes_.seconds[second].asked;
   Note(What::kAsk, request.initiator, id, -1, what.shard, request.cls, request.units);
@@ -460,7 +510,9 @@
   const auto id = static_cast<std::int64_t>(answer.request);
   Note(What::kAnswer, initiator, id, -1, -1, static_cast<int>(answer.status));
   const auto at = requests_.find(id);
-  if (at == requests_.end() || at->second.answered) return;
+  if (at == requests_.end() || at->second.answered) {
+    return;
+  }
   Request& request = at->second;
   request.answered = true;
   const auto second = static_cast<std::size_t>((request.asked - kEpoch) / 1'000'000);
@@ -472,8 +524,12 @@
       const Time took = now_ - request.asked;
       outcomes_.latencies.push_back(static_cast<float>(static_cast<double>(took) / 1000));
       ++s.served;
-      if (took <= cls.latency_objective) s.earned += cls.priority_weight;
-      if (took > cls.latency_objective) ++s.late, s.earned += cls.priority_weight * cls.late_weight_fraction;
+      if (took <= cls.latency_objective) {
+        s.earned += cls.priority_weight;
+      }
+      if (took > cls.latency_objective) {
+        ++s.late, s.earned += cls.priority_weight * cls.late_weight_fraction;
+      }
       break;
     }
     case core::ResponseStatus::kRejected:
@@ -490,9 +546,13 @@
 
 void World::Impl::Forget(std::int64_t id) {
   const auto at = requests_.find(id);
-  if (at == requests_.end() || !at->second.answered) return;
+  if (at == requests_.end() || !at->second.answered) {
+    return;
+  }
   const auto& trials = at->second.trials;
-  if (std::all_of(trials.begin(), trials.end(), [](const Trial& t) { return t.known; })) requests_.erase(at);
+  if (std::all_of(trials.begin(), trials.end(), [](const Trial& t) { return t.known; })) {
+    requests_.erase(at);
+  }
 }
 
 // ---- initiators ----
@@ -503,7 +563,9 @@
 }
 
 void World::Impl::Do(int number, std::vector<core::Output> outputs) {
-  if (meddling_.outputs) meddling_.outputs(number, now_, &outputs);
+  if (meddling_.outputs) {
+    meddling_.outputs(number, now_, &outputs);
+  }
   const Initiator& initiator = initiators_[static_cast<std::size_t>(number)];
   const auto lasts = [&](Time local) {
     return static_cast<Time>(static_cast<double>(local) / initiator.rate);
@@ -514,11 +576,14 @@
     } else if (const auto* cancel = std::get_if<core::AbortAttempt>(&output)) {
       const auto id = static_cast<std::int64_t>(cancel->request);
       const auto at = requests_.find(id);
-      if (at == requests_.end() || cancel->attempt >= static_cast<int>(at->second.trials.size())) continue;
+      if (at == requests_.end() || cancel->attempt >= static_cast<int>(at->second.trials.size())) {
+        continue;
+      }
       const int box = at->second.trials[static_cast<std::size_t>(cancel->attempt)].box;
       if (box >= 0 && box < static_cast<int>(boxes_.size()) &&
-          !Cut(initiator.zone, boxes_[static_cast<std::size_t>(box)].zone))
+          !Cut(initiator.zone, boxes_[static_cast<std::size_t>(box)].zone)) {
         Put(now_ + Delay(), Happens::kCancels, number, box, cancel->attempt, id);
+      }
       Put(now_, Happens::kReplies, number, box, cancel->attempt, id, static_cast<int>(Outcome::kCancelled));
     } else if (const auto* answer = std::get_if<core::Response>(&output)) {
       Answer(number, *answer);
@@ -540,10 +605,13 @@
   ++outcomes_.attempts;
   Note(What::kSend, number, id, attempt.attempt, box);
   const auto at = requests_.find(id);
-  if (at == requests_.end()) return;
+  if (at == requests_.end()) {
+    return;
+  }
   auto& trials = at->second.trials;
-  if (trials.size() <= static_cast<std::size_t>(attempt.attempt))
+  if (trials.size() <= static_cast<std::size_t>(attempt.attempt)) {
     trials.resize(static_cast<std::size_t>(attempt.attempt) + 1);
+  }
   trials[static_cast<std::size_t>(attempt.attempt)].box = box;
   trials[static_cast<std::size_t>(attempt.attempt)].sent = now_;
   const auto limit = static_cast<Time>(static_cast<double>(attempt.timeout) / initiator.rate);
@@ -553,11 +621,15 @@
         static_cast<int>(Outcome::kConnectFailed));
     return;
   }
-  if (Cut(initiator.zone, boxes_[static_cast<std::size_t>(box)].zone)) return;
+  if (Cut(initiator.zone, boxes_[static_cast<std::size_t>(box)].zone)) {
+    return;
+  }
   if (e_.loss > 0 && network_.Chance(e_.loss)) {  // before the box has it, or after
     Put(now_ + kBroken, Happens::kReplies, number, box, attempt.attempt, id,
         static_cast<int>(Outcome::kConnectionReset));
-    if (network_.Chance(0.5)) return;
+    if (network_.Chance(0.5)) {
+      return;
+    }
   }
   Put(now_ + Delay(), Happens::kArrives, number, box, attempt.attempt, id, at->second.units);
 }
@@ -565,14 +637,20 @@
 // The first that is heard of an attempt counts, as at a connector; what comes later is dropped there.
 void World::Impl::Report(int number, std::int64_t id, int trial, Outcome outcome) {
   const auto at = requests_.find(id);
-  if (at == requests_.end()) return;
+  if (at == requests_.end()) {
+    return;
+  }
   Trial& known = at->second.trials[static_cast<std::size_t>(trial)];
-  if (std::exchange(known.known, true)) return;
+  if (std::exchange(known.known, true)) {
+    return;
+  }
   Note(What::kOutcome, number, id, trial, known.box, static_cast<int>(outcome));
   if (outcome == Outcome::kCompleted && at->second.fresh) {
     auto& recent = volumes_[static_cast<std::size_t>(at->second.volume)].recent;
     recent.emplace_back(at->second.key, boxes_[static_cast<std::size_t>(known.box)].cell);
-    if (recent.size() > kRecent) recent.pop_front();
+    if (recent.size() > kRecent) {
+      recent.pop_front();
+    }
   }
   core::AttemptResult ended;
   ended.request = static_cast<core::RequestNumber>(id);
@@ -586,14 +664,18 @@
 // ---- boxes ----
 
 double World::Impl::Power(const Box& box) const {
-  if (box.started == 0) return 1;
+  if (box.started == 0) {
+    return 1;
+  }
   const double part = std::min(1.0, static_cast<double>(now_ - box.started) /
                                         static_cast<double>(std::max<Time>(1, e_.rules.slow_start_duration)));
   return e_.rules.slow_start_fraction + (1 - e_.rules.slow_start_fraction) * part;
 }
 
 void World::Impl::Reply(const Box& box, const Work& work, Outcome outcome) {
-  if (Cut(box.zone, initiators_[static_cast<std::size_t>(work.initiator)].zone)) return;
+  if (Cut(box.zone, initiators_[static_cast<std::size_t>(work.initiator)].zone)) {
+    return;
+  }
   Put(now_ + Delay(), Happens::kReplies, work.initiator, box.number, work.trial, work.request,
       static_cast<int>(outcome));
 }
@@ -601,7 +683,9 @@
 void World::Impl::Arrive(const Item& item) {
   Box& box = boxes_[static_cast<std::size_t>(item.box)];
   const Work work{item.number, item.trial, item.who, item.extra, next_ticket_++};
-  if (!box.up) return Reply(box, work, Outcome::kConnectFailed);
+  if (!box.up) {
+    return Reply(box, work, Outcome::kConnectFailed);
+  }
   if (box.errors && choices_.Chance(box.factor)) {
     // Half of such have done the work before they say that it has failed.
     Note(What::kTaken, work.initiator, work.request, work.trial, box.number, 0, work.units);
@@ -643,7 +727,9 @@
 }
 
 void World::Impl::Begin(Box& box) {
-  if (!box.up || now_ < box.frozen) return;
+  if (!box.up || now_ < box.frozen) {
+    return;
+  }
   const int slots = std::max(1, static_cast<int>(std::lround(e_.slots * (1 - box.taken))));
   while (static_cast<int>(box.working.size()) < slots && !box.queue.empty()) {
     const Work work = box.queue.front();
@@ -662,27 +748,36 @@
 void World::Impl::Finish(Box& box, std::uint64_t ticket) {
   const auto at =
       std::find_if(box.working.begin(), box.working.end(), [&](const Work& w) { return w.ticket == ticket; });
-  if (at == box.working.end()) return;  // lost with the process
-  if (now_ < box.frozen)
+  if (at == box.working.end()) {
+    return;  // lost with the process
+  }
+  if (now_ < box.frozen) {
     return Put(box.frozen, Happens::kFinishes, 0, box.number, 0, static_cast<std::int64_t>(ticket));
+  }
   const Work work = *at;
   box.working.erase(at);
   Note(What::kRan, work.initiator, work.request, work.trial, box.number, 0, work.units);
   outcomes_.done += static_cast<std::uint64_t>(work.units);
   const auto request = requests_.find(work.request);
-  if (request == requests_.end() || request->second.answered)
+  if (request == requests_.end() || request->second.answered) {
     outcomes_.wasted += static_cast<std::uint64_t>(work.units);
-  if (!box.silent) Reply(box, work, Outcome::kCompleted);
+  }
+  if (!box.silent) {
+    Reply(box, work, Outcome::kCompleted);
+  }
   Begin(box);
 }
 
 void World::Impl::Drop(Box& box, const Work& work, bool begun) {
-  Note(What::kDropped, work.initiator, work.request, work.trial, box.number, begun, work.units);
+  Note(What::kDropped, work.initiator, work.request, work.trial, box.number, static_cast<std::int64_t>(begun),
+       work.units);
 }
 
 // The process ends: its connections do, and whoever waits on one knows it soon.
 void World::Impl::End(Box& box) {
-  if (!box.up) return;
+  if (!box.up) {
+    return;
+  }
   box.up = false;
   Note(What::kDown, -1, -1, -1, box.number);
   for (const bool begun : {false, true}) {
@@ -703,7 +798,7 @@
   box.draining = false;
   box.frozen = 0;
   box.started = cold ? now_ : 0;
-  Note(What::kUp, -1, -1, -1, box.number, cold);
+  Note(What::kUp, -1, -1, -1, box.number, static_cast<std::int64_t>(cold));
   Tell(box, EndpointState::kActive);
 }
 
@@ -777,8 +872,9 @@
     case Trouble::kDeaf:
       deaf_ = begins;
       if (!begins) {
-        for (const auto& [box, phase] : std::exchange(untold_, {}))
+        for (const auto& [box, phase] : std::exchange(untold_, {})) {
           Tell(boxes_[static_cast<std::size_t>(box)], phase);
+        }
       }
       break;
     case Trouble::kSurge:
--- a/src/nbd/blocking_client.cpp
+++ b/src/nbd/blocking_client.cpp
@@ -20,16 +20,21 @@
   const sockaddr_in to = loop::ToSocket(loop::ParseAddress(address));
   fd_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   try {
-    if (fd_ < 0 || connect(fd_, reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0)
+    if (fd_ < 0 || connect(fd_, reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0) {
       throw std::runtime_error("cannot connect to " + address + ": " + std::strerror(errno));
+    }
     const int on = 1;
     setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     while (!session_.ready()) {
       Take(patience_);
-      if (session_.ended()) throw std::runtime_error(address + ": " + session_.why());
+      if (session_.ended()) {
+        throw std::runtime_error(address + ": " + session_.why());
+      }
     }
   } catch (...) {
-    if (fd_ >= 0) close(fd_);
+    if (fd_ >= 0) {
+      close(fd_);
+    }
     throw;
   }
 }
@@ -39,8 +44,12 @@
 void BlockingClient::Put(const std::string& bytes) {
   for (std::size_t at = 0; at < bytes.size();) {
     const ssize_t size = send(fd_, bytes.data() + at, bytes.size() - at, MSG_NOSIGNAL);
-    if (size < 0 && errno == EINTR) continue;
-    if (size <= 0) throw std::runtime_error("the connection ended");
+    if (size < 0 && errno == EINTR) {
+      continue;
+    }
+    if (size <= 0) {
+      throw std::runtime_error("the connection ended");
+    }
     at += static_cast<std::size_t>(size);
   }
 }
@@ -51,18 +60,28 @@
   while (replies.empty() && session_.ready() != handshake) {  // an answer may come in parts
     pollfd poller{fd_, POLLIN, 0};
     if (poll(&poller, 1, wait_ms) <= 0) {
-      if (handshake) throw std::runtime_error("the handshake stalls");
+      if (handshake) {
+        throw std::runtime_error("the handshake stalls");
+      }
       return {};
     }
     std::string bytes(256 << 10, '\0');
     const ssize_t size = recv(fd_, bytes.data(), bytes.size(), 0);
-    if (size <= 0) throw std::runtime_error("the connection ended");
+    if (size <= 0) {
+      throw std::runtime_error("the connection ended");
+    }
     bytes.resize(static_cast<std::size_t>(size));
     std::string out;
     session_.Feed(bytes, &out, &replies);
-    if (!out.empty()) Put(out);
-    if (session_.ended() && handshake) break;
-    if (session_.ended()) throw std::runtime_error("the server does not speak NBD: " + session_.why());
+    if (!out.empty()) {
+      Put(out);
+    }
+    if (session_.ended() && handshake) {
+      break;
+    }
+    if (session_.ended()) {
+      throw std::runtime_error("the server does not speak NBD: " + session_.why());
+    }
   }
   return replies;
 }
@@ -85,7 +104,9 @@
       return reply;
     }
     std::vector<Reply> more = Take(patience_);
-    if (more.empty()) throw std::runtime_error("no answer in time");
+    if (more.empty()) {
+      throw std::runtime_error("no answer in time");
+    }
     std::move(more.begin(), more.end(), std::back_inserter(replies_));
   }
 }
@@ -115,8 +136,9 @@
 
 std::string DataOf(const Reply& reply) {
   std::string data;
-  for (const Piece& piece : reply.pieces)
+  for (const Piece& piece : reply.pieces) {
     piece.hole > 0 ? data.append(piece.hole, '\0') : data.append(piece.data);
+  }
   return data;
 }
 
--- a/src/nbd/codec.cpp
+++ b/src/nbd/codec.cpp
@@ -97,7 +97,9 @@
 }
 
 void ServerSession::Feed(std::string_view bytes, std::string* out, std::vector<Request>* requests) {
-  if (ended()) return;
+  if (ended()) {
+    return;
+  }
   in_.Add(bytes);
   while (Step(out, requests)) {
   }
@@ -107,37 +109,55 @@
 bool ServerSession::Step(std::string* out, std::vector<Request>* requests) {
   switch (state_) {
     case State::kFlags: {
-      if (in_.size() < 4) return false;
+      if (in_.size() < 4) {
+        return false;
+      }
       const auto flags = Get<std::uint32_t>(in_.Take(4));
-      if (flags & ~std::uint32_t{kFixedNewstyle | kNoZeroes}) return End("unknown client flags");
-      if (!(flags & kFixedNewstyle)) return End("the client knows no fixed newstyle");
-      zeroes_ = !(flags & kNoZeroes);
+      if (flags & ~std::uint32_t{kFixedNewstyle | kNoZeroes}) {
+        return End("unknown client flags");
+      }
+      if (!(flags & kFixedNewstyle)) {
+        return End("the client knows no fixed newstyle");
+      }
+      zeroes_ = ((flags & kNoZeroes) == 0u);
       state_ = State::kOption;
       return true;
     }
     case State::kOption: {
-      if (in_.size() < 16) return false;
+      if (in_.size() < 16) {
+        return false;
+      }
       const std::string head = in_.Take(16);
-      if (Get<std::uint64_t>(head) != kOptionMagic) return End("bad magic of an option");
+      if (Get<std::uint64_t>(head) != kOptionMagic) {
+        return End("bad magic of an option");
+      }
       option_ = Get<std::uint32_t>(head, 8);
       length_ = Get<std::uint32_t>(head, 12);
-      if (length_ > kMostOption) return End("an option too long");
+      if (length_ > kMostOption) {
+        return End("an option too long");
+      }
       state_ = State::kOptionData;
       return true;
     }
     case State::kOptionData:
       return StepOption(out);
     case State::kHeader: {
-      if (in_.size() < 28) return false;
+      if (in_.size() < 28) {
+        return false;
+      }
       const std::string head = in_.Take(28);
-      if (Get<std::uint32_t>(head) != kRequestMagic) return End("bad magic of a request");
+      if (Get<std::uint32_t>(head) != kRequestMagic) {
+        return End("bad magic of a request");
+      }
       request_ = {};
       request_.flags = Get<std::uint16_t>(head, 4);
       request_.type = Get<std::uint16_t>(head, 6);
       request_.cookie = Get<std::uint64_t>(head, 8);
       request_.offset = Get<std::uint64_t>(head, 16);
       request_.length = Get<std::uint32_t>(head, 24);
-      if (request_.type == kDisconnect) return End("");
+      if (request_.type == kDisconnect) {
+        return End("");
+      }
       if (request_.type == kWrite) {
         request_.oversized = request_.length > chosen_->largest;
         length_ = request_.length;
@@ -148,14 +168,18 @@
       return true;
     }
     case State::kData:
-      if (in_.size() < length_) return false;
+      if (in_.size() < length_) {
+        return false;
+      }
       request_.data = in_.Take(length_);
       requests->push_back(std::move(request_));
       state_ = State::kHeader;
       return true;
     case State::kSkip:  // an oversized write is refused without holding its data
       length_ -= static_cast<std::uint32_t>(in_.Skip(length_));
-      if (length_ > 0) return false;
+      if (length_ > 0) {
+        return false;
+      }
       requests->push_back(std::move(request_));
       state_ = State::kHeader;
       return true;
@@ -174,17 +198,23 @@
 }
 
 bool ServerSession::StepOption(std::string* out) {
-  if (in_.size() < length_) return false;
+  if (in_.size() < length_) {
+    return false;
+  }
   const std::string data = in_.Take(length_);
   state_ = State::kOption;
   switch (option_) {
     case kExportName: {  // has no reply for an error: the connection ends
       const auto at =
           std::find_if(exports_.begin(), exports_.end(), [&](const Export& e) { return e.name == data; });
-      if (at == exports_.end()) return End("no such export");
+      if (at == exports_.end()) {
+        return End("no such export");
+      }
       Put(at->size, out);
       Put(at->flags, out);
-      if (zeroes_) out->append(kZeroes, '\0');
+      if (zeroes_) {
+        out->append(kZeroes, '\0');
+      }
       chosen_ = &*at;
       state_ = State::kHeader;
       return true;
@@ -220,13 +250,19 @@
 
 void ServerSession::Choose(std::string_view data, std::string* out) {
   const std::uint32_t size = data.size() >= 6 ? Get<std::uint32_t>(data) : 0;
-  if (data.size() < 6 || size > data.size() - 6) return AnswerOption(kErrInvalid, "", out);
+  if (data.size() < 6 || size > data.size() - 6) {
+    return AnswerOption(kErrInvalid, "", out);
+  }
   const std::string_view name = data.substr(4, size);
   const auto count = Get<std::uint16_t>(data, 4 + size);
-  if (data.size() != 6 + size + 2 * std::size_t{count}) return AnswerOption(kErrInvalid, "", out);
+  if (data.size() != 6 + size + 2 * std::size_t{count}) {
+    return AnswerOption(kErrInvalid, "", out);
+  }
   const auto at =
       std::find_if(exports_.begin(), exports_.end(), [&](const Export& e) { return e.name == name; });
-  if (at == exports_.end()) return AnswerOption(kErrUnknown, "", out);
+  if (at == exports_.end()) {
+    return AnswerOption(kErrUnknown, "", out);
+  }
   std::string info;
   Put(kInfoExport, &info);
   Put(at->size, &info);
@@ -239,7 +275,9 @@
   Put<std::uint32_t>(at->largest, &info);
   AnswerOption(kInfoReply, info, out);
   AnswerOption(kAck, "", out);
-  if (option_ != kGo) return;
+  if (option_ != kGo) {
+    return;
+  }
   chosen_ = &*at;
   state_ = State::kHeader;
 }
@@ -247,24 +285,33 @@
 void ServerSession::Reply(std::uint64_t cookie, const std::vector<Piece>& pieces, std::string* out) const {
   if (!structured_) {  // holes are written out
     PutSimple(kOk, cookie, out);
-    for (const Piece& piece : pieces)
+    for (const Piece& piece : pieces) {
       piece.hole > 0 ? out->append(piece.hole, '\0') : out->append(piece.data);
+    }
     return;
   }
   for (std::size_t i = 0; i < pieces.size(); ++i) {
     std::string data;
     Put(pieces[i].offset, &data);
-    if (pieces[i].hole > 0) Put(pieces[i].hole, &data);
+    if (pieces[i].hole > 0) {
+      Put(pieces[i].hole, &data);
+    }
     data += pieces[i].data;
     PutChunk(i + 1 == pieces.size(), pieces[i].hole > 0 ? kOffsetHole : kOffsetData, cookie, data, out);
   }
-  if (pieces.empty()) PutChunk(true, kNone, cookie, "", out);
+  if (pieces.empty()) {
+    PutChunk(true, kNone, cookie, "", out);
+  }
 }
 
 void ServerSession::Reply(std::uint64_t cookie, Error error, const std::string& message,
                           std::string* out) const {
-  if (!structured_) return PutSimple(error, cookie, out);
-  if (error == kOk) return PutChunk(true, kNone, cookie, "", out);
+  if (!structured_) {
+    return PutSimple(error, cookie, out);
+  }
+  if (error == kOk) {
+    return PutChunk(true, kNone, cookie, "", out);
+  }
   std::string data;
   Put<std::uint32_t>(error, &data);
   Put(static_cast<std::uint16_t>(std::min<std::size_t>(message.size(), kMostText)), &data);
@@ -274,7 +321,9 @@
 
 void ServerSession::Reply(std::uint64_t cookie, const std::vector<Piece>& pieces,
                           const std::vector<std::uint64_t>& bad, std::string* out) const {
-  if (!structured_) return PutSimple(kIo, cookie, out);
+  if (!structured_) {
+    return PutSimple(kIo, cookie, out);
+  }
   for (const Piece& piece : pieces) {
     std::string data;
     Put(piece.offset, &data);
@@ -301,7 +350,9 @@
 }
 
 void ClientSession::Feed(std::string_view bytes, std::string* out, std::vector<Reply>* replies) {
-  if (ended()) return;
+  if (ended()) {
+    return;
+  }
   in_.Add(bytes);
   while (Step(out, replies)) {
   }
@@ -327,13 +378,18 @@
 bool ClientSession::Step(std::string* out, std::vector<Reply>* replies) {
   switch (state_) {
     case State::kGreeting: {
-      if (in_.size() < 18) return false;
+      if (in_.size() < 18) {
+        return false;
+      }
       const std::string head = in_.Take(18);
-      if (Get<std::uint64_t>(head) != kMagic || Get<std::uint64_t>(head, 8) != kOptionMagic)
+      if (Get<std::uint64_t>(head) != kMagic || Get<std::uint64_t>(head, 8) != kOptionMagic) {
         return End("bad magic of the greeting");
+      }
       const auto flags = Get<std::uint16_t>(head, 16);
-      if (!(flags & kFixedNewstyle)) return End("the server knows no fixed newstyle");
-      zeroes_ = !(flags & kNoZeroes);
+      if (!(flags & kFixedNewstyle)) {
+        return End("the server knows no fixed newstyle");
+      }
+      zeroes_ = ((flags & kNoZeroes) == 0);
       Put<std::uint32_t>(kFixedNewstyle | (flags & kNoZeroes), out);
       state_ = State::kOptionReply;
       Ask(kStructuredReply, "", out);
@@ -343,7 +399,9 @@
       return StepOptionReply(out);
     case State::kExportInfo: {
       const std::size_t size = 10 + (zeroes_ ? kZeroes : 0);
-      if (in_.size() < size) return false;
+      if (in_.size() < size) {
+        return false;
+      }
       const std::string info = in_.Take(size);
       size_ = Get<std::uint64_t>(info);
       flags_ = Get<std::uint16_t>(info, 8);
@@ -359,14 +417,25 @@
 }
 
 bool ClientSession::StepOptionReply(std::string* out) {
-  if (in_.size() < 20) return false;
+  if (in_.size() < 20) {
+    return false;
+  }
   const std::string_view head = in_.Peek(20);
-  if (Get<std::uint64_t>(head) != kOptionReplyMagic) return End("bad magic of an option's reply");
-  const auto option = Get<std::uint32_t>(head, 8), type = Get<std::uint32_t>(head, 12),
-             length = Get<std::uint32_t>(head, 16);
-  if (option != asked_) return End("a reply to an option that was not asked");
-  if (length > kMostOption) return End("an option's reply too long");
-  if (in_.size() < 20 + length) return false;
+  if (Get<std::uint64_t>(head) != kOptionReplyMagic) {
+    return End("bad magic of an option's reply");
+  }
+  const auto option = Get<std::uint32_t>(head, 8);
+  const auto type = Get<std::uint32_t>(head, 12);
+  const auto length = Get<std::uint32_t>(head, 16);
+  if (option != asked_) {
+    return End("a reply to an option that was not asked");
+  }
+  if (length > kMostOption) {
+    return End("an option's reply too long");
+  }
+  if (in_.size() < 20 + length) {
+    return false;
+  }
   in_.Skip(20);
   const std::string data = in_.Take(length);
   if (asked_ == kStructuredReply) {
@@ -401,48 +470,81 @@
 }
 
 bool ClientSession::StepReply(std::vector<Reply>* replies) {
-  if (in_.size() < 4) return false;
+  if (in_.size() < 4) {
+    return false;
+  }
   const auto magic = Get<std::uint32_t>(in_.Peek(4));
-  if (magic == kStructuredMagic && structured_) return StepChunk(replies);
-  if (magic != kSimpleMagic) return End("bad magic of a reply");
-  if (in_.size() < 16) return false;
+  if (magic == kStructuredMagic && structured_) {
+    return StepChunk(replies);
+  }
+  if (magic != kSimpleMagic) {
+    return End("bad magic of a reply");
+  }
+  if (in_.size() < 16) {
+    return false;
+  }
   const std::string_view head = in_.Peek(16);
   const auto error = Get<std::uint32_t>(head, 4);
   const auto cookie = Get<std::uint64_t>(head, 8);
   const auto at = open_.find(cookie);
-  if (at == open_.end()) return End("a reply with an unknown cookie");
+  if (at == open_.end()) {
+    return End("a reply with an unknown cookie");
+  }
   Open& open = at->second;
-  if (open.type == kRead && structured_) return End("a simple reply to a read");
+  if (open.type == kRead && structured_) {
+    return End("a simple reply to a read");
+  }
   const std::size_t size = open.type == kRead && error == kOk ? open.length : 0;
-  if (in_.size() < 16 + size) return false;
+  if (in_.size() < 16 + size) {
+    return false;
+  }
   in_.Skip(16);
   Reply reply{cookie, static_cast<Error>(error), {}, {}, {}};
-  if (size > 0) reply.pieces.push_back({open.offset, in_.Take(size), 0});
+  if (size > 0) {
+    reply.pieces.push_back({open.offset, in_.Take(size), 0});
+  }
   replies->push_back(std::move(reply));
   open_.erase(at);
   return true;
 }
 
 bool ClientSession::StepChunk(std::vector<Reply>* replies) {
-  if (in_.size() < 20) return false;
+  if (in_.size() < 20) {
+    return false;
+  }
   const std::string_view head = in_.Peek(20);
-  const auto flags = Get<std::uint16_t>(head, 4), type = Get<std::uint16_t>(head, 6);
+  const auto flags = Get<std::uint16_t>(head, 4);
+  const auto type = Get<std::uint16_t>(head, 6);
   const auto cookie = Get<std::uint64_t>(head, 8);
   const auto length = Get<std::uint32_t>(head, 16);
   const auto at = open_.find(cookie);
-  if (at == open_.end()) return End("a chunk with an unknown cookie");
+  if (at == open_.end()) {
+    return End("a chunk with an unknown cookie");
+  }
   Open& open = at->second;
   const std::uint64_t most = type == kOffsetData ? std::uint64_t{8} + open.length : 14 + kMostText;
-  if (length > most) return End("a chunk too long");
-  if (in_.size() < 20 + std::size_t{length}) return false;
+  if (length > most) {
+    return End("a chunk too long");
+  }
+  if (in_.size() < 20 + std::size_t{length}) {
+    return false;
+  }
   in_.Skip(20);
   const std::string data = in_.Take(length);
-  if (!TakePiece(open, type, data)) return End("a chunk that cannot be");
-  if (!(flags & kDone)) return true;
+  if (!TakePiece(open, type, data)) {
+    return End("a chunk that cannot be");
+  }
+  if (!(flags & kDone)) {
+    return true;
+  }
   // What has an error in any chunk, or does not cover all that was asked, is never passed off as whole.
   std::uint64_t covered = 0;
-  for (const Piece& piece : open.pieces) covered += piece.size();
-  if (open.error == kOk && open.type == kRead && covered != open.length) open.error = kIo;
+  for (const Piece& piece : open.pieces) {
+    covered += piece.size();
+  }
+  if (open.error == kOk && open.type == kRead && covered != open.length) {
+    open.error = kIo;
+  }
   std::sort(open.pieces.begin(), open.pieces.end(),
             [](const Piece& a, const Piece& b) { return a.offset < b.offset; });
   Reply reply{cookie, open.error, {}, std::move(open.bad), {}};
@@ -453,19 +555,33 @@
 }
 
 bool ClientSession::TakePiece(Open& open, std::uint16_t type, std::string_view data) {
-  if (type == kNone) return data.empty();
+  if (type == kNone) {
+    return data.empty();
+  }
   if (type & 0x8000) {  // an error, of a known kind or not
-    if (data.size() < 6) return false;
+    if (data.size() < 6) {
+      return false;
+    }
     const auto error = Get<std::uint32_t>(data);
     const std::size_t text = Get<std::uint16_t>(data, 4);
-    if (error == kOk || 6 + text > data.size()) return false;
-    if (type == kError && data.size() != 6 + text) return false;
-    if (type == kErrorOffset && data.size() != 14 + text) return false;
+    if (error == kOk || 6 + text > data.size()) {
+      return false;
+    }
+    if (type == kError && data.size() != 6 + text) {
+      return false;
+    }
+    if (type == kErrorOffset && data.size() != 14 + text) {
+      return false;
+    }
     open.error = static_cast<Error>(error);
-    if (type == kErrorOffset) open.bad.push_back(Get<std::uint64_t>(data, 6 + text));
+    if (type == kErrorOffset) {
+      open.bad.push_back(Get<std::uint64_t>(data, 6 + text));
+    }
     return true;
   }
-  if (open.type != kRead || data.size() < 9) return false;
+  if (open.type != kRead || data.size() < 9) {
+    return false;
+  }
   Piece piece;
   piece.offset = Get<std::uint64_t>(data);
   if (type == kOffsetData) {
@@ -476,10 +592,13 @@
     return false;
   }
   const std::uint64_t end = open.offset + open.length;
-  if (piece.offset < open.offset || piece.offset > end || piece.size() > end - piece.offset) return false;
+  if (piece.offset < open.offset || piece.offset > end || piece.size() > end - piece.offset) {
+    return false;
+  }
   for (const Piece& other : open.pieces) {
-    if (piece.offset < other.offset + other.size() && other.offset < piece.offset + piece.size())
+    if (piece.offset < other.offset + other.size() && other.offset < piece.offset + piece.size()) {
       return false;
+    }
   }
   open.pieces.push_back(std::move(piece));
   return true;
--- a/src/nbd/codec.h
+++ b/src/nbd/codec.h
@@ -197,13 +197,16 @@
 
 template <typename T>
 void Put(T value, std::string* out) {
-  for (int shift = 8 * (sizeof(T) - 1); shift >= 0; shift -= 8)
+  for (int shift = 8 * (sizeof(T) - 1); shift >= 0; shift -= 8) {
     out->push_back(static_cast<char>(value >> shift & 0xff));
+  }
 }
 template <typename T>
 T Get(std::string_view bytes, std::size_t at = 0) {
   std::uint64_t value = 0;
-  for (std::size_t i = 0; i < sizeof(T); ++i) value = value << 8 | static_cast<unsigned char>(bytes[at + i]);
+  for (std::size_t i = 0; i < sizeof(T); ++i) {
+    value = value << 8 | static_cast<unsigned char>(bytes[at + i]);
+  }
   return static_cast<T>(value);
 }
 
--- a/src/nbd/config.cpp
+++ b/src/nbd/config.cpp
@@ -15,7 +15,9 @@
 
 int Index(const std::vector<std::string>& names, const std::string& name) {
   const auto at = std::find(names.begin(), names.end(), name);
-  if (at == names.end()) throw std::runtime_error("'" + name + "' is not in the settings");
+  if (at == names.end()) {
+    throw std::runtime_error("'" + name + "' is not in the settings");
+  }
   return static_cast<int>(at - names.begin());
 }
 
@@ -116,7 +118,9 @@
   const config::Table& root = document.root;
   const auto tables = [&](const char* name) {
     const auto at = root.tables.find(name);
-    if (at == root.tables.end()) throw std::runtime_error("no [[" + std::string(name) + "]]");
+    if (at == root.tables.end()) {
+      throw std::runtime_error("no [[" + std::string(name) + "]]");
+    }
     return at->second;
   };
   const auto micros = [&](const char* key) { return static_cast<Time>(root.Number(key) * 1e6); };
@@ -134,7 +138,9 @@
     box.id = t.Text("id");
     box.addresses = {t.Text("address")};
     if (t.Has("paths")) {
-      for (const std::string& path : t.Texts("paths")) box.addresses.push_back(path);
+      for (const std::string& path : t.Texts("paths")) {
+        box.addresses.push_back(path);
+      }
     }
     box.listed = t.Bool("listed");
     c.targets.push_back(box);
@@ -150,29 +156,34 @@
       v.raw_bytes = v.front.size;
       v.journal_bytes = static_cast<std::uint64_t>(t.Integer("journal"));
       const auto geometry = integrity::Fit(v.raw_bytes, v.journal_bytes);
-      if (!geometry)
+      if (!geometry) {
         throw std::runtime_error("export '" + v.front.name +
                                  "' is smaller than its tags and journal; allowed are " +
                                  std::to_string(v.journal_bytes + 16 * integrity::kBlock) + " bytes or more");
+      }
       v.front.size = geometry->data_size();
     }
     v.volume = t.Text("volume");
     v.plan = Index(plans, t.Text("plan"));
     v.shard = static_cast<int>(t.Integer("shard"));
     v.initiator_count = static_cast<int>(t.Integer("hosts"));
-    if (v.checksummed && v.initiator_count != 1)
+    if (v.checksummed && v.initiator_count != 1) {
       throw std::runtime_error("export '" + v.front.name + "': hosts is " +
                                std::to_string(v.initiator_count) +
                                "; with checksums one initiator writes it: allowed is 1");
+    }
     v.target = t.Text("box");
     v.remote = t.Has("remote") ? t.Text("remote") : v.front.name;
     const auto box =
         std::find_if(c.targets.begin(), c.targets.end(), [&](const Target& b) { return b.id == v.target; });
-    if (box == c.targets.end()) throw std::runtime_error("export '" + v.front.name + "' names no box");
+    if (box == c.targets.end()) {
+      throw std::runtime_error("export '" + v.front.name + "' names no box");
+    }
     // A shard of the platform's own must not be sent to a box that discovery does not know.
-    if (!box->listed && v.shard < shards)
+    if (!box->listed && v.shard < shards) {
       throw std::runtime_error("export '" + v.front.name +
                                "': the shard of an unlisted box is the platform's");
+    }
     box->shard = v.shard;
     c.exports.push_back(v.front);
     c.volumes.push_back(std::move(v));
@@ -183,7 +194,9 @@
 Config LoadConfig(const std::string& path, const std::vector<std::string>& classes,
                   const std::vector<std::string>& plans, const Settings& settings, int shards) {
   std::ifstream file(path);
-  if (!file) throw std::runtime_error("cannot read " + path);
+  if (!file) {
+    throw std::runtime_error("cannot read " + path);
+  }
   std::stringstream text;
   text << file.rdbuf();
   try {
--- a/src/nbd/front_end.cpp
+++ b/src/nbd/front_end.cpp
@@ -55,7 +55,9 @@
       serials_(serials),
       post_(std::move(post)),
       resume_(loop::MakeTimer(base, [this] {
-        if (clients_.size() >= most_ && !MakeRoom()) return Pause();
+        if (clients_.size() >= most_ && !MakeRoom()) {
+          return Pause();
+        }
         evconnlistener_enable(listener_.get());
       })) {
   sockaddr_in address = loop::ToSocket(loop::ParseAddress(config.listen));
@@ -66,7 +68,9 @@
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC, -1,
       reinterpret_cast<sockaddr*>(&address), sizeof address));
-  if (!listener_) throw std::runtime_error("cannot listen at " + config.listen + ": " + std::strerror(errno));
+  if (!listener_) {
+    throw std::runtime_error("cannot listen at " + config.listen + ": " + std::strerror(errno));
+  }
   evconnlistener_set_error_cb(listener_.get(),
                               [](evconnlistener*, void* arg) { static_cast<FrontEnd*>(arg)->Pause(); });
   socklen_t length = sizeof address;
@@ -78,7 +82,9 @@
 
 // Out of descriptors: the listener stays readable, so it rests instead of spinning.
 void FrontEnd::Pause() {
-  if (!listener_) return;
+  if (!listener_) {
+    return;
+  }
   evconnlistener_disable(listener_.get());
   resume_.Start(kAcceptAgain);
 }
@@ -115,14 +121,20 @@
       },
       [](bufferevent*, short what, void* arg) {
         auto* self = static_cast<Client*>(arg);
-        if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) self->owner->End(*self);
+        if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) {
+          self->owner->End(*self);
+        }
       },
       c);
   clients_[c->number] = std::move(client);
-  if (on_accept) on_accept(c->stream.get());
+  if (on_accept) {
+    on_accept(c->stream.get());
+  }
   bufferevent_enable(c->stream.get(), EV_READ | EV_WRITE);
   Write(*c, Greeting());
-  if (clients_.size() >= most_ && !MakeRoom()) Pause();
+  if (clients_.size() >= most_ && !MakeRoom()) {
+    Pause();
+  }
 }
 
 // Guards usual clients against floods: the client goes that has been in its handshake the longest, or else
@@ -131,17 +143,26 @@
   const Time now = core::Now();
   Client* best = nullptr;
   for (const auto& [number, c] : clients_) {
-    if (c->asked || now - c->since < (c->session.chosen() ? kSilent : kSettle)) continue;
-    const bool better = !best || (!c->session.chosen() && best->session.chosen()) ||
-                        (!c->session.chosen() == !best->session.chosen() && c->since < best->since);
-    if (better) best = c.get();
+    if (c->asked || now - c->since < (c->session.chosen() ? kSilent : kSettle)) {
+      continue;
+    }
+    const bool better =
+        best == nullptr || (c->session.chosen() == nullptr && best->session.chosen() != nullptr) ||
+        ((c->session.chosen() == nullptr) == (best->session.chosen() == nullptr) && c->since < best->since);
+    if (better) {
+      best = c.get();
+    }
+  }
+  if (best) {
+    End(*best);
   }
-  if (best) End(*best);
   return best != nullptr;
 }
 
 void FrontEnd::Write(Client& client, const std::string& bytes) {
-  if (!bytes.empty()) bufferevent_write(client.stream.get(), bytes.data(), bytes.size());
+  if (!bytes.empty()) {
+    bufferevent_write(client.stream.get(), bytes.data(), bytes.size());
+  }
 }
 
 // Reads on only while there is room for more of the client's commands and answers: both are bounded.
@@ -161,16 +182,26 @@
     }
     char bytes[4096];
     const int size = evbuffer_remove(input, bytes, sizeof bytes);
-    if (size <= 0) break;
+    if (size <= 0) {
+      break;
+    }
     std::string out;
     std::vector<Request> requests;
     client.session.Feed({bytes, static_cast<std::size_t>(size)}, &out, &requests);
     Write(client, out);
-    if (client.session.chosen()) client.handshake.Stop();
-    for (Request& request : requests) Take(client, std::move(request));
+    if (client.session.chosen()) {
+      client.handshake.Stop();
+    }
+    for (Request& request : requests) {
+      Take(client, std::move(request));
+    }
     const bool waiting = client.session.unfinished();
-    if (waiting && (!client.waiting || !requests.empty())) client.unfinished.Start(kWhole);
-    if (!waiting) client.unfinished.Stop();
+    if (waiting && (!client.waiting || !requests.empty())) {
+      client.unfinished.Start(kWhole);
+    }
+    if (!waiting) {
+      client.unfinished.Stop();
+    }
     client.waiting = waiting;
   }
   EndIfIdle(client);
@@ -186,16 +217,29 @@
     client.session.Reply(cookie, error, why, &out);
     Write(client, out);
   };
-  if (draining_) return refuse(kShutdown, "the initiator ends");
+  if (draining_) {
+    return refuse(kShutdown, "the initiator ends");
+  }
   const auto cls = config_.classes.find(request.type);
-  if (cls == config_.classes.end()) return refuse(kInvalid, "unknown command");
-  if (request.flags != 0) return refuse(kInvalid, "unknown flags");
-  if (client.in_flight.contains(cookie)) return refuse(kInvalid, "the cookie is in use");
+  if (cls == config_.classes.end()) {
+    return refuse(kInvalid, "unknown command");
+  }
+  if (request.flags != 0) {
+    return refuse(kInvalid, "unknown flags");
+  }
+  if (client.in_flight.contains(cookie)) {
+    return refuse(kInvalid, "the cookie is in use");
+  }
   if (request.type != kFlush) {
-    if (request.length == 0) return refuse(kInvalid, "no length");
-    if (request.oversized || request.length > chosen.largest) return refuse(kOverflow, "too long");
-    if (request.offset > chosen.size || request.length > chosen.size - request.offset)
+    if (request.length == 0) {
+      return refuse(kInvalid, "no length");
+    }
+    if (request.oversized || request.length > chosen.largest) {
+      return refuse(kOverflow, "too long");
+    }
+    if (request.offset > chosen.size || request.length > chosen.size - request.offset) {
       return refuse(request.type == kWrite ? kNoSpace : kInvalid, "past the end");
+    }
   } else if (request.length != 0 || request.offset != 0) {
     return refuse(kInvalid, "a flush has no range");
   }
@@ -208,8 +252,9 @@
   arrived.attributes.key = volume.volume + "/" + std::to_string(request.offset);
   arrived.attributes.units = UnitsOf(config_, request.length);
   // A write of a checksummed export goes into the journal and later in place: the box does it twice.
-  if (volume.checksummed && request.type == kWrite)
+  if (volume.checksummed && request.type == kWrite) {
     arrived.attributes.units = std::min(2 * arrived.attributes.units, settings_.max_request_units);
+  }
   arrived.attributes.shard = volume.shard;
   arrived.attributes.initiator_count = volume.initiator_count;
   const Time patience = settings_.classes[cls->second].deadline;
@@ -217,7 +262,9 @@
   auto payload = std::make_shared<CommandPayload>();
   payload->request = std::move(request);
   payload->remote = volume.remote;
-  if (volume.checksummed) payload->volume = static_cast<int>(&volume - config_.volumes.data());
+  if (volume.checksummed) {
+    payload->volume = static_cast<int>(&volume - config_.volumes.data());
+  }
   arrived.payload = std::move(payload);
   client.in_flight[cookie] = arrived.request;
   const core::RequestNumber serial = arrived.request;
@@ -233,7 +280,9 @@
 
 void FrontEnd::Respond(const core::Response& answer) {
   const auto at = held_.find(answer.request);
-  if (at == held_.end()) return;  // the client has left
+  if (at == held_.end()) {
+    return;  // the client has left
+  }
   Client& client = *clients_.at(at->second.client);
   const std::uint64_t cookie = at->second.cookie;
   last_answers_.OnResponse(core::Now() - at->second.came);
@@ -267,12 +316,15 @@
 // A client that said goodbye, or sent what is no NBD, gets no further answers; nor is one kept at the end.
 void FrontEnd::EndIfIdle(Client& client) {
   if (client.session.ended()) {
-    if (evbuffer_get_length(bufferevent_get_output(client.stream.get())) == 0) return End(client);
+    if (evbuffer_get_length(bufferevent_get_output(client.stream.get())) == 0) {
+      return End(client);
+    }
     return client.handshake.Start(config_.handshake_timeout);  // it may never read what is left for it
   }
   if (!draining_ || client.closing || !client.in_flight.empty() || client.session.unfinished() ||
-      evbuffer_get_length(bufferevent_get_output(client.stream.get())) > 0)
+      evbuffer_get_length(bufferevent_get_output(client.stream.get())) > 0) {
     return;
+  }
   client.closing = true;
   client.handshake.Stop();
   shutdown(bufferevent_getfd(client.stream.get()), SHUT_WR);
@@ -280,19 +332,27 @@
 
 void FrontEnd::End(Client& client) {
   const auto at = clients_.find(client.number);
-  if (at == clients_.end()) return;
+  if (at == clients_.end()) {
+    return;
+  }
   const std::unique_ptr<Client> gone = std::move(at->second);
   clients_.erase(at);
   for (const auto& [cookie, serial] : gone->in_flight) {
-    if (held_.erase(serial) > 0) post_(core::ClientClosed{serial});
+    if (held_.erase(serial) > 0) {
+      post_(core::ClientClosed{serial});
+    }
   }
 }
 
 bool FrontEnd::IsClientConnected(core::RequestNumber serial) {
   const auto at = held_.find(serial);
-  if (at == held_.end()) return false;
+  if (at == held_.end()) {
+    return false;
+  }
   Client& client = *clients_.at(at->second.client);
-  if (!loop::PeerHasClosed(bufferevent_getfd(client.stream.get()))) return true;
+  if (!loop::PeerHasClosed(bufferevent_getfd(client.stream.get()))) {
+    return true;
+  }
   End(client);
   return false;
 }
@@ -300,7 +360,9 @@
 void FrontEnd::SetShutdownDeadline(Time end) {
   end_ = end;
   for (auto& [serial, held] : held_) {
-    if (held.until > end) held.deadline.Start(end - core::Now());
+    if (held.until > end) {
+      held.deadline.Start(end - core::Now());
+    }
   }
 }
 
@@ -312,10 +374,16 @@
     resume_.Stop();
     listener_.reset();
   }
-  if (!draining_) return;
+  if (!draining_) {
+    return;
+  }
   std::vector<Client*> all;
-  for (const auto& [number, client] : clients_) all.push_back(client.get());
-  for (Client* client : all) EndIfIdle(*client);
+  for (const auto& [number, client] : clients_) {
+    all.push_back(client.get());
+  }
+  for (Client* client : all) {
+    EndIfIdle(*client);
+  }
 }
 
 }  // namespace walnutspur::nbd
--- a/src/pcap/capture.cpp
+++ b/src/pcap/capture.cpp
@@ -18,13 +18,16 @@
 
 std::uint32_t Big(View bytes, std::size_t at, std::size_t size) {
   std::uint32_t value = 0;
-  for (std::size_t i = 0; i < size; ++i) value = value << 8 | static_cast<unsigned char>(bytes[at + i]);
+  for (std::size_t i = 0; i < size; ++i) {
+    value = value << 8 | static_cast<unsigned char>(bytes[at + i]);
+  }
   return value;
 }
 
 void PutBig(std::uint32_t value, int size, std::string* out) {
-  for (int shift = 8 * (size - 1); shift >= 0; shift -= 8)
+  for (int shift = 8 * (size - 1); shift >= 0; shift -= 8) {
     out->push_back(static_cast<char>(value >> shift & 0xff));
+  }
 }
 
 // The IP packet in a frame of the link; empty if there is none.
@@ -40,14 +43,19 @@
     case DLT_LOOP:
       return frame.size() < 4 ? View() : frame.substr(4);
     case DLT_LINUX_SLL:
-      if (frame.size() < 16) return {};
+      if (frame.size() < 16) {
+        return {};
+      }
       type = Big(frame, 14, 2), head = 16;
       break;
     case DLT_EN10MB:
-      if (frame.size() < 14) return {};
+      if (frame.size() < 14) {
+        return {};
+      }
       type = Big(frame, 12, 2), head = 14;
-      while ((type == 0x8100 || type == 0x88a8) && frame.size() >= head + 4)
+      while ((type == 0x8100 || type == 0x88a8) && frame.size() >= head + 4) {
         type = Big(frame, head + 2, 2), head += 4;
+      }
       break;
     default:
       return {};
@@ -65,27 +73,38 @@
 
 // Reads a TCP segment; false for anything else, fragments included.
 bool ReadSegment(View packet, Segment* segment) {
-  if (packet.empty()) return false;
-  std::size_t head = 0, size = 0;  // of the IP header; of the whole packet as it was sent
+  if (packet.empty()) {
+    return false;
+  }
+  std::size_t head = 0;
+  std::size_t size = 0;  // of the IP header; of the whole packet as it was sent
   const int version = static_cast<unsigned char>(packet[0]) >> 4;
   if (version == 4 && packet.size() >= 20) {
     head = 4 * (packet[0] & 15);
     size = Big(packet, 2, 2);
-    if ((Big(packet, 6, 2) & 0x3fff) != 0 || packet[9] != 6) return false;
+    if ((Big(packet, 6, 2) & 0x3fff) != 0 || packet[9] != 6) {
+      return false;
+    }
     segment->from.address = packet.substr(12, 4);
     segment->to.address = packet.substr(16, 4);
   } else if (version == 6 && packet.size() >= 40) {
     head = 40;
     size = 40 + Big(packet, 4, 2);
-    if (packet[6] != 6) return false;
+    if (packet[6] != 6) {
+      return false;
+    }
     segment->from.address = packet.substr(8, 16);
     segment->to.address = packet.substr(24, 16);
   } else {
     return false;
   }
-  if (head < 20 || packet.size() < head + 20) return false;
+  if (head < 20 || packet.size() < head + 20) {
+    return false;
+  }
   const std::size_t data = head + 4 * (static_cast<unsigned char>(packet[head + 12]) >> 4);
-  if (data < head + 20 || size < data) return false;
+  if (data < head + 20 || size < data) {
+    return false;
+  }
   segment->from.port = static_cast<std::uint16_t>(Big(packet, head, 2));
   segment->to.port = static_cast<std::uint16_t>(Big(packet, head + 2, 2));
   segment->number = Big(packet, head + 4, 4);
@@ -97,13 +116,16 @@
 }
 
 std::uint32_t Sum(View bytes, std::uint32_t sum) {
-  for (std::size_t i = 0; i < bytes.size(); i += 2)
+  for (std::size_t i = 0; i < bytes.size(); i += 2) {
     sum += i + 1 < bytes.size() ? Big(bytes, i, 2) : Big(bytes, i, 1) << 8;
+  }
   return sum;
 }
 
 std::uint16_t Checksum(std::uint32_t sum) {
-  while (sum >> 16) sum = (sum & 0xffff) + (sum >> 16);
+  while (sum >> 16) {
+    sum = (sum & 0xffff) + (sum >> 16);
+  }
   return static_cast<std::uint16_t>(~sum);
 }
 
@@ -112,17 +134,23 @@
 // ---- reading ----
 
 void Reassembly::Begin(std::uint32_t first) {
-  if (begun_) return;
+  if (begun_) {
+    return;
+  }
   begun_ = true;
   next_ = first;
 }
 
 void Reassembly::Add(std::uint32_t number, View bytes, std::size_t cut) {
-  if (!begun_) Begin(number);
+  if (!begun_) {
+    Begin(number);
+  }
   const auto ahead = static_cast<std::int32_t>(number - next_);  // numbers wrap around
   if (ahead < 0) {                                               // sent again, in whole or in part
     const auto known = static_cast<std::size_t>(-static_cast<std::int64_t>(ahead));
-    if (known >= bytes.size()) return;
+    if (known >= bytes.size()) {
+      return;
+    }
     return Add(next_, bytes.substr(known), cut);
   }
   if (full_ || bytes.empty()) {
@@ -135,7 +163,9 @@
   }
   if (ahead > 0) {  // early: kept by its distance from the first byte
     std::string& held = later_[static_cast<std::uint32_t>(bytes_.size()) + static_cast<std::uint32_t>(ahead)];
-    if (bytes.size() <= held.size()) return;
+    if (bytes.size() <= held.size()) {
+      return;
+    }
     held_ += bytes.size() - held.size();
     held = bytes;
     return;
@@ -150,7 +180,9 @@
     const auto node = later_.extract(later_.begin());
     held_ -= node.mapped().size();
     const std::size_t known = bytes_.size() - node.key();
-    if (known >= node.mapped().size()) continue;
+    if (known >= node.mapped().size()) {
+      continue;
+    }
     bytes_.append(node.mapped(), known);
     next_ += static_cast<std::uint32_t>(node.mapped().size() - known);
   }
@@ -159,7 +191,9 @@
 std::vector<Stream> ReadStreams(const std::string& path, std::size_t most) {
   char why[PCAP_ERRBUF_SIZE] = "";
   const std::unique_ptr<pcap_t, void (*)(pcap_t*)> file(pcap_open_offline(path.c_str(), why), pcap_close);
-  if (!file) throw std::runtime_error(std::string("cannot read ") + path + ": " + why);
+  if (!file) {
+    throw std::runtime_error(std::string("cannot read ") + path + ": " + why);
+  }
   const int link = pcap_datalink(file.get());
   std::list<Stream> streams;
   std::map<std::pair<Endpoint, Endpoint>, Stream*> open;  // by client and server
@@ -167,28 +201,38 @@
   const unsigned char* frame = nullptr;
   while (pcap_next_ex(file.get(), &header, &frame) == 1) {
     Segment s;
-    if (!ReadSegment(Network(link, View(reinterpret_cast<const char*>(frame), header->caplen)), &s)) continue;
-    const bool first = (s.flags & kSyn) && !(s.flags & kAck);
+    if (!ReadSegment(Network(link, View(reinterpret_cast<const char*>(frame), header->caplen)), &s)) {
+      continue;
+    }
+    const bool first = ((s.flags & kSyn) != 0) && ((s.flags & kAck) == 0);
     auto at = open.find({s.from, s.to});
     bool to_server = at != open.end();
-    if (!to_server) at = open.find({s.to, s.from});
+    if (!to_server) {
+      at = open.find({s.to, s.from});
+    }
     // A port that is used anew is another stream; a SYN that is sent again is not.
     const bool anew = at != open.end() && first && (at->second->finished || !to_server);
     if (at == open.end() || anew) {
       const bool answers =
-          (s.flags & kSyn) || s.from.port > s.to.port;  // else a guess: servers' ports are low
-      to_server = first || (!(s.flags & kSyn) && answers);
+          ((s.flags & kSyn) != 0) || s.from.port > s.to.port;  // else a guess: servers' ports are low
+      to_server = first || (((s.flags & kSyn) == 0) && answers);
       Stream& stream = streams.emplace_back(most);
       stream.client = to_server ? s.from : s.to;
       stream.server = to_server ? s.to : s.from;
-      stream.opened = s.flags & kSyn;
+      stream.opened = ((s.flags & kSyn) != 0);
       at = open.insert_or_assign({stream.client, stream.server}, &stream).first;
     }
     Stream& stream = *at->second;
     Reassembly& side = to_server ? stream.to_server : stream.to_client;
-    if (s.flags & kSyn) side.Begin(s.number + 1);
-    if (!s.bytes.empty() || s.cut > 0) side.Add(s.number + ((s.flags & kSyn) ? 1 : 0), s.bytes, s.cut);
-    if (s.flags & (kFin | kRst)) stream.finished = true;
+    if (s.flags & kSyn) {
+      side.Begin(s.number + 1);
+    }
+    if (!s.bytes.empty() || s.cut > 0) {
+      side.Add(s.number + ((s.flags & kSyn) ? 1 : 0), s.bytes, s.cut);
+    }
+    if (s.flags & (kFin | kRst)) {
+      stream.finished = true;
+    }
   }
   return {std::make_move_iterator(streams.begin()), std::make_move_iterator(streams.end())};
 }
@@ -198,11 +242,15 @@
 Writer::Writer(const std::string& path, std::size_t most)
     : left_(most), handle_(pcap_open_dead(DLT_RAW, kSnap), pcap_close), file_(nullptr, pcap_dump_close) {
   file_.reset(pcap_dump_open(handle_.get(), path.c_str()));
-  if (!file_) throw std::runtime_error("cannot write " + path + ": " + pcap_geterr(handle_.get()));
+  if (!file_) {
+    throw std::runtime_error("cannot write " + path + ": " + pcap_geterr(handle_.get()));
+  }
 }
 
 Writer::~Writer() {
-  while (!flows_.empty()) Close(flows_.begin()->first);
+  while (!flows_.empty()) {
+    Close(flows_.begin()->first);
+  }
 }
 
 Writer::Id Writer::Open(const Endpoint& client, const Endpoint& server) {
@@ -219,7 +267,9 @@
 
 void Writer::Data(Id stream, bool to_server, View bytes) {
   const auto at = flows_.find(stream);
-  if (at == flows_.end()) return;
+  if (at == flows_.end()) {
+    return;
+  }
   while (!bytes.empty() && left_ > 0) {
     const std::size_t size = std::min({bytes.size(), kSegment, left_});
     Packet(at->second, to_server, kPush | kAck, bytes.substr(0, size));
@@ -230,7 +280,9 @@
 
 void Writer::Close(Id stream) {
   const auto at = flows_.find(stream);
-  if (at == flows_.end()) return;
+  if (at == flows_.end()) {
+    return;
+  }
   Packet(at->second, true, kFin | kAck, "");
   Packet(at->second, false, kFin | kAck, "");
   Packet(at->second, true, kAck, "");
@@ -243,7 +295,8 @@
   const Endpoint& to = to_server ? flow.server : flow.client;
   std::uint32_t& next = flow.next[to_server ? 0 : 1];
   const auto size = static_cast<std::uint32_t>(bytes.size());
-  std::string ip, tcp;
+  std::string ip;
+  std::string tcp;
   PutBig(0x4500, 2, &ip);
   PutBig(40 + size, 2, &ip);
   PutBig(0, 4, &ip);
--- a/src/pcap/traffic.cpp
+++ b/src/pcap/traffic.cpp
@@ -23,7 +23,9 @@
 
 void Recorder::Attach(bufferevent* stream) {
   auto& tap = taps_[stream];
-  if (tap) writer_.Close(tap->id);
+  if (tap) {
+    writer_.Close(tap->id);
+  }
   tap = std::make_unique<Tap>(Tap{this, stream, 0});
   const auto added = [](bool to_server) {
     return to_server ? [](evbuffer* buffer, const evbuffer_cb_info* info, void* arg) {
@@ -40,7 +42,9 @@
 }
 
 void Recorder::Pass(Tap& tap, bool to_server, evbuffer* buffer, std::size_t added) {
-  if (added == 0) return;
+  if (added == 0) {
+    return;
+  }
   if (tap.id == 0) {
     const int fd = bufferevent_getfd(tap.stream);
     tap.id = writer_.Open(NameOf(getpeername, fd), NameOf(getsockname, fd));
@@ -51,8 +55,9 @@
   const int parts = evbuffer_peek(buffer, static_cast<ev_ssize_t>(added), &from, nullptr, 0);
   std::vector<evbuffer_iovec> found(static_cast<std::size_t>(std::max(parts, 0)));
   evbuffer_peek(buffer, static_cast<ev_ssize_t>(added), &from, found.data(), parts);
-  for (const evbuffer_iovec& part : found)
+  for (const evbuffer_iovec& part : found) {
     writer_.Data(tap.id, to_server, {static_cast<const char*>(part.iov_base), part.iov_len});
+  }
 }
 
 bool LooksLikeNbd(const std::string& bytes) {  // the client's flags, then an option
@@ -66,7 +71,9 @@
   for (const Stream& stream : streams) {
     Result& result = results_.emplace_back();
     const loop::Address address = address_of(stream);
-    if (address.port == 0 || stream.to_server.bytes().empty()) continue;
+    if (address.port == 0 || stream.to_server.bytes().empty()) {
+      continue;
+    }
     result.sent = stream.to_server.bytes();
     result.gap = stream.to_server.gap();
     auto play = std::make_unique<Play>();
@@ -85,13 +92,17 @@
     ++open_;
     Start(*plays_[next_++]);
   }
-  if (open_ == 0) done_();
+  if (open_ == 0) {
+    done_();
+  }
 }
 
 void Player::Start(Play& play) {
   Play* p = &play;
   const auto end = [p] {
-    if (std::exchange(p->ended, true)) return;
+    if (std::exchange(p->ended, true)) {
+      return;
+    }
     p->stream.reset();
     p->quiet.Stop();
     --p->owner->open_;
@@ -113,7 +124,9 @@
       },
       nullptr,
       [](bufferevent*, short what, void* arg) {
-        if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) static_cast<Play*>(arg)->end();
+        if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) {
+          static_cast<Play*>(arg)->end();
+        }
       },
       p);
   bufferevent_enable(p->stream.get(), EV_READ | EV_WRITE);
@@ -121,8 +134,10 @@
   bufferevent_write(p->stream.get(), sent.data(), sent.size());
   sockaddr_in address = loop::ToSocket(p->address);
   p->quiet.Start(quiet_);
-  if (bufferevent_socket_connect(p->stream.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) != 0)
+  if (bufferevent_socket_connect(p->stream.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) !=
+      0) {
     p->quiet.Start(0);
+  }
 }
 
 }  // namespace walnutspur::pcap
