--- a/src/loop/address.cpp
+++ b/src/loop/address.cpp
@@ -3,7 +3,6 @@
 #include <arpa/inet.h>
 
 #include <charconv>
-#include <stdexcept>
 
 namespace walnutspur::loop {
 
@@ -14,18 +13,23 @@
     address.host = text.substr(0, colon);
     const char* end = text.data() + text.size();
     const auto [at, error] = std::from_chars(text.data() + colon + 1, end, address.port);
-    if (error == std::errc() && at == end) return address;
+    if (error == std::errc() && at == end) {
+      return address;
+    }
   }
-  throw std::runtime_error("'" + text + "' is not an address with a port");
+  throw AddressError("'" + text + "' is not an address with a port");
 }
 
 sockaddr_in ToSocket(const Address& address) {
   sockaddr_in socket{};
   socket.sin_family = AF_INET;
   socket.sin_port = htons(address.port);
-  if (inet_pton(AF_INET, address.host.c_str(), &socket.sin_addr) != 1)
-    throw std::runtime_error("'" + address.host + "' is not a numeric address");
+  if (inet_pton(AF_INET, address.host.c_str(), &socket.sin_addr) != 1) {
+    throw AddressError("'" + address.host + "' is not a numeric address");
+  }
   return socket;
 }
 
+std::string ToString(const Address& address) { return address.host + ":" + std::to_string(address.port); }
+
 }  // namespace walnutspur::loop
--- /dev/null
+++ b/src/loop/attempt_key.h
@@ -0,0 +1,21 @@
+// Names one attempt of one request, as a key of tables. Plain data.
+#ifndef WALNUTSPUR_LOOP_ATTEMPT_KEY_H_
+#define WALNUTSPUR_LOOP_ATTEMPT_KEY_H_
+
+#include <compare>
+
+#include "core/engine.h"
+
+namespace walnutspur::loop {
+
+// Ordered by request, then by attempt.
+struct AttemptKey {
+  core::RequestNumber request = 0;
+  int attempt = 0;
+  // NOLINTNEXTLINE(modernize-use-nullptr): false positive on the 0 that a defaulted comparison is built with
+  auto operator<=>(const AttemptKey&) const = default;
+};
+
+}  // namespace walnutspur::loop
+
+#endif  // WALNUTSPUR_LOOP_ATTEMPT_KEY_H_
--- /dev/null
+++ b/src/loop/listener.cpp
@@ -0,0 +1,96 @@
+#include "loop/listener.h"
+
+#include <arpa/inet.h>
+#include <sys/socket.h>
+
+#include <cerrno>
+#include <cstring>
+#include <utility>
+
+namespace walnutspur::loop {
+namespace {
+
+constexpr Time kPauseDuration = 20'000;  // us
+constexpr unsigned kSocketFlags = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC;
+
+int BoundPort(evutil_socket_t fd) {
+  sockaddr_in address{};
+  socklen_t length = sizeof address;
+  getsockname(fd, reinterpret_cast<sockaddr*>(&address), &length);
+  return ntohs(address.sin_port);
+}
+
+}  // namespace
+
+Listener::Listener(event_base* base, const Address& address, const ListenerOptions& options,
+                   ListenerCallbacks callbacks)
+    : callbacks_(std::move(callbacks)), resume_(MakeTimer(base, [this] { Resume(); })) {
+  const sockaddr_in socket = ToSocket(address);
+  const unsigned flags = kSocketFlags | (options.reuse_address ? LEV_OPT_REUSEABLE : 0U);
+  listener_.reset(evconnlistener_new_bind(base, OnAccept, this, flags, options.backlog,
+                                          reinterpret_cast<const sockaddr*>(&socket), sizeof socket));
+  if (!listener_) {
+    throw ListenError(ToString(address), std::strerror(errno));
+  }
+  SetErrorCallback();
+  port_ = BoundPort(evconnlistener_get_fd(listener_.get()));
+}
+
+Listener::Listener(event_base* base, evutil_socket_t bound_socket, const std::string& place, int backlog,
+                   ListenerCallbacks callbacks)
+    : callbacks_(std::move(callbacks)),
+      resume_(MakeTimer(base, [this] { Resume(); })),
+      listener_(evconnlistener_new(base, OnAccept, this, kSocketFlags, backlog, bound_socket)) {
+  if (!listener_) {
+    throw ListenError(place, std::strerror(errno));
+  }
+  SetErrorCallback();
+}
+
+void Listener::OnAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
+  static_cast<Listener*>(self)->callbacks_.on_accept(fd);
+}
+
+// With a callback of ours libevent's own, which logs a warning each time, is not called.
+void Listener::SetErrorCallback() {
+  if (!callbacks_.on_error) {
+    return;
+  }
+  evconnlistener_set_error_cb(listener_.get(), [](evconnlistener*, void* self) {
+    static_cast<Listener*>(self)->callbacks_.on_error();
+  });
+}
+
+void Listener::Pause() {
+  if (!listener_) {
+    return;
+  }
+  evconnlistener_disable(listener_.get());
+  resume_.Start(kPauseDuration);
+}
+
+void Listener::Resume() {
+  if (callbacks_.has_capacity && !callbacks_.has_capacity()) {
+    Pause();
+    return;
+  }
+  evconnlistener_enable(listener_.get());
+}
+
+void Listener::AcceptPending() {
+  const evutil_socket_t listening = evconnlistener_get_fd(listener_.get());
+  while (true) {
+    const evutil_socket_t accepted = accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    if (accepted < 0) {
+      return;
+    }
+    callbacks_.on_accept(accepted);
+  }
+}
+
+void Listener::Close() {
+  resume_.Stop();
+  listener_.reset();
+}
+
+}  // namespace walnutspur::loop
--- a/src/loop/loop.h
+++ b/src/loop/loop.h
@@ -1,4 +1,7 @@
-// RAII over libevent: the loop, and one timer for each wait.
+// RAII over libevent: the event loop, and events (timers, signals, sockets) that call a function.
+//
+// All of it belongs to the thread that runs the loop; only EventHandle::Activate may be called from others,
+// and only where libevent's threads are in use.
 #ifndef WALNUTSPUR_LOOP_LOOP_H_
 #define WALNUTSPUR_LOOP_LOOP_H_
 
@@ -6,6 +9,7 @@
 #include <event2/http.h>
 
 #include <algorithm>
+#include <cstdint>
 #include <functional>
 #include <memory>
 #include <utility>
@@ -14,6 +18,12 @@
 
 namespace walnutspur::loop {
 
+constexpr Time kMicrosecondsPerSecond = 1'000'000;
+
+// libevent's bit sets EV_* and BEV_EVENT_*, which its interface has as `short`.
+using EventMask = std::int16_t;
+
+// A deleter for std::unique_ptr that calls one of libevent's functions.
 template <auto Free>
 struct Deleter {
   template <typename T>
@@ -24,42 +34,52 @@
 using EventBasePtr = std::unique_ptr<event_base, Deleter<event_base_free>>;
 using EventPtr = std::unique_ptr<event, Deleter<event_free>>;
 
+// A duration in microseconds as a timeval; a negative one is zero.
 inline timeval ToTimeval(Time after) {
   after = std::max<Time>(after, 0);
-  return {static_cast<time_t>(after / 1'000'000), static_cast<suseconds_t>(after % 1'000'000)};
+  return {static_cast<time_t>(after / kMicrosecondsPerSecond),
+          static_cast<suseconds_t>(after % kMicrosecondsPerSecond)};
 }
 
-// An event of the loop that calls a function: a timer, a signal or a socket.
+// An event of the loop that calls a function: a timer, a signal or a socket. It is off until it is started.
 class EventHandle {
  public:
+  // No event: only Stop may be called.
   EventHandle() = default;
-  EventHandle(event_base* base, evutil_socket_t fd, short what, std::function<void()> call)
+  EventHandle(event_base* base, evutil_socket_t fd, EventMask what, std::function<void()> call)
       : call_(std::make_unique<std::function<void()>>(std::move(call))),
         event_(event_new(
             base, fd, what,
-            [](evutil_socket_t, short, void* arg) {
-              const auto run = *static_cast<std::function<void()>*>(arg);  // it may destroy the watcher
+            [](evutil_socket_t, EventMask, void* arg) {
+              // A copy, because the call may destroy this handle.
+              const auto run = *static_cast<std::function<void()>*>(arg);
               run();
             },
             call_.get())) {}
 
+  // Waits for the event without a time limit.
   void Start() { event_add(event_.get(), nullptr); }
+  // Fires in `after` microseconds at the latest; restarts one that runs.
   void Start(Time after) {
     const timeval time = ToTimeval(after);
     event_add(event_.get(), &time);
   }
   void Stop() {
-    if (event_) event_del(event_.get());
+    if (event_) {
+      event_del(event_.get());
+    }
   }
+  // Fires in the loop's next turn, started or not.
   void Activate() { event_active(event_.get(), EV_READ, 0); }
 
  private:
-  std::unique_ptr<std::function<void()>> call_;
+  std::unique_ptr<std::function<void()>> call_;  // on the heap: libevent holds its address
   EventPtr event_;
 };
 
+// A timer that fires once each time it is started.
 inline EventHandle MakeTimer(event_base* base, std::function<void()> call) {
-  return EventHandle(base, -1, 0, std::move(call));
+  return {base, -1, 0, std::move(call)};
 }
 
 }  // namespace walnutspur::loop
--- a/src/loop/peer.cpp
+++ b/src/loop/peer.cpp
@@ -1,18 +1,36 @@
 #include "loop/peer.h"
 
 #include <poll.h>
+#include <sys/ioctl.h>
 #include <sys/socket.h>
 
-#include <cerrno>
-
 namespace walnutspur::loop {
+namespace {
+
+// The result of a recv of one byte that leaves it where it is.
+ssize_t PeekByte(evutil_socket_t fd) {
+  char byte = 0;
+  return recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+}
+
+}  // namespace
 
 bool PeerHasClosed(evutil_socket_t fd) {
   pollfd polled{fd, POLLIN | POLLRDHUP, 0};
-  if (poll(&polled, 1, 0) <= 0) return false;
-  if (polled.revents & (POLLRDHUP | POLLHUP | POLLERR)) return true;
-  char byte;
-  return (polled.revents & POLLIN) && recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
+  if (poll(&polled, 1, 0) <= 0) {
+    return false;
+  }
+  if (polled.revents & (POLLRDHUP | POLLHUP | POLLERR)) {
+    return true;
+  }
+  return (polled.revents & POLLIN) != 0 && PeekByte(fd) == 0;
+}
+
+bool HasPendingInput(evutil_socket_t fd) { return PeekByte(fd) >= 0; }
+
+bool HasUnreadBytes(evutil_socket_t fd) {
+  int bytes = 0;
+  return ioctl(fd, FIONREAD, &bytes) == 0 && bytes > 0;
 }
 
 }  // namespace walnutspur::loop
--- /dev/null
+++ b/src/loop/stream.cpp
@@ -0,0 +1,69 @@
+#include "loop/stream.h"
+
+#include <event2/buffer.h>
+#include <netinet/tcp.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+namespace walnutspur::loop {
+
+void DisableNagle(evutil_socket_t fd) {
+  const int enabled = 1;
+  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
+}
+
+StreamPtr AdoptSocket(event_base* base, evutil_socket_t fd) {
+  StreamPtr stream(bufferevent_socket_new(base, fd, BEV_OPT_CLOSE_ON_FREE));
+  if (!stream) {
+    close(fd);
+  }
+  return stream;
+}
+
+StreamPtr MakeClientStream(event_base* base) {
+  return StreamPtr(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
+}
+
+bool Connect(bufferevent* stream, const sockaddr_in& address) {
+  const auto* generic = reinterpret_cast<const sockaddr*>(&address);
+  return bufferevent_socket_connect(stream, generic, sizeof address) == 0;
+}
+
+void Write(bufferevent* stream, std::string_view bytes) {
+  bufferevent_write(stream, bytes.data(), bytes.size());
+}
+
+std::string TakeInput(bufferevent* stream) {
+  evbuffer* input = bufferevent_get_input(stream);
+  std::string bytes(evbuffer_get_length(input), '\0');
+  evbuffer_remove(input, bytes.data(), bytes.size());
+  return bytes;
+}
+
+std::string_view FirstInputChunk(bufferevent* stream) {
+  evbuffer* input = bufferevent_get_input(stream);
+  const std::size_t size = evbuffer_get_contiguous_space(input);
+  if (size == 0) {
+    return {};
+  }
+  const unsigned char* bytes = evbuffer_pullup(input, static_cast<ev_ssize_t>(size));
+  return {reinterpret_cast<const char*>(bytes), size};
+}
+
+void DrainInput(bufferevent* stream, std::size_t size) {
+  evbuffer_drain(bufferevent_get_input(stream), size);
+}
+
+std::size_t BufferedInputBytes(const bufferevent* stream) {
+  return evbuffer_get_length(bufferevent_get_input(const_cast<bufferevent*>(stream)));
+}
+
+std::size_t UnwrittenBytes(const bufferevent* stream) {
+  return evbuffer_get_length(bufferevent_get_output(const_cast<bufferevent*>(stream)));
+}
+
+void ShutdownWrites(bufferevent* stream) { shutdown(bufferevent_getfd(stream), SHUT_WR); }
+
+void ClearCallbacks(bufferevent* stream) { bufferevent_setcb(stream, nullptr, nullptr, nullptr, nullptr); }
+
+}  // namespace walnutspur::loop
