--- /dev/null
+++ b/tests/net/checksummed_export_test.cpp
@@ -0,0 +1,349 @@
+// Checksummed exports on sockets: an initiator between an NBD client and a storage server that corrupts data.
+#include <doctest/doctest.h>
+#include <poll.h>
+#include <sys/socket.h>
+#include <sys/un.h>
+#include <unistd.h>
+
+#include <filesystem>
+#include <fstream>
+#include <nlohmann/json.hpp>
+
+#include "app/control.h"
+#include "filestore/atomic_file.h"
+#include "integrity/cursor.h"
+#include "lab/box/box.h"
+#include "lab/discovery.h"
+#include "lab/process.h"
+#include "nbd/blocking_client.h"
+#include "scenario_runner.h"
+
+namespace walnutspur::test {
+namespace {
+
+using integrity::Fault;
+using integrity::kBlock;
+using lab::Damage;
+
+constexpr std::uint64_t kSize = 16 << 20;
+
+// Random bytes drawn from the storage server's generator.
+std::string RandomData(lab::Box& server, std::size_t size) {
+  std::string data(size, '\0');
+  server.WithDisk([&](lab::Disk& disk) {
+    for (char& c : data) c = static_cast<char>(disk.Draw(256));
+  });
+  return data;
+}
+
+// An initiator, its storage server with one export, its discovery and an NBD client.
+struct ExportFixture {
+  explicit ExportFixture(int paths, bool scrub = false, std::uint64_t seed = 1,
+                         std::uint16_t flags = lab::BoxOptions().flags)
+      : server_is_suitable(flags == lab::BoxOptions().flags), server(Options(paths, seed, flags)) {
+    server.WithDisk([](lab::Disk& disk) {
+      for (const auto& io : integrity::FormatPlan(kSize, integrity::kUsualJournal, 42)) {
+        if (io.kind == integrity::IoKind::kWrite) disk.Write(io.offset, io.data, true);
+      }
+    });
+    server.Start();
+    ListTarget("SERVING");
+    std::string text =
+        "listen = \"127.0.0.1:0\"\nunit_bytes = 65536\n[commands]\nread = \"read\"\nwrite = \"write\"\nflush "
+        "= \"write\"\n"
+        "[[box]]\nid = \"a\"\naddress = \"127.0.0.1:" +
+        std::to_string(server.port(0)) + "\"\npaths = [";
+    for (int path = 1; path < paths; ++path)
+      text += (path > 1 ? ", " : "") + std::string("\"127.0.0.1:") + std::to_string(server.port(path)) + "\"";
+    text +=
+        "]\n[[export]]\nname = \"letters\"\nvolume = \"v\"\nplan = \"basic\"\nshard = 0\nbox = \"a\"\n"
+        "remote = \"disk\"\nchecksums = true\nsize = " +
+        std::to_string(kSize) + "\n";
+    options.nbd = folder.Put("nbd.toml", text);
+    options.folder = folder.path();
+    options.scrub.on = scrub;
+    options.scrub.job.requests_a_second = 400;
+    options.scrub.job.bytes_a_second = 1e9;
+    options.scrub.job.floor_a_second = 50;
+    StartInitiator();
+  }
+  ~ExportFixture() { StopInitiator(); }
+
+  static lab::BoxOptions Options(int paths, std::uint64_t seed, std::uint16_t flags) {
+    lab::BoxOptions options;
+    options.size = kSize;
+    options.paths = paths;
+    options.seed = seed;
+    options.flags = flags;
+    return options;
+  }
+  // Lists the target in the given phase.
+  void ListTarget(const std::string& phase) {
+    lab::Member member;
+    member.id = "a";
+    member.host_port = "127.0.0.1:1";
+    member.phase = phase;
+    discovery.Set(member);
+  }
+  // Starts the initiator and attaches the client.
+  void StartInitiator() {
+    auto json = BasicConfig();
+    json["discovery"] = "127.0.0.1:" + std::to_string(discovery.port());
+    initiator = std::make_unique<app::Initiator>(app::ParseConfig(json), options);
+    thread = std::thread([this] { initiator->Run(); });
+    client = Connect();
+    // Until the endpoint list has arrived a read is rejected or waits.
+    const int attempts = server_is_suitable ? 200 : 1;
+    for (int i = 0; i < attempts && client->Read(0, 512).error != nbd::kOk; ++i) poll(nullptr, 0, 10);
+  }
+  void StopInitiator() {
+    client.reset();
+    initiator->Halt();
+    thread.join();
+    initiator.reset();
+  }
+  std::unique_ptr<nbd::BlockingClient> Connect() {
+    return std::make_unique<nbd::BlockingClient>(
+        "127.0.0.1:" + std::to_string(initiator->nbd_front()->port()), "letters");
+  }
+  // Retries rejections: they change nothing and may happen whenever the machine is short of cores.
+  template <typename Call>
+  nbd::Reply RetryRejected(Call call) {
+    nbd::Reply reply = call();
+    for (int i = 0; i < 100 && reply.error == nbd::kNoMemory && reply.bad.empty(); ++i) {
+      poll(nullptr, 0, 20);
+      reply = call();
+    }
+    return reply;
+  }
+  nbd::Reply Put(std::uint64_t offset, const std::string& data) {
+    return RetryRejected([&] { return client->Write(offset, data); });
+  }
+  nbd::Reply Get(std::uint64_t offset, std::uint32_t length) {
+    return RetryRejected([&] { return client->Read(offset, length); });
+  }
+  void Write(std::uint64_t block, std::size_t blocks = 1) {
+    const std::string data = RandomData(server, blocks * kBlock);
+    REQUIRE(Put(block * kBlock, data).error == nbd::kOk);
+    content.replace(block * kBlock, data.size(), data);
+  }
+  // Waits until checkpoints have written all data to its place and the storage server is idle.
+  void WaitForCheckpoint() {
+    for (int i = 0; i < 400; ++i) {
+      const std::uint64_t before = server.commands();
+      poll(nullptr, 0, 300);
+      if (server.commands() == before) return;
+    }
+    FAIL("checkpoints never end");
+  }
+  // Reads the block until the corruption log has an entry for it; data that is served must be what was
+  // written.
+  std::optional<integrity::Entry> FindCorruption(std::uint64_t block) {
+    for (int i = 0; i < 14; ++i) {
+      const nbd::Reply reply = client->Read(block * kBlock, kBlock);
+      if (reply.error == nbd::kOk) CHECK(nbd::DataOf(reply) == content.substr(block * kBlock, kBlock));
+      integrity::Ledger ledger;
+      std::string what;
+      integrity::LedgerFile(folder.path()).Load(&ledger, &what);
+      if (const auto* entry = ledger.Find({"a", "disk", block})) return *entry;
+      if (i > 2) poll(nullptr, 0, 300);
+    }
+    FAIL("nothing was found of block ", block);
+    return std::nullopt;
+  }
+
+  bool server_is_suitable = true;  // whether it has the flags that checksummed exports need
+  lab::Folder folder;
+  lab::Box server;
+  lab::Discovery discovery;
+  app::Options options;
+  std::unique_ptr<app::Initiator> initiator;
+  std::thread thread;
+  std::unique_ptr<nbd::BlockingClient> client;
+  std::string content = std::string(4 << 20, '\0');
+};
+
+TEST_CASE("what is written is read, aligned or not, before and after a checkpoint and after a restart") {
+  ExportFixture fixture(1);
+  for (int i = 0; i < 60; ++i) {
+    const auto offset = fixture.server.WithDisk([](lab::Disk& d) { return d.Draw(1 << 20); });
+    const std::string data = RandomData(fixture.server, 1 + static_cast<std::size_t>(offset % 9000));
+    REQUIRE(fixture.Put(offset, data).error == nbd::kOk);
+    fixture.content.replace(offset, data.size(), data);
+  }
+  const auto all = [&] {
+    for (std::uint64_t at = 0; at < (1 << 20); at += 65536)
+      CHECK(nbd::DataOf(fixture.Get(at, 65536)) == fixture.content.substr(at, 65536));
+  };
+  all();
+  REQUIRE(fixture.RetryRejected([&] { return fixture.client->Flush(); }).error == nbd::kOk);
+  fixture.WaitForCheckpoint();
+  all();
+  fixture.Write(3);
+  fixture.StopInitiator();  // with one record in the journal
+  fixture.StartInitiator();
+  all();
+  CHECK(fixture.client->size() == integrity::Fit(kSize, integrity::kUsualJournal)->data_size());
+}
+
+TEST_CASE(
+    "corruption of each kind over sockets: detected, never served, attributed and reported with its offset") {
+  for (const int paths : {1, 2}) {
+    CAPTURE(paths);
+    ExportFixture fixture(paths);
+    fixture.Write(0, 16);
+    fixture.WaitForCheckpoint();
+    fixture.Write(0, 16);  // a second generation, so that there is stale content
+    fixture.WaitForCheckpoint();
+    lab::Fault lost_write{Damage::kLost, -1, 2 * kBlock, 3 * kBlock};
+    lab::Fault astray{Damage::kAstray, -1, 5 * kBlock, 6 * kBlock, 9 * kBlock};
+    lab::Fault torn{Damage::kTorn, -1, 12 * kBlock, 13 * kBlock};
+    for (const auto& fault : {lost_write, astray, torn}) fixture.server.Add(fault);
+    fixture.Write(2);
+    fixture.Write(5);
+    fixture.Write(12);
+    fixture.WaitForCheckpoint();
+    REQUIRE(fixture.server.struck(Damage::kAstray) == 1);
+    fixture.server.Add({Damage::kFlipRest, -1, 14 * kBlock, 15 * kBlock});
+    CHECK(fixture.FindCorruption(2)->fault == Fault::kLost);
+    CHECK(fixture.FindCorruption(12)->fault == Fault::kRest);
+    CHECK(fixture.FindCorruption(14)->fault == Fault::kRest);
+    CHECK(fixture.FindCorruption(5)->fault == Fault::kLost);
+    CHECK(fixture.FindCorruption(9)->fault == Fault::kAstray);
+    CHECK(fixture.FindCorruption(5)->fault == Fault::kAstray);  // now that the misplaced block is known
+    fixture.server.Add({Damage::kStale, -1, 7 * kBlock, 8 * kBlock});
+    CHECK(fixture.FindCorruption(7)->fault == Fault::kStale);
+    fixture.server.Add({Damage::kFlipPath, 0, 1 * kBlock, 2 * kBlock, 0, paths == 1 ? 1 : -1});
+    CHECK(fixture.FindCorruption(1)->fault == (paths == 1 ? Fault::kMemory : Fault::kPath));
+    fixture.server.ClearFaults();
+    // A read of all blocks returns the intact pieces and the offsets of the corrupted blocks.
+    const nbd::Reply wide = fixture.Get(0, 16 * kBlock);
+    CHECK(wide.error == nbd::kIo);
+    CHECK(wide.bad ==
+          std::vector<std::uint64_t>{2 * kBlock, 5 * kBlock, 9 * kBlock, 12 * kBlock, 14 * kBlock});
+    for (const nbd::Piece& piece : wide.partial)
+      CHECK(piece.data == fixture.content.substr(piece.offset, piece.data.size()));
+    for (const std::uint64_t block : {2, 5, 9, 12, 14}) fixture.Write(block);
+    CHECK(fixture.Get(0, 16 * kBlock).error == nbd::kOk);
+  }
+}
+
+TEST_CASE("a draining target gets nothing new, not even checkpoint writes, and resumes afterwards") {
+  ExportFixture fixture(1);
+  fixture.Write(0, 8);
+  fixture.ListTarget("DRAINING");
+  // Ten rejections in a row: a single one may have other causes.
+  for (int i = 0, refused = 0; i < 400 && refused < 10; ++i) {
+    refused = fixture.client->Read(0, 512).error == nbd::kOk ? 0 : refused + 1;
+    poll(nullptr, 0, 10);
+  }
+  const std::uint64_t commands_before = fixture.server.commands();
+  poll(nullptr, 0, 1300);  // a checkpoint would be due
+  CHECK(fixture.client->Write(0, std::string(kBlock, 'x')).error ==
+        nbd::kNoMemory);  // rejected: it never ran
+  CHECK(fixture.server.commands() == commands_before);
+  fixture.ListTarget("SERVING");
+  for (int i = 0; i < 200 && fixture.client->Read(0, 512).error != nbd::kOk; ++i) poll(nullptr, 0, 5);
+  CHECK(nbd::DataOf(fixture.Get(0, 8 * kBlock)) == fixture.content.substr(0, 8 * kBlock));
+}
+
+TEST_CASE("the scrub detects corruption that no client reads") {
+  ExportFixture fixture(1, true);
+  fixture.Write(0, 16);
+  fixture.WaitForCheckpoint();
+  fixture.server.Add({Damage::kFlipRest, -1, 11 * kBlock, 12 * kBlock});
+  integrity::Ledger ledger;
+  std::string what;
+  for (int i = 0; i < 100 && !ledger.IsBad({"a", "disk", 11}); ++i) {
+    poll(nullptr, 0, 100);
+    integrity::LedgerFile(fixture.folder.path()).Load(&ledger, &what);
+  }
+  REQUIRE(ledger.IsBad({"a", "disk", 11}));
+  CHECK(ledger.Find({"a", "disk", 11})->fault == Fault::kRest);
+  CHECK(ledger.entries().size() == 1);
+}
+
+TEST_CASE("a target that cannot order writes gets none, and is distinguished from an unreachable one") {
+  for (const std::uint16_t lacks : {nbd::kSendFlush, std::uint16_t(nbd::kSendFua | nbd::kCanMultiConn)}) {
+    ExportFixture fixture(1, false, 1, static_cast<std::uint16_t>(lab::BoxOptions().flags & ~lacks));
+    const std::string before = fixture.server.WithDisk([](lab::Disk& disk) { return disk.Read(0, kSize); });
+    for (int i = 0; i < 2; ++i) CHECK(fixture.client->Write(0, std::string(kBlock, 'x')).error != nbd::kOk);
+    CHECK(fixture.server.WithDisk([](lab::Disk& disk) { return disk.Read(0, kSize); }) == before);
+  }
+}
+
+TEST_CASE("an operator queries a running process, and the scrub resumes where the last process stopped") {
+  ExportFixture fixture(1, true);
+  const std::string path = app::ControlPath(fixture.folder.path());
+  const auto query = [&](const std::string& line) { return app::AskControl(path, line); };
+  nlohmann::json status = nlohmann::json::parse(query("status"));
+  CHECK(status["exports"][0]["state"] == "ready");
+  CHECK(status["paths"][0]["state"] == "healthy");
+  for (int i = 0; i < 500 && status["scrub"]["exports"][0]["position"] < 20; ++i) {
+    poll(nullptr, 0, 20);
+    status = nlohmann::json::parse(query("status"));
+  }
+  CHECK(query("pause") == "ok\n");
+  CHECK(nlohmann::json::parse(query("status"))["scrub"]["paused"] == true);
+  CHECK(query("recheck letters 3") == "ok\n");
+  CHECK(query("recheck letters 99999999").starts_with("error: 99999999 is no block"));
+  CHECK(query("recheck letters x").starts_with("error: x is no block"));
+  CHECK(query("recheck nothing 1").starts_with("error: there is no export"));
+  CHECK(query("format letters").starts_with("error: unknown command; allowed are"));
+  CHECK(query(std::string(600, 'x')).starts_with("error: the line is too long"));
+  // A second process in the same directory does not take over the control socket.
+  CHECK_THROWS_WITH(app::Control(fixture.initiator->base(), path, nullptr),
+                    (path + " belongs to another process that runs").c_str());
+  status = nlohmann::json::parse(query("status"));
+  const auto position = status["scrub"]["exports"][0]["position"].get<std::uint64_t>();
+  const auto rounds = status["scrub"]["exports"][0]["rounds"].get<std::uint64_t>();
+  fixture.StopInitiator();
+  CHECK_FALSE(std::filesystem::exists(path));
+  std::string what;
+  const auto cursors =
+      integrity::DecodeCursors(*filestore::ReadWholeFile(fixture.folder.path() + "/scrub.cursor"), &what);
+  REQUIRE(cursors);
+  CHECK(cursors->at("letters").block / 16 + 1 >= position);
+  CHECK(cursors->at("letters").rounds >= rounds);
+  fixture.options.scrub.job.requests_a_second = 0.1;  // so that it stays where it resumes
+  fixture.options.scrub.job.floor_a_second = 0;
+  fixture.StartInitiator();
+  status = nlohmann::json::parse(query("status"));
+  CHECK(status["scrub"]["exports"][0]["position"] >= position);
+  CHECK(status["scrub"]["exports"][0]["rounds"] >= rounds);
+}
+
+TEST_CASE("a stale control socket is replaced, and a file of another kind is not") {
+  const lab::Folder folder;
+  const std::string path = app::ControlPath(folder.path());
+  const loop::EventBasePtr base(event_base_new());
+  sockaddr_un address{};
+  address.sun_family = AF_UNIX;
+  path.copy(address.sun_path, sizeof address.sun_path - 1);
+  const int fd = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
+  REQUIRE(bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
+  close(fd);  // its file stays
+  { const app::Control control(base.get(), path, nullptr); }
+  folder.Put("control.sock", "a letter");
+  CHECK_THROWS_WITH(app::Control(base.get(), path, nullptr), (path + " is there and is no socket").c_str());
+  CHECK(filestore::ReadWholeFile(path) == "a letter");
+  CHECK_THROWS(app::Control(base.get(), path + std::string(120, 'x'), nullptr));
+}
+
+TEST_CASE("an unformatted export is rejected, and not a byte of it changes") {
+  ExportFixture fixture(1);
+  fixture.StopInitiator();
+  fixture.server.WithDisk(
+      [](lab::Disk& disk) { disk.Write(kSize - 2 * kBlock, std::string(2 * kBlock, 'x'), true); });
+  const std::string before = fixture.server.WithDisk([](lab::Disk& disk) { return disk.Read(0, kSize); });
+  auto json = BasicConfig();
+  json["discovery"] = "127.0.0.1:" + std::to_string(fixture.discovery.port());
+  fixture.initiator = std::make_unique<app::Initiator>(app::ParseConfig(json), fixture.options);
+  fixture.thread = std::thread([&] { fixture.initiator->Run(); });
+  fixture.client = fixture.Connect();
+  for (int i = 0; i < 5; ++i) CHECK(fixture.client->Write(0, std::string(kBlock, 'x')).error != nbd::kOk);
+  CHECK(fixture.server.WithDisk([](lab::Disk& disk) { return disk.Read(0, kSize); }) == before);
+}
+
+}  // namespace
+}  // namespace walnutspur::test
--- /dev/null
+++ b/tests/net/connection_race_test.cpp
@@ -0,0 +1,211 @@
+// Races between a target connection and its attempts: events in the very moment in which a connection is
+// closed, opened or abandoned. Each is forced by withholding an event, never by timing.
+#include <arpa/inet.h>
+#include <doctest/doctest.h>
+#include <netinet/tcp.h>
+#include <sys/socket.h>
+
+#include "core/scheduler_thread.h"
+#include "http/target_pool.h"
+#include "scenario_runner.h"
+
+namespace walnutspur::test {
+namespace {
+
+using core::Protocol;
+
+const std::string kOk = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
+
+// A connection pool by itself. The test runs its event loop, so the test decides which events one iteration
+// sees.
+class PoolFixture {
+ public:
+  PoolFixture() {
+    config.connect_timeout = 100'000;
+    base.reset(event_base_new());
+    pool = std::make_unique<http::TargetPool>(base.get(), config, [this](core::Input input) {
+      results.push_back(std::get<core::AttemptResult>(std::move(input)));
+    });
+    listener = Socket::Listen(&port);
+    pool->SetAddress("a", "127.0.0.1:" + std::to_string(port));
+  }
+  ~PoolFixture() {  // libevent frees a bufferevent with a pending callback in the next iteration
+    pool.reset();
+    event_base_loop(base.get(), EVLOOP_NONBLOCK);
+  }
+  void Start(core::RequestNumber request_number, Time start_by = 0, int attempt = 0) {
+    auto request = std::make_shared<http::Request>();
+    request->uri = "/api/" + std::to_string(request_number);
+    request->id = "9b1f03aa5c7e2d41";
+    core::StartAttempt start{request_number, attempt, Protocol::kHttp, "a", 2'000'000, request, start_by};
+    pool->Start(start);
+  }
+  // Runs the loop until the condition holds; the timers of what it waits for bound the wait.
+  template <typename Condition>
+  void RunUntil(Condition condition) {
+    const Time end = core::Now() + 4'000'000;
+    while (!condition()) {
+      REQUIRE(core::Now() < end);
+      event_base_loop(base.get(), EVLOOP_NONBLOCK);
+    }
+  }
+  // The method and path of the next request on a connection.
+  std::string ReceivedOn(Socket& connection) {
+    HttpMessage message;
+    RunUntil([&] { return connection.Readable(0) || !connection.received.empty(); });
+    REQUIRE(ReadHttpMessage(connection, &message, 1'000));
+    return message.start_line.substr(0, message.start_line.find(" HTTP"));
+  }
+  Socket Accept() {
+    RunUntil([&] { return listener.Readable(0); });
+    return listener.Accept();
+  }
+
+  http::Config config;
+  loop::EventBasePtr base;
+  std::unique_ptr<http::TargetPool> pool;
+  std::vector<core::AttemptResult> results;
+  Socket listener;
+  int port = 0;
+};
+
+// Fills the accept queue of a listener so that further connections are established late.
+class FullBacklog {
+ public:
+  FullBacklog(const Socket& listener, int port) {
+    listen(listener.fd(), 0);
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    address.sin_port = htons(static_cast<std::uint16_t>(port));
+    for (int i = 0; i < 2; ++i) {
+      clients_.emplace_back(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
+      connect(clients_.back().fd(), reinterpret_cast<sockaddr*>(&address), sizeof address);
+    }
+  }
+  // Accepts the connections that fill the queue.
+  void Clear(const Socket& listener) {
+    for (int i = 0; i < 2 && listener.Readable(20); ++i) accepted_.push_back(listener.Accept());
+  }
+
+ private:
+  std::vector<Socket> clients_;
+  std::vector<Socket> accepted_;
+};
+
+TEST_CASE("a connection established after its attempt was abandoned carries nothing of it and is used next") {
+  PoolFixture fixture;
+  FullBacklog backlog(fixture.listener, fixture.port);
+  fixture.Start(1);
+  bool cancelled = false;
+  SUBCASE("the connect timeout expires") {}
+  SUBCASE("the client disconnects") {
+    cancelled = true;
+    fixture.pool->Cancel(1, 0);
+  }
+  fixture.RunUntil([&] { return fixture.results.size() == 1; });
+  CHECK(fixture.results[0].outcome == (cancelled ? Outcome::kCancelled : Outcome::kConnectFailed));
+  CHECK(fixture.pool->connections() == 1);
+  backlog.Clear(fixture.listener);
+  Socket connection = fixture.Accept();  // the kernel retries within a second or two
+  fixture.RunUntil([&] { return fixture.pool->idle_connections("a") == 1; });
+  fixture.Start(2);
+  CHECK(fixture.ReceivedOn(connection) == "GET /api/2");
+  CHECK(connection.received.empty());
+  CHECK(fixture.pool->connections() == 1);
+  connection.Send(kOk + "mine");
+  fixture.RunUntil([&] { return fixture.results.size() == 2; });
+  CHECK(fixture.results[1].outcome == Outcome::kCompleted);
+}
+
+TEST_CASE("an attempt whose target is drained while connecting never arrives, and its connection is closed") {
+  PoolFixture fixture;
+  FullBacklog backlog(fixture.listener, fixture.port);
+  fixture.Start(1);
+  fixture.pool->Drain("a");
+  REQUIRE(fixture.results.size() == 1);
+  CHECK(fixture.results[0].outcome == Outcome::kConnectFailed);
+  CHECK(fixture.pool->connections() == 0);
+}
+
+TEST_CASE("a keyed retry is not started once its target may have forgotten the key") {
+  PoolFixture fixture;
+  fixture.Start(1, core::Now() - 1);
+  REQUIRE(fixture.results.size() == 1);
+  CHECK(fixture.results[0].outcome == Outcome::kConnectFailed);
+  CHECK_FALSE(fixture.listener.Readable(0));
+  fixture.Start(2, core::Now() + 20'000);  // in time, but the loop runs late once it is connected
+  Socket connection = fixture.listener.Accept();
+  const Time expired = core::Now() + 25'000;
+  while (core::Now() < expired) {
+  }
+  fixture.RunUntil([&] { return fixture.results.size() == 2; });
+  CHECK(fixture.results[1].outcome == Outcome::kConnectFailed);
+  CHECK_FALSE(connection.Readable(0));
+  fixture.Start(3, core::Now() + 2'000'000);
+  CHECK(fixture.ReceivedOn(connection) == "GET /api/3");
+}
+
+TEST_CASE("a duplicate response some milliseconds late is not taken for the next response") {
+  PoolFixture fixture;
+  fixture.Start(1);
+  Socket connection = fixture.Accept();
+  REQUIRE(fixture.ReceivedOn(connection) == "GET /api/1");
+  connection.Send(kOk + "mine");
+  fixture.RunUntil([&] { return fixture.results.size() == 1; });
+  Socket next;
+  fixture.Start(2);  // at once: the events below precede the next iteration
+  SUBCASE("the duplicate precedes it: another connection takes the attempt") {
+    connection.Send(kOk + "mine");
+    next = fixture.Accept();
+    CHECK(fixture.ReceivedOn(next) == "GET /api/2");
+    next.Send(kOk + "next");
+  }
+  SUBCASE("the target closes the connection first") {
+    connection.Close();
+    next = fixture.Accept();
+    CHECK(fixture.ReceivedOn(next) == "GET /api/2");
+    next.Send(kOk + "next");
+  }
+  SUBCASE("nothing precedes it: it is sent on the open connection") {
+    CHECK(fixture.ReceivedOn(connection) == "GET /api/2");
+    connection.Send(kOk + "next");
+  }
+  fixture.RunUntil([&] { return fixture.results.size() == 2; });
+  CHECK(fixture.results[1].outcome == Outcome::kCompleted);
+  CHECK(static_cast<const http::Response&>(*fixture.results[1].payload).body == "next");
+  CHECK(fixture.pool->connections() == 1);
+}
+
+TEST_CASE(
+    "an attempt cancelled before its idle connection is reused never arrives, and the connection is used "
+    "next") {
+  PoolFixture fixture;
+  fixture.Start(1);
+  Socket connection = fixture.Accept();
+  REQUIRE(fixture.ReceivedOn(connection) == "GET /api/1");
+  connection.Send(kOk + "mine");
+  fixture.RunUntil([&] { return fixture.results.size() == 1; });
+  fixture.Start(2);
+  fixture.pool->Cancel(2, 0);
+  fixture.Start(3);
+  CHECK(fixture.ReceivedOn(connection) == "GET /api/3");
+  CHECK(fixture.results[1].outcome == Outcome::kCancelled);
+}
+
+TEST_CASE("nothing is sent for a client that disconnected while its attempt was connecting") {
+  PoolFixture fixture;
+  bool client_connected = true;
+  fixture.pool->is_client_connected = [&](core::RequestNumber) { return client_connected; };
+  fixture.Start(1);
+  client_connected = false;
+  Socket connection = fixture.listener.Accept();
+  fixture.RunUntil([&] { return fixture.results.size() == 1; });
+  CHECK(fixture.results[0].outcome == Outcome::kNotSent);
+  client_connected = true;
+  fixture.Start(2);
+  CHECK(fixture.ReceivedOn(connection) == "GET /api/2");
+}
+
+}  // namespace
+}  // namespace walnutspur::test
--- /dev/null
+++ b/tests/net/engine_test.cpp
@@ -0,0 +1,230 @@
+// The engine and its queue, without any protocol.
+#include "core/engine.h"
+
+#include <doctest/doctest.h>
+
+#include <thread>
+
+#include "core/queue.h"
+
+namespace walnutspur::test {
+namespace {
+
+constexpr Time kMs = 1'000;
+
+Settings OneClass(Idempotency idempotency) {
+  Settings settings;
+  RequestClass request_class;
+  request_class.latency_objective = 200 * kMs;
+  request_class.deadline = 600 * kMs;
+  request_class.idempotency = idempotency;
+  settings.classes = {request_class};
+  settings.max_attempts = 2;
+  settings.can_cancel = true;
+  return settings;
+}
+
+// An engine with one active target, t, and all outputs so far.
+struct EngineFixture {
+  explicit EngineFixture(Idempotency idempotency) : engine(OneClass(idempotency), 1) {
+    engine.Start(now);
+    Endpoint entry;
+    entry.target = "t";
+    Handle(core::EndpointsUpdated{{EndpointUpdateKind::kFull, {entry}}});
+  }
+  void Handle(const core::Input& input) {
+    for (auto& output : engine.Handle(input, now)) outputs.push_back(output);
+  }
+  void Arrive(core::RequestNumber request_number = 1) {
+    core::RequestReceived arrived;
+    arrived.request = request_number;
+    arrived.attributes.shard = 0;
+    arrived.deadline = now + 600 * kMs;
+    Handle(arrived);
+  }
+  void End(int attempt, Outcome outcome, core::RequestNumber request_number = 1) {
+    core::AttemptResult ended;
+    ended.request = request_number;
+    ended.attempt = attempt;
+    ended.outcome = outcome;
+    Handle(ended);
+  }
+  template <typename T>
+  std::vector<T> Of() const {
+    std::vector<T> found;
+    for (const auto& output : outputs) {
+      if (const T* one = std::get_if<T>(&output)) found.push_back(*one);
+    }
+    return found;
+  }
+  Time now = 1'000'000'000;
+  core::Engine engine;
+  std::vector<core::Output> outputs;
+};
+
+TEST_CASE("state by target, volume or client request id is removed with it") {
+  EngineFixture fixture(Idempotency::kIdempotent);
+  std::size_t early = 0;
+  for (int i = 0; i < 400; ++i) {  // half a second each; every target serves three of them
+    Endpoint previous;
+    Endpoint current;
+    previous.target = "t" + std::to_string(i / 3 - 1);
+    previous.state = EndpointState::kTerminated;
+    current.target = "t" + std::to_string(i / 3);
+    fixture.Handle(core::EndpointsUpdated{
+        {i % 2 ? EndpointUpdateKind::kFull : EndpointUpdateKind::kDelta, {previous, current}}});
+    core::RequestReceived arrived;
+    arrived.request = static_cast<core::RequestNumber>(i + 1);
+    arrived.client_request_id = "id" + std::to_string(i);
+    arrived.attributes.volume = "v" + std::to_string(i);
+    arrived.attributes.shard = 0;
+    arrived.deadline = fixture.now + 600 * kMs;
+    fixture.Handle(arrived);
+    if (i % 4 == 0) fixture.Handle(core::ClientClosed{arrived.request});
+    fixture.now += 100 * kMs;
+    fixture.End(0, i % 4 == 0 ? Outcome::kCancelled : Outcome::kCompleted, arrived.request);
+    for (int tick = 0; tick < 20; ++tick) {
+      fixture.now += 20 * kMs;
+      fixture.Handle(core::TimerExpired{0});
+    }
+    fixture.outputs.clear();
+    if (i == 150) early = fixture.engine.table_entries();
+  }
+  CHECK(fixture.engine.open_requests() == 0);
+  CHECK(fixture.engine.table_entries() <= early + 4);
+  for (int tick = 0; tick < 2'000; ++tick) {
+    fixture.now += 20 * kMs;
+    fixture.Handle(core::TimerExpired{0});
+  }
+  CHECK(fixture.engine.table_entries() < 8);  // the remaining target, and no volume
+}
+
+TEST_CASE("an id stays in use while an attempt of its request is in flight, and no longer") {
+  EngineFixture fixture(Idempotency::kNotIdempotent);
+  const auto arrive = [&](core::RequestNumber request_number) {
+    core::RequestReceived arrived;
+    arrived.request = request_number;
+    arrived.client_request_id = "9b1f03aa5c7e2d41";
+    arrived.attributes.shard = 0;
+    arrived.deadline = fixture.now + 600 * kMs;
+    fixture.Handle(arrived);
+  };
+  const auto repeated = [&] {
+    const auto responses = fixture.Of<core::Response>();
+    return !responses.empty() && responses.back().status == core::ResponseStatus::kDuplicate;
+  };
+  arrive(1);
+  REQUIRE(fixture.Of<core::StartAttempt>().size() == 1);
+  fixture.Handle(core::ClientClosed{1});
+  arrive(2);
+  CHECK(repeated());
+  CHECK(fixture.Of<core::StartAttempt>().size() == 1);
+  fixture.End(0, Outcome::kCancelled);
+  fixture.outputs.clear();
+  arrive(3);
+  CHECK_FALSE(repeated());
+  CHECK(fixture.Of<core::StartAttempt>().size() == 1);
+}
+
+TEST_CASE("attempts are numbered in order and one response ends a request") {
+  EngineFixture fixture(Idempotency::kIdempotent);
+  fixture.Arrive();
+  fixture.End(0, Outcome::kErrored);
+  fixture.End(1, Outcome::kCompleted);
+  const auto attempts = fixture.Of<core::StartAttempt>();
+  REQUIRE(attempts.size() == 2);
+  CHECK(attempts[0].attempt == 0);
+  CHECK(attempts[1].attempt == 1);
+  REQUIRE(fixture.Of<core::Response>().size() == 1);
+  CHECK(fixture.Of<core::Response>()[0].status == core::ResponseStatus::kServed);
+  CHECK(fixture.engine.open_requests() == 0);
+}
+
+TEST_CASE("an outcome reported twice counts once") {
+  EngineFixture fixture(Idempotency::kIdempotent);
+  fixture.Arrive();
+  fixture.End(0, Outcome::kErrored);
+  fixture.End(0, Outcome::kErrored);
+  fixture.End(0, Outcome::kCompleted);
+  CHECK(fixture.Of<core::StartAttempt>().size() == 2);
+  CHECK(fixture.Of<core::Response>().empty());
+  fixture.End(1, Outcome::kErrored);
+  fixture.End(1, Outcome::kCompleted);
+  CHECK(fixture.Of<core::Response>().size() == 1);
+}
+
+TEST_CASE("a non-idempotent request that may have run fails and is never retried") {
+  for (const Outcome outcome :
+       {Outcome::kErrored, Outcome::kConnectionReset, Outcome::kTimedOut, Outcome::kCancelled}) {
+    EngineFixture fixture(Idempotency::kNotIdempotent);
+    fixture.Arrive();
+    fixture.End(0, outcome);
+    CHECK(fixture.Of<core::StartAttempt>().size() == 1);
+    REQUIRE(fixture.Of<core::Response>().size() == 1);
+    CHECK(fixture.Of<core::Response>()[0].status == core::ResponseStatus::kFailed);
+  }
+}
+
+TEST_CASE("a deadline that expires with an attempt in flight ends both, once") {
+  EngineFixture fixture(Idempotency::kNotIdempotent);
+  fixture.Arrive();
+  fixture.now += 605 * kMs;
+  fixture.Handle(core::DeadlineExpired{1});
+  CHECK(fixture.Of<core::AbortAttempt>().size() == 1);
+  REQUIRE(fixture.Of<core::Response>().size() == 1);
+  CHECK(fixture.Of<core::Response>()[0].status == core::ResponseStatus::kTimedOut);
+  fixture.End(0, Outcome::kCompleted);
+  fixture.Handle(core::DeadlineExpired{1});
+  fixture.Handle(core::ClientClosed{1});
+  CHECK(fixture.Of<core::Response>().size() == 1);
+  CHECK(fixture.engine.open_requests() == 0);
+}
+
+TEST_CASE("a client that disconnects gets no response, and its attempt is cancelled") {
+  EngineFixture fixture(Idempotency::kIdempotent);
+  fixture.Arrive();
+  fixture.Handle(core::ClientClosed{1});
+  CHECK(fixture.Of<core::AbortAttempt>().size() == 1);
+  CHECK(fixture.engine.open_requests() == 1);  // until the attempt has ended
+  fixture.End(0, Outcome::kCancelled);
+  CHECK(fixture.Of<core::Response>().empty());
+  CHECK(fixture.engine.open_requests() == 0);
+}
+
+TEST_CASE("a target that a list marks as draining, or omits, is drained") {
+  EngineFixture fixture(Idempotency::kIdempotent);
+  Endpoint entry;
+  entry.target = "t";
+  entry.state = EndpointState::kDraining;
+  fixture.Handle(core::EndpointsUpdated{{EndpointUpdateKind::kDelta, {entry}}});
+  CHECK(fixture.Of<core::DrainTarget>().size() == 1);
+  entry.state = EndpointState::kActive;
+  fixture.Handle(core::EndpointsUpdated{{EndpointUpdateKind::kDelta, {entry}}});
+  fixture.Handle(core::EndpointsUpdated{{EndpointUpdateKind::kFull, {}}});
+  CHECK(fixture.Of<core::DrainTarget>().size() == 2);
+}
+
+TEST_CASE("the queue delivers all items of each thread in order") {
+  core::Queue<int> queue;
+  std::vector<std::thread> writers;
+  for (int writer = 0; writer < 4; ++writer) {
+    writers.emplace_back([&queue, writer] {
+      for (int i = 0; i < 1000; ++i) queue.Push(writer * 1000 + i);
+    });
+  }
+  std::vector<int> last(4, -1);
+  int count = 0;
+  while (count < 4000) {
+    for (const int item : queue.Wait()) {
+      CHECK(item % 1000 == last[item / 1000] + 1);
+      last[item / 1000] = item % 1000;
+      ++count;
+    }
+  }
+  for (std::thread& writer : writers) writer.join();
+  queue.Close();
+  CHECK(queue.Wait().empty());
+}
+
+}  // namespace
+}  // namespace walnutspur::test
--- /dev/null
+++ b/tests/net/nbd_front_end_test.cpp
@@ -0,0 +1,220 @@
+// NBD on sockets: incomplete replies, stalled handshakes, invalid commands, connections that idle.
+#include <doctest/doctest.h>
+
+#include "nbd/config.h"
+#include "nbd/front_end.h"
+#include "nbd_handshake.h"
+#include "scenario_runner.h"
+
+namespace walnutspur::test {
+namespace {
+
+using namespace std::string_literals;
+using core::Protocol;
+
+// A connection that has negotiated export a.
+Socket NegotiatedConnection(const ScenarioRunner& runner) {
+  Socket socket = Socket::Connect(runner.nbd_port());
+  socket.Send(nbd::ClientFlags() + GoOption("a"));
+  while (socket.received.find(kReplyMagic + "\0\0\0\x07\0\0\0\x01"s) == std::string::npos)
+    REQUIRE(socket.Fill(2'000));
+  socket.received.clear();
+  return socket;
+}
+
+TEST_CASE("a target's chunks reach the client complete or as an error") {
+  ScenarioRunner runner(Protocol::kNbd);
+  runner.Play(R"(
+    client c send read
+    target a expect read
+    target a send split
+    client c expect served)");
+  CHECK(runner.last_response().body == std::string(2048, 'r') + std::string(2048, '0'));
+  for (const char* bad : {"torn", "short"}) {
+    CAPTURE(bad);
+    // The read is idempotent, so it is retried until its attempts are used up.
+    runner.Play("client c send read\n target a expect read\n target a send "s + bad +
+                "\n target a expect read\n target a send " + bad +
+                "\n target a expect read\n target a send " + bad + "\n client c expect refused");
+  }
+}
+
+TEST_CASE("a connection that ends inside a chunk, or names an unknown cookie, is closed") {
+  ScenarioRunner runner(Protocol::kNbd);
+  runner.Play(R"(
+    client c send read
+    target a expect read
+    target a send half
+    target a close
+    target a expect read
+    target a send strange
+    target a expect closed
+    target a expect read
+    target a send ok
+    client c expect served
+    client c send write
+    target a expect write
+    target a send strange
+    client c expect failed
+    target a expect closed
+    target a expect nothing 100)");
+}
+
+TEST_CASE("a handshake that stalls at a client times out and leaves nothing") {
+  for (const char* start : {"", "\\x00\\x00", "\\x00\\x00\\x00\\x03IHAV",
+                            "\\x00\\x00\\x00\\x03IHAVEOPT\\x00\\x00\\x00\\x07\\x00\\x00\\x00\\x07\\x00"}) {
+    CAPTURE(start);
+    ScenarioRunner runner(Protocol::kNbd);
+    runner.Play("client c send bytes \""s + start + "\"\n client c expect closed");
+    runner.Halt();
+    CHECK(runner.initiator().nbd_front()->connections() == 0);
+  }
+}
+
+TEST_CASE(
+    "a handshake that stalls at a target never ran anything: the write is rejected, no connection is left") {
+  ScenarioRunner runner(Protocol::kNbd);
+  runner.Play("client c send write");  // the target's listener accepts the connection and stays silent
+  runner.Play(
+      "client c expect refused\n wait 150");  // the scheduler may give up before the handshake times out
+  runner.Halt();
+  CHECK(runner.initiator().box_connections() == 0);
+}
+
+TEST_CASE("a write that waits for a handshake when its target begins to drain never reaches it") {
+  ScenarioRunner runner(Protocol::kNbd);
+  runner.Play(R"(
+    client c send write
+    wait 30
+    discovery send delta a=DRAINING
+    client c expect refused
+    target a expect closed
+    target a expect nothing 600)");
+}
+
+TEST_CASE("several commands are in flight at once and matched by cookie") {
+  ScenarioRunner runner(Protocol::kNbd);
+  runner.Play(R"(
+    client c send read
+    client c send write
+    client c send flush
+    target a expect read
+    target a expect write
+    target a expect flush
+    target a send ok
+    client c expect served
+    client c close
+    client d send read)");
+  // The other commands were abandoned, so their connection takes nothing new.
+  runner.Play(R"(
+    target a expect closed
+    target a expect read
+    target a send ok
+    client d expect served)");
+}
+
+TEST_CASE("a write to a target whose flush covers one connection only is durable by itself") {
+  ScenarioRunner runner(Protocol::kNbd);
+  runner.Play("client c send write\n target a expect write");
+  CHECK(runner.target_nbd_request("a").flags == nbd::kFua);
+  runner.Play("target a send ok\n client c expect served\n client c send read\n target a expect read");
+  CHECK(runner.target_nbd_request("a").flags == 0);
+}
+
+TEST_CASE("a disconnect cancels the commands in flight") {
+  ScenarioRunner runner(Protocol::kNbd);
+  runner.Play(R"(
+    client c send write
+    target a expect write
+    client c send bytes "\x25\x60\x95\x13\x00\x00\x00\x02\x00\x00\x00\x00\x00\x00\x00\x09\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00"
+    client c expect closed
+    target a expect closed)");
+}
+
+TEST_CASE("invalid commands get an error and never reach a target") {
+  ScenarioRunner runner(Protocol::kNbd);
+  runner.Play("client c send read\n target a expect read\n target a send ok\n client c expect served");
+  const struct {
+    std::uint16_t type;
+    std::uint32_t length;
+  } cases[] = {
+      {4, 4096}, {nbd::kRead, 0}, {nbd::kRead, 0x7fffffff}, {nbd::kFlush, 4096}};  // 4: TRIM, not offered
+  for (const auto& [type, length] : cases) {
+    Socket socket = NegotiatedConnection(runner);
+    nbd::Request request;
+    request.type = type;
+    request.length = length;
+    request.cookie = 77;
+    std::string out;
+    nbd::PutRequest(request, &out);
+    socket.Send(out);
+    while (socket.received.size() < 16) REQUIRE(socket.Fill(2'000));
+    CHECK(nbd::Get<std::uint32_t>(socket.received, 4) != nbd::kOk);
+    CHECK(nbd::Get<std::uint64_t>(socket.received, 8) == 77);
+  }
+  runner.Play("target a expect nothing 50");
+}
+
+TEST_CASE("a client that stops inside a command is disconnected in time, whatever trickles in") {
+  ScenarioRunner runner(Protocol::kNbd);
+  std::string command;
+  nbd::Request request;
+  request.type = nbd::kWrite;
+  request.length = 4096;
+  nbd::PutRequest(request, &command);
+  SUBCASE("inside its header") { command.resize(9); }
+  SUBCASE("inside its data") {}
+  SUBCASE("inside data that is too long") { command.replace(24, 4, "\x7f\xff\xff\xff"); }
+  Socket socket = NegotiatedConnection(runner);
+  const Time before = core::Now();
+  socket.Send(command);
+  while (!socket.Readable(100) && core::Now() - before < 4'000'000) socket.Send("x");
+  CHECK_FALSE(socket.Fill(0));
+  CHECK(core::Now() - before < 3'000'000);
+  runner.Play("target a expect nothing 1");
+}
+
+TEST_CASE(
+    "silent NBD connections leave room for a normal client; one with a request is not closed for them") {
+  auto config = BasicConfig();
+  config["limits"]["sockets"] = 100;  // six clients
+  ScenarioRunner runner(Protocol::kNbd, config);
+  runner.Play("client c send read\n target a expect read\n target a send ok\n client c expect served");
+  std::vector<Socket> silent;
+  for (int i = 0; i < 3; ++i) silent.push_back(NegotiatedConnection(runner));
+  for (int i = 0; i < 40; ++i) silent.push_back(Socket::Connect(runner.nbd_port()));
+  const Time before = core::Now();
+  runner.Play(R"(
+    client d send read
+    target a expect read
+    target a send ok
+    client d expect served)");
+  CHECK(core::Now() - before < 2'000'000);
+  runner.Play(R"(
+    client c send read
+    target a expect read
+    target a send ok
+    client c expect served)");
+  runner.Halt();
+  CHECK(runner.initiator().nbd_front()->connections() <= 6);
+}
+
+TEST_CASE("the shipped NBD deploy file is valid; invalid ones are reported") {
+  Settings settings;
+  settings.max_request_units = 6;
+  const std::vector<std::string> classes = {"read", "write", "sweep"}, plans = {"standard"};
+  const nbd::Config config =
+      nbd::LoadConfig(WALNUTSPUR_ROOT "/deploy/nbd.toml", classes, plans, settings, 10);
+  REQUIRE(config.exports.size() == 1);
+  CHECK(config.exports[0].largest == 6 * 4096);
+  CHECK(config.classes.at(nbd::kWrite) == 1);
+  CHECK(nbd::UnitsOf(config, 4097) == 2);
+  CHECK(nbd::UnitsOf(config, 0) == 1);
+  for (const char* text : {"", "listen = 5", "listen = \"x\"\n[commands]\nread = \"none\"", "= ="}) {
+    CAPTURE(text);
+    CHECK_THROWS(nbd::ParseConfig(text, classes, plans, settings, 10));
+  }
+}
+
+}  // namespace
+}  // namespace walnutspur::test
--- /dev/null
+++ b/tests/net/scenario_client.cpp
@@ -0,0 +1,140 @@
+#include "scenario_client.h"
+
+#include <doctest/doctest.h>
+
+#include <array>
+#include <cstdio>
+
+#include "core/scheduler_thread.h"
+#include "http/messages.h"
+#include "scenario_limits.h"
+
+namespace walnutspur::test {
+namespace {
+
+std::string RequestIdText(std::uint32_t id) {
+  std::array<char, 17> text;
+  std::snprintf(text.data(), text.size(), "%016x", id);
+  return text.data();
+}
+
+std::uint16_t NbdCommand(const std::string& request_class) {
+  if (request_class == "write") {
+    return nbd::kWrite;
+  }
+  return request_class == "flush" ? nbd::kFlush : nbd::kRead;
+}
+
+std::string ContentOf(const nbd::Reply& reply) {
+  std::string content;
+  for (const nbd::Piece& piece : reply.pieces) {
+    content += piece.hole > 0 ? std::string(piece.hole, '0') : piece.data;
+  }
+  return content;
+}
+
+}  // namespace
+
+std::string NameOf(ClientEvent event) {
+  switch (event) {
+    case ClientEvent::kServed:
+      return "served";
+    case ClientEvent::kRefused:
+      return "refused";
+    case ClientEvent::kFailed:
+      return "failed";
+    case ClientEvent::kClosed:
+      return "closed";
+    case ClientEvent::kNothing:
+      return "nothing";
+  }
+  return "";
+}
+
+void ScenarioClient::SendBytes(const std::string& bytes) {
+  sent_at_ = core::Now();
+  REQUIRE(socket_.Send(bytes));
+}
+
+void ScenarioClient::SendRequest(const ClientRequest& request) {
+  sent_at_ = core::Now();
+  request_class_ = request.request_class;
+  WriteRequest(request);
+}
+
+ClientEvent ScenarioClient::Receive(int ms, HttpMessage* response) {
+  if (!ReadHttpMessage(socket_, response, ms)) {
+    return NoResponse();
+  }
+  const std::string status = response->Status();
+  if (status == "200") {
+    return ClientEvent::kServed;
+  }
+  return status == "503" || status == "429" ? ClientEvent::kRefused : ClientEvent::kFailed;
+}
+
+void HttpScenarioClient::WriteRequest(const ClientRequest& request) {
+  const std::string method = request.request_class == "write" ? "PUT" : "GET";
+  const std::string shard = request.target == "b" ? "1" : "0";
+  REQUIRE(socket_.Send(
+      method + " " + kObjectPath + " HTTP/1.1\r\nHost: s\r\n" + "X-Request-Id: " + RequestIdText(request.id) +
+      "\r\nX-Class: " + request.request_class + "\r\nX-Plan: basic\r\n" +
+      "X-Deadline: " + http::Seconds(request.deadline) + "\r\nX-IO: units=1,shard=" + shard +
+      ",hosts=1\r\nContent-Length: " + std::to_string(request.body.size()) + "\r\n\r\n" + request.body));
+}
+
+void NbdScenarioClient::Negotiate(const std::string& export_name) {
+  if (!session_) {
+    session_ = std::make_unique<nbd::ClientSession>(export_name);
+  }
+  std::string out;
+  while (!session_->ready() && socket_.Fill(kScenarioTimeoutMs)) {
+    session_->Feed(std::exchange(socket_.received, ""), &out, &replies_);
+    socket_.Send(std::exchange(out, ""));
+  }
+  REQUIRE(session_->ready());
+}
+
+void NbdScenarioClient::WriteRequest(const ClientRequest& client_request) {
+  Negotiate(client_request.target);
+  nbd::Request request;
+  request.type = NbdCommand(client_request.request_class);
+  request.cookie = next_cookie_++;
+  request.length = request.type == nbd::kFlush ? 0 : kNbdRequestBytes;
+  if (request.type == nbd::kWrite) {
+    request.data.assign(kNbdRequestBytes, 'w');
+  }
+  std::string out;
+  session_->Send(request, &out);
+  REQUIRE(socket_.Send(out));
+}
+
+ClientEvent NbdScenarioClient::Receive(int ms, HttpMessage* response) {
+  if (!session_) {
+    return ScenarioClient::Receive(ms, response);
+  }
+  std::string out;
+  while (replies_.empty()) {
+    if (!socket_.Fill(ms)) {
+      return NoResponse();
+    }
+    session_->Feed(std::exchange(socket_.received, ""), &out, &replies_);
+    REQUIRE_FALSE(session_->ended());
+  }
+  const nbd::Reply reply = replies_.front();
+  replies_.erase(replies_.begin());
+  response->body = ContentOf(reply);
+  if (reply.error == nbd::kNoMemory || reply.error == nbd::kShutdown) {
+    return ClientEvent::kRefused;
+  }
+  return reply.error == nbd::kOk ? ClientEvent::kServed : ClientEvent::kFailed;
+}
+
+std::unique_ptr<ScenarioClient> MakeScenarioClient(core::Protocol protocol) {
+  if (protocol == core::Protocol::kNbd) {
+    return std::make_unique<NbdScenarioClient>();
+  }
+  return std::make_unique<HttpScenarioClient>();
+}
+
+}  // namespace walnutspur::test
--- /dev/null
+++ b/tests/net/scenario_limits.h
@@ -0,0 +1,17 @@
+// Sizes and timeouts that the stand-ins of a scenario share.
+#ifndef WALNUTSPUR_TESTS_NET_SCENARIO_LIMITS_H_
+#define WALNUTSPUR_TESTS_NET_SCENARIO_LIMITS_H_
+
+#include <cstdint>
+
+namespace walnutspur::test {
+
+// How long a stand-in waits for an expected event, in milliseconds.
+constexpr int kScenarioTimeoutMs = 4'000;
+
+// The length of an NBD read or write.
+constexpr std::uint32_t kNbdRequestBytes = 4096;
+
+}  // namespace walnutspur::test
+
+#endif  // WALNUTSPUR_TESTS_NET_SCENARIO_LIMITS_H_
--- a/tests/net/scenario_runner.h
+++ b/tests/net/scenario_runner.h
@@ -1,12 +1,21 @@
-// A stage for scenarios: an initiator on loopback, with stand-ins for clients, boxes and discovery that act
-// only as the scenario says. One step a line:
+// Plays scenarios: an initiator on loopback with stand-ins for clients, storage servers and discovery that
+// act only as the scenario says. One step a line:
 //
-//   client c send read|write [text]      client c expect served|refused|failed|closed|status N|text T
-//   box a expect read|write|closed|nothing MS      box a send ok|error|...      client|box|discovery X close
-//   [reset] discovery send a=DRAINING ...        discovery expect watch [since=N]       wait MS discovery
-//   moves                      signal HUP|TERM                        config good|bad
+//   client c send read|write|flush [body]           client c expect served|refused|failed|closed|nothing MS
+//   client c send bytes "..."                       client c expect status N | text T
+//   client c close [reset]
+//   target a expect read|write|flush|closed         target a expect nothing MS
+//   target a send ok|error|busy|...                 target a send bytes "..."
+//   target a close [reset|listener]
+//   discovery expect watch [since=N]                discovery send [delta] a=SERVING b=DRAINING ... | 503
+//   discovery close                                 discovery moves
+//   wait MS                                         signal HUP|TERM
+//   config good|bad
 //
-// The same steps play over HTTP and over NBD; `bytes "..."` after send is sent as it stands.
+// The same steps play over HTTP and over NBD. Clients whose name begins with b use target b, all others
+// target a.
+//
+// Owner: the test. Threads: the initiator runs on a thread of the runner's; all else is the test's thread.
 #ifndef WALNUTSPUR_TESTS_NET_SCENARIO_RUNNER_H_
 #define WALNUTSPUR_TESTS_NET_SCENARIO_RUNNER_H_
 
@@ -19,117 +28,85 @@
 
 #include "app/initiator.h"
 #include "app/platform.h"
-#include "nbd/codec.h"
+#include "discovery_server.h"
+#include "http_message.h"
+#include "scenario_client.h"
+#include "scenario_config.h"
+#include "scenario_parser.h"
+#include "storage_server.h"
+#include "support/temporary_file.h"
 
 namespace walnutspur::test {
 
-// A blocking socket; every wait is bounded.
-class Socket {
- public:
-  Socket() = default;
-  explicit Socket(int fd) : fd_(fd) {}
-  Socket(Socket&& other) noexcept : fd_(std::exchange(other.fd_, -1)), bytes(std::move(other.bytes)) {}
-  Socket& operator=(Socket&& other) noexcept;
-  ~Socket() { Close(); }
-
-  static Socket Listen(int* port);
-  static Socket Connect(int port, int fd = -1);  // of a socket that is there already, if any
-  Socket Accept() const;
-  bool Readable(int ms) const;
-  bool Fill(int ms);  // reads more into `bytes`; false at the end, or when nothing came in time
-  bool Send(const std::string& text);
-  void Close(bool reset = false);
-  int fd() const { return fd_; }
-
- private:
-  int fd_ = -1;
-
- public:
-  std::string bytes;
-};
-
-struct Message {  // of HTTP
-  std::string start, headers, body;
-  std::string Header(const std::string& name) const;
-};
-bool ReadMessage(Socket& socket, Message* message, int ms);
-
-// The settings that scenarios play under, as the platform would tell them.
-nlohmann::json BasicConfig();
-
+// An initiator with two targets, a of shard 0 and b of shard 1, both active.
 class ScenarioRunner {
  public:
-  explicit ScenarioRunner(core::Protocol wire, const nlohmann::json& config = BasicConfig(),
+  explicit ScenarioRunner(core::Protocol protocol, const nlohmann::json& config = BasicConfig(),
                           app::Options options = {}, http::DigestOptions digests = {});
-  ~ScenarioRunner();
+  ~ScenarioRunner() { Halt(); }
 
+  // Plays the steps in order; a step whose expectation fails ends the test.
   void Play(const std::string& scenario);
-  // On the open watch, in chunks of so many bytes.
-  void DiscoveryWrites(const std::string& text, std::size_t piece);
-  // Worth served in time over worth asked, of what clients have been answered.
-  double score() const { return asked_ > 0 ? served_ / asked_ : 0; }
-  app::Initiator& initiator() { return *initiator_; }
+  // Sends text on the open watch in chunks of `chunk_size` bytes.
+  void WriteDiscovery(const std::string& text, std::size_t chunk_size) { discovery_.Write(text, chunk_size); }
+  // Stops the initiator and joins its thread.
   void Halt();
-  bool Ended(int ms);  // whether the initiator's loop has ended by itself
-  std::size_t box_links(const std::string& name) const { return boxes_.at(name).links.size(); }
-  const nbd::Request& box_request(const std::string& name) const { return boxes_.at(name).request; }
+  // Whether the initiator's loop ends by itself within `ms` milliseconds.
+  bool WaitForExit(int ms);
+
+  // The weight that was served in time over the weight of all requests that clients have had a response to.
+  double score() const { return total_weight_ > 0 ? served_weight_ / total_weight_ : 0; }
+  app::Initiator& initiator() { return *initiator_; }
   int http_port() const { return http_port_; }
-  const Socket& box_listener(const std::string& name) const { return boxes_.at(name).listener; }
   int nbd_port() const { return nbd_port_; }
-  const Message& last() const { return last_; }
-  const std::string& watch_asked() const { return watch_asked_; }
-  const Message& box_message(const std::string& name) const { return boxes_.at(name).message; }
+  // The last response to any client.
+  const HttpMessage& last_response() const { return last_response_; }
+  // The request line of the last watch.
+  const std::string& last_watch_request() const { return last_watch_request_; }
+  // A target's connections so far, its last request by protocol, and its listener.
+  std::size_t target_connections(const std::string& name) const { return targets_.at(name)->connections(); }
+  const nbd::Request& target_nbd_request(const std::string& name) const {
+    return targets_.at(name)->nbd_request();
+  }
+  const HttpMessage& target_http_request(const std::string& name) const {
+    return targets_.at(name)->http_request();
+  }
+  const Socket& target_listener(const std::string& name) const { return targets_.at(name)->listener(); }
 
  private:
-  struct Client {
-    Socket socket;
-    std::unique_ptr<nbd::ClientSession> session;
-    std::vector<nbd::Reply> replies;
-    std::string kind;
-    Time sent = 0;
-    std::uint64_t cookie = 1;
-  };
-  struct Link {  // a connection that the initiator has made
-    Socket socket;
-    std::unique_ptr<nbd::ServerSession> session;
-    std::vector<nbd::Request> requests;
-  };
-  struct Box {
-    int port = 0, cell = 0;
-    Socket listener;
-    std::vector<std::unique_ptr<Link>> links;
-    Link* last = nullptr;  // where the last request came
-    nbd::Request request;
-    Message message;
-  };
-
-  void Step(const std::vector<std::string>& words, const std::string& line);
-  void ClientSend(Client& client, const std::string& name, const std::vector<std::string>& words,
-                  const std::string& line);
-  void ClientExpect(Client& client, const std::vector<std::string>& words);
-  std::string ClientHears(Client& client, int ms);
-  std::string BoxHears(Box& box, int ms);
-  void BoxSend(Box& box, const std::string& what, const std::string& line);
-  void DiscoverySend(const std::vector<std::string>& words);
-  std::string DiscoveryHears(int ms);
-
-  core::Protocol wire_;
-  nlohmann::json config_;
-  std::atomic<int> discovery_port_ = 0;  // that a configuration read now names
-  std::atomic<bool> bad_config_ = false;
-  std::map<std::string, Client> clients_;
-  std::map<std::string, Box> boxes_;
-  Socket discovery_, watch_, old_watch_;
-  int revision_ = 41;
-  int next_id_ = 1;
-  double asked_ = 0, served_ = 0;
-  Message last_;
-  std::string watch_asked_;
-  std::string nbd_file_;
-  std::vector<nbd::Export> exports_;
-  int http_port_ = 0, nbd_port_ = 0;
+  void StartTargets();
+  // The front end's deploy file: one export per target.
+  std::string NbdDeployFile() const;
+  void StartInitiator(const nlohmann::json& config, app::Options options, http::DigestOptions digests);
+
+  void PlayStep(const ScenarioStep& step);
+  void PlayClientStep(const ScenarioStep& step);
+  void SendFromClient(const std::string& name, const ScenarioStep& step);
+  void ExpectAtClient(ScenarioClient& client, const ScenarioStep& step);
+  // Counts a response to a well-formed request and checks that it came in time.
+  void RecordResponse(const ScenarioClient& client, ClientEvent event);
+  void PlayTargetStep(const ScenarioStep& step);
+  static void ExpectAtTarget(StorageServer& target, const ScenarioStep& step);
+  void PlayDiscoveryStep(const ScenarioStep& step);
+  void SendEndpoints(const ScenarioStep& step);
+  ScenarioClient& ClientNamed(const std::string& name);
+
+  core::Protocol protocol_;
+  DiscoveryServer discovery_;
+  nlohmann::json config_;                     // read by the initiator's thread on SIGHUP
+  std::atomic<bool> invalid_config_ = false;  // whether a reload fails
+  std::map<std::string, std::unique_ptr<ScenarioClient>> clients_;
+  std::map<std::string, std::unique_ptr<StorageServer>> targets_;
+  std::uint32_t next_request_id_ = 1;
+  double total_weight_ = 0;
+  double served_weight_ = 0;
+  HttpMessage last_response_;
+  std::string last_watch_request_;
+  std::unique_ptr<TemporaryFile> nbd_deploy_file_;  // null over HTTP
+  int http_port_ = 0;
+  int nbd_port_ = 0;
   std::unique_ptr<app::Initiator> initiator_;
-  std::atomic<bool> ended_ = false;
+  std::atomic<bool> has_exited_ = false;
   std::thread thread_;
 };
 
--- /dev/null
+++ b/tests/net/target_pool_test.cpp
@@ -0,0 +1,84 @@
+// The pool of target connections by itself, and the load reports that it reads.
+#include "http/target_pool.h"
+
+#include <doctest/doctest.h>
+
+#include <map>
+#include <thread>
+
+#include "app/platform.h"
+#include "http/messages.h"
+#include "scenario_runner.h"
+
+namespace walnutspur::test {
+namespace {
+
+TEST_CASE("a health check reports the outcome and the load of its target") {
+  auto json = BasicConfig();
+  json["discovery"] = "127.0.0.1:1";
+  const http::Config config = app::ParseConfig(json);
+  const loop::EventBasePtr base(event_base_new());
+  std::vector<core::HealthCheckResult> results;
+  http::TargetPool pool(base.get(), config, [&](core::Input input) {
+    results.push_back(std::get<core::HealthCheckResult>(input));
+    event_base_loopbreak(base.get());
+  });
+  int port = 0;
+  Socket listener = Socket::Listen(&port);
+  pool.SetAddress("t", "127.0.0.1:" + std::to_string(port));
+  pool.CheckHealth("nowhere");
+  pool.CheckHealth("t");
+  std::thread server([&] {
+    Socket connection = listener.Accept();
+    HttpMessage request;
+    if (!ReadHttpMessage(connection, &request, 2'000) || !request.start_line.starts_with("GET /-/healthy"))
+      return;
+    connection.Send("HTTP/1.1 200 OK\r\nX-Load: {\"queue\":4}\r\nContent-Length: 0\r\n\r\n");
+    connection.Fill(2'000);
+  });
+  event_base_dispatch(base.get());
+  pool.Drain("t");  // closes the idle connection
+  event_base_loop(base.get(), EVLOOP_ONCE | EVLOOP_NONBLOCK);
+  server.join();
+  REQUIRE(results.size() == 2);
+  CHECK(results[0].result.outcome == Outcome::kConnectFailed);
+  CHECK(results[1].result.outcome == Outcome::kCompleted);
+  CHECK(results[1].result.load_report == std::vector<double>{4});
+}
+
+TEST_CASE("removed targets leave no address behind") {
+  auto json = BasicConfig();
+  json["discovery"] = "127.0.0.1:1";
+  const http::Config config = app::ParseConfig(json);
+  const loop::EventBasePtr base(event_base_new());
+  http::TargetPool pool(base.get(), config, [](core::Input) {});
+  for (int i = 0; i < 1'000; ++i) {
+    pool.SetAddress("t" + std::to_string(i), "127.0.0.1:1");
+    pool.Drain("t" + std::to_string(i));
+    if (i % 2) pool.Remove("t" + std::to_string(i));
+  }
+  pool.RetainOnly({"t998"});
+  CHECK(pool.tracked_targets() == 1);
+}
+
+TEST_CASE("load reports are read from response headers; malformed ones are ignored") {
+  std::map<std::string, std::string> fields = {
+      {"X-Volume-Use", "85"}, {"X-Served-Elsewhere", "3"}, {"X-Load", R"({"util":0.5,"queue":2})"}};
+  const http::Header header = [&](const char* name) {
+    return fields.contains(name) ? fields[name].c_str() : nullptr;
+  };
+  core::AttemptResult result;
+  http::ReadLoadHeaders({"queue", "absent"}, header, &result);
+  CHECK(result.reported_usage == 86);  // the simulator's figure counts one more
+  CHECK(result.units_served_elsewhere == 3);
+  CHECK(result.load_report == std::vector<double>{2, 0});
+  fields["X-Load"] = "{";
+  fields["X-Volume-Use"] = "many";
+  core::AttemptResult without_report;
+  http::ReadLoadHeaders({"queue"}, header, &without_report);
+  CHECK(without_report.reported_usage == 0);
+  CHECK(without_report.load_report.empty());
+}
+
+}  // namespace
+}  // namespace walnutspur::test
--- /dev/null
+++ b/tests/scheduler/client_timeout_test.cpp
@@ -0,0 +1,125 @@
+// Latency objectives, client timeouts and abandonment.
+#include <gtest/gtest.h>
+
+#include "scheduler_fixture.h"
+
+namespace walnutspur::test {
+namespace {
+
+TEST(MissedObjective, WorkIsNotSentToABusyTarget) {
+  SchedulerFixture scheduler;
+  scheduler.SetTargets(1);
+  for (int i = 0; i < 20; ++i) {
+    const std::string id = "r" + std::to_string(i);
+    scheduler.Handle(SchedulerFixture::MakeRequest(id));
+    scheduler.FinishAttempt(id, Outcome::kCompleted, i < 10 ? 20 * kMs : 300 * kMs);
+  }
+  RequestArrived request = SchedulerFixture::MakeRequest("late");
+  request.ttl = 1500 * kMs;  // the client's retry: its objective has passed
+  scheduler.Handle(request);
+  scheduler.Advance(40 * kMs);
+  EXPECT_EQ(scheduler.SendCount("late"), 0);
+  EXPECT_EQ(scheduler.RejectionCount("late"), 1);
+}
+
+TEST(MissedObjective, AnIdleTargetServesItIfItRespondedRecently) {
+  SchedulerFixture scheduler;
+  scheduler.SetTargets(1);
+  RequestArrived request = SchedulerFixture::MakeRequest("late", 1);
+  request.ttl = 1500 * kMs;
+  scheduler.Handle(request);
+  EXPECT_EQ(scheduler.SendCount("late"), 0);  // no response so far: hundreds of instances would do the same
+  scheduler.Handle(SchedulerFixture::MakeRequest("b"));
+  scheduler.FinishAttempt("b", Outcome::kCompleted);
+  EXPECT_EQ(scheduler.SendCount("late"), 1);
+}
+
+TEST(ClientTimeout, AShortTimeoutIsTimelyButItsRetryIsNot) {
+  SchedulerFixture scheduler;
+  scheduler.SetTargets(1);
+  RequestArrived request = SchedulerFixture::MakeRequest("first");
+  request.ttl = 150 * kMs;
+  scheduler.Handle(request);
+  EXPECT_EQ(scheduler.SendCount("first"), 1);
+  scheduler.Handle(ClientDisconnected{"first"});
+  request.id = "again";
+  request.is_client_retry = true;
+  scheduler.Handle(request);
+  EXPECT_EQ(scheduler.SendCount("again"), 0);
+}
+
+// Regression ib0c9d5: every instance sent new objects to targets it had no response from.
+TEST(MissedObjective, AnUnknownTargetIsAssumedAsFarBehindAsTheOthers) {
+  for (const bool behind : {false, true}) {
+    SchedulerFixture scheduler;
+    scheduler.SetTargets(10);
+    for (int i = 0; i < 8; ++i) {
+      const std::string id = "r" + std::to_string(i);
+      scheduler.Handle(SchedulerFixture::MakeRequest(id, 0, i));
+      scheduler.Advance(40 * kMs);
+      scheduler.FinishAttempt(id, Outcome::kCompleted, behind ? 900 * kMs : 40 * kMs, 0,
+                              "t" + std::to_string(i));
+    }
+    RequestArrived request = SchedulerFixture::MakeRequest("a", 0, 9);
+    request.ttl = 150 * kMs;
+    scheduler.Handle(request);
+    scheduler.Handle(SchedulerFixture::MakeRequest("b", 0, 9));
+    scheduler.ClearActions();
+    request.id = "hurried";
+    request.shard = 8;
+    scheduler.Handle(request);
+    EXPECT_EQ(scheduler.SendCount("hurried"), behind ? 0 : 1);
+  }
+}
+
+TEST(AttemptTimeout, EndsSoonAfterTheObjectiveWhereCancellingIsAllowed) {
+  Settings settings = BasicSettings();
+  settings.classes[2].ordered_by_key = true;
+  settings.can_cancel = true;
+  SchedulerFixture scheduler(settings);
+  scheduler.SetTargets(3);
+  for (int c = 0; c < 3; ++c) scheduler.Handle(SchedulerFixture::MakeRequest("r" + std::to_string(c), c, c));
+  const std::vector<SendAttempt> sends = scheduler.ActionsOf<SendAttempt>();
+  ASSERT_EQ(sends.size(), 3u);
+  EXPECT_EQ(sends[0].timeout, 800 * kMs);  // idempotent, so it has twice its objective
+  EXPECT_EQ(sends[1].timeout, 400 * kMs);
+  EXPECT_EQ(sends[2].timeout, 0);  // a timeout would quarantine its key
+}
+
+TEST(ClientTimeout, AnAttemptIsCancelledAfterDisconnectWhereAllowed) {
+  for (bool allowed : {false, true}) {
+    Settings settings = BasicSettings();
+    settings.can_cancel = allowed;
+    SchedulerFixture scheduler(settings);
+    scheduler.SetTargets(1);
+    scheduler.Handle(SchedulerFixture::MakeRequest("a"));
+    scheduler.Handle(ClientDisconnected{"a"});
+    EXPECT_EQ(scheduler.ActionsOf<CancelAttempt>().size(), allowed ? 1u : 0u);
+  }
+}
+
+// Clients that disconnect early define when work is late, unless others wait longer.
+TEST(ClientAbandonment, TheAgeAtWhichClientsLeaveReplacesTheObjective) {
+  for (const int leavers : {0, 1, 8}) {
+    Settings settings = BasicSettings();
+    settings.can_cancel = true;
+    SchedulerFixture scheduler(settings);
+    scheduler.SetTargets(2);
+    for (int i = 0; i < 8; ++i) {
+      const bool leave = i >= 8 - leavers;
+      const std::string id = "a" + std::to_string(i);
+      scheduler.Handle(SchedulerFixture::MakeRequest(id, 1));
+      scheduler.Advance(160 * kMs);
+      if (leave) scheduler.Handle(ClientDisconnected{id});
+      if (scheduler.SendCount(id) > 0)
+        scheduler.FinishAttempt(id, leave ? Outcome::kCancelled : Outcome::kCompleted, 160 * kMs);
+    }
+    scheduler.Handle(SchedulerFixture::MakeRequest(
+        "nowhere", 1, 5));  // no target holds the shard: it queues until it is late
+    scheduler.Advance(leavers == 8 ? 240 * kMs : 340 * kMs);
+    EXPECT_EQ(scheduler.RejectionCount("nowhere"), leavers == 8 ? 1 : 0);  // one client is too small a sample
+  }
+}
+
+}  // namespace
+}  // namespace walnutspur::test
--- /dev/null
+++ b/tests/scheduler/drain_test.cpp
@@ -0,0 +1,87 @@
+// Endpoint updates: draining targets get nothing new, and lost watches are repeated.
+#include <gtest/gtest.h>
+
+#include "scheduler_fixture.h"
+
+namespace walnutspur::test {
+namespace {
+
+TEST(Drain, NothingNewAfterADrainingUpdate) {
+  for (EndpointState state : {EndpointState::kDraining, EndpointState::kTerminated}) {
+    SchedulerFixture scheduler;
+    scheduler.SetTargets(2);
+    scheduler.UpdateEndpoints(EndpointUpdateKind::kDelta, {SchedulerFixture::MakeEndpoint("t0", 0, state)});
+    scheduler.Advance(2 * kSec);
+    scheduler.Handle(SchedulerFixture::MakeRequest("a", 0, 0));
+    scheduler.Advance(kSec);
+    EXPECT_EQ(scheduler.SendCount("a"), 0);
+  }
+}
+
+TEST(Drain, AbsentFromAFullUpdateIsRemoved) {
+  SchedulerFixture scheduler;
+  scheduler.SetTargets(2);
+  scheduler.UpdateEndpoints(EndpointUpdateKind::kFull, {SchedulerFixture::MakeEndpoint("t1", 1)});
+  scheduler.Handle(SchedulerFixture::MakeRequest("a", 0, 0));
+  scheduler.Advance(kSec);
+  EXPECT_EQ(scheduler.SendCount("a"), 0);
+}
+
+TEST(Drain, TheReplacementOfAShardTakesOver) {
+  SchedulerFixture scheduler;
+  scheduler.SetTargets(2);
+  scheduler.UpdateEndpoints(EndpointUpdateKind::kDelta,
+                            {SchedulerFixture::MakeEndpoint("t0", 0, EndpointState::kDraining)});
+  scheduler.UpdateEndpoints(EndpointUpdateKind::kDelta, {SchedulerFixture::MakeEndpoint("t9", 0)});
+  scheduler.Handle(SchedulerFixture::MakeRequest("a", 0, 0));
+  ASSERT_EQ(scheduler.SendCount("a"), 1);
+  EXPECT_EQ(scheduler.ActionsOf<SendAttempt>().back().target, "t9");
+}
+
+TEST(Drain, SubscribersWatchFromTheStartAndAfterFailures) {
+  Settings settings = BasicSettings();
+  settings.discovery = DiscoveryMode::kSubscribe;
+  SchedulerFixture scheduler(settings);
+  EXPECT_EQ(scheduler.ActionsOf<WatchEndpoints>().size(), 1u);
+  scheduler.UpdateEndpoints(EndpointUpdateKind::kFailed, {});
+  scheduler.Advance(3 * kSec);
+  EXPECT_EQ(scheduler.ActionsOf<WatchEndpoints>().size(), 2u);
+}
+
+TEST(Drain, AnUnansweredWatchIsRepeatedAndAnAnsweredOneIsNot) {
+  for (bool answered : {false, true}) {
+    Settings settings = BasicSettings();
+    settings.discovery = DiscoveryMode::kSubscribe;
+    SchedulerFixture scheduler(settings);
+    scheduler.UpdateEndpoints(EndpointUpdateKind::kCached, {SchedulerFixture::MakeEndpoint("t0", 0)});
+    if (answered) scheduler.UpdateEndpoints(EndpointUpdateKind::kDelta, {});
+    scheduler.Advance(8 * kSec);
+    EXPECT_EQ(scheduler.ActionsOf<WatchEndpoints>().size(), answered ? 1u : 2u);
+  }
+}
+
+TEST(Drain, PushedUpdatesNeedNoWatch) {
+  SchedulerFixture scheduler;
+  scheduler.UpdateEndpoints(EndpointUpdateKind::kFailed, {});
+  scheduler.Advance(3 * kSec);
+  EXPECT_TRUE(scheduler.ActionsOf<WatchEndpoints>().empty());
+}
+
+// The configured instance count is an estimate; fleet membership replaces it with the real one.
+TEST(FleetSize, ReplacesTheConfiguredInstanceCount) {
+  Settings settings = BasicSettings();
+  settings.instances = 300;
+  settings.discovery = DiscoveryMode::kSubscribe;
+  for (const bool has_fleet_size : {false, true}) {
+    SchedulerFixture scheduler(settings);
+    if (has_fleet_size) scheduler.Handle(FleetSize{2, 0.5});
+    scheduler.Advance(2 * kSec);  // the watch has timed out
+    scheduler.UpdateEndpoints(EndpointUpdateKind::kFailed, {});
+    scheduler.ClearActions();
+    scheduler.Advance(1'100 * kMs);
+    EXPECT_EQ(scheduler.ActionsOf<WatchEndpoints>().size(), has_fleet_size ? 1u : 0u);
+  }
+}
+
+}  // namespace
+}  // namespace walnutspur::test
--- a/tests/limits_test.cpp
+++ b/tests/scheduler/module_size_test.cpp
@@ -1,4 +1,5 @@
-// What the users print must stay short: 940 lines that are not blank, none over 110 characters.
+// The scheduler's source stays short enough to print: at most 940 lines that are not blank, none over 110
+// columns.
 #include <gtest/gtest.h>
 
 #include <fstream>
--- a/tests/wire_test.cpp
+++ b/tests/scheduler/simulator_adapter_test.cpp
@@ -1,6 +1,4 @@
-// The adapter: lines in, lines out, and what it does with bad input.
-#include "simulator/wire.h"
-
+// The simulator adapter: its line protocol and its handling of invalid input.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -9,6 +7,8 @@
 #include <sstream>
 #include <string>
 
+#include "simulator/wire.h"
+
 namespace walnutspur::wire {
 namespace {
 
@@ -75,15 +75,15 @@
   std::istringstream in(reply);
   int sends = 0;
   for (std::string line; std::getline(in, line);) {
-    const json j = json::parse(line);
-    if (j["op"] != "send") continue;
+    const json action = json::parse(line);
+    if (action["op"] != "send") continue;
     ++sends;
-    EXPECT_EQ(j["target"], j["initiatorId"] == 1 ? "a:1" : "b:1");
+    EXPECT_EQ(action["target"], action["initiatorId"] == 1 ? "a:1" : "b:1");
   }
   EXPECT_EQ(sends, 2);
 }
 
-TEST(Wire, KillAndEnlistInOneBatchForgetsWhatWas) {
+TEST(Wire, KillAndEnlistInOneBatchDiscardsEarlierState) {
   Host host;
   std::string reply;
   for (const std::string& line :
@@ -96,14 +96,14 @@
   EXPECT_NE(reply.find(R"("target":"b:1")"), std::string::npos);
 }
 
-TEST(Wire, EventsOfAKilledInstanceArePassedOver) {
+TEST(Wire, EventsOfAKilledInstanceAreIgnored) {
   EXPECT_EQ(
       Reply({kRound, Enlist(1), R"({"op":"kill","initiatorId":1})", ArrivalLine(1, "00000000000000aa"), kEnd})
           .find("send"),
       std::string::npos);
 }
 
-TEST(Wire, ABatchOfMegabytesIsTaken) {
+TEST(Wire, ABatchOfMegabytesIsAccepted) {
   Host host;
   std::string reply;
   host.Line(kRound, &reply);
@@ -117,25 +117,26 @@
   EXPECT_NE(reply.find("send"), std::string::npos);
 }
 
-TEST(Wire, BadLinesThrow) {
-  for (const char* bad : {"{", "[]", R"({"op":"eofBatch"})", R"({"now":1})"}) {
+TEST(Wire, InvalidLinesThrow) {
+  for (const char* invalid : {"{", "[]", R"({"op":"eofBatch"})", R"({"now":1})"}) {
     Host host;
     std::string reply;
-    EXPECT_THROW(host.Line(bad, &reply), std::exception) << bad;
+    EXPECT_THROW(host.Line(invalid, &reply), std::exception) << invalid;
   }
-  for (const char* bad : {R"({"op":"dance","initiatorId":1})", R"({"op":"arrival","initiatorId":1})",
-                          R"({"op":"membership","initiatorId":1,"mode":"full","list":7})",
-                          R"({"op":"done","initiatorId":1,"tid":"x","trial":0,"target":"a","rc":"odd"})"}) {
+  for (const char* invalid :
+       {R"({"op":"dance","initiatorId":1})", R"({"op":"arrival","initiatorId":1})",
+        R"({"op":"membership","initiatorId":1,"mode":"full","list":7})",
+        R"({"op":"done","initiatorId":1,"tid":"x","trial":0,"target":"a","rc":"odd"})"}) {
     Host host;
     std::string reply;
     host.Line(kRound, &reply);
-    EXPECT_THROW(host.Line(bad, &reply), std::exception) << bad;
+    EXPECT_THROW(host.Line(invalid, &reply), std::exception) << invalid;
   }
 }
 
-// Runs the real program on `input`; returns its exit code, with its standard error in `errors`.
-int Drill(const std::string& input, std::string* errors) {
-  const std::string base = testing::TempDir() + "drill_" + std::to_string(getpid());
+// Runs the adapter program on `input`; returns its exit code and stores its standard error in `errors`.
+int RunAdapter(const std::string& input, std::string* errors) {
+  const std::string base = testing::TempDir() + "adapter_" + std::to_string(getpid());
   std::ofstream(base + ".in") << input;
   const std::string command =
       std::string(WALNUTSPUR_SIMULATOR_ADAPTER) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
@@ -146,16 +147,16 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-TEST(Drill, EndOfInputExitsWithZero) {
+TEST(SimulatorAdapter, EndOfInputExitsWithZero) {
   std::string errors;
-  EXPECT_EQ(Drill(std::string(kRound) + "\n" + kEnd + "\n", &errors), 0);
+  EXPECT_EQ(RunAdapter(std::string(kRound) + "\n" + kEnd + "\n", &errors), 0);
   EXPECT_EQ(errors, "");
 }
 
-TEST(Drill, BadInputGetsAMessageAndANonZeroExit) {
-  for (const std::string bad : {"{\n", "{\"op\":\"dance\"}\n", "{\"op\":\"round\"}\n"}) {
+TEST(SimulatorAdapter, InvalidInputGetsAMessageAndANonZeroExit) {
+  for (const std::string invalid : {"{\n", "{\"op\":\"dance\"}\n", "{\"op\":\"round\"}\n"}) {
     std::string errors;
-    EXPECT_NE(Drill(bad, &errors), 0) << bad;
+    EXPECT_NE(RunAdapter(invalid, &errors), 0) << invalid;
     EXPECT_NE(errors.find("walnutspur_simulator_adapter: line 1"), std::string::npos) << errors;
   }
 }
--- /dev/null
+++ b/tests/scheduler/slow_start_test.cpp
@@ -0,0 +1,132 @@
+// A warming target receives a limited rate.
+#include <gtest/gtest.h>
+
+#include "scheduler_fixture.h"
+
+namespace walnutspur::test {
+namespace {
+
+constexpr double kUnitsPerRequest = 2;  // of SchedulerFixture::MakeRequest
+
+// The units of all attempts sent to `target`.
+double UnitsSentTo(const SchedulerFixture& scheduler, const std::string& target) {
+  double units = 0;
+  for (const SendAttempt& attempt : scheduler.ActionsOf<SendAttempt>())
+    units += attempt.target == target ? kUnitsPerRequest : 0;
+  return units;
+}
+
+// Regression i6a82cc: divided by hundreds of instances, the slow start units are a fraction of a request.
+TEST(SlowStart, TheRateBeforeARestartAllowsAFractionAfterIt) {
+  for (const bool served : {false, true}) {
+    Settings settings = BasicSettings();
+    settings.instances = 200;
+    SchedulerFixture scheduler(settings);
+    scheduler.SetTargets(1);
+    int next_id = 0;
+    auto one_second_of_load = [&] {  // five requests of two units
+      for (int i = 0; i < 5; ++i) {
+        scheduler.ClearActions();
+        const std::string id = "r" + std::to_string(next_id++);
+        scheduler.Handle(SchedulerFixture::MakeRequest(id, 0));
+        if (scheduler.SendCount(id) > 0) {
+          scheduler.FinishAttempt(id, Outcome::kCompleted);
+        }
+        scheduler.Advance(200 * kMs);
+      }
+    };
+    for (int i = 0; i < 20 && served; ++i) one_second_of_load();
+    scheduler.UpdateEndpoints(
+        EndpointUpdateKind::kDelta,
+        {SchedulerFixture::MakeEndpoint("t0", 0, EndpointState::kActive, scheduler.now())});
+    double sent = 0;
+    for (int i = 0; i < 4; ++i) {
+      for (int k = 0; k < 5; ++k) {
+        scheduler.ClearActions();
+        const std::string id = "c" + std::to_string(next_id++);
+        scheduler.Handle(SchedulerFixture::MakeRequest(id, 0));
+        scheduler.Advance(100 * kMs);
+        if (scheduler.SendCount(id) > 0) {
+          scheduler.FinishAttempt(id, Outcome::kCompleted);
+          sent += kUnitsPerRequest;
+        }
+        scheduler.Advance(100 * kMs);
+      }
+    }
+    // The warm target served ten units a second to this instance. Slow start allows a fifth of that at first
+    // and four fifths within a second: at most what it served in these four seconds, plus one bucket.
+    EXPECT_LE(sent, served ? 4 * 10 * 1.3 + settings.max_request_units : 0);
+    if (served) {
+      EXPECT_GE(sent, 10);
+    }
+  }
+}
+
+// Regression ie1b203: clients move between instances, so what other targets served this instance counts in
+// part.
+TEST(SlowStart, AnInstanceNewToAWarmingTargetSendsAFraction) {
+  for (const bool served : {false, true}) {
+    Settings settings = BasicSettings();
+    settings.instances = 200;
+    SchedulerFixture scheduler(settings);
+    scheduler.SetTargets(2);
+    for (int i = 0; i < 100 && served; ++i) {
+      const std::string id = "r" + std::to_string(i);
+      scheduler.Handle(SchedulerFixture::MakeRequest(id, 0, 1));
+      scheduler.FinishAttempt(id, Outcome::kCompleted, 20 * kMs, 0, "t1");
+      scheduler.Advance(200 * kMs);
+    }
+    scheduler.UpdateEndpoints(
+        EndpointUpdateKind::kDelta,
+        {SchedulerFixture::MakeEndpoint("t0", 0, EndpointState::kActive, scheduler.now())});
+    double sent = 0;
+    for (int i = 0; i < 10; ++i) {
+      const std::string id = "c" + std::to_string(i);
+      scheduler.Handle(SchedulerFixture::MakeRequest(id, 0));
+      scheduler.Advance(400 * kMs);
+      if (scheduler.SendCount(id) > 0) {
+        scheduler.FinishAttempt(id, Outcome::kCompleted);
+        sent += kUnitsPerRequest;
+      }
+    }
+    // Ten units a second at one of two targets: a quarter of that, plus one bucket.
+    EXPECT_LE(sent, served ? 4 * 2.5 * 1.3 + settings.max_request_units : 0);
+    if (served) {
+      EXPECT_GE(sent, 4);
+    }
+  }
+}
+
+TEST(SlowStart, SlowStartUnitsAreDividedAmongInstances) {
+  Settings settings = BasicSettings();
+  settings.instances = 2;
+  SchedulerFixture scheduler(settings);
+  scheduler.UpdateEndpoints(
+      EndpointUpdateKind::kFull,
+      {SchedulerFixture::MakeEndpoint("t0", 0, EndpointState::kActive, scheduler.now())});
+  for (int i = 0; i < 40; ++i) {
+    const std::string id = "r" + std::to_string(i);
+    scheduler.Handle(SchedulerFixture::MakeRequest(id));
+    scheduler.FinishAttempt(id, Outcome::kErrored);  // frees the concurrency limit and proves no capacity
+  }
+  EXPECT_GE(UnitsSentTo(scheduler, "t0"), 6);
+  EXPECT_LE(UnitsSentTo(scheduler, "t0"), 10);
+}
+
+TEST(SlowStart, AWarmTargetIsNotLimited) {
+  Settings settings = BasicSettings();
+  settings.instances = 2;
+  SchedulerFixture scheduler(settings);
+  scheduler.UpdateEndpoints(
+      EndpointUpdateKind::kFull,
+      {SchedulerFixture::MakeEndpoint("t0", 0, EndpointState::kActive, scheduler.now() - 11 * kSec)});
+  for (int i = 0; i < 40; ++i) {
+    const std::string id = "r" + std::to_string(i);
+    scheduler.Handle(SchedulerFixture::MakeRequest(id));
+    scheduler.FinishAttempt(id, Outcome::kCompleted);
+  }
+  EXPECT_EQ(UnitsSentTo(scheduler, "t0"), 80);
+}
+
+}  // namespace
+}  // namespace walnutspur::test
--- /dev/null
+++ b/tests/support/temporary_file.h
@@ -0,0 +1,36 @@
+// A file in /tmp that lives as long as its object.
+//
+// Owner: the test that declares it. Thread: any one at a time.
+#ifndef WALNUTSPUR_TESTS_SUPPORT_TEMPORARY_FILE_H_
+#define WALNUTSPUR_TESTS_SUPPORT_TEMPORARY_FILE_H_
+
+#include <unistd.h>
+
+#include <cstdio>
+#include <cstdlib>
+#include <fstream>
+#include <string>
+
+namespace walnutspur::test {
+
+// Creates a file with the given content under a unique name and removes it at the end.
+class TemporaryFile {
+ public:
+  explicit TemporaryFile(const std::string& content = "") {
+    close(mkstemp(path_.data()));
+    std::ofstream(path_) << content;
+  }
+  ~TemporaryFile() { std::remove(path_.c_str()); }
+  TemporaryFile(const TemporaryFile&) = delete;
+  TemporaryFile& operator=(const TemporaryFile&) = delete;
+
+  // The file's absolute path.
+  const std::string& path() const { return path_; }
+
+ private:
+  std::string path_ = "/tmp/walnutspur-test-XXXXXX";
+};
+
+}  // namespace walnutspur::test
+
+#endif  // WALNUTSPUR_TESTS_SUPPORT_TEMPORARY_FILE_H_
--- a/tests/unit/config_test.cpp
+++ b/tests/unit/config_test.cpp
@@ -1,36 +1,21 @@
-// Settings' files: what is wrong is told with its line, its key and what is allowed.
+// Settings files: each error names its line, its key and the allowed values.
 #include "nbd/config.h"
 
 #include <doctest/doctest.h>
-#include <unistd.h>
-
-#include <cstdio>
-#include <fstream>
 
 #include "app/command_line.h"
 #include "app/settings.h"
+#include "support/temporary_file.h"
 
 namespace walnutspur {
 namespace {
 
-class File {
- public:
-  explicit File(const std::string& text) {
-    char path[] = "/tmp/walnutspur-test-XXXXXX";
-    close(mkstemp(path));
-    path_ = path;
-    std::ofstream(path_) << text;
-  }
-  ~File() { std::remove(path_.c_str()); }
-  const std::string& path() const { return path_; }
-
- private:
-  std::string path_;
-};
+using test::TemporaryFile;
 
-TEST_CASE("each kind of wrong value is told with its line, its key and what is allowed") {
+TEST_CASE("each kind of invalid value is reported with its line, its key and the allowed values") {
   const struct {
-    const char *text, *line;
+    const char* text;
+    const char* line;
   } kCases[] = {
       {"[log]\nlevle = \"warn\"", ":2: log.levle: is no known key; the nearest is log.level"},
       {"[log]\nlevel = \"loud\"", ":2: log.level: cannot be \"loud\"; allowed is one of \"debug\", \"info\""},
@@ -44,19 +29,19 @@
       {"zzz = 1", ":1: zzz: is no known key"},
       {"[log\nlevel = 3", ": is no TOML"},
   };
-  for (const auto& c : kCases) {
-    const File file(c.text);
+  for (const auto& invalid : kCases) {
+    const TemporaryFile file(invalid.text);
     const auto lines = app::CheckFile(file.path());
     REQUIRE(lines.size() == 1);
-    CHECK_MESSAGE(lines[0].find(c.line) != std::string::npos, lines[0]);
+    CHECK_MESSAGE(lines[0].find(invalid.line) != std::string::npos, lines[0]);
     CHECK(lines[0].find('\n') == std::string::npos);
     CHECK_THROWS(app::LoadSettings(file.path()));
   }
   CHECK(app::CheckFile("/nowhere/at/all").front() == "/nowhere/at/all: cannot be read");
 }
 
-TEST_CASE("all problems of a file are told, in the order of its lines") {
-  const File file("[[box]]\nid = 4\naddress = \"127.0.0.1:1\"\nadress = \"x\"\n");
+TEST_CASE("all problems of a file are reported, in the order of its lines") {
+  const TemporaryFile file("[[box]]\nid = 4\naddress = \"127.0.0.1:1\"\nadress = \"x\"\n");
   const auto lines = app::CheckFile(file.path());
   std::string all;
   for (const auto& line : lines) all += line + "\n";
@@ -66,11 +51,11 @@
   CHECK(all.find("commands.read: is missing") != std::string::npos);
 }
 
-TEST_CASE("the example that the program prints holds, and says the defaults") {
-  const File file(config::Example(app::SettingsKeys()));
+TEST_CASE("the example that the program prints is valid and states the defaults") {
+  const TemporaryFile file(config::Example(app::SettingsKeys()));
   CHECK(app::CheckFile(file.path()).empty());
   const auto from_example = app::LoadSettings(file.path());
-  const File empty("");
+  const TemporaryFile empty("");
   const auto from_nothing = app::LoadSettings(empty.path());
   CHECK(from_example.log.level == from_nothing.log.level);
   CHECK(from_nothing.log.level == log::Level::kWarn);
@@ -78,18 +63,18 @@
   CHECK(from_example.log.queue == 512);
 }
 
-TEST_CASE("the shipped files hold") {
+TEST_CASE("the shipped files are valid") {
   CHECK(app::CheckFile(WALNUTSPUR_ROOT "/deploy/nbd.toml").empty());
   CHECK(app::CheckFile(WALNUTSPUR_ROOT "/deploy/walnutspur.toml").empty());
 }
 
-TEST_CASE("a word is near only if most of it stands") {
+TEST_CASE("a known key is suggested only for a similar word") {
   CHECK(config::Nearest("levl", {"level", "form"}) == "level");
   CHECK(config::Nearest("xy", {"ab", "form"}).empty());
   CHECK(config::Nearest("", {"a"}).empty());
 }
 
-TEST_CASE("the command line: no argument serves, what is wrong is one line and code 2") {
+TEST_CASE("the command line: no argument serves, an error is one line and code 2") {
   CHECK(app::ParseCommand({}).action == app::Action::kServe);
   const auto old = app::ParseCommand({"--nbd", "f.toml", "--record", "o.pcap"});
   CHECK(old.action == app::Action::kServe);
@@ -101,12 +86,12 @@
   const auto help = app::ParseCommand({"--help"});
   CHECK(help.code == 0);
   CHECK(help.said.find("check") != std::string::npos);
-  for (const std::vector<std::string>& wrong :
+  for (const std::vector<std::string>& arguments :
        {std::vector<std::string>{"--unknown", "x"}, {"--nbd"}, {"check"}, {"serve", "check"}}) {
-    const auto said = app::ParseCommand(wrong);
-    CHECK(said.action == app::Action::kSaid);
-    CHECK(said.code == 2);
-    CHECK(said.said.find('\n') == said.said.size() - 1);
+    const auto command = app::ParseCommand(arguments);
+    CHECK(command.action == app::Action::kSaid);
+    CHECK(command.code == 2);
+    CHECK(command.said.find('\n') == command.said.size() - 1);
   }
 }
 
--- a/tests/unit/digest_test.cpp
+++ b/tests/unit/digest_test.cpp
@@ -1,4 +1,4 @@
-// Digest fields by the examples of RFC 9530 and the grammar of RFC 8941, and by damage.
+// Digest fields: the examples of RFC 9530, the grammar of RFC 8941, and damaged content.
 #include "integrity/digest.h"
 
 #include <doctest/doctest.h>
@@ -22,7 +22,7 @@
         "WkppmM44T3qg==:");
 }
 
-TEST_CASE("every flipped bit of a content is told, by each algorithm") {
+TEST_CASE("every flipped bit of a content is detected by each algorithm") {
   std::string content = "a referral letter";
   for (const Algorithm algorithm : {Algorithm::kCrc32c, Algorithm::kSha256, Algorithm::kSha512}) {
     const std::string field = DigestField(algorithm, content);
@@ -35,7 +35,7 @@
   }
 }
 
-TEST_CASE("what cannot be read, or is of an algorithm not known, says nothing") {
+TEST_CASE("a field that is malformed or of an unknown algorithm is ignored") {
   for (const char* field : {"",
                             "sha-256",
                             "sha-256=",
@@ -64,17 +64,17 @@
   }
 }
 
-TEST_CASE("strange neighbours do not spoil a digest that can be read") {
+TEST_CASE("other members do not invalidate a well-formed digest") {
   const std::string good = DigestField(Algorithm::kCrc32c, "x");
   for (const std::string& field :
        {"md5=:AAAA:, " + good, good + ";q=1;a=\"b;,\"", "a=(1 2.5 \"x\");b, " + good,
         "  " + good + " \t, b=?1", good + ", c=tok/en:*",
-        "crc32c=:AAAA:, " + good}) {  // of a key that stands twice the last counts
+        "crc32c=:AAAA:, " + good}) {  // the last of two equal keys counts
     CAPTURE(field);
     CHECK(Verify(field, "x") == Match::kGood);
     CHECK(Verify(field, "y") == Match::kDifferent);
   }
-  CHECK(Verify(good + ", sha-256=:AAAA:", "x") == Match::kDifferent);        // one that differs is enough
+  CHECK(Verify(good + ", sha-256=:AAAA:", "x") == Match::kDifferent);        // one mismatch is enough
   CHECK(Verify("crc32c=:" + good.substr(8, 6) + ":", "x") == Match::kGood);  // padding may be missing
 }
 
--- a/tests/unit/keep_test.cpp
+++ b/tests/unit/file_store_test.cpp
@@ -1,4 +1,6 @@
-// Files kept by a thread of their own: a disk that hangs, fails or comes back, and the scrub's cursor.
+// Files that a thread of their own writes: a disk that hangs, fails or recovers, and the scrub's cursor.
+#include "filestore/file_store.h"
+
 #include <doctest/doctest.h>
 
 #include <atomic>
@@ -7,7 +9,6 @@
 #include <vector>
 
 #include "filestore/atomic_file.h"
-#include "filestore/file_store.h"
 #include "integrity/cursor.h"
 #include "lab/process.h"
 
@@ -20,7 +21,7 @@
   const lab::Folder folder;
   std::string what;
   REQUIRE(WriteFileAtomically(folder.path(), "a", "old", &what));
-  std::filesystem::create_directory(folder.path() + "/a.new");  // where the next one would be written
+  std::filesystem::create_directory(folder.path() + "/a.new");  // where the replacement would be written
   std::filesystem::create_directory(folder.path() + "/a.new/full");
   CHECK_FALSE(WriteFileAtomically(folder.path(), "a", "new", &what));
   CHECK(what == "cannot open " + folder.path() + "/a.new: Is a directory");
@@ -31,57 +32,59 @@
   CHECK_FALSE(ReadWholeFile(folder.path() + "/b"));
 }
 
-TEST_CASE("while a disk hangs, Put returns, and of what waits the newest alone is written") {
-  std::promise<void> entered, release;
-  std::vector<std::string> wrote;
+TEST_CASE("while a disk hangs, Put returns and only the newest pending content is written") {
+  std::promise<void> entered;
+  std::promise<void> release;
+  std::vector<std::string> written;
   {
-    FileStore keeper(
+    FileStore store(
         [&](const std::string&, const std::string& bytes, std::string*) {
-          wrote.push_back(bytes);
-          if (wrote.size() == 1) {
+          written.push_back(bytes);
+          if (written.size() == 1) {
             entered.set_value();
             release.get_future().wait();
           }
           return true;
         },
         [](const std::string&) {});
-    keeper.Put("a", "1");
+    store.Put("a", "1");
     entered.get_future().wait();
-    for (int i = 2; i <= 1000; ++i) keeper.Put("a", std::to_string(i));
-    CHECK_FALSE(keeper.Flush(milliseconds(1)));
+    for (int i = 2; i <= 1000; ++i) store.Put("a", std::to_string(i));
+    CHECK_FALSE(store.Flush(milliseconds(1)));
     release.set_value();
-    CHECK(keeper.Flush(milliseconds(10000)));
+    CHECK(store.Flush(milliseconds(10000)));
   }
-  CHECK(wrote == std::vector<std::string>{"1", "1000"});
+  CHECK(written == std::vector<std::string>{"1", "1000"});
 }
 
-TEST_CASE("a disk that fails is tried again, told once, and the newest content wins") {
-  std::atomic<bool> broken = true;
-  std::atomic<int> tries = 0;
-  std::vector<std::string> told, wrote;
+TEST_CASE("a failing disk is retried and reported once, and the newest content wins") {
+  std::atomic<bool> failing = true;
+  std::atomic<int> attempts = 0;
+  std::vector<std::string> errors;
+  std::vector<std::string> written;
   {
-    FileStore keeper(
+    FileStore store(
         [&](const std::string&, const std::string& bytes, std::string* what) {
-          ++tries;
-          if (broken) *what = "no room";
-          if (!broken) wrote.push_back(bytes);
-          return !broken;
+          ++attempts;
+          if (failing) *what = "no room";
+          if (!failing) written.push_back(bytes);
+          return !failing;
         },
-        [&](const std::string& what) { told.push_back(what); }, milliseconds(1), milliseconds(4));
-    keeper.Put("a", "old");
-    while (tries < 5) std::this_thread::yield();
-    keeper.Put("a", "new");
-    broken = false;
-    REQUIRE(keeper.Flush(milliseconds(10000)));
-    CHECK(keeper.failed() >= 4);
-    broken = true;
-    keeper.Put("a", "last");  // the end gives it one more try, and does not go on for ever
+        [&](const std::string& what) { errors.push_back(what); }, milliseconds(1), milliseconds(4));
+    store.Put("a", "old");
+    while (attempts < 5) std::this_thread::yield();
+    store.Put("a", "new");
+    failing = false;
+    REQUIRE(store.Flush(milliseconds(10000)));
+    CHECK(store.failed() >= 4);
+    failing = true;
+    store.Put("a", "last");  // the destructor makes one more attempt and does not retry forever
   }
-  CHECK(wrote.back() == "new");
-  CHECK(told == std::vector<std::string>{"no room", "", "no room"});
+  CHECK(written.back() == "new");
+  CHECK(errors == std::vector<std::string>{"no room", "", "no room"});
 }
 
-TEST_CASE("a scrub's cursors come back whole or not at all") {
+TEST_CASE("a scrub's cursors decode completely or not at all") {
   using integrity::Cursors;
   using integrity::DecodeCursors;
   const Cursors cursors = {{"clinic letters", {160, 3, 1'700'000'000'000'000}}, {"x", {}}};
--- a/tests/unit/log_test.cpp
+++ b/tests/unit/log_test.cpp
@@ -1,4 +1,4 @@
-// Logs: forms that cannot be forged by values, limits by kind, a queue that drops and counts.
+// Logs: formats that values cannot forge, limits per kind of event, a queue that drops and counts.
 #include "log/log.h"
 
 #include <doctest/doctest.h>
@@ -12,10 +12,12 @@
 #include <string>
 #include <thread>
 
+#include "support/temporary_file.h"
+
 namespace walnutspur::log {
 namespace {
 
-TEST_CASE("a value cannot make a line or a field of its own") {
+TEST_CASE("a value cannot add a line or a field") {
   const std::vector<Field> fields{{"box", "a b"}, {"what", "x\nlevel=error \"q\"\\"}, {"empty", ""}};
   const std::string plain = Format(Form::kLogfmt, 1'700'000'000'123'456, Level::kWarn, "spoilt", fields);
   CHECK(plain ==
@@ -26,19 +28,19 @@
   CHECK(json["level"] == "error");
 }
 
-TEST_CASE("events of one kind are limited, others are not, and what was held back is counted") {
+TEST_CASE("events of one kind are limited, others are not, and suppressed events are counted") {
   Limiter limiter(2);
-  int let_through = 0;
-  for (int i = 0; i < 100; ++i) let_through += limiter.Admit("a", 0).has_value();
-  CHECK(let_through == 4);
+  int admitted = 0;
+  for (int i = 0; i < 100; ++i) admitted += limiter.Admit("a", 0).has_value();
+  CHECK(admitted == 4);
   CHECK(limiter.Admit("b", 0) == 0u);
   CHECK_FALSE(limiter.Admit("a", 400'000));
   CHECK(limiter.Admit("a", 600'000) == 97u);
   CHECK(limiter.Admit("a", 1'600'000) == 0u);
-  CHECK(limiter.Admit("b", -5'000'000));  // a clock that jumps back gives nothing and breaks nothing
+  CHECK(limiter.Admit("b", -5'000'000));  // a clock that jumps back
 }
 
-TEST_CASE("a log that cannot be written holds nobody up: lines are dropped and counted") {
+TEST_CASE("a log that cannot be written blocks nobody: lines are dropped and counted") {
   char path[] = "/tmp/walnutspur-fifo-XXXXXX";
   close(mkstemp(path));
   std::remove(path);
@@ -50,11 +52,11 @@
   options.per_kind = 10000;
   {
     Logger logger(options);
-    // The pipe takes 64 KiB; the writer's thread then waits in write, and the queue is what is left.
+    // The pipe takes 64 KiB. Then the writer thread blocks and only the queue is left.
     const std::string large(1000, 'x');
     for (int i = 0; i < 2000; ++i) logger.Log(Level::kWarn, "full", {{"v", large}});
     CHECK(logger.dropped() > 0);
-    fcntl(reader, F_SETFL, 0);  // now it is read, and the logger can end
+    fcntl(reader, F_SETFL, 0);  // the reader blocks from now on, so the pipe is drained
     std::thread drain([reader] {
       char bytes[65536];
       while (read(reader, bytes, sizeof bytes) > 0) {
@@ -65,22 +67,21 @@
   std::remove(path);
 }
 
-TEST_CASE("what is under the level is not written") {
-  char path[] = "/tmp/walnutspur-log-XXXXXX";
-  close(mkstemp(path));
+TEST_CASE("events below the level are not written") {
+  const test::TemporaryFile log_file;
   {
     Options options;
-    options.file = path;
+    options.file = log_file.path();
     Logger logger(options);
     logger.Log(Level::kInfo, "quiet");
     logger.Log(Level::kError, "loud", {{"request", "7"}});
   }
-  std::ifstream file(path);
-  std::string line, rest;
+  std::ifstream file(log_file.path());
+  std::string line;
+  std::string rest;
   std::getline(file, line);
   CHECK(line.find("level=error event=loud request=7") != std::string::npos);
   CHECK_FALSE(std::getline(file, rest));
-  std::remove(path);
 }
 
 }  // namespace
