--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,7 @@
 BUILD ?= build
 CONFIG ?= $(BALANCER_CONFIG)
 
-.PHONY: build bench-fleet bench-integrity bench-lab fuzz-integrity test lint sanitize sanitize-build tsan tsan-build run clean
+.PHONY: build bench-fleet bench-integrity bench-lab fuzz-integrity test format-check lint tidy sanitize sanitize-build tsan tsan-build run clean
 
 build:
 	cmake -B $(BUILD) -DCMAKE_BUILD_TYPE=Release
@@ -30,10 +30,20 @@
 # Names of single deployments: nothing in the program, its tests or its deploy files may be fitted to one.
 SITE_WORDS = slot-lookup|new-booking|schedule-export|booking-store|grade-[abc]|mill-building|annex|lowell|merrimack|regina|photo-(read|write|store)|batch-export|suva|layer-(pull|push|store)|pacific
 
-lint:
+lint: format-check tidy
+
+format-check:
 	! grep -rniE '$(SITE_WORDS)' src include tests bench examples deploy/*.toml
 	find src include tests examples -name '*.cpp' -o -name '*.h' | xargs clang-format --dry-run --Werror
 
+# The linter over src and include, with the build's own compile commands. The fleet's protocol header is generated.
+TIDY_JOBS ?= $(shell nproc)
+tidy:
+	cmake -B build-tidy -DCMAKE_EXPORT_COMPILE_COMMANDS=ON
+	cmake --build build-tidy --target walnutspur_fleet_proto
+	run-clang-tidy -p build-tidy -quiet -j $(TIDY_JOBS) '$(CURDIR)/src/' >build-tidy/findings.log 2>&1 || \
+	  { grep -E '(warning|error):' build-tidy/findings.log | sort -u; exit 1; }
+
 # SEED=N draws another run, SHORT=1 takes under a minute, PARTS="nbd http clean kills scrub cost" are all of it. Claims
 # with figures, one JSON object last.
 PARTS ?=
