--- a/src/http/config.h
+++ b/src/http/config.h
@@ -1,9 +1,10 @@
-// What the HTTP side of an initiator is told at its start. Who reads it from a file is another matter: see
-// app/platform.h.
+// The configuration of the HTTP side of an initiator. app/platform.h reads it from the platform's file.
+// Plain data; written once at the start, apart from the discovery address.
 #ifndef WALNUTSPUR_HTTP_CONFIG_H_
 #define WALNUTSPUR_HTTP_CONFIG_H_
 
 #include <algorithm>
+#include <cstddef>
 #include <cstdint>
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -16,11 +17,15 @@
 
 namespace walnutspur::http {
 
-// The names that the platform's protocol uses, with the numbers that the module uses.
+// The names that the platform's protocol uses. Their positions are the numbers that the scheduler uses.
 struct Names {
-  std::vector<std::string> classes, plans, zones, kinds;
+  std::vector<std::string> classes;
+  std::vector<std::string> plans;
+  std::vector<std::string> zones;
+  std::vector<std::string> kinds;
 };
-// The number of a name, or -1.
+
+// The position of a name, or -1.
 inline int IndexOf(const std::vector<std::string>& names, const std::string& name) {
   const auto at = std::find(names.begin(), names.end(), name);
   return at == names.end() ? -1 : static_cast<int>(at - names.begin());
@@ -29,25 +34,27 @@
 // Digest fields (RFC 9530), from our own settings; off on the platform.
 struct DigestOptions {
   bool on = false;
-  // Computed over a client's write that came without one, and asked of boxes; nothing: neither.
+  // Computed over a client's write that has none, and wanted of targets for reads; empty: neither.
   std::optional<integrity::Algorithm> compute;
 };
 
 struct Config {
   std::string name;
-  loop::Address listen, discovery;
+  loop::Address listen;
+  loop::Address discovery;
   std::uint64_t seed = 0;
-  int sockets = 1024;
-  int memory_mb = 192;
+  int sockets = 1024;   // descriptors that the process may use
+  int memory_mb = 192;  // MiB that the process may use
+  std::size_t memory_bytes() const { return static_cast<std::size_t>(memory_mb) << 20; }
   walnutspur::Settings settings;
   Names names;
-  int shards = 0;            // 0: not told
-  std::vector<bool> writes;  // by class; empty: not told
-  walnutspur::Time idle_timeout = 30'000'000;
-  walnutspur::Time connect_timeout = 250'000;
-  walnutspur::Time longest_deadline = 0;
+  int shards = 0;                              // 0: not known
+  std::vector<bool> writes;                    // by class; empty: not known
+  walnutspur::Time idle_timeout = 30'000'000;  // us after which targets close idle connections
+  walnutspur::Time connect_timeout = 250'000;  // us
+  walnutspur::Time longest_deadline = 0;       // us, over all classes
   DigestOptions digests;
-  nlohmann::json known;  // the list as it was held last, in discovery's form
+  nlohmann::json known;  // the endpoint list of the last run, in discovery's form; null: none
 };
 
 }  // namespace walnutspur::http
--- a/src/http/discovery_client.h
+++ b/src/http/discovery_client.h
@@ -1,50 +1,62 @@
-// Watches discovery for the list of targets.
+// Watches the discovery service for the endpoint list, over one HTTP connection with a chunked response.
+//
+// It reports each list and each failure; when to watch again is the scheduler's decision (WatchEndpoints).
+// Owned by the initiator; runs on the loop's thread.
 #ifndef WALNUTSPUR_HTTP_DISCOVERY_CLIENT_H_
 #define WALNUTSPUR_HTTP_DISCOVERY_CLIENT_H_
 
+#include <cstdint>
 #include <functional>
 #include <memory>
 #include <string>
 
 #include "core/port.h"
 #include "http/config.h"
+#include "http/endpoint_list.h"
 #include "http/json_stream.h"
-#include "http/messages.h"
 #include "loop/loop.h"
 
 namespace walnutspur::http {
 
 class DiscoveryClient {
  public:
+  // Takes a watch event, and the list that it came from; that is empty where the event is not of a list.
   using OnList = std::function<void(walnutspur::EndpointUpdate, const EndpointList&)>;
 
+  // `config` must outlive it.
   DiscoveryClient(event_base* base, const Config& config, OnList on_list);
 
-  // Opens a watch from the revision held last, in place of any that is open.
+  // Opens a watch from the revision of the last list, in place of any that is open.
   void OpenWatch();
-  // The config names another address: watched at once, from the whole list. Revisions of another service say
-  // nothing of what this one has told.
+  // The config names another address: watches it at once, from the full list. Revisions of one service mean
+  // nothing to another.
   void SwitchServer();
-  void SetCachedList(const EndpointList& list) { revision_ = list.revision, held_ = true; }
+  // A list of an earlier run is in use.
+  void SetCachedList(const EndpointList& list);
 
  private:
-  void OnChunk(evhttp_request* answer);
+  using ConnectionPtr = std::unique_ptr<evhttp_connection, loop::Deleter<evhttp_connection_free>>;
+
+  void SendWatchRequest();
+  void OnChunk(evhttp_request* response);
   bool OnObject(const std::string& object);
   void OnSilence();
-  void OnEnd();
+  void OnWatchEnded();
   void Close();
 
   event_base* base_;
   const Config& config_;
   OnList on_list_;
-  long revision_ = 0;
-  bool open_ = false;
-  bool held_ = false;      // a list is known
-  bool answered_ = false;  // something has come on this watch
-  Time heard_ = 0;         // when it last did, or else when it was asked for
+  std::int64_t revision_ = 0;  // of the last list; 0: the full list is needed
+  bool is_open_ = false;
+  bool has_list_ = false;
+  bool has_response_ = false;  // something has arrived on this watch
+  Time last_received_at_ = 0;  // when it last did, or else when the watch was opened
   JsonStream lists_;
-  loop::EventHandle silence_, sweep_;
-  std::unique_ptr<evhttp_connection, loop::Deleter<evhttp_connection_free>> link_, old_;
+  loop::EventHandle silence_timeout_;
+  loop::EventHandle free_closed_;  // frees `closed_` outside of its own callbacks
+  ConnectionPtr connection_;
+  ConnectionPtr closed_;
 };
 
 }  // namespace walnutspur::http
--- /dev/null
+++ b/src/http/endpoint_list.cpp
@@ -0,0 +1,50 @@
+#include "http/endpoint_list.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace walnutspur::http {
+namespace {
+
+using nlohmann::json;
+
+constexpr Time kMicrosecondsPerMillisecond = 1000;
+
+// An unknown phase counts as draining: no new work goes to such an endpoint.
+EndpointState ReadState(const std::string& phase) {
+  if (phase == "SERVING") {
+    return EndpointState::kActive;
+  }
+  if (phase == "DELETED") {
+    return EndpointState::kTerminated;
+  }
+  return EndpointState::kDraining;
+}
+
+walnutspur::Endpoint ReadEndpoint(const Names& names, const json& member) {
+  walnutspur::Endpoint endpoint;
+  endpoint.target = member.at("id").get<std::string>();
+  endpoint.state = ReadState(member.at("phase").get<std::string>());
+  endpoint.shard = member.value("cell", 0);
+  endpoint.zone = std::max(0, IndexOf(names.zones, member.value("locality", "")));
+  endpoint.kind = std::max(0, IndexOf(names.kinds, member.value("flavor", "")));
+  endpoint.scale = member.value("size", 1.0);
+  endpoint.started_at = member.value("up_since_ms", Time{0}) * kMicrosecondsPerMillisecond;
+  return endpoint;
+}
+
+}  // namespace
+
+EndpointList ReadEndpointList(const Config& config, const json& json) {
+  EndpointList list;
+  list.revision = json.at("revision").get<std::int64_t>();
+  list.complete = json.at("complete").get<bool>();
+  for (const auto& member : json.at("members")) {
+    walnutspur::Endpoint endpoint = ReadEndpoint(config.names, member);
+    list.addresses.push_back(member.value("host_port", ""));
+    list.endpoints.push_back(std::move(endpoint));
+  }
+  return list;
+}
+
+}  // namespace walnutspur::http
--- a/src/http/front_end.h
+++ b/src/http/front_end.h
@@ -1,9 +1,12 @@
-// The platform's front: takes clients' requests by HTTP and answers each once.
+// The HTTP front end: accepts clients' connections, hands their requests to the scheduler, and sends one
+// response to each.
+//
+// Owned by the initiator; runs on the loop's thread. Requests go out through `submit`; responses come in by
+// Respond.
 #ifndef WALNUTSPUR_HTTP_FRONT_END_H_
 #define WALNUTSPUR_HTTP_FRONT_END_H_
 
 #include <event2/bufferevent.h>
-#include <event2/listener.h>
 
 #include <functional>
 #include <memory>
@@ -11,90 +14,77 @@
 #include <unordered_map>
 
 #include "core/port.h"
+#include "http/client_connection.h"
 #include "http/config.h"
-#include "http/message_reader.h"
 #include "http/messages.h"
+#include "http/request_admission.h"
 #include "limits/shutdown_deadline_estimate.h"
+#include "loop/listener.h"
 #include "loop/loop.h"
 
 namespace walnutspur::http {
 
-class FrontEnd : public core::FrontEnd {
+class FrontEnd : public core::FrontEnd, private ClientConnectionHandler {
  public:
-  // Listens at the config's address; throws std::runtime_error if it cannot.
-  FrontEnd(event_base* base, const Config& config, core::RequestNumbers* serials, core::SubmitInput post);
+  // Listens at the config's address; throws loop::ListenError or loop::AddressError. `config` and
+  // `request_numbers` must outlive it.
+  FrontEnd(event_base* base, const Config& config, core::RequestNumbers* request_numbers,
+           core::SubmitInput submit);
   ~FrontEnd() override;
+  FrontEnd(const FrontEnd&) = delete;
+  FrontEnd& operator=(const FrontEnd&) = delete;
 
-  void Respond(const core::Response& answer) override;
-  std::size_t pending_requests() const override { return held_.size(); }
-  bool IsClientConnected(core::RequestNumber serial) override;
-  void SetShutdownDeadline(Time end) override;
+  void Respond(const core::Response& response) override;
+  std::size_t pending_requests() const override { return pending_.size(); }
+  bool IsClientConnected(core::RequestNumber request) override;
+  void SetShutdownDeadline(Time deadline) override;
   void BeginGracefulShutdown(Time left) override;
   std::size_t connections() const override { return clients_.size(); }
 
+  // From now on readiness checks succeed.
   void set_ready() { ready_ = true; }
 
-  // Called with each connection's stream once it is accepted.
+  // Called with each connection's stream once it is accepted, before anything is read.
   std::function<void(bufferevent*)> on_accept;
 
-  int port() const { return port_; }
+  int port() const { return listener_.port(); }
 
  private:
-  struct Client {
-    std::uint64_t number = 0;
-    FrontEnd* owner = nullptr;
-    MessageReader reader{MessageReader::Kind::kRequest};
-    core::RequestNumber serial = 0;  // the request that waits; 0: none
-    Time since = 0;                  // its last answer, or when it connected
-    std::uint64_t asked = 0;         // whole requests that it has sent
-    bool told = false;               // it has been told to go on with its body
-    bool last = false;               // the answer to this request is the last on the connection
-    bool closing = false;            // it has been told of the end: what still comes is dropped
-    std::size_t dropped = 0;         // bytes of what belongs to no request
-    loop::EventHandle unfinished;    // a request that does not become whole
-    loop::EventHandle idle;          // no request
-    loop::EventHandle unread;        // an answer that the client does not read
-    loop::EventHandle pause;         // after a request that was turned away
-    loop::EventHandle linger;        // after the last answer
-    std::unique_ptr<bufferevent, loop::Deleter<bufferevent_free>> stream;
-  };
-  struct Held {
-    std::uint64_t client = 0;
-    Time came = 0, until = 0;
+  // A request that was taken and has no response yet.
+  struct PendingRequest {
+    std::uint64_t connection = 0;
+    Time received_at = 0;
+    Time expires_at = 0;
     loop::EventHandle deadline;
   };
 
+  void OnRequest(ClientConnection& client) override;
+  void Close(ClientConnection& client) override;
+  bool IsOpen(std::uint64_t connection_number) const override { return clients_.contains(connection_number); }
+
+  loop::ListenerCallbacks ListenerHooks();
   void OnAccept(evutil_socket_t fd);
-  void StopAccepting();
-  bool MakeRoom();
-  void Pause();
-  void OnRead(Client& client);
-  void OnWritten(Client& client);
-  bool Read(Client& client);
-  bool Flooded(Client& client);
-  void OnRequest(Client& client);
-  bool TakeDigests(Client& client, Request* payload);
-  void TurnAway(Client& client, int status, const std::string& why);
-  void Reply(Client& client, int status, const std::string& body, const std::string& headers = "");
-  bool Fits(std::size_t size) const;
-  void End(Client& client);
-  bool Idle(const Client& client) const;
-  bool Unread(const Client& client) const;  // something of it waits in the kernel
+  bool HasCapacity();
+  bool EvictConnection();
+  void RespondToReadinessCheck(ClientConnection& client) const;
+  void Submit(ClientConnection& client, AdmittedRequest admitted);
+  void AddPending(const core::RequestReceived& request, std::uint64_t connection);
+  Time EventLoopDelay() const;
+  void RespondServed(ClientConnection& client, const Response& served) const;
+  bool HasMemoryFor(std::size_t size) const;
 
   event_base* base_;
   const Config& config_;
-  core::RequestNumbers* serials_;
-  core::SubmitInput post_;
-  bool ready_ = false, draining_ = false;
-  Time end_ = 0;  // 0: none is in sight
-  limits::ShutdownDeadlineEstimate last_answers_;
-  int port_ = 0;
-  std::size_t most_;
-  std::uint64_t next_ = 1;
-  loop::EventHandle resume_;
-  std::unordered_map<std::uint64_t, std::unique_ptr<Client>> clients_;
-  std::unordered_map<core::RequestNumber, Held> held_;
-  std::unique_ptr<evconnlistener, loop::Deleter<evconnlistener_free>> listener_;
+  core::RequestNumbers* request_numbers_;
+  core::SubmitInput submit_;
+  bool ready_ = false;
+  ShutdownState shutdown_;
+  limits::ShutdownDeadlineEstimate shutdown_estimate_;
+  std::size_t max_connections_;
+  std::uint64_t next_connection_ = 1;
+  std::unordered_map<std::uint64_t, std::unique_ptr<ClientConnection>> clients_;  // by number
+  std::unordered_map<core::RequestNumber, PendingRequest> pending_;
+  loop::Listener listener_;
 };
 
 }  // namespace walnutspur::http
--- a/src/http/json_stream.cpp
+++ b/src/http/json_stream.cpp
@@ -2,39 +2,47 @@
 
 #include <yajl/yajl_parse.h>
 
+#include <algorithm>
 #include <utility>
 
 namespace walnutspur::http {
 namespace {
 
-constexpr std::string_view kSpace = " \t\r\n";
+constexpr std::string_view kWhitespace = " \t\r\n";
 
-// Each returns 0 to stop the parser, at the brace that closes the object or at a value that is no object.
-int Open(void* depth) {
+// The parser's callbacks. Each returns 0 to stop it: at the brace that closes the object, or at a value that
+// is no object.
+int OpenObject(void* depth) {
   ++*static_cast<int*>(depth);
   return 1;
 }
-int Shut(void* depth) { return --*static_cast<int*>(depth) > 0; }
-int OpenList(void* depth) { return *static_cast<int*>(depth) > 0 ? Open(depth) : 0; }
-int Inside(void* depth) { return *static_cast<int*>(depth) > 0; }
+int Close(void* depth) {
+  --*static_cast<int*>(depth);
+  return *static_cast<int*>(depth) > 0 ? 1 : 0;
+}
+int CheckInsideObject(void* depth) { return *static_cast<int*>(depth) > 0 ? 1 : 0; }
+int OpenArray(void* depth) { return CheckInsideObject(depth) != 0 ? OpenObject(depth) : 0; }
+int OnBoolean(void* depth, int) { return CheckInsideObject(depth); }
+int OnNumber(void* depth, const char*, std::size_t) { return CheckInsideObject(depth); }
+int OnString(void* depth, const unsigned char*, std::size_t) { return CheckInsideObject(depth); }
 
 constexpr yajl_callbacks kCallbacks = {
-    Inside,
-    [](void* depth, int) { return Inside(depth); },
-    nullptr,
-    nullptr,
-    [](void* depth, const char*, std::size_t) { return Inside(depth); },
-    [](void* depth, const unsigned char*, std::size_t) { return Inside(depth); },
-    Open,
-    nullptr,
-    Shut,
-    OpenList,
-    Shut,
+    .yajl_null = CheckInsideObject,
+    .yajl_boolean = OnBoolean,
+    .yajl_integer = nullptr,  // numbers come as text
+    .yajl_double = nullptr,
+    .yajl_number = OnNumber,
+    .yajl_string = OnString,
+    .yajl_start_map = OpenObject,
+    .yajl_map_key = nullptr,
+    .yajl_end_map = Close,
+    .yajl_start_array = OpenArray,
+    .yajl_end_array = Close,
 };
 
 }  // namespace
 
-void JsonStream::Free::operator()(yajl_handle_t* handle) const { yajl_free(handle); }
+void JsonStream::ParserDeleter::operator()(yajl_handle_t* handle) const { yajl_free(handle); }
 
 void JsonStream::Reset() {
   parser_.reset();
@@ -44,25 +52,38 @@
 std::string JsonStream::Feed(std::string_view bytes) {
   while (true) {
     if (!parser_) {
-      bytes.remove_prefix(std::min(bytes.find_first_not_of(kSpace), bytes.size()));
-      if (bytes.empty()) return "";
+      bytes.remove_prefix(std::min(bytes.find_first_not_of(kWhitespace), bytes.size()));
+      if (bytes.empty()) {
+        return "";
+      }
       depth_ = 0;
       parser_.reset(yajl_alloc(&kCallbacks, nullptr, &depth_));
     }
-    if (bytes.empty()) return "";
-    const yajl_status status =
-        yajl_parse(parser_.get(), reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size());
+    if (bytes.empty()) {
+      return "";
+    }
+    const auto* data = reinterpret_cast<const unsigned char*>(bytes.data());
+    const yajl_status status = yajl_parse(parser_.get(), data, bytes.size());
+    if (status == yajl_status_error) {
+      return "what came is no JSON";
+    }
     const std::size_t used = status == yajl_status_ok ? bytes.size() : yajl_get_bytes_consumed(parser_.get());
-    if (status == yajl_status_error) return "what came is no JSON";
     object_.append(bytes.substr(0, used));
     bytes.remove_prefix(used);
-    if (object_.size() > most_)
-      return "an object of over " + std::to_string(most_) + " bytes; that many are allowed";
-    if (status == yajl_status_ok) return "";
-    if (depth_ > 0 || object_.front() != '{') return "what came is JSON, but no object";
-    const std::string whole = std::exchange(object_, {});
+    if (object_.size() > max_object_bytes_) {
+      return "an object of over " + std::to_string(max_object_bytes_) + " bytes; that many are allowed";
+    }
+    if (status == yajl_status_ok) {
+      return "";
+    }
+    if (depth_ > 0 || object_.front() != '{') {
+      return "what came is JSON, but no object";
+    }
+    const std::string object = std::exchange(object_, {});
     Reset();
-    if (!on_object_(whole)) return "";
+    if (!on_object_(object)) {
+      return "";
+    }
   }
 }
 
--- a/src/http/json_stream.h
+++ b/src/http/json_stream.h
@@ -1,9 +1,8 @@
-// Finds where each JSON object of a stream ends, in whatever pieces and with whatever white space it comes.
+// Splits a stream of bytes into JSON objects, whatever pieces and white space it comes in.
 //
-// A list may come indented, several may share a line, and one may come in any number of chunks, so neither a
-// line feed nor a chunk ends it: the parser (yajl, which takes its input in pieces) tells where the braces
-// close. It owns the bytes of the object that is not whole yet, and no socket. Lists come from the platform's
-// discovery (PROTOCOL, "Discovery").
+// An object may be indented, several may share a line, and one may come in any number of chunks, so neither a
+// line feed nor a chunk ends it: the incremental parser (yajl) finds where its braces close. The stream owns
+// the bytes of the incomplete object, and no socket. Owned by the discovery client; runs on its thread.
 #ifndef WALNUTSPUR_HTTP_JSON_STREAM_H_
 #define WALNUTSPUR_HTTP_JSON_STREAM_H_
 
@@ -12,6 +11,7 @@
 #include <memory>
 #include <string>
 #include <string_view>
+#include <utility>
 
 struct yajl_handle_t;
 
@@ -19,28 +19,30 @@
 
 class JsonStream {
  public:
-  // Takes one whole object; whether to read on.
+  // Takes one complete object; returns whether to read on.
   using OnObject = std::function<bool(const std::string& object)>;
 
-  // Objects longer than `most` bytes are none.
-  JsonStream(std::size_t most, OnObject on_object) : most_(most), on_object_(std::move(on_object)) {}
+  // Objects longer than `max_object_bytes` are errors.
+  JsonStream(std::size_t max_object_bytes, OnObject on_object)
+      : max_object_bytes_(max_object_bytes), on_object_(std::move(on_object)) {}
 
-  // Takes the next piece. Returns what is wrong, in a few words, or an empty text; after an error, or once
-  // `on_object` has asked to stop, the stream is of no further use until it is reset.
+  // Takes the next piece. Returns what is wrong, in a few words, or an empty text. After an error, or once
+  // `on_object` has returned false, the stream must be reset before it is used again.
   std::string Feed(std::string_view bytes);
   void Reset();
-  std::size_t held() const { return object_.size(); }  // bytes of the object that is not whole yet
+  // Bytes of the incomplete object.
+  std::size_t held() const { return object_.size(); }
 
  private:
-  struct Free {
+  struct ParserDeleter {
     void operator()(yajl_handle_t* handle) const;
   };
 
-  std::size_t most_;
+  std::size_t max_object_bytes_;
   OnObject on_object_;
-  int depth_ = 0;
+  int depth_ = 0;  // of open braces and brackets; the parser's callbacks count it
   std::string object_;
-  std::unique_ptr<yajl_handle_t, Free> parser_;  // null between objects
+  std::unique_ptr<yajl_handle_t, ParserDeleter> parser_;  // null between objects
 };
 
 }  // namespace walnutspur::http
--- a/src/http/message_reader.cpp
+++ b/src/http/message_reader.cpp
@@ -2,216 +2,350 @@
 
 #include <algorithm>
 #include <charconv>
+#include <utility>
+
+#include "http/response_text.h"
 
 namespace walnutspur::http {
 namespace {
 
-constexpr std::size_t kMostLines = 16 * 1024;  // of head, chunk sizes and trailers together
-constexpr std::size_t kMostDigits = 18;        // fits 64 bits, and is beyond any body that is taken
+constexpr std::size_t kMaxLineBytes = 16 << 10;  // of head, chunk sizes and trailers together
+constexpr std::size_t kMaxDigits = 18;           // fits 64 bits, and is beyond any body that is taken
+
+// The status line: "HTTP/1.1 200 OK", the reason being optional.
+constexpr std::size_t kVersionSize = 8;
+constexpr std::size_t kCodeOffset = 9;
+constexpr std::size_t kCodeSize = 3;
+constexpr std::size_t kCodeEnd = kCodeOffset + kCodeSize;
+
+// Status codes of responses that frame their message in a way of their own (RFC 9112, 6.3).
+constexpr int kFirstFinalCode = 200;
+constexpr int kSwitchingProtocols = 101;
+constexpr int kNoContent = 204;
+constexpr int kNotModified = 304;
 
-char Lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+char ToLower(char letter) {
+  return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter - 'A' + 'a') : letter;
+}
 
-bool Same(std::string_view a, std::string_view b) {
+bool EqualsIgnoringCase(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
-                    [](char x, char y) { return Lower(x) == Lower(y); });
+                    [](char left, char right) { return ToLower(left) == ToLower(right); });
+}
+
+bool IsDigit(char byte) { return byte >= '0' && byte <= '9'; }
+
+bool IsTokenCharacter(char byte) {
+  return IsDigit(byte) || (ToLower(byte) >= 'a' && ToLower(byte) <= 'z') ||
+         std::string_view("!#$%&'*+-.^_`|~").find(byte) != std::string_view::npos;
 }
 
 bool IsToken(std::string_view text) {
-  return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
-    return (c >= '0' && c <= '9') || (Lower(c) >= 'a' && Lower(c) <= 'z') ||
-           std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
-  });
+  return !text.empty() && std::all_of(text.begin(), text.end(), IsTokenCharacter);
+}
+
+bool IsControl(char byte) {
+  return (static_cast<unsigned char>(byte) < 0x20 && byte != '\t') || byte == 0x7f;
 }
 
-bool IsControl(char c) { return (static_cast<unsigned char>(c) < 0x20 && c != '\t') || c == 0x7f; }
+bool IsUriCharacter(char byte) { return byte > ' ' && byte != 0x7f; }
+
+bool IsBlank(char byte) { return byte == ' ' || byte == '\t'; }
 
 std::string_view Trim(std::string_view text) {
-  const auto blank = [](char c) { return c == ' ' || c == '\t'; };
-  while (!text.empty() && blank(text.front())) text.remove_prefix(1);
-  while (!text.empty() && blank(text.back())) text.remove_suffix(1);
+  while (!text.empty() && IsBlank(text.front())) {
+    text.remove_prefix(1);
+  }
+  while (!text.empty() && IsBlank(text.back())) {
+    text.remove_suffix(1);
+  }
   return text;
 }
 
-// Whether a list such as "keep-alive, close" names the item.
-bool Names(std::string_view list, std::string_view item) {
+// Whether a list such as "keep-alive, close" has the item.
+bool ListContains(std::string_view list, std::string_view item) {
   while (!list.empty()) {
     const std::size_t comma = std::min(list.find(','), list.size());
-    if (Same(Trim(list.substr(0, comma)), item)) return true;
+    if (EqualsIgnoringCase(Trim(list.substr(0, comma)), item)) {
+      return true;
+    }
     list.remove_prefix(std::min(comma + 1, list.size()));
   }
   return false;
 }
 
 bool ReadNumber(std::string_view digits, int base, std::uint64_t* value) {
-  if (digits.empty() || digits.size() > kMostDigits) return false;
+  if (digits.empty() || digits.size() > kMaxDigits) {
+    return false;
+  }
   const auto [at, error] = std::from_chars(digits.data(), digits.data() + digits.size(), *value, base);
   return error == std::errc() && at == digits.data() + digits.size();
 }
 
+bool IsSupportedVersion(std::string_view version) { return version == "HTTP/1.1" || version == "HTTP/1.0"; }
+
 }  // namespace
 
 std::size_t MessageReader::Feed(std::string_view bytes) {
   const std::size_t size = bytes.size();
   while (!bytes.empty() && !complete() && !malformed()) {
-    if (state_ == State::kToEnd) {
-      if (bytes.size() > most_ - body_.size()) {
-        Spoil(413, "the body is too long");
-        break;
-      }
-      body_.append(bytes);
-      bytes = {};
-      continue;
+    if (state_ == State::kBodyToEnd) {
+      TakeBodyToEnd(&bytes);
+    } else if (state_ == State::kBody || state_ == State::kChunkData) {
+      TakeBody(&bytes);
+    } else {
+      TakeLine(&bytes);
     }
-    if (state_ == State::kBody || state_ == State::kData) {
-      const auto part = static_cast<std::size_t>(std::min<std::uint64_t>(left_, bytes.size()));
-      body_.append(bytes.substr(0, part));
-      bytes.remove_prefix(part);
-      left_ -= part;
-      if (left_ == 0) state_ = state_ == State::kBody ? State::kWhole : State::kDataEnd;
-      continue;
-    }
-    const std::size_t end = bytes.find('\n');
-    const std::size_t part = end == std::string_view::npos ? bytes.size() : end + 1;
-    taken_ += part;
-    if (taken_ > kMostLines) {
-      Spoil(431, "the head is too long");
-      break;
-    }
-    line_.append(bytes.substr(0, part));
-    bytes.remove_prefix(part);
-    if (end == std::string_view::npos) continue;
-    if (line_.size() < 2 || line_[line_.size() - 2] != '\r') {
-      Spoil(400, "a line does not end in CR LF");
-      break;
-    }
-    const std::string line = std::exchange(line_, "");
-    OnLine(std::string_view(line).substr(0, line.size() - 2));
   }
   return size - bytes.size();
 }
 
+void MessageReader::TakeBodyToEnd(std::string_view* bytes) {
+  if (bytes->size() > max_body_bytes_ - body_.size()) {
+    MarkMalformed(kStatusContentTooLarge, "the body is too long");
+    return;
+  }
+  body_.append(*bytes);
+  *bytes = {};
+}
+
+void MessageReader::TakeBody(std::string_view* bytes) {
+  const auto size = static_cast<std::size_t>(std::min<std::uint64_t>(remaining_bytes_, bytes->size()));
+  body_.append(bytes->substr(0, size));
+  bytes->remove_prefix(size);
+  remaining_bytes_ -= size;
+  if (remaining_bytes_ == 0) {
+    state_ = state_ == State::kBody ? State::kComplete : State::kChunkEnd;
+  }
+}
+
+void MessageReader::TakeLine(std::string_view* bytes) {
+  const std::size_t end = bytes->find('\n');
+  const bool has_end = end != std::string_view::npos;
+  const std::size_t size = has_end ? end + 1 : bytes->size();
+  line_bytes_ += size;
+  if (line_bytes_ > kMaxLineBytes) {
+    MarkMalformed(kStatusHeaderTooLarge, "the head is too long");
+    return;
+  }
+  line_.append(bytes->substr(0, size));
+  bytes->remove_prefix(size);
+  if (!has_end) {
+    return;
+  }
+  if (line_.size() < 2 || line_[line_.size() - 2] != '\r') {
+    MarkMalformed(kStatusBadRequest, "a line does not end in CR LF");
+    return;
+  }
+  std::string line = std::exchange(line_, "");
+  line.resize(line.size() - 2);
+  OnLine(line);
+}
+
 void MessageReader::End() {
-  if (state_ == State::kToEnd) state_ = State::kWhole;
+  if (state_ == State::kBodyToEnd) {
+    state_ = State::kComplete;
+  }
 }
 
 void MessageReader::OnLine(std::string_view line) {
-  if (std::any_of(line.begin(), line.end(), IsControl)) return Spoil(400, "a control character in a line");
+  if (std::any_of(line.begin(), line.end(), IsControl)) {
+    MarkMalformed(kStatusBadRequest, "a control character in a line");
+    return;
+  }
   switch (state_) {
-    case State::kStart:
-      return OnStart(line);
+    case State::kStartLine:
+      OnStartLine(line);
+      return;
     case State::kFields:
-      return line.empty() ? OnHead() : OnField(line);
-    case State::kSize:
-      return OnSize(line);
-    case State::kDataEnd:
-      if (!line.empty()) return Spoil(400, "a chunk is longer than it says");
-      state_ = State::kSize;
+      OnFieldLine(line);
+      return;
+    case State::kChunkSize:
+      OnChunkSize(line);
+      return;
+    case State::kChunkEnd:
+      if (!line.empty()) {
+        MarkMalformed(kStatusBadRequest, "a chunk is longer than it says");
+        return;
+      }
+      state_ = State::kChunkSize;
       return;
     case State::kTrailer:
-      if (line.empty()) state_ = State::kWhole;
+      if (line.empty()) {
+        state_ = State::kComplete;
+      }
       return;
     default:
       return;
   }
 }
 
-void MessageReader::OnStart(std::string_view line) {
+void MessageReader::OnStartLine(std::string_view line) {
   if (kind_ == Kind::kRequest) {
-    if (line.empty()) return;  // some senders end a body with an empty line of their own
-    const std::size_t first = line.find(' '), last = line.rfind(' ');
-    if (first == line.npos || first == last) return Spoil(400, "no request line");
-    method_ = line.substr(0, first);
-    uri_ = line.substr(first + 1, last - first - 1);
-    const std::string_view version = line.substr(last + 1);
-    const bool plain = std::all_of(uri_.begin(), uri_.end(), [](char c) { return c > ' ' && c != 0x7f; });
-    if (!IsToken(method_) || uri_.empty() || !plain) return Spoil(400, "no request line");
-    if (version != "HTTP/1.1" && version != "HTTP/1.0") return Spoil(505, "not HTTP/1.1");
-    old_ = version == "HTTP/1.0";
+    OnRequestLine(line);
   } else {
-    const std::string_view version = line.substr(0, std::min<std::size_t>(8, line.size()));
-    std::uint64_t code = 0;
-    if ((version != "HTTP/1.1" && version != "HTTP/1.0") || line.size() < 12 || line[8] != ' ' ||
-        !ReadNumber(line.substr(9, 3), 10, &code) || code < 100 || (line.size() > 12 && line[12] != ' '))
-      return Spoil(502, "no status line");
-    old_ = version == "HTTP/1.0";
-    code_ = static_cast<int>(code);
+    OnStatusLine(line);
   }
+}
+
+void MessageReader::OnRequestLine(std::string_view line) {
+  if (line.empty()) {
+    return;  // some senders end a body with an empty line of their own
+  }
+  const std::size_t first = line.find(' ');
+  const std::size_t last = line.rfind(' ');
+  if (first == std::string_view::npos || first == last) {
+    MarkMalformed(kStatusBadRequest, "no request line");
+    return;
+  }
+  method_ = line.substr(0, first);
+  uri_ = line.substr(first + 1, last - first - 1);
+  const std::string_view version = line.substr(last + 1);
+  if (!IsToken(method_) || uri_.empty() || !std::all_of(uri_.begin(), uri_.end(), IsUriCharacter)) {
+    MarkMalformed(kStatusBadRequest, "no request line");
+    return;
+  }
+  if (!IsSupportedVersion(version)) {
+    MarkMalformed(kStatusVersionNotSupported, "not HTTP/1.1");
+    return;
+  }
+  is_http_1_0_ = version == "HTTP/1.0";
   state_ = State::kFields;
 }
 
-void MessageReader::OnField(std::string_view line) {
+void MessageReader::OnStatusLine(std::string_view line) {
+  const std::string_view version = line.substr(0, std::min(kVersionSize, line.size()));
+  std::uint64_t code = 0;
+  if (!IsSupportedVersion(version) || line.size() < kCodeEnd || line[kVersionSize] != ' ' ||
+      !ReadNumber(line.substr(kCodeOffset, kCodeSize), 10, &code) || code < 100 ||
+      (line.size() > kCodeEnd && line[kCodeEnd] != ' ')) {
+    MarkMalformed(kStatusBadGateway, "no status line");
+    return;
+  }
+  is_http_1_0_ = version == "HTTP/1.0";
+  code_ = static_cast<int>(code);
+  state_ = State::kFields;
+}
+
+void MessageReader::OnFieldLine(std::string_view line) {
+  if (line.empty()) {
+    OnHeadComplete();
+    return;
+  }
   const std::size_t colon = line.find(':');
-  if (colon == line.npos || !IsToken(line.substr(0, colon))) return Spoil(400, "a header without a name");
-  fields_.emplace_back(line.substr(0, colon), Trim(line.substr(colon + 1)));
+  if (colon == std::string_view::npos || !IsToken(line.substr(0, colon))) {
+    MarkMalformed(kStatusBadRequest, "a header without a name");
+    return;
+  }
+  fields_.push_back({std::string(line.substr(0, colon)), std::string(Trim(line.substr(colon + 1)))});
 }
 
 const char* MessageReader::Find(std::string_view name) const {
-  for (const auto& [known, value] : fields_) {
-    if (Same(known, name)) return value.c_str();
+  for (const Field& field : fields_) {
+    if (EqualsIgnoringCase(field.name, name)) {
+      return field.value.c_str();
+    }
   }
   return nullptr;
 }
 
 std::string MessageReader::Joined(std::string_view name) const {
   std::string joined;
-  for (const auto& [field, value] : fields_) {
-    if (Same(field, name)) joined += (joined.empty() ? "" : ", ") + value;
+  for (const Field& field : fields_) {
+    if (EqualsIgnoringCase(field.name, name)) {
+      joined += (joined.empty() ? "" : ", ") + field.value;
+    }
   }
   return joined;
 }
 
 std::size_t MessageReader::Count(std::string_view name) const {
-  return static_cast<std::size_t>(std::count_if(fields_.begin(), fields_.end(),
-                                                [&](const auto& field) { return Same(field.first, name); }));
+  const auto has_name = [&](const Field& field) { return EqualsIgnoringCase(field.name, name); };
+  return static_cast<std::size_t>(std::count_if(fields_.begin(), fields_.end(), has_name));
 }
 
-// Says how the body is framed. Guards against a message within a message: whoever reads the length otherwise
-// takes a part of the body for a message of its own.
-void MessageReader::OnHead() {
-  if (kind_ == Kind::kResponse && code_ < 200) {  // an answer that another follows; nobody asked to switch
-    if (code_ == 101) return Spoil(502, "another protocol");
+void MessageReader::OnHeadComplete() {
+  if (kind_ == Kind::kResponse && code_ < kFirstFinalCode) {  // an interim response: another one follows
+    if (code_ == kSwitchingProtocols) {
+      MarkMalformed(kStatusBadGateway, "another protocol");
+      return;
+    }
     fields_.clear();
-    state_ = State::kStart;
+    state_ = State::kStartLine;
+    return;
+  }
+  ReadConnectionHeader();
+  ReadBodyFraming();
+  if (malformed()) {
     return;
   }
+  const char* expect = Find("Expect");
+  expects_continue_ = expect != nullptr && EqualsIgnoringCase(expect, "100-continue") && !complete();
+}
+
+void MessageReader::ReadConnectionHeader() {
   const char* connection = Find("Connection");
-  keeps_ = connection && Names(connection, "close")
-               ? false
-               : !old_ || (connection && Names(connection, "keep-alive"));
-  const std::size_t lengths = Count("Content-Length"), encodings = Count("Transfer-Encoding");
-  if (lengths > 1 || encodings > 1 || lengths + encodings > 1) return Spoil(400, "more than one length");
-  if (encodings > 0) {
-    if (old_ || !Same(Find("Transfer-Encoding"), "chunked"))
-      return Spoil(400, "an encoding that is not known");
-    state_ = State::kSize;
+  if (connection != nullptr && ListContains(connection, "close")) {
+    keeps_alive_ = false;
+    return;
+  }
+  keeps_alive_ = !is_http_1_0_ || (connection != nullptr && ListContains(connection, "keep-alive"));
+}
+
+// Finds how the body is framed. Guards against request smuggling: whoever reads the length otherwise takes a
+// part of the body for a message of its own.
+void MessageReader::ReadBodyFraming() {
+  const std::size_t lengths = Count("Content-Length");
+  const std::size_t encodings = Count("Transfer-Encoding");
+  if (lengths + encodings > 1) {
+    MarkMalformed(kStatusBadRequest, "more than one length");
+  } else if (encodings > 0) {
+    if (is_http_1_0_ || !EqualsIgnoringCase(Find("Transfer-Encoding"), "chunked")) {
+      MarkMalformed(kStatusBadRequest, "an encoding that is not known");
+      return;
+    }
+    state_ = State::kChunkSize;
   } else if (lengths > 0) {
-    const std::string_view digits = Find("Content-Length");
-    const bool plain = std::all_of(digits.begin(), digits.end(), [](char c) { return c >= '0' && c <= '9'; });
-    if (digits.empty() || !plain) return Spoil(400, "Content-Length is not a number");
-    if (!ReadNumber(digits, 10, &left_) || left_ > most_) return Spoil(413, "the body is too long");
-    state_ = left_ > 0 ? State::kBody : State::kWhole;
-  } else if (kind_ == Kind::kResponse && code_ != 204 && code_ != 304) {
-    state_ = State::kToEnd;  // RFC 9112, 6.3: it ends with the connection
-    keeps_ = false;
+    ReadContentLength();
+  } else if (kind_ == Kind::kResponse && code_ != kNoContent && code_ != kNotModified) {
+    state_ = State::kBodyToEnd;  // RFC 9112, 6.3: it ends with the connection
+    keeps_alive_ = false;
   } else {
-    state_ = State::kWhole;
+    state_ = State::kComplete;
   }
-  const char* expects = Find("Expect");
-  continues_ = expects && Same(expects, "100-continue") && state_ != State::kWhole;
 }
 
-void MessageReader::OnSize(std::string_view line) {
-  if (!ReadNumber(Trim(line.substr(0, line.find(';'))), 16, &left_)) return Spoil(400, "no size of a chunk");
-  if (left_ > most_ - body_.size()) return Spoil(413, "the body is too long");
-  state_ = left_ > 0 ? State::kData : State::kTrailer;
+void MessageReader::ReadContentLength() {
+  const std::string_view digits = Find("Content-Length");
+  if (digits.empty() || !std::all_of(digits.begin(), digits.end(), IsDigit)) {
+    MarkMalformed(kStatusBadRequest, "Content-Length is not a number");
+    return;
+  }
+  if (!ReadNumber(digits, 10, &remaining_bytes_) || remaining_bytes_ > max_body_bytes_) {
+    MarkMalformed(kStatusContentTooLarge, "the body is too long");
+    return;
+  }
+  state_ = remaining_bytes_ > 0 ? State::kBody : State::kComplete;
+}
+
+void MessageReader::OnChunkSize(std::string_view line) {
+  if (!ReadNumber(Trim(line.substr(0, line.find(';'))), 16, &remaining_bytes_)) {
+    MarkMalformed(kStatusBadRequest, "no size of a chunk");
+    return;
+  }
+  if (remaining_bytes_ > max_body_bytes_ - body_.size()) {
+    MarkMalformed(kStatusContentTooLarge, "the body is too long");
+    return;
+  }
+  state_ = remaining_bytes_ > 0 ? State::kChunkData : State::kTrailer;
 }
 
-void MessageReader::Spoil(int status, std::string why) {
-  state_ = State::kSpoilt;
-  left_ = 0;
+void MessageReader::MarkMalformed(int status, std::string error) {
+  state_ = State::kMalformed;
+  remaining_bytes_ = 0;
   status_ = status;
-  why_ = std::move(why);
-  keeps_ = false;
+  error_ = std::move(error);
+  keeps_alive_ = false;
 }
 
 }  // namespace walnutspur::http
--- a/src/http/messages.h
+++ b/src/http/messages.h
@@ -1,10 +1,12 @@
-// What the platform's HTTP says, read and checked; no sockets.
+// The payloads of requests and responses, and what the headers of a target's response mean. No sockets and no
+// state; any thread.
 #ifndef WALNUTSPUR_HTTP_MESSAGES_H_
 #define WALNUTSPUR_HTTP_MESSAGES_H_
 
 #include <functional>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "core/engine.h"
@@ -13,49 +15,44 @@
 
 namespace walnutspur::http {
 
-// A request as it came: passes on to a target byte for byte.
+// A client's request; it is forwarded to a target byte for byte.
 struct Request : core::Payload {
   bool is_put = false;
-  std::string uri, id, body;
-  std::string headers;                                // a key and digest fields that pass on, as lines
-  std::optional<integrity::Algorithm> wanted_digest;  // the digest that the client wants of the answer
+  std::string uri;
+  std::string id;
+  std::string body;
+  std::string headers;  // lines to forward, each with its CR LF: the idempotency key and digest fields
+  std::optional<integrity::Algorithm> wanted_digest;  // the digest that the client wants of the response
 };
+
+// The response of a target that has completed a request.
 struct Response : core::Payload {
   std::string body;
-  std::string headers;  // digest fields that pass on, as lines with their ends
+  std::string headers;  // lines to forward, each with its CR LF: digest fields
 };
 
-// The digest fields of a message against its content. `describes` says whether Repr-Digest speaks of this
-// very content: of a write's, and of the answer to a read, but not of a part or of the answer to a write (RFC
-// 9530, 3).
+// The digest fields of a message, and whether its content fits them.
 struct DigestCheck {
   integrity::Match match = integrity::Match::kNone;
-  std::string headers;  // the fields that were there, as lines
+  std::string headers;  // the fields that the message has, as lines
 };
-DigestCheck CheckDigests(const MessageReader& reader, std::string_view content, bool describes);
+// `is_representation`: Repr-Digest covers this very content, which holds for a write and for the response to
+// a read, but not for a part of one or for the response to a write (RFC 9530, 3).
+DigestCheck CheckDigests(const MessageReader& reader, std::string_view content, bool is_representation);
 
-using Header = std::function<const char*(const char*)>;  // the value of a header, or null
+// Finds the value of a header by its name; null where there is none.
+using HeaderLookup = std::function<const char*(const char*)>;
 
-// Reads what the decisions need. Returns what is wrong, if anything is.
-std::optional<std::string> ReadRequest(const Config& config, const Request& request, const Header& header,
-                                       core::RequestReceived* arrived, Time* patience);
+// The outcome that a target's complete response stands for.
+Outcome OutcomeOf(int code, const HeaderLookup& header);
 
-// The outcome that a target's whole answer stands for.
-Outcome OutcomeOf(int code, const Header& header);
-// What else an answer tells.
-void ReadLoadHeaders(const std::vector<std::string>& fields, const Header& header,
-                     core::AttemptResult* ended);
-
-struct EndpointList {
-  long revision = 0;
-  bool complete = false;
-  std::vector<walnutspur::Endpoint> endpoints;
-  std::vector<std::string> addresses;  // of the entries; empty: none told
-};
-// Throws std::exception on what is malformed.
-EndpointList ReadEndpointList(const Config& config, const nlohmann::json& json);
+// Reads what a response reports of the target's load and of the volume's use into `result`. `fields` names
+// the load figures, in their order. Headers that are malformed are ignored.
+void ReadLoadHeaders(const std::vector<std::string>& fields, const HeaderLookup& header,
+                     core::AttemptResult* result);
 
-std::string Seconds(Time time);  // as decimals
+// A duration in seconds, with six decimals.
+std::string Seconds(Time time);
 
 }  // namespace walnutspur::http
 
--- /dev/null
+++ b/src/http/number.h
@@ -0,0 +1,36 @@
+// Numbers in headers: strict parsing, and their units. Plain functions; any thread.
+#ifndef WALNUTSPUR_HTTP_NUMBER_H_
+#define WALNUTSPUR_HTTP_NUMBER_H_
+
+#include <charconv>
+#include <cmath>
+#include <optional>
+#include <string_view>
+#include <system_error>
+
+namespace walnutspur::http {
+
+// Headers have times in seconds; a Time is in microseconds.
+constexpr double kMicrosecondsPerSecond = 1e6;
+
+// The number that the whole text is, or nothing.
+template <typename Number>
+std::optional<Number> ParseNumber(std::string_view text) {
+  Number value{};
+  const char* end = text.data() + text.size();
+  const auto [at, error] = std::from_chars(text.data(), end, value);
+  if (error != std::errc() || at != end) {
+    return std::nullopt;
+  }
+  return value;
+}
+
+// A finite number above zero, or nothing; `text` may be null.
+inline std::optional<double> ParsePositive(const char* text) {
+  const auto value = text ? ParseNumber<double>(text) : std::nullopt;
+  return value && std::isfinite(*value) && *value > 0 ? value : std::nullopt;
+}
+
+}  // namespace walnutspur::http
+
+#endif  // WALNUTSPUR_HTTP_NUMBER_H_
--- /dev/null
+++ b/src/http/request_admission.cpp
@@ -0,0 +1,105 @@
+#include "http/request_admission.h"
+
+#include <memory>
+#include <optional>
+#include <utility>
+
+#include "http/messages.h"
+#include "http/request_headers.h"
+#include "log/log.h"
+
+namespace walnutspur::http {
+namespace {
+
+constexpr const char* kSingleHeaders[] = {"X-Request-Id", "X-Class", "X-Plan",
+                                          "X-Deadline",   "X-IO",    "Idempotency-Key"};
+
+// The first header that may stand only once and does not, if there is one.
+std::optional<std::string> FindRepeatedHeader(const MessageReader& message) {
+  for (const char* name : kSingleHeaders) {
+    if (message.Count(name) > 1) {
+      return name;
+    }
+  }
+  return std::nullopt;
+}
+
+std::shared_ptr<Request> TakePayload(MessageReader& message) {
+  auto payload = std::make_shared<Request>();
+  payload->is_put = message.method() == "PUT";
+  payload->uri = message.uri();
+  if (const char* id = message.Find("X-Request-Id")) {
+    payload->id = id;
+  }
+  // Targets drop the repeats of an idempotent request by its key.
+  if (const char* key = message.Find("Idempotency-Key")) {
+    payload->headers = HeaderLine("Idempotency-Key", key);
+  }
+  payload->body = std::move(message.body());
+  return payload;
+}
+
+// Forwards what digest the client wants of a read, or asks for one of our own choice, so that the response is
+// covered by one on its way to us.
+void ForwardWantedDigests(const Config& config, const MessageReader& message, Request* payload) {
+  bool client_wants_digest = false;
+  for (const char* name : {"Want-Content-Digest", "Want-Repr-Digest"}) {
+    const std::string field = message.Joined(name);
+    if (field.empty()) {
+      continue;
+    }
+    client_wants_digest = true;
+    payload->headers += HeaderLine(name, field);
+    if (!payload->wanted_digest) {
+      payload->wanted_digest = integrity::Wanted(field);
+    }
+  }
+  if (!client_wants_digest && !payload->is_put && config.digests.compute) {
+    payload->headers +=
+        HeaderLine("Want-Content-Digest", std::string(integrity::NameOf(*config.digests.compute)) + "=1");
+  }
+}
+
+// Verifies the digests of a write, which must not reach a target corrupted, and adds one to a write without,
+// so that it is covered from here on. Returns whether the content is intact.
+bool ForwardDigests(const Config& config, const MessageReader& message, Request* payload) {
+  const DigestCheck check = CheckDigests(message, payload->body, payload->is_put);
+  if (check.match == integrity::Match::kDifferent) {
+    log::Event(log::Level::kWarn, "request_damaged", {{"request", payload->id}});
+    return false;
+  }
+  payload->headers += check.headers;
+  if (payload->is_put && check.headers.empty() && config.digests.compute) {
+    payload->headers +=
+        HeaderLine("Content-Digest", integrity::DigestField(*config.digests.compute, payload->body));
+  }
+  ForwardWantedDigests(config, message, payload);
+  return true;
+}
+
+}  // namespace
+
+Admission AdmitRequest(const Config& config, MessageReader& message) {
+  if (message.method() != "GET" && message.method() != "PUT") {
+    return Rejection{kStatusMethodNotAllowed, "a read is a GET, a write is a PUT"};
+  }
+  if (const auto repeated = FindRepeatedHeader(message)) {
+    return Rejection{kStatusBadRequest, *repeated + " stands there more than once"};
+  }
+  std::shared_ptr<Request> payload = TakePayload(message);
+  if (config.digests.on && !ForwardDigests(config, message, payload.get())) {
+    return Rejection{kStatusBadRequest, "the digest is not that of the content"};
+  }
+  const HeaderLookup header = [&message](const char* name) { return message.Find(name); };
+  AdmittedRequest admitted;
+  if (const auto error =
+          ReadRequest(config, *payload, header, &admitted.request.attributes, &admitted.client_timeout)) {
+    return Rejection{kStatusBadRequest, *error};
+  }
+  admitted.request.protocol = core::Protocol::kHttp;
+  admitted.request.client_request_id = payload->id;
+  admitted.request.payload = std::move(payload);
+  return admitted;
+}
+
+}  // namespace walnutspur::http
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -461,7 +461,7 @@
 TEST_CASE("what answers tell") {
   std::map<std::string, std::string> said = {
       {"X-Volume-Use", "85"}, {"X-Served-Elsewhere", "3"}, {"X-Load", R"({"util":0.5,"queue":2})"}};
-  const http::Header header = [&](const char* name) {
+  const http::HeaderLookup header = [&](const char* name) {
     return said.contains(name) ? said[name].c_str() : nullptr;
   };
   core::AttemptResult ended;
