--- a/tests/net/target_pool_test.cpp
+++ b/tests/net/target_pool_test.cpp
@@ -64,7 +64,7 @@
 TEST_CASE("load reports are read from response headers; malformed ones are ignored") {
   std::map<std::string, std::string> fields = {
       {"X-Volume-Use", "85"}, {"X-Served-Elsewhere", "3"}, {"X-Load", R"({"util":0.5,"queue":2})"}};
-  const http::Header header = [&](const char* name) {
+  const http::HeaderLookup header = [&](const char* name) {
     return fields.contains(name) ? fields[name].c_str() : nullptr;
   };
   core::AttemptResult result;
