--- /dev/null
+++ b/include/walnutspur/types.h
@@ -0,0 +1,65 @@
+// Types that settings, events and actions share.
+//
+// All times are integer microseconds of one clock that never runs backwards.
+#ifndef WALNUTSPUR_TYPES_H_
+#define WALNUTSPUR_TYPES_H_
+
+#include <cstdint>
+#include <string>
+
+namespace walnutspur {
+
+// A point in time or a duration, us.
+using Time = std::int64_t;
+// Identifies a request of this initiator, from its arrival to its end.
+using RequestId = std::string;
+// Identifies a target in the endpoint list.
+using TargetId = std::string;
+
+// Whether a request may be executed more than once.
+enum class Idempotency {
+  kIdempotent,         // at any target
+  kIdempotentWithKey,  // at targets that drop its repeats by the idempotency key
+  kNotIdempotent
+};
+
+// The targets that drop the repeats of a request with an idempotency key.
+enum class DeduplicationScope {
+  kAll,   // every target
+  kZone,  // those in the zone of the first attempt
+  kShard  // those that hold the shard of the first attempt
+};
+
+// How the endpoint list reaches the scheduler.
+enum class DiscoveryMode {
+  kAutomatic,  // updates come by themselves
+  kSubscribe   // updates follow a WatchEndpoints action
+};
+
+// Lifecycle of a target.
+enum class EndpointState { kActive, kDraining, kTerminated };
+
+// What an endpoint update holds.
+enum class EndpointUpdateKind {
+  kDelta,   // the endpoints that have changed
+  kFull,    // all endpoints
+  kCached,  // all endpoints, as stored before this start: they may have changed since
+  kFailed   // none: the list could not be had, or the subscription has ended
+};
+
+// How an attempt ended.
+enum class Outcome {
+  kCompleted,
+  kErrored,          // may have run
+  kOverloaded,       // never ran: rejected unread
+  kTimedOut,         // may have run, may still run
+  kConnectFailed,    // never ran: no connection in time
+  kConnectionReset,  // may have run
+  kCancelled,        // may have run
+  kNotSent,          // never ran
+  kCorrupted         // may have run: the response fails its checksum
+};
+
+}  // namespace walnutspur
+
+#endif  // WALNUTSPUR_TYPES_H_
