--- /dev/null
+++ b/src/decision/accounts.cpp
@@ -0,0 +1,86 @@
+#include "decision/accounts.h"
+
+#include <algorithm>
+
+namespace walnutspur::decision {
+namespace {
+
+constexpr double kThrottleSpan = 0.25;  // s of its rate that a throttle's bucket holds: idling saves little
+
+// Part of a volume's reserve that is this instance's: all of it where targets report the use by others.
+double ReservePart(const SchedulerState& state, const Volume& volume) {
+  return state.settings.reports_remote_usage ? 1.0 : 1.0 / volume.initiator_count;
+}
+
+double ReserveCapacity(const SchedulerState& state, const Volume& volume) {
+  const double rate = volume.plan->reserved_rate;
+  return rate > 0 ? rate * ReservePart(state, volume) + state.settings.max_request_units : 0;
+}
+
+}  // namespace
+
+Volume& VolumeOf(SchedulerState& state, const RequestArrived& arrival) {
+  const auto [entry, is_new] = state.volumes.try_emplace(arrival.volume);
+  Volume& volume = entry->second;
+  volume.plan = &state.settings.plans[std::clamp<int>(arrival.plan, 0, state.settings.plans.size() - 1)];
+  volume.initiator_count = std::max(1, arrival.initiator_count);
+  if (is_new) {
+    volume.number = ++state.volume_count;
+    volume.refilled_at = state.now;
+    volume.reserve.tokens = ReserveCapacity(state, volume);
+    // Rule: limits. A former process of this instance may have spent the burst, so the limit's bucket starts
+    // with what has accrued since the start of this one.
+    const double accrued = volume.plan->limit * (state.now - state.started_at) / kSecond;
+    volume.limit.tokens = std::min(volume.plan->burst, accrued) / volume.initiator_count;
+  }
+  return volume;
+}
+
+void Refill(const SchedulerState& state, Volume& volume) {
+  const double seconds = state.Since(volume.refilled_at) / kSecond;
+  const Plan& plan = *volume.plan;
+  volume.refilled_at = state.now;
+  volume.reserve.Refill(plan.reserved_rate * ReservePart(state, volume) * seconds,
+                        ReserveCapacity(state, volume));
+  volume.limit.Refill(plan.limit / volume.initiator_count * seconds, plan.burst / volume.initiator_count);
+}
+
+void Refill(const SchedulerState& state, Flow& flow) {
+  if (flow.throttle > 0) {
+    const double capacity = std::max(state.settings.max_request_units, flow.throttle * kThrottleSpan);
+    flow.throttle_bucket.Refill(flow.throttle * state.Since(flow.refilled_at) / kSecond, capacity);
+    flow.refilled_at = state.now;
+  }
+}
+
+void ChargeRequest(SchedulerState& state, RequestState& request, bool is_reserved, double start_tag,
+                   TargetState& target) {
+  Flow& flow = *request.flow;
+  Volume& volume = *flow.volume;
+  if (is_reserved) {
+    volume.reserve.tokens -= request.units;
+  } else {
+    target.virtual_clock.Advance(start_tag);
+    flow.tag.Charge(start_tag, request.units, volume.plan->weight);
+  }
+  if (flow.throttle > 0) {
+    flow.throttle_bucket.tokens -= request.units;
+  }
+  if (!request.limit_charged && volume.plan->limit > 0) {
+    volume.limit.tokens -= request.units;
+  }
+  request.limit_charged = true;
+  if (request.attempts > 0 && state.settings.rules.retry_budget_window) {
+    state.retries.Add(state.now);
+  }
+}
+
+void ChargeRemoteUnits(const SchedulerState& state, Flow& flow, const TargetState& target, double units) {
+  Volume& volume = *flow.volume;
+  Refill(state, volume);
+  const double reserved = std::clamp(volume.reserve.tokens, 0.0, units);
+  volume.reserve.tokens -= reserved;
+  flow.tag.Charge(flow.tag.StartTag(target.virtual_clock.time), units - reserved, volume.plan->weight);
+}
+
+}  // namespace walnutspur::decision
--- /dev/null
+++ b/src/decision/endpoints.cpp
@@ -0,0 +1,115 @@
+#include "decision/endpoints.h"
+
+#include <algorithm>
+
+#include "decision/concurrency_limit.h"
+#include "decision/estimates.h"
+
+namespace walnutspur::decision {
+namespace {
+
+constexpr Time kPollTimeout = 5'000'000;  // us: longer than a call waits, well under the poll interval
+constexpr double kFailureCost = 2;        // tightest objectives that a placement may wait rather than fail
+constexpr double kSpread = 0.2;           // random part of a placement's cost: instances do not herd
+constexpr double kPlacedDecay = 5e6;      // us: reads of new objects follow them for some seconds
+
+// A process behind the target that is new: what was learnt of the former one does not hold.
+void ResetTarget(SchedulerState& state, const Endpoint& endpoint, bool is_new, TargetState& target) {
+  target.limits = InitialConcurrencyLimits(state.settings);
+  target.latency.ResetQueueing();
+  target.backoff_until = 0;
+  const auto former = state.shard_targets.find(endpoint.shard);
+  if (is_new && former != state.shard_targets.end()) {
+    target.steady_rate = former->second->steady_rate;
+  }
+  target.outcomes = {};
+  if (endpoint.started_at > 0) {  // otherwise it has not restarted
+    target.steady_rate.Suspend(std::min(state.now, endpoint.started_at));
+  }
+  // Drawn at random, so that the instances do not all start with a request.
+  const double first_units = state.Random() * state.settings.mean_request_units;
+  target.slow_start.Start(endpoint.started_at, state.now,
+                          target.steady_rate.Rate(state.now, state.started_at), first_units);
+}
+
+void ApplyEndpoint(SchedulerState& state, const Endpoint& endpoint) {
+  const auto [entry, is_new] = state.targets.try_emplace(endpoint.target);
+  TargetState& target = entry->second;
+  if (is_new || endpoint.started_at > target.started_at) {
+    ResetTarget(state, endpoint, is_new, target);
+  }
+  target.CopyFrom(endpoint);
+  if (target.active) {
+    state.shard_targets[endpoint.shard] = &target;
+  }
+}
+
+// Expected time until a request is done at the target and its later reads can be, us, with risks added.
+double PlacementCost(SchedulerState& state, const RequestState& request, int shard,
+                     const TargetState& target) {
+  const double unit_time = target.latency.unit_time();
+  const double placed = target.placed_units.Now(state.now, kPlacedDecay);
+  double cost =
+      ExpectedQueueing(state, target) + (UnitsInFlight(state, target) + request.units + placed) * unit_time;
+  cost += state.flows.Shard(shard).queued * state.settings.mean_request_units * unit_time;
+  cost += std::max<Time>(0, target.backoff_until - state.now);
+  cost += kFailureCost * state.tightest_objective *
+          routing::FailureProbability(target.outcomes, state.zone_outcomes[target.zone], state.now);
+  cost += target.slow_start.IsActive(state.settings, state.now) ? state.tightest_objective : 0;
+  return cost * (1 + kSpread * state.Random());
+}
+
+}  // namespace
+
+void ApplyEndpointUpdate(SchedulerState& state, const EndpointUpdate& update) {
+  if (update.kind == EndpointUpdateKind::kFailed) {
+    const bool polls = state.settings.discovery == DiscoveryMode::kSubscribe;
+    state.next_poll = polls ? state.now + state.poll_backoff.NextDelay(state.now, state.Random()) : -1;
+    return;
+  }
+  const bool is_cached = update.kind == EndpointUpdateKind::kCached;
+  if (!is_cached) {
+    state.next_poll = -1;
+    state.poll_backoff.OnResponse();
+  }
+  if (is_cached || update.kind == EndpointUpdateKind::kFull) {
+    for (auto& [id, target] : state.targets) {
+      target.active = false;
+      target.terminated = true;
+    }
+  }
+  for (const Endpoint& endpoint : update.endpoints) {
+    ApplyEndpoint(state, endpoint);
+  }
+  for (auto& [id, target] : state.targets) {
+    if (target.active && state.ActiveTarget(target.shard) == nullptr) {
+      state.shard_targets[target.shard] = &target;
+    }
+  }
+}
+
+void PollEndpoints(SchedulerState& state) {
+  state.actions.emplace_back(WatchEndpoints{});
+  state.poll_backoff.OnPoll(state.now);
+  state.next_poll = state.now + kPollTimeout;
+}
+
+int PlaceNewObject(SchedulerState& state, const RequestState& request) {
+  int best_shard = -1;
+  double best_cost = 0;
+  for (const auto& [shard, target] : state.shard_targets) {
+    if (target->active && target->accepts_new_objects) {
+      const double cost = PlacementCost(state, request, shard, *target);
+      if (best_shard < 0 || cost < best_cost) {
+        best_shard = shard;
+        best_cost = cost;
+      }
+    }
+  }
+  if (best_shard >= 0) {
+    state.shard_targets[best_shard]->placed_units.Add(request.units, state.now, kPlacedDecay);
+  }
+  return best_shard;
+}
+
+}  // namespace walnutspur::decision
--- /dev/null
+++ b/src/decision/throttle.cpp
@@ -0,0 +1,115 @@
+#include "decision/throttle.h"
+
+#include <algorithm>
+
+#include "decision/accounts.h"
+#include "decision/estimates.h"
+
+namespace walnutspur::decision {
+namespace {
+
+constexpr double kMargin = 1.05;            // over the rate that a plan promises, from the paper
+constexpr double kTighten = 0.8;            // factor a step: halves a throttled rate in three intervals
+constexpr double kLoosen = 1.15;            // factor a step: slower than tightening
+constexpr double kRelease = 3.0;            // times its use: a throttle this loose is removed
+constexpr double kLeastThrottle = 0.01;     // units a second
+constexpr Time kUsageLifetime = 4'000'000;  // us for which a report of a volume's usage holds
+
+// Flows of a shard that had responses in the interval.
+struct FlowGroups {
+  std::vector<Flow*> above_met;     // above their plan's rate, meeting their objective
+  std::vector<Flow*> above_missed;  // above it, missing the objective
+  std::vector<Flow*> within_met;    // within their plan's rate
+  std::vector<Flow*> within_missed;
+
+  // The flows to throttle, or null. If all miss their objective and none is above its rate the target is
+  // slow, and throttling would not help.
+  const std::vector<Flow*>* ToThrottle() const {
+    const bool slow_target = above_met.empty() && above_missed.empty() && within_met.empty();
+    if (within_missed.empty() || slow_target) {
+      return nullptr;
+    }
+    if (!above_met.empty()) {
+      return &above_met;
+    }
+    return !above_missed.empty() ? &above_missed : &within_met;
+  }
+};
+
+bool IsAboveRate(const SchedulerState& state, const Volume& volume) {
+  if (volume.usage_at >= 0 && state.now - volume.usage_at < kUsageLifetime) {
+    return volume.usage > 1;
+  }
+  return volume.demand.rate > volume.plan->rate / volume.initiator_count;
+}
+
+FlowGroups EndInterval(const SchedulerState& state, ShardFlows& flows, double seconds) {
+  FlowGroups groups;
+  for (auto& [number, flow] : flows.by_volume) {
+    flow.demand.EndInterval(seconds);
+    if (flow.samples > 0) {
+      const bool missed = flow.lateness / flow.samples > 1;
+      auto& above = missed ? groups.above_missed : groups.above_met;
+      auto& within = missed ? groups.within_missed : groups.within_met;
+      (IsAboveRate(state, *flow.volume) ? above : within).push_back(&flow);
+    }
+    flow.lateness = 0;
+    flow.samples = 0;
+  }
+  return groups;
+}
+
+void Tighten(const SchedulerState& state, Flow& flow) {
+  const Volume& volume = *flow.volume;
+  const double rate = flow.demand.rate;
+  const double part = volume.demand.rate > 0 ? std::min(1.0, rate / volume.demand.rate) : 1.0;
+  const double promised = volume.plan->reserved_rate > 0 ? volume.plan->reserved_rate : volume.plan->rate;
+  const double from = flow.throttle > 0 ? std::min(flow.throttle, rate) : rate;
+  if (flow.throttle <= 0) {
+    flow.refilled_at = state.now;
+    flow.throttle_bucket.tokens = 0;
+  }
+  flow.throttle = std::max({promised * kMargin * part, kTighten * from, kLeastThrottle});
+}
+
+void Loosen(const SchedulerState& state, Flow& flow) {
+  if (flow.throttle > 0) {
+    Refill(state, flow);
+    flow.throttle *= kLoosen;
+    if (flow.throttle > kRelease * std::max(flow.demand.rate, flow.volume->plan->rate)) {
+      flow.throttle = 0;
+    }
+  }
+}
+
+void AdjustShard(const SchedulerState& state, ShardFlows& flows, double seconds) {
+  const FlowGroups groups = EndInterval(state, flows, seconds);
+  for (Flow* flow : groups.within_missed) {
+    flow->throttle = 0;
+  }
+  if (const std::vector<Flow*>* throttled = groups.ToThrottle()) {
+    for (Flow* flow : *throttled) {
+      Tighten(state, *flow);
+    }
+  } else {
+    for (auto& [number, flow] : flows.by_volume) {
+      Loosen(state, flow);
+    }
+  }
+}
+
+}  // namespace
+
+void AdjustThrottles(SchedulerState& state, double seconds) {
+  for (auto& [name, volume] : state.volumes) {
+    volume.demand.EndInterval(seconds);
+  }
+  for (auto& [shard, flows] : state.flows.shards()) {
+    if (TargetState* target = state.ActiveTarget(shard)) {
+      MeasureInterval(state, flows, *target);
+    }
+    AdjustShard(state, flows, seconds);
+  }
+}
+
+}  // namespace walnutspur::decision
--- a/src/limits/abandonment_estimate.h
+++ b/src/limits/abandonment_estimate.h
@@ -1,12 +1,11 @@
-// By what age clients leave, as a part of their class's aim.
+// Client abandonment estimate: how long clients wait, as a part of their class's latency objective.
 //
-// Clients may leave long before the time that they told, and work that is done by then earns nothing. Only a
-// request that still waits at an age tells whether its client leaves there: what was answered, refused or
-// given up sooner tells of younger ages alone. So clients are counted by age, and the part that stays is the
-// product of the parts that stay through each age in turn (the product-limit estimate of Kaplan and Meier).
-// Counting leavers against all that were ever asked would let a few bursts of leavers refuse everybody: what
-// is refused for their sake never lives to tell that it would have stayed. No I/O, clock or thread; owned by
-// the Scheduler.
+// Clients may disconnect long before the time that they announced, and work done after that is wasted. A
+// request tells whether clients disconnect at an age only if it was still open at that age; what ended before
+// says nothing about it. So the estimate is the product-limit estimate of Kaplan and Meier: the part of
+// clients that stay is the product of the parts that stay through each age in turn. To count disconnects
+// against all requests would let short bursts of them reject every request: what is rejected for their sake
+// could never show that it would have stayed. No I/O, clock or thread; owned by the scheduler's state.
 #ifndef WALNUTSPUR_LIMITS_ABANDONMENT_ESTIMATE_H_
 #define WALNUTSPUR_LIMITS_ABANDONMENT_ESTIMATE_H_
 
@@ -17,20 +16,26 @@
 
 namespace walnutspur::limits {
 
+// Number of equal age groups within a latency objective.
+constexpr std::size_t kAgeGroups = 10;
+
+// Counts of requests by the age at which they ended.
 class AbandonmentEstimate {
  public:
-  // A request was open up to this age, in parts of its aim; then its client left, or it ended otherwise.
-  void Record(double age, bool left, Time now);
-  // The part of an aim by which work has to be done.
+  // Records a request that was open up to `age` (part of its objective), when its client disconnected or the
+  // request ended otherwise.
+  void Record(double age, bool disconnected, Time now);
+
+  // Part of a latency objective by which work has to be done for most clients to be still there.
   double SafeFraction(Time now) const;
 
  private:
-  static constexpr std::size_t kAges = 10;  // even parts of an aim
-  struct Age {
-    DecayingCounter reached;    // requests that were open there
-    DecayingCounter left, sum;  // clients that left there, and the sum of their ages
+  struct AgeGroup {
+    DecayingCounter reached;       // requests that were open in the group
+    DecayingCounter disconnected;  // clients that disconnected in it
+    DecayingCounter age_sum;       // sum of the ages of those
   };
-  std::array<Age, kAges> ages_;
+  std::array<AgeGroup, kAgeGroups> groups_;
 };
 
 }  // namespace walnutspur::limits
--- a/src/limits/backoff.h
+++ b/src/limits/backoff.h
@@ -1,9 +1,9 @@
-// How long to wait before what failed is tried again, where many do the same at the same moment.
+// Exponential backoff with jitter, and the backoff of polls of the endpoint list.
 //
-// A service that takes calls in turn and gives each up after a fixed wait serves nobody once calls come
-// faster than it answers: whoever is next has waited for so long already that its call ends under way. So the
-// gap doubles with each failure until callers together come slowly enough, and is drawn from a wide range,
-// since callers that failed together would else come back together. No I/O, clock or thread.
+// A service that handles calls in turn and times each out after a fixed wait completes none once calls arrive
+// faster than it responds: the next in turn has waited so long already that it times out while it is handled.
+// So the delay doubles with each failure until all callers together are slow enough, and is drawn from a wide
+// range, since callers that failed together would otherwise return together. No I/O, clock or thread.
 #ifndef WALNUTSPUR_LIMITS_BACKOFF_H_
 #define WALNUTSPUR_LIMITS_BACKOFF_H_
 
@@ -13,67 +13,87 @@
 
 namespace walnutspur::limits {
 
+// Doublings after which a delay no longer grows.
+constexpr int kMaxDoublings = 30;
+
+// Delays before the retries of one caller.
 class Backoff {
  public:
-  // Both in us: the longest gap after the first failure, and after any.
-  Backoff(Time first, Time most) : first_(first), most_(most) {}
+  // The longest delay after the first failure, and after any, us.
+  Backoff(Time first, Time longest) : first_(first), longest_(longest) {}
 
-  // The gap after one more failure, us; `random` is drawn evenly from [0, 1).
+  // Counts a failure and returns the delay after it, us. `random` is drawn evenly from [0, 1).
   Time NextDelay(double random) {
-    const Time longest = std::min(most_, first_ << std::min(failures_, 30));
+    const Time bound = std::min(longest_, first_ << std::min(failures_, kMaxDoublings));
     ++failures_;
-    return longest / 4 + static_cast<Time>(random * 0.75 * static_cast<double>(longest));
+    return bound / 4 + static_cast<Time>(random * 0.75 * static_cast<double>(bound));
   }
+
+  // Starts anew after a success.
   void Reset() { failures_ = 0; }
-  void SetBounds(Time first, Time most) { first_ = std::min(first, most), most_ = most; }
+
+  // Replaces the bounds given at construction, us.
+  void SetBounds(Time first, Time longest) {
+    first_ = std::min(first, longest);
+    longest_ = longest;
+  }
 
  private:
-  Time first_, most_;
+  Time first_;
+  Time longest_;
   int failures_ = 0;
 };
 
-// When one of many hosts asks their one list service again. A call that was refused at once cost the service
-// nothing. One that waited in its turn until it was given up tells that all hosts together ask too fast, and
-// what was given up is worked off all the same: they must spread over as long as it takes. A call that was
-// answered did not wait in vain, however soon its subscription broke: what is missed then counts as told 6 s
-// after it fell silent, of which noticing takes up to 2.5 s and the next call up to 2 s
-// (http/discovery_client.cpp).
+constexpr Time kFirstPollDelay = 1'000'000;        // us
+constexpr Time kShortestMaxPollDelay = 2'000'000;  // us: the longest delay where instances are few
+constexpr Time kTimeoutSpacing = 100'000;          // us for each instance: ten calls a second from all
+constexpr Time kRefusalSpacing = 30'000;     // us for each instance: about the service's time for a response
+constexpr Time kQueuedCallTime = 1'000'000;  // us after which a failed call was queued, not refused
+
+// Backoff of one instance that polls an endpoint list shared with others. A call that was refused at once
+// cost the service nothing. One that timed out in the service's queue shows that all instances together poll
+// too fast, and is handled all the same: they must spread over as long as that takes. A call that had a
+// response is a success, however soon its subscription broke: what changes after that counts as announced
+// within 6 s, of which detection takes up to 2.5 s and the next call up to 2 s (http/discovery_client.cpp).
 class PollBackoff {
  public:
-  // `most` is the longest gap, us; no less than kLeast.
-  PollBackoff(int hosts, Time most) : longest_(most), refused_(kFirst, most), overdue_(kFirst, most) {
-    SetInstanceCount(hosts);
+  // `longest` is the longest delay, us, at least kShortestMaxPollDelay.
+  PollBackoff(int instances, Time longest)
+      : longest_(longest), refused_(kFirstPollDelay, longest), timed_out_(kFirstPollDelay, longest) {
+    SetInstanceCount(instances);
   }
 
-  // There are so many hosts now. Of few, each may ask so often that it has the list well within the 6 s after
-  // which a change counts as told, whatever became of the calls before; of many, that would only fill the
-  // service's queue, and nobody would be answered.
-  void SetInstanceCount(int hosts) {
-    refused_.SetBounds(kFirst, std::clamp(hosts * kEachRefused, kLeast, longest_));
-    overdue_.SetBounds(std::clamp(hosts * kEach / 2, kFirst, longest_),
-                       std::clamp(hosts * kEach, kLeast, longest_));
+  // Adapts the bounds to the number of instances. Few may poll so often that each has the list well within
+  // the 6 s after which a change counts as announced, whatever became of former calls; of many, that would
+  // only fill the service's queue, and none would have a response.
+  void SetInstanceCount(int instances) {
+    refused_.SetBounds(kFirstPollDelay,
+                       std::clamp(instances * kRefusalSpacing, kShortestMaxPollDelay, longest_));
+    timed_out_.SetBounds(std::clamp(instances * kTimeoutSpacing / 2, kFirstPollDelay, longest_),
+                         std::clamp(instances * kTimeoutSpacing, kShortestMaxPollDelay, longest_));
   }
-  void OnPoll(Time now) { asked_ = now; }
-  // The gap until the next ask, us, after a call that failed or a subscription that ended.
+
+  // Records that a call was made at `now`.
+  void OnPoll(Time now) { polled_at_ = now; }
+
+  // Delay until the next poll, us, after a call that failed or a subscription that ended.
   Time NextDelay(Time now, double random) {
-    const bool waited = asked_ >= 0 && now - asked_ >= kWaited;
-    return (waited ? overdue_ : refused_).NextDelay(random);
+    const bool was_queued = polled_at_ >= 0 && now - polled_at_ >= kQueuedCallTime;
+    return (was_queued ? timed_out_ : refused_).NextDelay(random);
   }
+
+  // Records a response.
   void OnResponse() {
-    asked_ = -1;
+    polled_at_ = -1;
     refused_.Reset();
-    overdue_.Reset();
+    timed_out_.Reset();
   }
 
  private:
-  static constexpr Time kFirst = 1'000'000;     // us
-  static constexpr Time kLeast = 2'000'000;     // us: the longest gap of few hosts
-  static constexpr Time kEach = 100'000;        // us for each host: ten calls a second from all
-  static constexpr Time kEachRefused = 30'000;  // us: about what such a service takes for an answer
-  static constexpr Time kWaited = 1'000'000;    // us: by then a call was not refused, it waited
   Time longest_;
-  Time asked_ = -1;  // the call that has had no answer yet
-  Backoff refused_, overdue_;
+  Time polled_at_ = -1;  // of the call that has had no response yet; -1: none
+  Backoff refused_;
+  Backoff timed_out_;
 };
 
 }  // namespace walnutspur::limits
--- a/src/limits/decaying_counter.h
+++ b/src/limits/decaying_counter.h
@@ -1,4 +1,4 @@
-// A sum that fades with time. No I/O, clock or thread: the time comes with each call.
+// Sum that decays exponentially with time. No I/O, clock or thread: the time comes with each call.
 #ifndef WALNUTSPUR_LIMITS_DECAYING_COUNTER_H_
 #define WALNUTSPUR_LIMITS_DECAYING_COUNTER_H_
 
@@ -9,14 +9,25 @@
 
 namespace walnutspur::limits {
 
+// Largest exponent of a decay: beyond it nothing is left.
+constexpr double kMaxDecay = 20.0;
+
+// A decaying sum. Times passed to it never decrease.
 struct DecayingCounter {
-  double sum = 0;
-  Time at = 0;  // of its last change
-  // What is left of it at `now`; `fades` is the time, us, in which it falls to 1/e.
-  double Now(Time now, double fades) const {
-    return sum * std::exp(-std::clamp(double(now - at) / fades, 0.0, 20.0));
+  double sum = 0;  // as of changed_at
+  Time changed_at = 0;
+
+  // What is left of the sum at `now`; `decay_time` is the time (us) in which it falls to 1/e.
+  double Now(Time now, double decay_time) const {
+    const auto age = static_cast<double>(now - changed_at);
+    return sum * std::exp(-std::clamp(age / decay_time, 0.0, kMaxDecay));
+  }
+
+  // Adds `amount` at `now`.
+  void Add(double amount, Time now, double decay_time) {
+    sum = Now(now, decay_time) + amount;
+    changed_at = now;
   }
-  void Add(double units, Time now, double fades) { sum = Now(now, fades) + units, at = now; }
 };
 
 }  // namespace walnutspur::limits
--- a/src/limits/shutdown_deadline_estimate.h
+++ b/src/limits/shutdown_deadline_estimate.h
@@ -1,8 +1,10 @@
-// How long before the end of a program a connection has to be told that its next answer is the last.
+// Shutdown deadline estimate: how long before shutdown a connection's next response is to be marked as its
+// last.
 //
-// A client that sends on as soon as it is answered has a request out at any moment. If it is told too late,
-// that last request gets no answer in time; if it is told too early, it finds nobody to ask for that long. So
-// the time is what answers take at present, slow ones counting. No I/O, clock or thread; each front owns one.
+// A client that sends again after each response has a request in flight at any moment. If it learns of the
+// shutdown too late, its last request has no response in time; if too early, it has no server for that long.
+// So the lead time is what responses take at present, slow ones included. No I/O, clock or thread; each front
+// end owns one.
 #ifndef WALNUTSPUR_LIMITS_SHUTDOWN_DEADLINE_ESTIMATE_H_
 #define WALNUTSPUR_LIMITS_SHUTDOWN_DEADLINE_ESTIMATE_H_
 
@@ -12,24 +14,30 @@
 
 namespace walnutspur::limits {
 
+constexpr double kSlowResponseRise = 0.2;   // weight of a response slower than the estimate, and
+constexpr double kSlowResponseFall = 0.05;  // of a faster one, such that four fifths of responses are faster
+constexpr double kLeadTimeFactor = 1.5;     // of the estimate: the last responses come all at once
+constexpr Time kShortestLeadTime =
+    200'000;  // us: longer than idle connections are given (http/front_end.cpp)
+constexpr Time kLongestLeadTime = 1'000'000;  // us: beyond it most clients have disconnected
+
+// Estimate over the responses of one front end.
 class ShutdownDeadlineEstimate {
  public:
-  // An answer was given, `took` us after its request had come.
-  void OnResponse(Time took) {
-    const double gap = static_cast<double>(took) - slow_;
-    slow_ += (gap > 0 ? kRise : kFall) * gap;
+  // Records a response given `latency` us after its request arrived.
+  void OnResponse(Time latency) {
+    const double difference = static_cast<double>(latency) - slow_latency_;
+    slow_latency_ += (difference > 0 ? kSlowResponseRise : kSlowResponseFall) * difference;
   }
-  // With `left` us until all has to be answered: whether the next answer of each connection is its last.
-  bool IsLastResponse(Time left) const {
-    return left <= std::clamp(static_cast<Time>(kSpare * slow_), kLeast, kMost);
+
+  // Whether the next response of each connection is its last, with `remaining` us until shutdown.
+  bool IsLastResponse(Time remaining) const {
+    const auto lead_time = static_cast<Time>(kLeadTimeFactor * slow_latency_);
+    return remaining <= std::clamp(lead_time, kShortestLeadTime, kLongestLeadTime);
   }
 
  private:
-  static constexpr double kRise = 0.2, kFall = 0.05;  // so that four fifths of the answers take less
-  static constexpr double kSpare = 1.5;               // the last ones come all at once
-  static constexpr Time kLeast = 200'000;   // us: longer than idle connections are given (http/front_end.cpp)
-  static constexpr Time kMost = 1'000'000;  // us: beyond it most clients have lost interest
-  double slow_ = 0;                         // us
+  double slow_latency_ = 0;  // us
 };
 
 }  // namespace walnutspur::limits
--- a/src/routing/outcome_history.cpp
+++ b/src/routing/outcome_history.cpp
@@ -3,22 +3,26 @@
 namespace walnutspur::routing {
 namespace {
 
-constexpr double kFades = 5e6;    // us over which attempts tell
-constexpr double kBoxWeight = 1;  // attempts that the zone's risk is worth: the box's own soon outweigh it
-constexpr double kZoneWeight =
-    4;  // attempts that a zone without news is worth: a single time-out tells little
+constexpr double kDecayTime = 5e6;        // us over which outcomes are counted
+constexpr double kTargetPriorWeight = 1;  // outcomes: the target's own soon outweigh its zone's
+constexpr double kZonePriorWeight = 4;    // outcomes: a single time-out in a zone says little
 
 }  // namespace
 
-void OutcomeHistory::Record(bool bad, Time now) { (bad ? bad_ : good_).Add(1, now, kFades); }
+void OutcomeHistory::Record(bool failed, Time now) {
+  limits::DecayingCounter& counter = failed ? failures_ : successes_;
+  counter.Add(1, now, kDecayTime);
+}
 
-double OutcomeHistory::FailureProbability(double before, double weight, Time now) const {
-  const double bad = bad_.Now(now, kFades), good = good_.Now(now, kFades);
-  return (bad + before * weight) / (bad + good + weight);
+double OutcomeHistory::FailureProbability(double prior, double prior_weight, Time now) const {
+  const double failures = failures_.Now(now, kDecayTime);
+  const double successes = successes_.Now(now, kDecayTime);
+  return (failures + prior * prior_weight) / (failures + successes + prior_weight);
 }
 
-double FailureProbability(const OutcomeHistory& box, const OutcomeHistory& zone, Time now) {
-  return box.FailureProbability(zone.FailureProbability(0, kZoneWeight, now), kBoxWeight, now);
+double FailureProbability(const OutcomeHistory& target, const OutcomeHistory& zone, Time now) {
+  return target.FailureProbability(zone.FailureProbability(0, kZonePriorWeight, now), kTargetPriorWeight,
+                                   now);
 }
 
 }  // namespace walnutspur::routing
--- a/src/routing/outcome_history.h
+++ b/src/routing/outcome_history.h
@@ -1,9 +1,10 @@
-// How likely an attempt at a box comes to nothing, from what became of the last ones there and in its zone.
+// Outlier detection: the probability that an attempt at a target fails, from recent outcomes there and in its
+// zone.
 //
-// A box that fails fast looks idle, and one that is silent looks idle until its first time-out, so both draw
-// new work. Of a large fleet each host meets a box seldom: it learns of a lost zone box by box, too late,
-// unless silence at one of them counts for the others as well. No I/O, clock or thread; owned by the
-// Scheduler.
+// A target that fails fast looks idle, and one that is silent looks idle until its first time-out, so both
+// would attract new work. In a large fleet each instance seldom uses a target: it would learn of a failed
+// zone target by target, too late, unless silence at one of them counts for the others as well. No I/O, clock
+// or thread; owned by the scheduler's state.
 #ifndef WALNUTSPUR_ROUTING_OUTCOME_HISTORY_H_
 #define WALNUTSPUR_ROUTING_OUTCOME_HISTORY_H_
 
@@ -11,20 +12,23 @@
 
 namespace walnutspur::routing {
 
-// Attempts of a box, or of a zone, that came to nothing and that did not.
+// Failures and successes at a target, or in a zone.
 class OutcomeHistory {
  public:
-  void Record(bool bad, Time now);
-  // Between 0 and 1. `before` is what is believed while nothing is known, `weight` how many attempts that is
-  // worth.
-  double FailureProbability(double before, double weight, Time now) const;
+  // Counts an outcome at `now`.
+  void Record(bool failed, Time now);
+
+  // Failure probability, between 0 and 1. `prior` is the probability assumed without outcomes, `prior_weight`
+  // the number of outcomes that it counts as.
+  double FailureProbability(double prior, double prior_weight, Time now) const;
 
  private:
-  limits::DecayingCounter bad_, good_;
+  limits::DecayingCounter failures_;
+  limits::DecayingCounter successes_;
 };
 
-// The risk of an attempt at a box of a zone.
-double FailureProbability(const OutcomeHistory& box, const OutcomeHistory& zone, Time now);
+// Failure probability of an attempt at a target, with the history of its zone as the prior.
+double FailureProbability(const OutcomeHistory& target, const OutcomeHistory& zone, Time now);
 
 }  // namespace walnutspur::routing
 
--- a/tests/unit/limits_test.cpp
+++ b/tests/unit/limits_test.cpp
@@ -1,4 +1,4 @@
-// What a host may send to a cold box, and when hosts that failed together ask one service again.
+// Slow start, poll backoff and client abandonment.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -13,144 +13,184 @@
 namespace walnutspur::limits {
 namespace {
 
-constexpr Time kSecond = 1'000'000, kStart = 1000 * kSecond, kStep = 20'000;
+constexpr Time kSecond = 1'000'000;
+constexpr Time kStart = 1000 * kSecond;
+constexpr Time kStep = 20'000;
+constexpr Time kLongestDelay = 16 * kSecond;
 
 const Settings kSettings = [] {
-  Settings s;
-  s.rules.slow_start_duration = 17 * kSecond, s.rules.overload_window = 2 * kSecond;
-  s.rules.slow_start_fraction = 0.18, s.rules.overload_threshold = 2;
-  s.slow_start_units = 11, s.max_request_units = 6, s.instances = 100;
-  return s;
+  Settings settings;
+  settings.rules.slow_start_duration = 17 * kSecond;
+  settings.rules.overload_window = 2 * kSecond;
+  settings.rules.slow_start_fraction = 0.18;
+  settings.rules.overload_threshold = 2;
+  settings.slow_start_units = 11;
+  settings.max_request_units = 6;
+  settings.instances = 100;
+  return settings;
 }();
 
-// Whether a request left; one always waits.
-bool Leaves(SlowStart& cold, double units, double demand, Time now) {
-  const bool room = cold.Admits(kSettings, units, demand, now);
-  if (room) cold.OnSent(kSettings, units, now);
-  return room;
+// Sends a request of `units` if it is admitted, and says so; one is always queued.
+bool SendIfAdmitted(SlowStart& slow_start, double units, double demanded_rate, Time now) {
+  const bool admitted = slow_start.Admits(kSettings, units, demanded_rate, now);
+  if (admitted) {
+    slow_start.OnSent(kSettings, units, now);
+  }
+  return admitted;
 }
 
-// Units that leave within ten seconds after the start.
-double Sent(double usual, double demand) {
-  SlowStart cold;
-  cold.Start(kStart, kStart, usual, 0);
-  double sent = 0;
-  for (Time now = kStart; now < kStart + 10 * kSecond; now += kStep) sent += 2 * Leaves(cold, 2, demand, now);
-  return sent;
+// Units sent within ten seconds after the start.
+double UnitsSent(double steady_rate, double demanded_rate) {
+  SlowStart slow_start;
+  slow_start.Start(kStart, kStart, steady_rate, 0);
+  double units = 0;
+  for (Time now = kStart; now < kStart + 10 * kSecond; now += kStep) {
+    units += SendIfAdmitted(slow_start, 2, demanded_rate, now) ? 2 : 0;
+  }
+  return units;
+}
+
+// An endpoint list service that handles calls in turn, each 66 ms of work, times out what has been queued for
+// 2 s and handles it all the same. Returns how many instances that all call at once have no list after
+// `seconds`. `steady`: all call again within 1 s instead of backing off.
+int InstancesWithoutList(int instances, bool steady, int seconds) {
+  std::vector<PollBackoff> backoffs(static_cast<std::size_t>(instances),
+                                    PollBackoff(instances, kLongestDelay));
+  std::multimap<Time, std::size_t> calls;
+  for (std::size_t i = 0; i < backoffs.size(); ++i) {
+    calls.emplace(0, i);
+  }
+  std::minstd_rand random(7);
+  const auto draw = [&random] { return static_cast<double>(random() % 1000) / 1000; };
+  Time busy_until = 0;
+  for (; !calls.empty() && calls.begin()->first < seconds * kSecond; calls.erase(calls.begin())) {
+    const auto [now, instance] = *calls.begin();
+    backoffs[instance].OnPoll(now);
+    busy_until = std::max(busy_until, now) + 66'000;
+    if (busy_until - now <= 2 * kSecond) {
+      continue;
+    }
+    const Time timed_out_at = now + 2 * kSecond;
+    const Time backoff = backoffs[instance].NextDelay(timed_out_at, draw());
+    const Time delay = steady ? kSecond / 2 + static_cast<Time>(draw() * kSecond / 2) : backoff;
+    calls.emplace(timed_out_at + delay, instance);
+  }
+  return static_cast<int>(calls.size());
 }
 
 }  // namespace
 
-TEST_CASE("what a box served counts as of before it fell silent") {
-  SteadyStateRate lost, kept;
-  const Time end = kStart + 6 * kSecond, later = end + 6 * kSecond;
-  for (Time now = kStart; now < end; now += kSecond / 2) lost.Record(2, now), kept.Record(2, now);
-  lost.Suspend(end);
-  CHECK(lost.Rate(end, kStart) == doctest::Approx(4).epsilon(0.1));
-  CHECK(lost.Rate(later, kStart) == lost.Rate(end, kStart));
-  CHECK(kept.Rate(later, kStart) < 0.7 * kept.Rate(end, kStart));
-  lost.Record(2, later), kept.Record(2, later);  // nor does the gap count once it serves again
-  CHECK(lost.Rate(later, kStart) > 1.2 * kept.Rate(later, kStart));
+TEST_CASE("the steady-state rate stands still from the time that responses cease") {
+  SteadyStateRate suspended;
+  SteadyStateRate measured;
+  const Time end = kStart + 6 * kSecond;
+  const Time later = end + 6 * kSecond;
+  for (Time now = kStart; now < end; now += kSecond / 2) {
+    suspended.Record(2, now);
+    measured.Record(2, now);
+  }
+  suspended.Suspend(end);
+  CHECK(suspended.Rate(end, kStart) == doctest::Approx(4).epsilon(0.1));
+  CHECK(suspended.Rate(later, kStart) == suspended.Rate(end, kStart));
+  CHECK(measured.Rate(later, kStart) < 0.7 * measured.Rate(end, kStart));
+  suspended.Record(2, later);  // nor does the gap count once responses are back
+  measured.Record(2, later);
+  CHECK(suspended.Rate(later, kStart) > 1.2 * measured.Rate(later, kStart));
 }
 
-TEST_CASE("a host sends more where it is asked for more than it was served, and less where for nothing") {
-  const double own = Sent(1, 1);
-  CHECK(Sent(0, 4.0 / 3) == doctest::Approx(own).epsilon(0.2));
-  CHECK(Sent(1, 3) > 1.5 * own);
-  CHECK(Sent(1, 0) < 0.6 * own);
-  CHECK(Sent(0, 0) == 0);
+TEST_CASE("an instance sends more where demand is above its steady rate, and less where there is none") {
+  const double steady = UnitsSent(1, 1);
+  CHECK(UnitsSent(0, 4.0 / 3) == doctest::Approx(steady).epsilon(0.2));
+  CHECK(UnitsSent(1, 3) > 1.5 * steady);
+  CHECK(UnitsSent(1, 0) < 0.6 * steady);
+  CHECK(UnitsSent(0, 0) == 0);
 }
 
-TEST_CASE("hosts that were served all a box can do stay within the rule at any moment") {
-  std::vector<SlowStart> hosts(40);  // of one unit a second each; the box starts with the least
-  for (std::size_t i = 0; i < hosts.size(); ++i) hosts[i].Start(kStart, kStart, 1, double(i) / 40);
-  std::vector<Time> left;
+TEST_CASE("instances that were served a target's full capacity stay within the rule at any moment") {
+  std::vector<SlowStart> instances(40);  // of one unit a second each; the target starts with the least
+  for (std::size_t i = 0; i < instances.size(); ++i) {
+    instances[i].Start(kStart, kStart, 1, static_cast<double>(i) / 40);
+  }
+  std::vector<Time> sent;
   for (Time now = kStart; now < kStart + 17 * kSecond; now += kStep) {
-    for (SlowStart& host : hosts) left.insert(left.end(), Leaves(host, 1, 0.5, now), now);
-    const auto within = left.end() - std::upper_bound(left.begin(), left.end(), now - 2 * kSecond);
-    REQUIRE(double(within) <= 2 * 40 * 2 * (0.18 + 0.82 * double(now - kStart) / (17 * kSecond)));
+    for (SlowStart& instance : instances) {
+      sent.insert(sent.end(), SendIfAdmitted(instance, 1, 0.5, now) ? 1 : 0, now);
+    }
+    const auto within = sent.end() - std::upper_bound(sent.begin(), sent.end(), now - 2 * kSecond);
+    const double progress = static_cast<double>(now - kStart) / (17 * kSecond);
+    REQUIRE(static_cast<double>(within) <= 2 * 40 * 2 * (0.18 + 0.82 * progress));
   }
 }
 
-TEST_CASE("a warm box is not held back") {
-  SlowStart cold, old;
-  cold.Start(kStart, kStart, 0, 0), old.Start(0, kStart, 0, 0);
-  CHECK_FALSE(cold.Admits(kSettings, 6, 0, kStart + kSecond));
-  CHECK(cold.Admits(kSettings, 6, 0, kStart + 17 * kSecond));
+TEST_CASE("a target is not restricted after its slow start") {
+  SlowStart recent;
+  SlowStart old;
+  recent.Start(kStart, kStart, 0, 0);
+  old.Start(0, kStart, 0, 0);
+  CHECK_FALSE(recent.Admits(kSettings, 6, 0, kStart + kSecond));
+  CHECK(recent.Admits(kSettings, 6, 0, kStart + 17 * kSecond));
   CHECK(old.Admits(kSettings, 6, 0, kStart));
 }
 
-// A service that takes calls in turn, each 66 ms of work, fails what has waited for 2 s and works it off all
-// the same. How many hosts that all call at once have no list after `seconds`; `steady`: all try again within
-// 1 s.
-static int WithoutList(int hosts, bool steady, int seconds) {
-  std::vector<PollBackoff> calls(static_cast<std::size_t>(hosts), PollBackoff(hosts, 16 * kSecond));
-  std::multimap<Time, std::size_t> due;
-  for (std::size_t i = 0; i < calls.size(); ++i) due.emplace(0, i);
-  std::minstd_rand random(7);
-  const auto draw = [&random] { return double(random() % 1000) / 1000; };
-  for (Time busy = 0; !due.empty() && due.begin()->first < seconds * kSecond; due.erase(due.begin())) {
-    const auto [now, host] = *due.begin();
-    calls[host].OnPoll(now);
-    busy = std::max(busy, now) + 66'000;
-    if (busy - now <= 2 * kSecond) continue;
-    const Time gap = calls[host].NextDelay(now + 2 * kSecond, draw());
-    due.emplace(now + 2 * kSecond + (steady ? kSecond / 2 + Time(draw() * kSecond / 2) : gap), host);
-  }
-  return static_cast<int>(due.size());
-}
-
-// herd+vast: of 70 hosts that were restarted together none ever heard of the list again.
-TEST_CASE("a hundred hosts that call one service at the same moment all get through in the end") {
-  CHECK(WithoutList(100, true, 25) >= 60);
-  CHECK(WithoutList(100, false, 25) <= 5);
-  CHECK(WithoutList(5, false, 3) == 0);
+// In a large fleet, 70 instances that were restarted together never had the list again.
+TEST_CASE("a hundred instances that poll one service at the same moment all get the list in the end") {
+  CHECK(InstancesWithoutList(100, true, 25) >= 60);
+  CHECK(InstancesWithoutList(100, false, 25) <= 5);
+  CHECK(InstancesWithoutList(5, false, 3) == 0);
 }
 
-TEST_CASE("a call that was refused at once is made again soon, at first, whatever the number of hosts") {
-  PollBackoff calls(300, 16 * kSecond);
-  calls.OnPoll(kStart);
-  CHECK(calls.NextDelay(kStart + 5'000, 0.99) <= kSecond);
-  CHECK(calls.NextDelay(kStart + 2 * kSecond, 0.99) > 10 * kSecond);
-  for (int i = 0; i < 40; ++i) CHECK(calls.NextDelay(kStart, 0.99) <= 16 * kSecond);
-  calls.OnResponse();
-  CHECK(calls.NextDelay(kStart, 0.99) <= kSecond);
+TEST_CASE("a poll that was refused at once is soon retried at first, whatever the number of instances") {
+  PollBackoff backoff(300, kLongestDelay);
+  backoff.OnPoll(kStart);
+  CHECK(backoff.NextDelay(kStart + 5'000, 0.99) <= kSecond);
+  CHECK(backoff.NextDelay(kStart + 2 * kSecond, 0.99) > 10 * kSecond);
+  for (int i = 0; i < 40; ++i) {
+    CHECK(backoff.NextDelay(kStart, 0.99) <= kLongestDelay);
+  }
+  backoff.OnResponse();
+  CHECK(backoff.NextDelay(kStart, 0.99) <= kSecond);
 }
 
-// join+mass: watches that fell silent right after their first list were asked for again 4 to 16 s later.
+// In a joint run, subscriptions that fell silent right after their first list were renewed 4 to 16 s later.
 TEST_CASE(
-    "a subscription that breaks soon after its answer is asked for again soon, among any number of hosts") {
+    "a subscription that breaks soon after its response is soon renewed, among any number of instances") {
   for (const Time lasted : {kSecond, 4 * kSecond, 60 * kSecond}) {
-    PollBackoff calls(300, 16 * kSecond);
-    calls.OnPoll(kStart);
-    calls.OnResponse();
-    CHECK(calls.NextDelay(kStart + lasted, 0.99) <= kSecond);
-    CHECK(calls.NextDelay(kStart + lasted + 3 * kSecond, 0.99) <= 2 * kSecond);  // and again, refused at once
-    calls.OnPoll(kStart);  // one that waits in vain is still spread
-    CHECK(calls.NextDelay(kStart + 2 * kSecond, 0.99) > 10 * kSecond);
+    PollBackoff backoff(300, kLongestDelay);
+    backoff.OnPoll(kStart);
+    backoff.OnResponse();
+    CHECK(backoff.NextDelay(kStart + lasted, 0.99) <= kSecond);
+    CHECK(backoff.NextDelay(kStart + lasted + 3 * kSecond, 0.99) <=
+          2 * kSecond);      // and again, refused at once
+    backoff.OnPoll(kStart);  // one that times out is still spread
+    CHECK(backoff.NextDelay(kStart + 2 * kSecond, 0.99) > 10 * kSecond);
   }
 }
 
-TEST_CASE(
-    "where the fleet is known, its size sets the pace of asks and this host's part what a cold box may get") {
-  PollBackoff calls(300, 16 * kSecond);
-  calls.SetInstanceCount(5);
-  calls.OnPoll(kStart);
-  CHECK(calls.NextDelay(kStart + 2 * kSecond, 0.99) <= kSecond);
-  Settings known = kSettings;
-  known.traffic_fraction = 0.5;
-  SlowStart even, half;
-  even.Start(kStart, kStart, 0, 0), half.Start(kStart, kStart, 0, 0);
+TEST_CASE("a known fleet size sets the poll interval, and the traffic fraction the part of a slow start") {
+  PollBackoff backoff(300, kLongestDelay);
+  backoff.SetInstanceCount(5);
+  backoff.OnPoll(kStart);
+  CHECK(backoff.NextDelay(kStart + 2 * kSecond, 0.99) <= kSecond);
+  Settings half_traffic = kSettings;
+  half_traffic.traffic_fraction = 0.5;
+  SlowStart even;
+  SlowStart half;
+  even.Start(kStart, kStart, 0, 0);
+  half.Start(kStart, kStart, 0, 0);
   CHECK_FALSE(even.Admits(kSettings, 2, 0, kStart + 2 * kSecond));  // a hundredth
-  CHECK(half.Admits(known, 2, 0, kStart + 2 * kSecond));
+  CHECK(half.Admits(half_traffic, 2, 0, kStart + 2 * kSecond));
 }
 
-TEST_CASE("clients that leave at random do not make all work late, however many were refused before") {
-  AbandonmentEstimate bursts, all, none;
+TEST_CASE("clients that disconnect at random do not make all work late, however many were rejected before") {
+  AbandonmentEstimate bursts;
+  AbandonmentEstimate all;
+  AbandonmentEstimate none;
   Time now = kStart;
   for (int i = 0; i < 200; ++i, now += kSecond / 50) {
-    // One in eight leaves, soon; five are refused sooner than that, for their sake; two are answered.
-    bursts.Record(i % 8 == 0 ? 0.04 : i % 8 <= 5 ? 0.02 : 0.3, i % 8 == 0, now);
+    // One in eight disconnects, soon; five are rejected sooner than that, for their sake; two have responses.
+    const bool disconnects = i % 8 == 0;
+    const double rejected_or_served = i % 8 <= 5 ? 0.02 : 0.3;
+    bursts.Record(disconnects ? 0.04 : rejected_or_served, disconnects, now);
     all.Record(0.45, true, now);
     none.Record(1.5, false, now);
   }
@@ -158,31 +198,41 @@
   CHECK(all.SafeFraction(now) == doctest::Approx(0.45));
   CHECK(none.SafeFraction(now) == 1);
   CHECK(all.SafeFraction(now + 60 * kSecond) == 1);  // it was long ago
-  for (int i = 0; i < 1'000; ++i) all.Record(1.2, false, now);
+  for (int i = 0; i < 1'000; ++i) {
+    all.Record(1.2, false, now);
+  }
   CHECK(all.SafeFraction(now) == 1);
 }
 
-TEST_CASE("two of three clients leave at an age: work has to be done by then, though the others would stay") {
-  AbandonmentEstimate most;
-  for (int i = 0; i < 100; ++i) most.Record(i % 3 ? 0.25 : 0.9, i % 3, kStart);
-  CHECK(most.SafeFraction(kStart) == doctest::Approx(0.25));
+TEST_CASE(
+    "if two of three clients disconnect at an age, work has to be done by then though others would stay") {
+  AbandonmentEstimate estimate;
+  for (int i = 0; i < 100; ++i) {
+    const bool disconnects = i % 3 != 0;
+    estimate.Record(disconnects ? 0.25 : 0.9, disconnects, kStart);
+  }
+  CHECK(estimate.SafeFraction(kStart) == doctest::Approx(0.25));
 }
 
-// A change counts as told 6 s after discovery had it and could be reached: 2 s of it are for the call itself.
+// A change counts as announced 6 s after the service had it and could be reached: 2 s of it are for the call.
 TEST_CASE(
-    "few hosts ask again within 2 s however often calls failed; many spread over what discovery can bear") {
-  for (const int hosts : {1, 6, 20, 300}) {
-    PollBackoff refused(hosts, 16 * kSecond), waited(hosts, 16 * kSecond);
-    Time longest_refused = 0, longest_waited = 0, now = kStart;
+    "few instances retry within 2 s however often polls failed; many spread over what the service bears") {
+  for (const int instances : {1, 6, 20, 300}) {
+    PollBackoff refused(instances, kLongestDelay);
+    PollBackoff timed_out(instances, kLongestDelay);
+    Time longest_refused = 0;
+    Time longest_timed_out = 0;
+    Time now = kStart;
     for (int i = 0; i < 40; ++i, now += 20 * kSecond) {
-      refused.OnPoll(now), waited.OnPoll(now);
+      refused.OnPoll(now);
+      timed_out.OnPoll(now);
       longest_refused = std::max(longest_refused, refused.NextDelay(now + 1'000, 0.999));
-      longest_waited = std::max(longest_waited, waited.NextDelay(now + 2 * kSecond, 0.999));
+      longest_timed_out = std::max(longest_timed_out, timed_out.NextDelay(now + 2 * kSecond, 0.999));
     }
-    CHECK(longest_refused <= (hosts <= 20 ? 2 : 9) * kSecond);
-    CHECK(longest_waited <= (hosts <= 20 ? 2 : 16) * kSecond);
-    CHECK(longest_waited >=
-          hosts * kSecond / 20);  // 20 calls a second from all at most, while they wait in vain
+    CHECK(longest_refused <= (instances <= 20 ? 2 : 9) * kSecond);
+    CHECK(longest_timed_out <= (instances <= 20 ? 2 : 16) * kSecond);
+    // No more than 20 calls a second from all together while they time out.
+    CHECK(longest_timed_out >= instances * kSecond / 20);
   }
 }
 
