--- a/tests/net/checksummed_export_test.cpp
+++ b/tests/net/checksummed_export_test.cpp
@@ -31,7 +31,9 @@
 std::string RandomData(lab::Box& server, std::size_t size) {
   std::string data(size, '\0');
   server.WithDisk([&](lab::Disk& disk) {
-    for (char& c : data) c = static_cast<char>(disk.Draw(256));
+    for (char& c : data) {
+      c = static_cast<char>(disk.Draw(256));
+    }
   });
   return data;
 }
@@ -43,23 +45,14 @@
       : server_is_suitable(flags == lab::BoxOptions().flags), server(Options(paths, seed, flags)) {
     server.WithDisk([](lab::Disk& disk) {
       for (const auto& io : integrity::FormatPlan(kSize, integrity::kUsualJournal, 42)) {
-        if (io.kind == integrity::IoKind::kWrite) disk.Write(io.offset, io.data, true);
+        if (io.kind == integrity::IoKind::kWrite) {
+          disk.Write(io.offset, io.data, true);
+        }
       }
     });
     server.Start();
     ListTarget("SERVING");
-    std::string text =
-        "listen = \"127.0.0.1:0\"\nunit_bytes = 65536\n[commands]\nread = \"read\"\nwrite = \"write\"\nflush "
-        "= \"write\"\n"
-        "[[box]]\nid = \"a\"\naddress = \"127.0.0.1:" +
-        std::to_string(server.port(0)) + "\"\npaths = [";
-    for (int path = 1; path < paths; ++path)
-      text += (path > 1 ? ", " : "") + std::string("\"127.0.0.1:") + std::to_string(server.port(path)) + "\"";
-    text +=
-        "]\n[[export]]\nname = \"letters\"\nvolume = \"v\"\nplan = \"basic\"\nshard = 0\nbox = \"a\"\n"
-        "remote = \"disk\"\nchecksums = true\nsize = " +
-        std::to_string(kSize) + "\n";
-    options.nbd = folder.Put("nbd.toml", text);
+    options.nbd = folder.Put("nbd.toml", DeployFile(paths));
     options.folder = folder.path();
     options.scrub.on = scrub;
     options.scrub.job.requests_a_second = 400;
@@ -69,6 +62,21 @@
   }
   ~ExportFixture() { StopInitiator(); }
 
+  // The deploy file: one target with so many paths and one checksummed export.
+  std::string DeployFile(int paths) const {
+    std::string text =
+        "listen = \"127.0.0.1:0\"\nunit_bytes = 65536\n[commands]\nread = \"read\"\nwrite = \"write\"\nflush "
+        "= \"write\"\n"
+        "[[box]]\nid = \"a\"\naddress = \"127.0.0.1:" +
+        std::to_string(server.port(0)) + "\"\npaths = [";
+    for (int path = 1; path < paths; ++path) {
+      text += (path > 1 ? ", " : "") + std::string("\"127.0.0.1:") + std::to_string(server.port(path)) + "\"";
+    }
+    return text +
+           "]\n[[export]]\nname = \"letters\"\nvolume = \"v\"\nplan = \"basic\"\nshard = 0\nbox = \"a\"\n"
+           "remote = \"disk\"\nchecksums = true\nsize = " +
+           std::to_string(kSize) + "\n";
+  }
   static lab::BoxOptions Options(int paths, std::uint64_t seed, std::uint16_t flags) {
     lab::BoxOptions options;
     options.size = kSize;
@@ -94,14 +102,18 @@
     client = Connect();
     // Until the endpoint list has arrived a read is rejected or waits.
     const int attempts = server_is_suitable ? 200 : 1;
-    for (int i = 0; i < attempts && client->Read(0, 512).error != nbd::kOk; ++i) poll(nullptr, 0, 10);
+    for (int i = 0; i < attempts && client->Read(0, 512).error != nbd::kOk; ++i) {
+      poll(nullptr, 0, 10);
+    }
   }
+  // Detaches the client and stops the initiator.
   void StopInitiator() {
     client.reset();
     initiator->Halt();
     thread.join();
     initiator.reset();
   }
+  // A new client of the export.
   std::unique_ptr<nbd::BlockingClient> Connect() {
     return std::make_unique<nbd::BlockingClient>(
         "127.0.0.1:" + std::to_string(initiator->nbd_front()->port()), "letters");
@@ -116,12 +128,14 @@
     }
     return reply;
   }
+  // Writes and reads through the client.
   nbd::Reply Put(std::uint64_t offset, const std::string& data) {
     return RetryRejected([&] { return client->Write(offset, data); });
   }
   nbd::Reply Get(std::uint64_t offset, std::uint32_t length) {
     return RetryRejected([&] { return client->Read(offset, length); });
   }
+  // Writes random blocks and remembers them in `content`.
   void Write(std::uint64_t block, std::size_t blocks = 1) {
     const std::string data = RandomData(server, blocks * kBlock);
     REQUIRE(Put(block * kBlock, data).error == nbd::kOk);
@@ -132,7 +146,9 @@
     for (int i = 0; i < 400; ++i) {
       const std::uint64_t before = server.commands();
       poll(nullptr, 0, 300);
-      if (server.commands() == before) return;
+      if (server.commands() == before) {
+        return;
+      }
     }
     FAIL("checkpoints never end");
   }
@@ -141,12 +157,18 @@
   std::optional<integrity::Entry> FindCorruption(std::uint64_t block) {
     for (int i = 0; i < 14; ++i) {
       const nbd::Reply reply = client->Read(block * kBlock, kBlock);
-      if (reply.error == nbd::kOk) CHECK(nbd::DataOf(reply) == content.substr(block * kBlock, kBlock));
+      if (reply.error == nbd::kOk) {
+        CHECK(nbd::DataOf(reply) == content.substr(block * kBlock, kBlock));
+      }
       integrity::Ledger ledger;
       std::string what;
       integrity::LedgerFile(folder.path()).Load(&ledger, &what);
-      if (const auto* entry = ledger.Find({"a", "disk", block})) return *entry;
-      if (i > 2) poll(nullptr, 0, 300);
+      if (const auto* entry = ledger.Find({"a", "disk", block})) {
+        return *entry;
+      }
+      if (i > 2) {
+        poll(nullptr, 0, 300);
+      }
     }
     FAIL("nothing was found of block ", block);
     return std::nullopt;
@@ -172,8 +194,9 @@
     fixture.content.replace(offset, data.size(), data);
   }
   const auto all = [&] {
-    for (std::uint64_t at = 0; at < (1 << 20); at += 65536)
+    for (std::uint64_t at = 0; at < (1 << 20); at += 65536) {
       CHECK(nbd::DataOf(fixture.Get(at, 65536)) == fixture.content.substr(at, 65536));
+    }
   };
   all();
   REQUIRE(fixture.RetryRejected([&] { return fixture.client->Flush(); }).error == nbd::kOk);
@@ -198,7 +221,9 @@
     lab::Fault lost_write{Damage::kLost, -1, 2 * kBlock, 3 * kBlock};
     lab::Fault astray{Damage::kAstray, -1, 5 * kBlock, 6 * kBlock, 9 * kBlock};
     lab::Fault torn{Damage::kTorn, -1, 12 * kBlock, 13 * kBlock};
-    for (const auto& fault : {lost_write, astray, torn}) fixture.server.Add(fault);
+    for (const auto& fault : {lost_write, astray, torn}) {
+      fixture.server.Add(fault);
+    }
     fixture.Write(2);
     fixture.Write(5);
     fixture.Write(12);
@@ -221,9 +246,12 @@
     CHECK(wide.error == nbd::kIo);
     CHECK(wide.bad ==
           std::vector<std::uint64_t>{2 * kBlock, 5 * kBlock, 9 * kBlock, 12 * kBlock, 14 * kBlock});
-    for (const nbd::Piece& piece : wide.partial)
+    for (const nbd::Piece& piece : wide.partial) {
       CHECK(piece.data == fixture.content.substr(piece.offset, piece.data.size()));
-    for (const std::uint64_t block : {2, 5, 9, 12, 14}) fixture.Write(block);
+    }
+    for (const std::uint64_t block : {2, 5, 9, 12, 14}) {
+      fixture.Write(block);
+    }
     CHECK(fixture.Get(0, 16 * kBlock).error == nbd::kOk);
   }
 }
@@ -243,7 +271,9 @@
         nbd::kNoMemory);  // rejected: it never ran
   CHECK(fixture.server.commands() == commands_before);
   fixture.ListTarget("SERVING");
-  for (int i = 0; i < 200 && fixture.client->Read(0, 512).error != nbd::kOk; ++i) poll(nullptr, 0, 5);
+  for (int i = 0; i < 200 && fixture.client->Read(0, 512).error != nbd::kOk; ++i) {
+    poll(nullptr, 0, 5);
+  }
   CHECK(nbd::DataOf(fixture.Get(0, 8 * kBlock)) == fixture.content.substr(0, 8 * kBlock));
 }
 
@@ -267,7 +297,9 @@
   for (const std::uint16_t lacks : {nbd::kSendFlush, std::uint16_t(nbd::kSendFua | nbd::kCanMultiConn)}) {
     ExportFixture fixture(1, false, 1, static_cast<std::uint16_t>(lab::BoxOptions().flags & ~lacks));
     const std::string before = fixture.server.WithDisk([](lab::Disk& disk) { return disk.Read(0, kSize); });
-    for (int i = 0; i < 2; ++i) CHECK(fixture.client->Write(0, std::string(kBlock, 'x')).error != nbd::kOk);
+    for (int i = 0; i < 2; ++i) {
+      CHECK(fixture.client->Write(0, std::string(kBlock, 'x')).error != nbd::kOk);
+    }
     CHECK(fixture.server.WithDisk([](lab::Disk& disk) { return disk.Read(0, kSize); }) == before);
   }
 }
@@ -341,7 +373,9 @@
   fixture.initiator = std::make_unique<app::Initiator>(app::ParseConfig(json), fixture.options);
   fixture.thread = std::thread([&] { fixture.initiator->Run(); });
   fixture.client = fixture.Connect();
-  for (int i = 0; i < 5; ++i) CHECK(fixture.client->Write(0, std::string(kBlock, 'x')).error != nbd::kOk);
+  for (int i = 0; i < 5; ++i) {
+    CHECK(fixture.client->Write(0, std::string(kBlock, 'x')).error != nbd::kOk);
+  }
   CHECK(fixture.server.WithDisk([](lab::Disk& disk) { return disk.Read(0, kSize); }) == before);
 }
 
--- a/tests/net/connection_race_test.cpp
+++ b/tests/net/connection_race_test.cpp
@@ -33,6 +33,7 @@
     pool.reset();
     event_base_loop(base.get(), EVLOOP_NONBLOCK);
   }
+  // Starts an attempt at target a, which must begin by `start_by` where that is not 0.
   void Start(core::RequestNumber request_number, Time start_by = 0, int attempt = 0) {
     auto request = std::make_shared<http::Request>();
     request->uri = "/api/" + std::to_string(request_number);
@@ -56,6 +57,7 @@
     REQUIRE(ReadHttpMessage(connection, &message, 1'000));
     return message.start_line.substr(0, message.start_line.find(" HTTP"));
   }
+  // The next connection that the pool makes.
   Socket Accept() {
     RunUntil([&] { return listener.Readable(0); });
     return listener.Accept();
@@ -85,7 +87,9 @@
   }
   // Accepts the connections that fill the queue.
   void Clear(const Socket& listener) {
-    for (int i = 0; i < 2 && listener.Readable(20); ++i) accepted_.push_back(listener.Accept());
+    for (int i = 0; i < 2 && listener.Readable(20); ++i) {
+      accepted_.push_back(listener.Accept());
+    }
   }
 
  private:
--- a/tests/net/digest_http_test.cpp
+++ b/tests/net/digest_http_test.cpp
@@ -19,7 +19,9 @@
 // A step that sends the bytes, escaped.
 std::string SendStep(const std::string& who, const std::string& bytes) {
   std::string line = who + " send bytes \"";
-  for (const char c : bytes) line += c == '\r' ? "\\r" : c == '\n' ? "\\n" : std::string(1, c);
+  for (const char c : bytes) {
+    line += c == '\r' ? "\\r" : c == '\n' ? "\\n" : std::string(1, c);
+  }
   return line + "\"";
 }
 
--- a/tests/net/disconnect_race_test.cpp
+++ b/tests/net/disconnect_race_test.cpp
@@ -45,7 +45,9 @@
   Socket connection;  // outlives the runner
   ScenarioRunner runner(Protocol::kHttp);
   runner.Play(SendRead("c", '1') + "client c expect nothing 20");
-  if (!behind.empty()) runner.Play("client c send bytes \"" + behind + "\"");
+  if (!behind.empty()) {
+    runner.Play("client c send bytes \"" + behind + "\"");
+  }
   runner.Play(reset ? "client c close reset" : "client c close");
   runner.WriteDiscovery(
       R"({"revision":99,"complete":false,"members":[{"id":"h","phase":"SERVING","cell":2,"host_port":"127.0.0.1:)" +
@@ -78,7 +80,8 @@
   config["settings"]["classes"][1]["memorySpan"] = 5'000'000;
   ScenarioRunner runner(Protocol::kHttp, config);
   const auto put = [](const std::string& keys) {
-    return "client c send bytes \"PUT /api/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\\r\\nX-Request-Id: "
+    return "client c send bytes \"PUT " + kObjectPath +
+           " HTTP/1.1\\r\\nX-Request-Id: "
            "9b1f03aa5c7e2d41\\r\\nX-Class: write\\r\\nX-Plan: basic\\r\\nX-Deadline: 1.2\\r\\nX-IO: "
            "units=1,shard=0,hosts=1\\r\\n" +
            keys + "Content-Length: 0\\r\\n\\r\\n\"\n";
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -169,13 +169,13 @@
   HttpMessage response;
   const Time end = core::Now() + 4'000'000;
   do {
-    client.Send("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n");
+    client.Send(kReadinessRequest);
     CHECK(ReadHttpMessage(client, &response, 1'000));
   } while (response.start_line.find("503") != std::string::npos && core::Now() < end);
   CHECK(response.start_line == "HTTP/1.1 200 OK");
-  client.Send(
-      "GET /api/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\nX-Request-Id: 9b1f03aa5c7e2d41\r\nX-Class: "
-      "quick\r\nX-Plan: basic\r\nX-Deadline: 1.2\r\nX-IO: units=1,shard=0,hosts=1\r\n\r\n");
+  client.Send("GET " + kObjectPath +
+              " HTTP/1.1\r\nX-Request-Id: 9b1f03aa5c7e2d41\r\nX-Class: quick\r\nX-Plan: basic\r\nX-Deadline: "
+              "1.2\r\nX-IO: units=1,shard=0,hosts=1\r\n\r\n");
   CHECK(ReadHttpMessage(client, &response, 4'000));
   CHECK(response.Status() == "503");
   initiator.Halt();
--- a/tests/net/endpoint_list_test.cpp
+++ b/tests/net/endpoint_list_test.cpp
@@ -24,8 +24,9 @@
     result.objects.push_back(object);
     return true;
   });
-  for (std::size_t at = 0; at < text.size() && result.error.empty(); at += piece)
+  for (std::size_t at = 0; at < text.size() && result.error.empty(); at += piece) {
     result.error = stream.Feed(std::string_view(text).substr(at, piece));
+  }
   return result;
 }
 
@@ -39,7 +40,8 @@
 }  // namespace
 
 TEST_CASE("an object ends at its closing brace: indented, escaped, in pieces, several on a line") {
-  const std::string one = Revision(7, 2), two = Revision(8, -1);
+  const std::string one = Revision(7, 2);
+  const std::string two = Revision(8, -1);
   for (const std::size_t piece : {std::size_t{1}, std::size_t{7}, std::size_t{100'000}}) {
     const auto [objects, error] = ReadObjects("\n" + one + two + " " + one + "\n\n", piece);
     CHECK(error == "");
--- a/tests/net/engine_test.cpp
+++ b/tests/net/engine_test.cpp
@@ -12,6 +12,7 @@
 
 constexpr Time kMs = 1'000;
 
+// One class with an objective of 200 ms and a deadline of 600 ms, and two attempts.
 Settings OneClass(Idempotency idempotency) {
   Settings settings;
   RequestClass request_class;
@@ -32,28 +33,36 @@
     entry.target = "t";
     Handle(core::EndpointsUpdated{{EndpointUpdateKind::kFull, {entry}}});
   }
+  // Handles one input and records the outputs.
   void Handle(const core::Input& input) {
-    for (auto& output : engine.Handle(input, now)) outputs.push_back(output);
+    for (auto& output : engine.Handle(input, now)) {
+      outputs.push_back(output);
+    }
   }
-  void Arrive(core::RequestNumber request_number = 1) {
+  // Receives a request of shard 0 that expires in 600 ms.
+  void ReceiveRequest(core::RequestNumber request_number = 1) {
     core::RequestReceived arrived;
     arrived.request = request_number;
     arrived.attributes.shard = 0;
     arrived.deadline = now + 600 * kMs;
     Handle(arrived);
   }
-  void End(int attempt, Outcome outcome, core::RequestNumber request_number = 1) {
+  // Reports the result of an attempt.
+  void FinishAttempt(int attempt, Outcome outcome, core::RequestNumber request_number = 1) {
     core::AttemptResult ended;
     ended.request = request_number;
     ended.attempt = attempt;
     ended.outcome = outcome;
     Handle(ended);
   }
+  // The outputs of one type, in order.
   template <typename T>
-  std::vector<T> Of() const {
+  std::vector<T> OutputsOf() const {
     std::vector<T> found;
     for (const auto& output : outputs) {
-      if (const T* one = std::get_if<T>(&output)) found.push_back(*one);
+      if (const T* match = std::get_if<T>(&output)) {
+        found.push_back(*match);
+      }
     }
     return found;
   }
@@ -80,15 +89,19 @@
     arrived.attributes.shard = 0;
     arrived.deadline = fixture.now + 600 * kMs;
     fixture.Handle(arrived);
-    if (i % 4 == 0) fixture.Handle(core::ClientClosed{arrived.request});
+    if (i % 4 == 0) {
+      fixture.Handle(core::ClientClosed{arrived.request});
+    }
     fixture.now += 100 * kMs;
-    fixture.End(0, i % 4 == 0 ? Outcome::kCancelled : Outcome::kCompleted, arrived.request);
+    fixture.FinishAttempt(0, i % 4 == 0 ? Outcome::kCancelled : Outcome::kCompleted, arrived.request);
     for (int tick = 0; tick < 20; ++tick) {
       fixture.now += 20 * kMs;
       fixture.Handle(core::TimerExpired{0});
     }
     fixture.outputs.clear();
-    if (i == 150) early = fixture.engine.table_entries();
+    if (i == 150) {
+      early = fixture.engine.table_entries();
+    }
   }
   CHECK(fixture.engine.open_requests() == 0);
   CHECK(fixture.engine.table_entries() <= early + 4);
@@ -110,84 +123,84 @@
     fixture.Handle(arrived);
   };
   const auto repeated = [&] {
-    const auto responses = fixture.Of<core::Response>();
+    const auto responses = fixture.OutputsOf<core::Response>();
     return !responses.empty() && responses.back().status == core::ResponseStatus::kDuplicate;
   };
   arrive(1);
-  REQUIRE(fixture.Of<core::StartAttempt>().size() == 1);
+  REQUIRE(fixture.OutputsOf<core::StartAttempt>().size() == 1);
   fixture.Handle(core::ClientClosed{1});
   arrive(2);
   CHECK(repeated());
-  CHECK(fixture.Of<core::StartAttempt>().size() == 1);
-  fixture.End(0, Outcome::kCancelled);
+  CHECK(fixture.OutputsOf<core::StartAttempt>().size() == 1);
+  fixture.FinishAttempt(0, Outcome::kCancelled);
   fixture.outputs.clear();
   arrive(3);
   CHECK_FALSE(repeated());
-  CHECK(fixture.Of<core::StartAttempt>().size() == 1);
+  CHECK(fixture.OutputsOf<core::StartAttempt>().size() == 1);
 }
 
 TEST_CASE("attempts are numbered in order and one response ends a request") {
   EngineFixture fixture(Idempotency::kIdempotent);
-  fixture.Arrive();
-  fixture.End(0, Outcome::kErrored);
-  fixture.End(1, Outcome::kCompleted);
-  const auto attempts = fixture.Of<core::StartAttempt>();
+  fixture.ReceiveRequest();
+  fixture.FinishAttempt(0, Outcome::kErrored);
+  fixture.FinishAttempt(1, Outcome::kCompleted);
+  const auto attempts = fixture.OutputsOf<core::StartAttempt>();
   REQUIRE(attempts.size() == 2);
   CHECK(attempts[0].attempt == 0);
   CHECK(attempts[1].attempt == 1);
-  REQUIRE(fixture.Of<core::Response>().size() == 1);
-  CHECK(fixture.Of<core::Response>()[0].status == core::ResponseStatus::kServed);
+  REQUIRE(fixture.OutputsOf<core::Response>().size() == 1);
+  CHECK(fixture.OutputsOf<core::Response>()[0].status == core::ResponseStatus::kServed);
   CHECK(fixture.engine.open_requests() == 0);
 }
 
 TEST_CASE("an outcome reported twice counts once") {
   EngineFixture fixture(Idempotency::kIdempotent);
-  fixture.Arrive();
-  fixture.End(0, Outcome::kErrored);
-  fixture.End(0, Outcome::kErrored);
-  fixture.End(0, Outcome::kCompleted);
-  CHECK(fixture.Of<core::StartAttempt>().size() == 2);
-  CHECK(fixture.Of<core::Response>().empty());
-  fixture.End(1, Outcome::kErrored);
-  fixture.End(1, Outcome::kCompleted);
-  CHECK(fixture.Of<core::Response>().size() == 1);
+  fixture.ReceiveRequest();
+  fixture.FinishAttempt(0, Outcome::kErrored);
+  fixture.FinishAttempt(0, Outcome::kErrored);
+  fixture.FinishAttempt(0, Outcome::kCompleted);
+  CHECK(fixture.OutputsOf<core::StartAttempt>().size() == 2);
+  CHECK(fixture.OutputsOf<core::Response>().empty());
+  fixture.FinishAttempt(1, Outcome::kErrored);
+  fixture.FinishAttempt(1, Outcome::kCompleted);
+  CHECK(fixture.OutputsOf<core::Response>().size() == 1);
 }
 
 TEST_CASE("a non-idempotent request that may have run fails and is never retried") {
   for (const Outcome outcome :
        {Outcome::kErrored, Outcome::kConnectionReset, Outcome::kTimedOut, Outcome::kCancelled}) {
     EngineFixture fixture(Idempotency::kNotIdempotent);
-    fixture.Arrive();
-    fixture.End(0, outcome);
-    CHECK(fixture.Of<core::StartAttempt>().size() == 1);
-    REQUIRE(fixture.Of<core::Response>().size() == 1);
-    CHECK(fixture.Of<core::Response>()[0].status == core::ResponseStatus::kFailed);
+    fixture.ReceiveRequest();
+    fixture.FinishAttempt(0, outcome);
+    CHECK(fixture.OutputsOf<core::StartAttempt>().size() == 1);
+    REQUIRE(fixture.OutputsOf<core::Response>().size() == 1);
+    CHECK(fixture.OutputsOf<core::Response>()[0].status == core::ResponseStatus::kFailed);
   }
 }
 
 TEST_CASE("a deadline that expires with an attempt in flight ends both, once") {
   EngineFixture fixture(Idempotency::kNotIdempotent);
-  fixture.Arrive();
+  fixture.ReceiveRequest();
   fixture.now += 605 * kMs;
   fixture.Handle(core::DeadlineExpired{1});
-  CHECK(fixture.Of<core::AbortAttempt>().size() == 1);
-  REQUIRE(fixture.Of<core::Response>().size() == 1);
-  CHECK(fixture.Of<core::Response>()[0].status == core::ResponseStatus::kTimedOut);
-  fixture.End(0, Outcome::kCompleted);
+  CHECK(fixture.OutputsOf<core::AbortAttempt>().size() == 1);
+  REQUIRE(fixture.OutputsOf<core::Response>().size() == 1);
+  CHECK(fixture.OutputsOf<core::Response>()[0].status == core::ResponseStatus::kTimedOut);
+  fixture.FinishAttempt(0, Outcome::kCompleted);
   fixture.Handle(core::DeadlineExpired{1});
   fixture.Handle(core::ClientClosed{1});
-  CHECK(fixture.Of<core::Response>().size() == 1);
+  CHECK(fixture.OutputsOf<core::Response>().size() == 1);
   CHECK(fixture.engine.open_requests() == 0);
 }
 
 TEST_CASE("a client that disconnects gets no response, and its attempt is cancelled") {
   EngineFixture fixture(Idempotency::kIdempotent);
-  fixture.Arrive();
+  fixture.ReceiveRequest();
   fixture.Handle(core::ClientClosed{1});
-  CHECK(fixture.Of<core::AbortAttempt>().size() == 1);
+  CHECK(fixture.OutputsOf<core::AbortAttempt>().size() == 1);
   CHECK(fixture.engine.open_requests() == 1);  // until the attempt has ended
-  fixture.End(0, Outcome::kCancelled);
-  CHECK(fixture.Of<core::Response>().empty());
+  fixture.FinishAttempt(0, Outcome::kCancelled);
+  CHECK(fixture.OutputsOf<core::Response>().empty());
   CHECK(fixture.engine.open_requests() == 0);
 }
 
@@ -197,11 +210,11 @@
   entry.target = "t";
   entry.state = EndpointState::kDraining;
   fixture.Handle(core::EndpointsUpdated{{EndpointUpdateKind::kDelta, {entry}}});
-  CHECK(fixture.Of<core::DrainTarget>().size() == 1);
+  CHECK(fixture.OutputsOf<core::DrainTarget>().size() == 1);
   entry.state = EndpointState::kActive;
   fixture.Handle(core::EndpointsUpdated{{EndpointUpdateKind::kDelta, {entry}}});
   fixture.Handle(core::EndpointsUpdated{{EndpointUpdateKind::kFull, {}}});
-  CHECK(fixture.Of<core::DrainTarget>().size() == 2);
+  CHECK(fixture.OutputsOf<core::DrainTarget>().size() == 2);
 }
 
 TEST_CASE("the queue delivers all items of each thread in order") {
@@ -209,7 +222,9 @@
   std::vector<std::thread> writers;
   for (int writer = 0; writer < 4; ++writer) {
     writers.emplace_back([&queue, writer] {
-      for (int i = 0; i < 1000; ++i) queue.Push(writer * 1000 + i);
+      for (int i = 0; i < 1000; ++i) {
+        queue.Push(writer * 1000 + i);
+      }
     });
   }
   std::vector<int> last(4, -1);
@@ -221,7 +236,9 @@
       ++count;
     }
   }
-  for (std::thread& writer : writers) writer.join();
+  for (std::thread& writer : writers) {
+    writer.join();
+  }
   queue.Close();
   CHECK(queue.Wait().empty());
 }
--- a/tests/net/http_front_end_test.cpp
+++ b/tests/net/http_front_end_test.cpp
@@ -54,17 +54,13 @@
     client c expect text stored)");
 }
 
-// A request and the status that rejects it.
-struct RejectedRequest {
-  std::string text;
-  const char* status;
-};
-
 TEST_CASE("malformed input gets a 4xx and never reaches a target") {
   const std::string& path = kObjectPath;
-  const std::string id = "X-Request-Id: 9b1f03aa5c7e2d41\r\n", request_class = "X-Class: read\r\n",
-                    plan = "X-Plan: basic\r\n", deadline = "X-Deadline: 0.3\r\n",
-                    io = "X-IO: units=1,shard=0,hosts=1\r\n";
+  const std::string id = "X-Request-Id: 9b1f03aa5c7e2d41\r\n";
+  const std::string request_class = "X-Class: read\r\n";
+  const std::string plan = "X-Plan: basic\r\n";
+  const std::string deadline = "X-Deadline: 0.3\r\n";
+  const std::string io = "X-IO: units=1,shard=0,hosts=1\r\n";
   const auto get = [&](const std::string& target, const std::string& headers) {
     return "GET " + target + " HTTP/1.1\r\nHost: s\r\n" + headers + "\r\n";
   };
@@ -170,12 +166,16 @@
   ScenarioRunner runner(Protocol::kHttp);
   std::vector<Socket> many;
   int fds[13];
-  for (int& fd : fds) fd = socket(AF_INET, SOCK_STREAM, 0);
+  for (int& fd : fds) {
+    fd = socket(AF_INET, SOCK_STREAM, 0);
+  }
   const int used = dup(0);
   close(used);
   const rlimit exhausted{static_cast<rlim_t>(used), before.rlim_max};  // none is free to accept with
   setrlimit(RLIMIT_NOFILE, &exhausted);
-  for (const int fd : fds) many.push_back(Socket::Connect(runner.http_port(), fd));
+  for (const int fd : fds) {
+    many.push_back(Socket::Connect(runner.http_port(), fd));
+  }
   runner.Play("wait 150");
   many.clear();
   runner.Play("wait 150");
@@ -196,11 +196,15 @@
     socket = Socket::Connect(runner.http_port());
     socket.Send(kReadinessRequest);
   };
-  for (Socket& socket : idle) send_request(socket);
+  for (Socket& socket : idle) {
+    send_request(socket);
+  }
   HttpMessage response;
   // Each is served in the end: one that was closed before its request was read retries, as clients do.
   for (Socket& socket : idle) {
-    if (ReadHttpMessage(socket, &response, 4'000)) continue;
+    if (ReadHttpMessage(socket, &response, 4'000)) {
+      continue;
+    }
     send_request(socket);
     CHECK(ReadHttpMessage(socket, &response, 4'000));
   }
--- a/tests/net/http_message.h
+++ b/tests/net/http_message.h
@@ -29,6 +29,12 @@
   std::string Status() const;
 };
 
+// A request and the status that rejects it.
+struct RejectedRequest {
+  std::string text;
+  const char* status;
+};
+
 // Reads one message, waiting up to `ms` milliseconds for each piece of it. False where it does not get all of
 // it.
 bool ReadHttpMessage(Socket& socket, HttpMessage* message, int ms);
--- a/tests/net/malformed_message_test.cpp
+++ b/tests/net/malformed_message_test.cpp
@@ -71,7 +71,9 @@
     client c expect served
     client c expect text whole)");
   for (std::size_t size = 1; size <= response.size(); ++size) {
-    if (response[size - 1] == '\\') continue;  // inside an escape
+    if (response[size - 1] == '\\') {
+      continue;  // inside an escape
+    }
     CAPTURE(size);
     runner.Play(play_write(response.substr(0, size)) + R"(
       target a close reset
@@ -133,7 +135,9 @@
       std::string(
           "client c send write\n target a expect write\n target a send bytes \"HTTP/1.1 200 OK\\r\\n") +
       "Content-Length: 4\\r\\n\\r\\nmine" + surplus + "\"" + later_steps);
-  if (!*later_steps) runner.Play("client c expect served");
+  if (!*later_steps) {
+    runner.Play("client c expect served");
+  }
   runner.Play(R"(
     client c expect text mine
     client c send read
--- a/tests/net/misbehaving_client_test.cpp
+++ b/tests/net/misbehaving_client_test.cpp
@@ -27,16 +27,12 @@
   Socket socket = Socket::Connect(runner.http_port());
   socket.Send(text);
   HttpMessage response;
-  if (ReadHttpMessage(socket, &response, ms)) return response.Status();
+  if (ReadHttpMessage(socket, &response, ms)) {
+    return response.Status();
+  }
   return socket.fd() < 0 ? "closed" : "nothing";
 }
 
-// A request and the status that rejects it.
-struct RejectedRequest {
-  std::string text;
-  const char* status;
-};
-
 TEST_CASE("a request of ambiguous length reaches no target, nor does the request that it may smuggle") {
   const std::string smuggled = WriteRequest("Content-Length: 0\r\n\r\n");
   const std::string size = std::to_string(smuggled.size());
@@ -90,7 +86,9 @@
   Socket socket = Socket::Connect(runner.http_port());
   const Time before = core::Now();
   socket.Send("GET " + kObjectPath + " HTTP/1.1\r\n");
-  while (!socket.Readable(100) && core::Now() - before < 4'000'000) socket.Send("X: y\r\n");
+  while (!socket.Readable(100) && core::Now() - before < 4'000'000) {
+    socket.Send("X: y\r\n");
+  }
   CHECK(core::Now() - before < 3'000'000);
 }
 
@@ -100,7 +98,9 @@
   const Time before = core::Now();
   socket.Send(WriteRequest("Content-Length: 60000000\r\n\r\n"));
   std::size_t sent = 0;
-  while (sent < 60'000'000 && socket.Send(std::string(65'536, 'x'))) sent += 65'536;
+  while (sent < 60'000'000 && socket.Send(std::string(65'536, 'x'))) {
+    sent += 65'536;
+  }
   CHECK(sent < 20'000'000);
   CHECK(core::Now() - before < 3'000'000);
   runner.Play("target a expect nothing 50");
@@ -134,7 +134,9 @@
     CHECK(response.Status() == "400");
   }
   CHECK(core::Now() - before > 150'000);
-  for (int i = 0; i < 100; ++i) socket.Send("GET /nothing HTTP/1.1\r\nHost: s\r\n\r\n");
+  for (int i = 0; i < 100; ++i) {
+    socket.Send("GET /nothing HTTP/1.1\r\nHost: s\r\n\r\n");
+  }
   while (ReadHttpMessage(socket, &response, 1'000)) {
   }
   CHECK(socket.fd() < 0);  // of a hundred at once one gets a response
@@ -146,7 +148,9 @@
   ScenarioRunner runner(Protocol::kHttp, config);
   runner.Play("client c send read\n target a expect read\n target a send ok\n client c expect served");
   std::vector<Socket> silent;
-  for (int i = 0; i < 200; ++i) silent.push_back(Socket::Connect(runner.http_port()));
+  for (int i = 0; i < 200; ++i) {
+    silent.push_back(Socket::Connect(runner.http_port()));
+  }
   const Time before = core::Now();
   runner.Play(R"(
     client c send read
@@ -231,8 +235,9 @@
 TEST_CASE("every connection within the limit is read, while all others wait for their responses") {
   auto config = BasicConfig();
   config["limits"]["sockets"] = 100;
-  for (auto& request_class : config["settings"]["classes"])
+  for (auto& request_class : config["settings"]["classes"]) {
     request_class["aim"] = request_class["deadline"] = 9'000'000;
+  }
   ScenarioRunner runner(Protocol::kHttp, config);
   std::vector<Socket> busy;
   for (int i = 0; i < 32; ++i) {  // the target never responds
--- a/tests/net/nbd_codec_test.cpp
+++ b/tests/net/nbd_codec_test.cpp
@@ -19,7 +19,9 @@
 std::string FeedAll(nbd::ServerSession& session, const std::string& bytes,
                     std::vector<nbd::Request>* requests) {
   std::string out;
-  for (const char byte : bytes) session.Feed({&byte, 1}, &out, requests);
+  for (const char byte : bytes) {
+    session.Feed({&byte, 1}, &out, requests);
+  }
   return out;
 }
 
@@ -148,9 +150,12 @@
     session.Send(request, &out);
   }
   void Chunk(bool done, std::uint16_t type, const std::string& data, std::uint64_t cookie = 5) {
-    std::string out, ignored;
+    std::string out;
+    std::string ignored;
     nbd::PutChunk(done, type, cookie, data, &out);
-    for (const char byte : out) session.Feed({&byte, 1}, &ignored, &replies);
+    for (const char byte : out) {
+      session.Feed({&byte, 1}, &ignored, &replies);
+    }
   }
   std::string At(std::uint64_t offset, const std::string& data) {
     std::string out;
@@ -214,7 +219,8 @@
     r.Chunk(false, nbd::kOffsetData, r.At(17, "b"));
   });
   ends([](PendingRead& r) {  // a simple reply to a read
-    std::string out, ignored;
+    std::string out;
+    std::string ignored;
     nbd::PutSimple(nbd::kOk, 5, &out);
     r.session.Feed(out + "abcdefgh", &ignored, &r.replies);
   });
--- a/tests/net/nbd_front_end_test.cpp
+++ b/tests/net/nbd_front_end_test.cpp
@@ -16,8 +16,9 @@
 Socket NegotiatedConnection(const ScenarioRunner& runner) {
   Socket socket = Socket::Connect(runner.nbd_port());
   socket.Send(nbd::ClientFlags() + GoOption("a"));
-  while (socket.received.find(kReplyMagic + "\0\0\0\x07\0\0\0\x01"s) == std::string::npos)
+  while (socket.received.find(kReplyMagic + "\0\0\0\x07\0\0\0\x01"s) == std::string::npos) {
     REQUIRE(socket.Fill(2'000));
+  }
   socket.received.clear();
   return socket;
 }
@@ -148,7 +149,9 @@
     std::string out;
     nbd::PutRequest(request, &out);
     socket.Send(out);
-    while (socket.received.size() < 16) REQUIRE(socket.Fill(2'000));
+    while (socket.received.size() < 16) {
+      REQUIRE(socket.Fill(2'000));
+    }
     CHECK(nbd::Get<std::uint32_t>(socket.received, 4) != nbd::kOk);
     CHECK(nbd::Get<std::uint64_t>(socket.received, 8) == 77);
   }
@@ -168,7 +171,9 @@
   Socket socket = NegotiatedConnection(runner);
   const Time before = core::Now();
   socket.Send(command);
-  while (!socket.Readable(100) && core::Now() - before < 4'000'000) socket.Send("x");
+  while (!socket.Readable(100) && core::Now() - before < 4'000'000) {
+    socket.Send("x");
+  }
   CHECK_FALSE(socket.Fill(0));
   CHECK(core::Now() - before < 3'000'000);
   runner.Play("target a expect nothing 1");
@@ -181,8 +186,12 @@
   ScenarioRunner runner(Protocol::kNbd, config);
   runner.Play("client c send read\n target a expect read\n target a send ok\n client c expect served");
   std::vector<Socket> silent;
-  for (int i = 0; i < 3; ++i) silent.push_back(NegotiatedConnection(runner));
-  for (int i = 0; i < 40; ++i) silent.push_back(Socket::Connect(runner.nbd_port()));
+  for (int i = 0; i < 3; ++i) {
+    silent.push_back(NegotiatedConnection(runner));
+  }
+  for (int i = 0; i < 40; ++i) {
+    silent.push_back(Socket::Connect(runner.nbd_port()));
+  }
   const Time before = core::Now();
   runner.Play(R"(
     client d send read
@@ -202,7 +211,8 @@
 TEST_CASE("the shipped NBD deploy file is valid; invalid ones are reported") {
   Settings settings;
   settings.max_request_units = 6;
-  const std::vector<std::string> classes = {"read", "write", "sweep"}, plans = {"standard"};
+  const std::vector<std::string> classes = {"read", "write", "sweep"};
+  const std::vector<std::string> plans = {"standard"};
   const nbd::Config config =
       nbd::LoadConfig(WALNUTSPUR_ROOT "/deploy/nbd.toml", classes, plans, settings, 10);
   REQUIRE(config.exports.size() == 1);
--- a/tests/net/scenario_runner.cpp
+++ b/tests/net/scenario_runner.cpp
@@ -15,6 +15,12 @@
 
 using nlohmann::json;
 
+// What a reload throws while the scenario declares the configuration invalid.
+class InvalidConfigError : public std::runtime_error {
+ public:
+  InvalidConfigError() : std::runtime_error("a bad file") {}
+};
+
 constexpr const char* kTargetNames[] = {"a", "b"};
 constexpr std::uint64_t kExportBytes = 1048576;
 constexpr std::uint32_t kLargestNbdRequest = 65536;
@@ -85,7 +91,7 @@
   initiator_ = std::make_unique<app::Initiator>(std::move(parsed), options);
   initiator_->ReloadBy([this] {
     if (invalid_config_) {
-      throw std::runtime_error("a bad file");
+      throw InvalidConfigError();
     }
     json reloaded = config_;
     reloaded["discovery"] = discovery_.Address();
--- a/tests/net/shutdown_test.cpp
+++ b/tests/net/shutdown_test.cpp
@@ -3,7 +3,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include <array>
+#include <chrono>
 #include <csignal>
+#include <cstdio>
 #include <list>
 #include <thread>
 
@@ -18,14 +21,16 @@
 
 constexpr Time kServiceTime = 20'000;  // of the target, in microseconds
 constexpr Time kThinkTime = 10'000;    // between a response and the client's next request, in microseconds
-constexpr int kTimeoutMs = 4'000;      // milliseconds
+constexpr int kTimeoutMs = 4'000;
 
 // Serves all requests, one thread a connection, until the listener is shut down.
 void Serve(const Socket& listener) {
   std::list<std::jthread> connections;
   while (true) {
     const int fd = accept(listener.fd(), nullptr, nullptr);
-    if (fd < 0) return;
+    if (fd < 0) {
+      return;
+    }
     connections.emplace_back([connection = Socket(fd)]() mutable {
       HttpMessage request;
       while (ReadHttpMessage(connection, &request, kTimeoutMs)) {
@@ -44,53 +49,88 @@
   int announced = 0;  // connections whose last response announced the close
   int crossed = 0;    // closed in order with a request in flight: the client retries it elsewhere
   int reset = 0;      // closed otherwise with a request in flight
+
+  void Add(const Tally& other) {
+    served += other.served;
+    rejected += other.rejected;
+    failed += other.failed;
+    announced += other.announced;
+    crossed += other.crossed;
+    reset += other.reset;
+  }
+  void CountStatus(const std::string& status) {
+    if (status == "200") {
+      ++served;
+    } else if (status == "503") {
+      ++rejected;
+    } else {
+      ++failed;
+    }
+  }
 };
 
+// A read whose id is unique by client and sequence number.
+std::string ReadRequest(int client, int sequence) {
+  std::array<char, 17> id;
+  std::snprintf(id.data(), id.size(), "%08x%08x", client, sequence);
+  return "GET " + kObjectPath + " HTTP/1.1\r\nHost: s\r\nX-Request-Id: " + id.data() +
+         "\r\nX-Class: read\r\nX-Plan: basic\r\nX-Deadline: 1.2\r\nX-IO: units=1,shard=0,hosts=1\r\n\r\n";
+}
+
+// Appends received bytes to `text` until `complete` holds for it. Returns the result of the last recv: 0 at
+// the end of the stream, negative after a reset.
+template <typename Complete>
+ssize_t ReceiveUntil(Complete complete, const Socket& socket, std::string* text) {
+  ssize_t size = 1;
+  while (size > 0 && !complete(*text)) {
+    std::array<char, 4096> chunk;
+    size = recv(socket.fd(), chunk.data(), chunk.size(), 0);
+    if (size > 0) {
+      text->append(chunk.data(), static_cast<std::size_t>(size));
+    }
+  }
+  return size;
+}
+
 // Sends one request after another on one connection for as long as it stays open.
-Tally SendUntilClosed(int port, int number) {
+Tally SendUntilClosed(int port, int client) {
+  const auto has_headers = [](const std::string& text) { return text.find("\r\n\r\n") != std::string::npos; };
+  const auto never = [](const std::string&) { return false; };
   Tally tally;
   Socket socket = Socket::Connect(port);
-  std::string bytes;
-  for (int i = 0;; ++i) {
-    char id[17];
-    std::snprintf(id, sizeof id, "%08x%08x", number, i);
-    const std::string request =
-        std::string("GET /api/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: s\r\nX-Request-Id: ") + id +
-        "\r\nX-Class: read\r\nX-Plan: basic\r\nX-Deadline: 1.2\r\nX-IO: units=1,shard=0,hosts=1\r\n\r\n";
-    bool sent = socket.Send(request);
-    ssize_t size = 1;
-    while (sent && bytes.find("\r\n\r\n") == std::string::npos) {
-      char chunk[4096];
-      size = recv(socket.fd(), chunk, sizeof chunk, 0);
-      if (size <= 0) break;
-      bytes.append(chunk, static_cast<std::size_t>(size));
+  for (int sequence = 0;; ++sequence) {
+    std::string response;
+    const bool sent = socket.Send(ReadRequest(client, sequence));
+    const ssize_t size = sent ? ReceiveUntil(has_headers, socket, &response) : -1;
+    if (size <= 0) {
+      ++(size < 0 ? tally.reset : tally.crossed);
+      return tally;
     }
-    if (!sent || size < 0) return ++tally.reset, tally;
-    if (size == 0) return ++tally.crossed, tally;
-    const std::string code = bytes.substr(9, 3);
-    ++(code == "200" ? tally.served : code == "503" ? tally.rejected : tally.failed);
-    if (bytes.find("Connection: close") != std::string::npos) {
+    tally.CountStatus(response.substr(9, 3));
+    if (response.find("Connection: close") != std::string::npos) {
       ++tally.announced;
-      while (size > 0) {  // nothing but the end of the stream may follow
-        char rest[4096];
-        size = recv(socket.fd(), rest, sizeof rest, 0);
-      }
-      tally.reset += size < 0;
+      tally.reset +=
+          ReceiveUntil(never, socket, &response) < 0;  // nothing but the end of the stream may follow
       return tally;
     }
-    bytes.clear();
     std::this_thread::sleep_for(std::chrono::microseconds(kThinkTime));
   }
 }
 
 TEST_CASE("the close is announced early enough for responses as slow as the last ones") {
-  limits::ShutdownDeadlineEstimate quick, slow;
-  for (int i = 0; i < 100; ++i) quick.OnResponse(20'000), slow.OnResponse(i % 4 ? 300'000 : 600'000);
+  limits::ShutdownDeadlineEstimate quick;
+  limits::ShutdownDeadlineEstimate slow;
+  for (int i = 0; i < 100; ++i) {
+    quick.OnResponse(20'000);
+    slow.OnResponse(i % 4 ? 300'000 : 600'000);
+  }
   CHECK(quick.IsLastResponse(200'000));
   CHECK_FALSE(quick.IsLastResponse(250'000));
   CHECK(slow.IsLastResponse(500'000));
   CHECK_FALSE(slow.IsLastResponse(800'000));
-  for (int i = 0; i < 100; ++i) slow.OnResponse(60'000'000);
+  for (int i = 0; i < 100; ++i) {
+    slow.OnResponse(60'000'000);
+  }
   CHECK_FALSE(slow.IsLastResponse(1'100'000));  // however slow, it is capped
   CHECK_FALSE(limits::ShutdownDeadlineEstimate().IsLastResponse(250'000));
 }
@@ -101,16 +141,16 @@
   std::vector<Tally> tallies(50);
   {
     std::vector<std::jthread> clients;
-    for (std::size_t i = 0; i < tallies.size(); ++i)
+    for (std::size_t i = 0; i < tallies.size(); ++i) {
       clients.emplace_back([&, i] { tallies[i] = SendUntilClosed(runner.http_port(), static_cast<int>(i)); });
+    }
     runner.Play("wait 300\n signal TERM");
   }
   CHECK(runner.WaitForExit(2'000));
   shutdown(runner.target_listener("a").fd(), SHUT_RDWR);
   Tally all;
-  for (const Tally& t : tallies) {
-    all.served += t.served, all.rejected += t.rejected, all.failed += t.failed;
-    all.announced += t.announced, all.crossed += t.crossed, all.reset += t.reset;
+  for (const Tally& tally : tallies) {
+    all.Add(tally);
   }
   MESSAGE("served ", all.served, ", rejected ", all.rejected, ", failed ", all.failed, ", announced ",
           all.announced, ", crossed ", all.crossed, ", reset ", all.reset);
@@ -124,7 +164,7 @@
     "a connection with half a request is closed in order while the program still reads, and never reset") {
   ScenarioRunner runner(core::Protocol::kHttp);
   Socket half = Socket::Connect(runner.http_port());
-  half.Send("GET /api/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\nX-Request-Id: 9b1f");
+  half.Send("GET " + kObjectPath + " HTTP/1.1\r\nX-Request-Id: 9b1f");
   runner.Play("signal TERM\n signal TERM\n signal HUP");
   REQUIRE(half.Readable(kTimeoutMs));
   char byte;
--- a/tests/net/target_pool_test.cpp
+++ b/tests/net/target_pool_test.cpp
@@ -31,8 +31,9 @@
   std::thread server([&] {
     Socket connection = listener.Accept();
     HttpMessage request;
-    if (!ReadHttpMessage(connection, &request, 2'000) || !request.start_line.starts_with("GET /-/healthy"))
+    if (!ReadHttpMessage(connection, &request, 2'000) || !request.start_line.starts_with("GET /-/healthy")) {
       return;
+    }
     connection.Send("HTTP/1.1 200 OK\r\nX-Load: {\"queue\":4}\r\nContent-Length: 0\r\n\r\n");
     connection.Fill(2'000);
   });
@@ -55,7 +56,9 @@
   for (int i = 0; i < 1'000; ++i) {
     pool.SetAddress("t" + std::to_string(i), "127.0.0.1:1");
     pool.Drain("t" + std::to_string(i));
-    if (i % 2) pool.Remove("t" + std::to_string(i));
+    if (i % 2) {
+      pool.Remove("t" + std::to_string(i));
+    }
   }
   pool.RetainOnly({"t998"});
   CHECK(pool.tracked_targets() == 1);
--- a/tests/scheduler/client_timeout_test.cpp
+++ b/tests/scheduler/client_timeout_test.cpp
@@ -78,7 +78,9 @@
   settings.can_cancel = true;
   SchedulerFixture scheduler(settings);
   scheduler.SetTargets(3);
-  for (int c = 0; c < 3; ++c) scheduler.Handle(SchedulerFixture::MakeRequest("r" + std::to_string(c), c, c));
+  for (int c = 0; c < 3; ++c) {
+    scheduler.Handle(SchedulerFixture::MakeRequest("r" + std::to_string(c), c, c));
+  }
   const std::vector<SendAttempt> sends = scheduler.ActionsOf<SendAttempt>();
   ASSERT_EQ(sends.size(), 3u);
   EXPECT_EQ(sends[0].timeout, 800 * kMs);  // idempotent, so it has twice its objective
@@ -110,9 +112,12 @@
       const std::string id = "a" + std::to_string(i);
       scheduler.Handle(SchedulerFixture::MakeRequest(id, 1));
       scheduler.Advance(160 * kMs);
-      if (leave) scheduler.Handle(ClientDisconnected{id});
-      if (scheduler.SendCount(id) > 0)
+      if (leave) {
+        scheduler.Handle(ClientDisconnected{id});
+      }
+      if (scheduler.SendCount(id) > 0) {
         scheduler.FinishAttempt(id, leave ? Outcome::kCancelled : Outcome::kCompleted, 160 * kMs);
+      }
     }
     scheduler.Handle(SchedulerFixture::MakeRequest(
         "nowhere", 1, 5));  // no target holds the shard: it queues until it is late
--- a/tests/scheduler/concurrency_limit_test.cpp
+++ b/tests/scheduler/concurrency_limit_test.cpp
@@ -12,23 +12,27 @@
   int next_id = 0;
   auto flood = [&] {
     scheduler.ClearActions();
-    for (int i = 0; i < 60; ++i)
+    for (int i = 0; i < 60; ++i) {
       scheduler.Handle(SchedulerFixture::MakeRequest("r" + std::to_string(next_id++)));
+    }
     return int(scheduler.ActionsOf<SendAttempt>().size());
   };
   auto complete_all = [&](Time latency) {
     for (int round = 0; round < 8; ++round) {
       const std::vector<SendAttempt> sends = scheduler.TakeAttempts();
-      for (const SendAttempt& attempt : sends)
+      for (const SendAttempt& attempt : sends) {
         scheduler.FinishAttempt(attempt.id, Outcome::kCompleted, latency);
-      for (int i = 0; i < 10; ++i)
+      }
+      for (int i = 0; i < 10; ++i) {
         scheduler.Handle(SchedulerFixture::MakeRequest("r" + std::to_string(next_id++)));
+      }
       scheduler.Advance(200 * kMs);
     }
     for (int round = 0; round < 40; ++round) {  // drain the queue
       const std::vector<SendAttempt> sends = scheduler.TakeAttempts();
-      for (const SendAttempt& attempt : sends)
+      for (const SendAttempt& attempt : sends) {
         scheduler.FinishAttempt(attempt.id, Outcome::kCompleted, latency);
+      }
       scheduler.Advance(40 * kMs);
     }
   };
@@ -72,7 +76,9 @@
       scheduler.Handle(SchedulerFixture::MakeRequest(id));
       scheduler.Advance(20 * kMs);
       scheduler.FinishAttempt(id, Outcome::kCompleted, 20 * kMs);
-      if (cancelled_at == 0 && !scheduler.ActionsOf<CancelAttempt>().empty()) cancelled_at = scheduler.now();
+      if (cancelled_at == 0 && !scheduler.ActionsOf<CancelAttempt>().empty()) {
+        cancelled_at = scheduler.now();
+      }
     }
     const auto cancelled = scheduler.ActionsOf<CancelAttempt>();
     if (request_class == 1) {  // it may have run and must not run twice
@@ -111,8 +117,9 @@
     settings.instances = instances;
     SchedulerFixture scheduler(settings);
     scheduler.SetTargets(1);
-    for (int i = 0; i < 6; ++i)
+    for (int i = 0; i < 6; ++i) {
       scheduler.Handle(SchedulerFixture::MakeRequest("stuck" + std::to_string(i), 1));
+    }
     scheduler.Advance(2 * kSec);  // far over its objective, without a response
     scheduler.ClearActions();
     for (int i = 0; i < 50; ++i) {
@@ -201,13 +208,19 @@
     settings.can_cancel = true;
     SchedulerFixture scheduler(settings);
     scheduler.SetTargets(1);
-    for (int i = 0; i < 10; ++i) scheduler.Handle(SchedulerFixture::MakeRequest("a" + std::to_string(i), 1));
+    for (int i = 0; i < 10; ++i) {
+      scheduler.Handle(SchedulerFixture::MakeRequest("a" + std::to_string(i), 1));
+    }
     const std::vector<SendAttempt> first = scheduler.ActionsOf<SendAttempt>();
     ASSERT_GE(first.size(), 1u);
     ASSERT_LT(first.size(), 10u);
     scheduler.Advance(100 * kMs);
-    for (int i = 0; i < 10; ++i) scheduler.Handle(ClientDisconnected{"a" + std::to_string(i)});
-    for (const SendAttempt& attempt : first) scheduler.FinishAttempt(attempt.id, end, 100 * kMs);
+    for (int i = 0; i < 10; ++i) {
+      scheduler.Handle(ClientDisconnected{"a" + std::to_string(i)});
+    }
+    for (const SendAttempt& attempt : first) {
+      scheduler.FinishAttempt(attempt.id, end, 100 * kMs);
+    }
     scheduler.ClearActions();
     scheduler.Handle(SchedulerFixture::MakeRequest("b", 1));
     scheduler.Advance(100 * kMs);
--- a/tests/scheduler/dispatch_test.cpp
+++ b/tests/scheduler/dispatch_test.cpp
@@ -33,10 +33,12 @@
   for (auto& list : targets) {
     SchedulerFixture scheduler;
     scheduler.SetTargets(8);
-    for (int i = 0; i < 30; ++i)
+    for (int i = 0; i < 30; ++i) {
       scheduler.Handle(SchedulerFixture::MakeRequest("r" + std::to_string(i), 1, -1));
-    for (const SendAttempt& attempt : scheduler.ActionsOf<SendAttempt>())
+    }
+    for (const SendAttempt& attempt : scheduler.ActionsOf<SendAttempt>()) {
       list.push_back(attempt.id + "@" + attempt.target);
+    }
   }
   EXPECT_EQ(targets[0], targets[1]);
 }
@@ -80,8 +82,9 @@
     heavy.plan = 1;
     scheduler.Handle(heavy);
   }
-  for (int i = 0; i < 24; ++i)
+  for (int i = 0; i < 24; ++i) {
     scheduler.FinishAttempt(scheduler.ActionsOf<SendAttempt>()[i].id, Outcome::kCompleted, 10 * kMs);
+  }
   int light_sent = 0;
   int heavy_sent = 0;
   const std::vector<SendAttempt> sends = scheduler.ActionsOf<SendAttempt>();
@@ -135,7 +138,9 @@
   settings.classes[2].deadline = 2 * kSec;
   SchedulerFixture scheduler(settings);
   scheduler.SetTargets(1);
-  for (int i = 0; i < 20; ++i) scheduler.Handle(SchedulerFixture::MakeRequest("b" + std::to_string(i), 2));
+  for (int i = 0; i < 20; ++i) {
+    scheduler.Handle(SchedulerFixture::MakeRequest("b" + std::to_string(i), 2));
+  }
   scheduler.Handle(SchedulerFixture::MakeRequest("read", 0));
   ASSERT_EQ(scheduler.SendCount("read"), 0);
   scheduler.FinishAttempt("b0", Outcome::kCompleted);
--- a/tests/scheduler/drain_test.cpp
+++ b/tests/scheduler/drain_test.cpp
@@ -54,7 +54,9 @@
     settings.discovery = DiscoveryMode::kSubscribe;
     SchedulerFixture scheduler(settings);
     scheduler.UpdateEndpoints(EndpointUpdateKind::kCached, {SchedulerFixture::MakeEndpoint("t0", 0)});
-    if (answered) scheduler.UpdateEndpoints(EndpointUpdateKind::kDelta, {});
+    if (answered) {
+      scheduler.UpdateEndpoints(EndpointUpdateKind::kDelta, {});
+    }
     scheduler.Advance(8 * kSec);
     EXPECT_EQ(scheduler.ActionsOf<WatchEndpoints>().size(), answered ? 1u : 2u);
   }
@@ -74,7 +76,9 @@
   settings.discovery = DiscoveryMode::kSubscribe;
   for (const bool has_fleet_size : {false, true}) {
     SchedulerFixture scheduler(settings);
-    if (has_fleet_size) scheduler.Handle(FleetSize{2, 0.5});
+    if (has_fleet_size) {
+      scheduler.Handle(FleetSize{2, 0.5});
+    }
     scheduler.Advance(2 * kSec);  // the watch has timed out
     scheduler.UpdateEndpoints(EndpointUpdateKind::kFailed, {});
     scheduler.ClearActions();
--- a/tests/scheduler/idempotency_test.cpp
+++ b/tests/scheduler/idempotency_test.cpp
@@ -50,8 +50,9 @@
   scheduler.Handle(SchedulerFixture::MakeRequest("a", 2));
   scheduler.FinishAttempt("a", Outcome::kErrored, 5 * kMs);
   scheduler.Advance(600 * kMs);  // past the deduplication window
-  for (int attempt = 1; attempt < 4 && scheduler.FinalResponseCount("a") == 0; ++attempt)
+  for (int attempt = 1; attempt < 4 && scheduler.FinalResponseCount("a") == 0; ++attempt) {
     scheduler.FinishAttempt("a", Outcome::kErrored, kMs, attempt);
+  }
   EXPECT_EQ(scheduler.RejectionCount("a"), 0);
   EXPECT_EQ(scheduler.FailureCount("a"), 1);
 }
--- a/tests/scheduler/key_order_test.cpp
+++ b/tests/scheduler/key_order_test.cpp
@@ -24,7 +24,9 @@
 TEST(KeyOrder, OneRequestPerKeyInArrivalOrder) {
   SchedulerFixture scheduler(KeyOrderSettings());
   scheduler.SetTargets(1);
-  for (const char* id : {"a", "b", "c"}) scheduler.Handle(SameKeyRequest(id));
+  for (const char* id : {"a", "b", "c"}) {
+    scheduler.Handle(SameKeyRequest(id));
+  }
   EXPECT_EQ(scheduler.ActionsOf<SendAttempt>().size(), 1u);
   scheduler.FinishAttempt("a", Outcome::kCompleted);
   ASSERT_EQ(scheduler.ActionsOf<SendAttempt>().size(), 2u);
--- a/tests/scheduler/placement_test.cpp
+++ b/tests/scheduler/placement_test.cpp
@@ -9,12 +9,18 @@
 TEST(Placement, NewObjectsAvoidASilentTarget) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(2);
-  for (int i = 0; i < 4; ++i) scheduler.Handle(SchedulerFixture::MakeRequest("s" + std::to_string(i), 0, 0));
+  for (int i = 0; i < 4; ++i) {
+    scheduler.Handle(SchedulerFixture::MakeRequest("s" + std::to_string(i), 0, 0));
+  }
   scheduler.Advance(600 * kMs);
   scheduler.ClearActions();
-  for (int i = 0; i < 4; ++i) scheduler.Handle(SchedulerFixture::MakeRequest("n" + std::to_string(i), 1, -1));
+  for (int i = 0; i < 4; ++i) {
+    scheduler.Handle(SchedulerFixture::MakeRequest("n" + std::to_string(i), 1, -1));
+  }
   ASSERT_GE(scheduler.ActionsOf<SendAttempt>().size(), 2u);
-  for (const SendAttempt& attempt : scheduler.ActionsOf<SendAttempt>()) EXPECT_EQ(attempt.target, "t1");
+  for (const SendAttempt& attempt : scheduler.ActionsOf<SendAttempt>()) {
+    EXPECT_EQ(attempt.target, "t1");
+  }
 }
 
 // Regression i77bdbd: new objects went to a target that refused connections once its back-off had passed.
@@ -55,8 +61,9 @@
     scheduler.UpdateEndpoints(EndpointUpdateKind::kFull, fleet);
     for (int i = 0; i < 40; ++i) {  // reads from all targets but the last two of each zone
       const int shard = i % 20;
-      if (shard % 10 < 8)
+      if (shard % 10 < 8) {
         PlayRequest(scheduler, "r" + std::to_string(i), shard, shard < 10 ? Outcome::kCompleted : outcome);
+      }
       scheduler.Advance(20 * kMs);
     }
     int sent_to_healthy = 0;
--- a/tests/scheduler/rate_limit_test.cpp
+++ b/tests/scheduler/rate_limit_test.cpp
@@ -21,8 +21,9 @@
     scheduler.Advance(20 * kMs);
     const std::vector<SendAttempt> sends = scheduler.ActionsOf<SendAttempt>();
     units += 2.0 * double(sends.size());
-    for (const SendAttempt& attempt : sends)
+    for (const SendAttempt& attempt : sends) {
       scheduler.FinishAttempt(attempt.id, Outcome::kCompleted, 15 * kMs);
+    }
   }
   return units;
 }
--- a/tests/scheduler/request_completion_test.cpp
+++ b/tests/scheduler/request_completion_test.cpp
@@ -47,12 +47,16 @@
 TEST(RequestCompletion, AHungTargetYieldsOneFinalResponseEach) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
-  for (int i = 0; i < 60; ++i) scheduler.Handle(SchedulerFixture::MakeRequest("r" + std::to_string(i)));
+  for (int i = 0; i < 60; ++i) {
+    scheduler.Handle(SchedulerFixture::MakeRequest("r" + std::to_string(i)));
+  }
   scheduler.Advance(2 * kSec - 20 * kMs);
   scheduler.Advance(20 * kMs);
   for (int i = 0; i < 60; ++i) {
     const std::string id = "r" + std::to_string(i);
-    if (scheduler.FinalResponseCount(id) == 0) scheduler.FinishAttempt(id, Outcome::kTimedOut, 2 * kSec);
+    if (scheduler.FinalResponseCount(id) == 0) {
+      scheduler.FinishAttempt(id, Outcome::kTimedOut, 2 * kSec);
+    }
     EXPECT_EQ(scheduler.FinalResponseCount(id), 1) << id;
   }
 }
--- a/tests/scheduler/simulator_adapter_test.cpp
+++ b/tests/scheduler/simulator_adapter_test.cpp
@@ -49,7 +49,9 @@
 std::string Reply(const std::vector<std::string>& lines) {
   Host host;
   std::string reply;
-  for (const std::string& line : lines) host.Line(line, &reply);
+  for (const std::string& line : lines) {
+    host.Line(line, &reply);
+  }
   return reply;
 }
 
@@ -76,7 +78,9 @@
   int sends = 0;
   for (std::string line; std::getline(in, line);) {
     const json action = json::parse(line);
-    if (action["op"] != "send") continue;
+    if (action["op"] != "send") {
+      continue;
+    }
     ++sends;
     EXPECT_EQ(action["target"], action["initiatorId"] == 1 ? "a:1" : "b:1");
   }
@@ -107,7 +111,9 @@
   Host host;
   std::string reply;
   host.Line(kRound, &reply);
-  for (const std::string& line : {Enlist(1), std::string(kCensus0), Cached(1)}) host.Line(line, &reply);
+  for (const std::string& line : {Enlist(1), std::string(kCensus0), Cached(1)}) {
+    host.Line(line, &reply);
+  }
   char id[17];
   for (int i = 0; i < 12000; ++i) {
     std::snprintf(id, sizeof id, "%016x", i);
--- a/tests/scheduler/slow_start_test.cpp
+++ b/tests/scheduler/slow_start_test.cpp
@@ -11,8 +11,9 @@
 // The units of all attempts sent to `target`.
 double UnitsSentTo(const SchedulerFixture& scheduler, const std::string& target) {
   double units = 0;
-  for (const SendAttempt& attempt : scheduler.ActionsOf<SendAttempt>())
+  for (const SendAttempt& attempt : scheduler.ActionsOf<SendAttempt>()) {
     units += attempt.target == target ? kUnitsPerRequest : 0;
+  }
   return units;
 }
 
@@ -35,7 +36,9 @@
         scheduler.Advance(200 * kMs);
       }
     };
-    for (int i = 0; i < 20 && served; ++i) one_second_of_load();
+    for (int i = 0; i < 20 && served; ++i) {
+      one_second_of_load();
+    }
     scheduler.UpdateEndpoints(
         EndpointUpdateKind::kDelta,
         {SchedulerFixture::MakeEndpoint("t0", 0, EndpointState::kActive, scheduler.now())});
--- a/tests/unit/budget_test.cpp
+++ b/tests/unit/budget_test.cpp
@@ -18,7 +18,9 @@
   std::multimap<Time, JobId> running;
   for (Time now = from; now < from + seconds * kSec; now += 1000) {
     const auto second = static_cast<std::size_t>((now - from) / kSec);
-    if ((now - from) % (kSec / 4) == 0) budget.Take(reports[second % reports.size()], now);
+    if ((now - from) % (kSec / 4) == 0) {
+      budget.Take(reports[second % reports.size()], now);
+    }
     while (!running.empty() && running.begin()->first <= now) {
       budget.Done(running.begin()->second, 1, 4096, now);
       running.erase(running.begin());
@@ -82,12 +84,18 @@
   JobOptions options = BasicJob();
   options.in_flight = 3;
   const JobId job = budget.Add(options, {}, 0);
-  for (int i = 0; i < 100; ++i) budget.Take(kCalm, i);
+  for (int i = 0; i < 100; ++i) {
+    budget.Take(kCalm, i);
+  }
   int started = 0;
-  for (Time now = 0; now < kSec; now += 1000) started += budget.Next(now).has_value();
+  for (Time now = 0; now < kSec; now += 1000) {
+    started += budget.Next(now).has_value();
+  }
   CHECK(started == 3);
   CHECK(budget.in_flight(job) == 3);
-  for (int i = 0; i < 3; ++i) budget.Done(job, 1, 50'000'000, kSec);  // 150 MB at 100 MB/s
+  for (int i = 0; i < 3; ++i) {
+    budget.Done(job, 1, 50'000'000, kSec);  // 150 MB at 100 MB/s
+  }
   CHECK_FALSE(budget.Next(kSec));
   REQUIRE(budget.NextAt(kSec));
   CHECK(*budget.NextAt(kSec) == kSec + kSec * 3 / 2);
@@ -130,7 +138,9 @@
 
 TEST_CASE("without recent reports it halves its speed") {
   Pressure pressure;
-  for (int i = 0; i < 40; ++i) pressure.Take(kCalm, i);
+  for (int i = 0; i < 40; ++i) {
+    pressure.Take(kCalm, i);
+  }
   CHECK(pressure.Speed(40) == doctest::Approx(1));
   CHECK(pressure.Speed(10 * kSec) == doctest::Approx(0.5));
 }
--- a/tests/unit/config_test.cpp
+++ b/tests/unit/config_test.cpp
@@ -44,7 +44,9 @@
   const TemporaryFile file("[[box]]\nid = 4\naddress = \"127.0.0.1:1\"\nadress = \"x\"\n");
   const auto lines = app::CheckFile(file.path());
   std::string all;
-  for (const auto& line : lines) all += line + "\n";
+  for (const auto& line : lines) {
+    all += line + "\n";
+  }
   CAPTURE(all);
   CHECK(all.find(":2: box[].id: is not a text") < all.find(":4: box[].adress"));
   CHECK(all.find("the nearest is address") != std::string::npos);
--- a/tests/unit/log_test.cpp
+++ b/tests/unit/log_test.cpp
@@ -31,7 +31,9 @@
 TEST_CASE("events of one kind are limited, others are not, and suppressed events are counted") {
   Limiter limiter(2);
   int admitted = 0;
-  for (int i = 0; i < 100; ++i) admitted += limiter.Admit("a", 0).has_value();
+  for (int i = 0; i < 100; ++i) {
+    admitted += limiter.Admit("a", 0).has_value();
+  }
   CHECK(admitted == 4);
   CHECK(limiter.Admit("b", 0) == 0u);
   CHECK_FALSE(limiter.Admit("a", 400'000));
@@ -54,7 +56,9 @@
     Logger logger(options);
     // The pipe takes 64 KiB. Then the writer thread blocks and only the queue is left.
     const std::string large(1000, 'x');
-    for (int i = 0; i < 2000; ++i) logger.Log(Level::kWarn, "full", {{"v", large}});
+    for (int i = 0; i < 2000; ++i) {
+      logger.Log(Level::kWarn, "full", {{"v", large}});
+    }
     CHECK(logger.dropped() > 0);
     fcntl(reader, F_SETFL, 0);  // the reader blocks from now on, so the pipe is drained
     std::thread drain([reader] {
