--- /dev/null
+++ b/src/core/clock.h
@@ -0,0 +1,25 @@
+// The clock of the process. Header-only, so that code which doesn't link the engine reads the same clock.
+#ifndef WALNUTSPUR_CORE_CLOCK_H_
+#define WALNUTSPUR_CORE_CLOCK_H_
+
+#include <chrono>
+
+#include "walnutspur/scheduler.h"
+
+namespace walnutspur::core {
+
+// Unix time in microseconds that never runs backwards: the offset to Unix time is taken once, at the first
+// call, and the steady clock carries it on. Callable from any thread.
+inline Time Now() {
+  using std::chrono::duration_cast;
+  using std::chrono::microseconds;
+  using std::chrono::steady_clock;
+  using std::chrono::system_clock;
+  static const Time offset = duration_cast<microseconds>(system_clock::now().time_since_epoch()).count() -
+                             duration_cast<microseconds>(steady_clock::now().time_since_epoch()).count();
+  return offset + duration_cast<microseconds>(steady_clock::now().time_since_epoch()).count();
+}
+
+}  // namespace walnutspur::core
+
+#endif  // WALNUTSPUR_CORE_CLOCK_H_
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <charconv>
 #include <utility>
+#include <variant>
 
 namespace walnutspur::core {
 
@@ -14,214 +15,270 @@
 }
 
 Engine::Engine(const Settings& settings, DecisionFunction decide)
-    : decide_(std::move(decide)), try_limit_(settings.max_attempts) {
-  for (const RequestClass& cls : settings.classes) aims_.push_back(cls.latency_objective);
+    : decide_(std::move(decide)), max_attempts_(settings.max_attempts) {
+  for (const RequestClass& request_class : settings.classes) {
+    latency_objectives_.push_back(request_class.latency_objective);
+  }
 }
 
 std::vector<Output> Engine::Start(Time now) {
   now_ = now;
-  Play(Started{});
+  ProcessEvent(Started{});
   return std::exchange(outputs_, {});
 }
 
 std::vector<Output> Engine::Handle(const Input& input, Time now) {
   now_ = std::max(now_, now);
-  std::visit([this](const auto& i) { On(i); }, input);
+  std::visit([this](const auto& alternative) { HandleInput(alternative); }, input);
   return std::exchange(outputs_, {});
 }
 
-void Engine::Play(const Event& event) {
-  pending_.push_back(event);
-  while (!pending_.empty()) {
-    const Event next = std::move(pending_.front());
-    pending_.erase(pending_.begin());
-    for (const Action& action : decide_(next, now_)) std::visit([this](const auto& a) { Do(a); }, action);
+void Engine::ProcessEvent(const Event& event) {
+  pending_events_.emplace_back(event);
+  while (!pending_events_.empty()) {
+    const Event next = std::move(pending_events_.front());
+    pending_events_.erase(pending_events_.begin());
+    for (const Action& action : decide_(next, now_)) {
+      std::visit([this](const auto& alternative) { ExecuteAction(alternative); }, action);
+    }
   }
 }
 
 // ---- inputs ----
 
-void Engine::On(const RequestReceived& input) {
-  // An id that is still open, be it by an attempt of an answered request, is refused outright: a target that
-  // saw it twice could not tell the two apart.
-  if (!input.client_request_id.empty() && !names_.insert(input.client_request_id).second) {
-    outputs_.push_back(Response{input.request, input.protocol, ResponseStatus::kDuplicate, 0, nullptr});
+void Engine::HandleInput(const RequestReceived& input) {
+  // A client's id stays in use until the last attempt of its request has an outcome: a target that received
+  // the id twice could not tell the two requests apart.
+  if (!input.client_request_id.empty() && !client_request_ids_.insert(input.client_request_id).second) {
+    outputs_.emplace_back(Response{input.request, input.protocol, ResponseStatus::kDuplicate, 0, nullptr});
     return;
   }
-  Request request;
-  request.wire = input.protocol;
-  request.name = input.client_request_id;
+  RequestState request;
+  request.protocol = input.protocol;
+  request.client_request_id = input.client_request_id;
   request.deadline = input.deadline;
   request.payload = input.payload;
-  const auto cls = static_cast<std::size_t>(input.attributes.request_class);
-  request.aim = now_ + (cls < aims_.size() ? aims_[cls] : 0);
-  if (!requests_.emplace(input.request, std::move(request)).second) return;
+  const auto request_class = static_cast<std::size_t>(input.attributes.request_class);
+  const Time objective =
+      request_class < latency_objectives_.size() ? latency_objectives_[request_class] : Time{0};
+  request.objective_deadline = now_ + objective;
+  if (!requests_.emplace(input.request, std::move(request)).second) {
+    return;
+  }
   RequestArrived arrival = input.attributes;
-  arrival.id = std::to_string(input.request);  // clients may use an id again later
+  arrival.id = std::to_string(input.request);  // unlike the client's id, never used again
   arrival.ttl = input.deadline - now_;
-  Play(arrival);
-}
-
-void Engine::On(const ClientClosed& input) {
-  const auto at = requests_.find(input.request);
-  if (at == requests_.end() || at->second.answered) return;
-  at->second.answered = true;
-  Play(ClientDisconnected{std::to_string(input.request)});
-  Forget(input.request);
-}
-
-// Guards against a request whose deadline passes unnoticed: attempts end on their own timers first, and held
-// requests are swept by the module. What is still open now is timed out, whatever its attempts say later.
-void Engine::On(const DeadlineExpired& input) {
-  auto at = requests_.find(input.request);
-  if (at == requests_.end() || at->second.answered) return;
-  const auto out = at->second.out;
-  for (const auto& [trial, target] : out) {
-    at = requests_.find(input.request);
-    if (at == requests_.end()) return;
-    outputs_.push_back(AbortAttempt{input.request, trial, at->second.wire});
-    AttemptResult ended;
-    ended.request = input.request;
-    ended.attempt = trial;
-    ended.outcome = Outcome::kTimedOut;
-    Report(at, ended);
-  }
-  at = requests_.find(input.request);
-  if (at == requests_.end() || at->second.answered) return;
-  Finish(input.request, ResponseStatus::kTimedOut, 0, nullptr);
-  Play(ClientDisconnected{std::to_string(input.request)});
-  Forget(input.request);
-}
-
-void Engine::On(const AttemptResult& input) {
-  const auto at = requests_.find(input.request);
-  if (at == requests_.end()) return;
-  Report(at, input);
-}
-
-void Engine::On(const EndpointsUpdated& input) {
-  Play(input.update);
-  std::set<TargetId> gone;  // a complete list names all that is left
-  if (input.update.kind == EndpointUpdateKind::kFull || input.update.kind == EndpointUpdateKind::kCached)
-    gone.swap(live_);
-  for (const Endpoint& entry : input.update.endpoints) {
-    gone.erase(entry.target);
-    if (entry.state == EndpointState::kActive) {
-      if (live_.insert(entry.target).second)
-        outputs_.push_back(ActivateTarget{entry.target, entry.started_at});
-    } else if (live_.erase(entry.target) > 0 || input.update.kind != EndpointUpdateKind::kDelta) {
-      outputs_.push_back(DrainTarget{entry.target});
+  ProcessEvent(arrival);
+}
+
+void Engine::HandleInput(const ClientClosed& input) {
+  const auto position = requests_.find(input.request);
+  if (position == requests_.end() || position->second.answered) {
+    return;
+  }
+  position->second.answered = true;
+  ProcessEvent(ClientDisconnected{std::to_string(input.request)});
+  EraseIfClosed(input.request);
+}
+
+// A safety net: attempts normally end by their own timeouts, and the Scheduler expires queued requests. What
+// is still open now is timed out, whatever its attempts report later.
+void Engine::HandleInput(const DeadlineExpired& input) {
+  TimeOutAttempts(input.request);
+  const auto position = requests_.find(input.request);
+  if (position == requests_.end() || position->second.answered) {
+    return;
+  }
+  SendResponse(input.request, ResponseStatus::kTimedOut, 0, nullptr);
+  ProcessEvent(ClientDisconnected{std::to_string(input.request)});
+  EraseIfClosed(input.request);
+}
+
+void Engine::TimeOutAttempts(RequestNumber number) {
+  auto position = requests_.find(number);
+  if (position == requests_.end() || position->second.answered) {
+    return;
+  }
+  // A copy: completing an attempt changes the table and may erase the request.
+  const std::map<int, TargetId> attempts = position->second.open_attempts;
+  for (const auto& [attempt, target] : attempts) {
+    position = requests_.find(number);
+    if (position == requests_.end()) {
+      return;
     }
+    outputs_.emplace_back(AbortAttempt{number, attempt, position->second.protocol});
+    AttemptResult result;
+    result.request = number;
+    result.attempt = attempt;
+    result.outcome = Outcome::kTimedOut;
+    CompleteAttempt(position, result);
+  }
+}
+
+void Engine::HandleInput(const AttemptResult& input) {
+  const auto position = requests_.find(input.request);
+  if (position == requests_.end()) {
+    return;
+  }
+  CompleteAttempt(position, input);
+}
+
+void Engine::HandleInput(const EndpointsUpdated& input) {
+  ProcessEvent(input.update);
+  const EndpointUpdateKind kind = input.update.kind;
+  std::set<TargetId> unlisted;  // a complete list implies that targets it doesn't name are to be drained
+  if (kind == EndpointUpdateKind::kFull || kind == EndpointUpdateKind::kCached) {
+    unlisted.swap(active_targets_);
+  }
+  for (const Endpoint& endpoint : input.update.endpoints) {
+    unlisted.erase(endpoint.target);
+    if (endpoint.state == EndpointState::kActive) {
+      if (active_targets_.insert(endpoint.target).second) {
+        outputs_.emplace_back(ActivateTarget{endpoint.target, endpoint.started_at});
+      }
+    } else if (active_targets_.erase(endpoint.target) > 0 || kind != EndpointUpdateKind::kDelta) {
+      outputs_.emplace_back(DrainTarget{endpoint.target});
+    }
+  }
+  for (const TargetId& target : unlisted) {
+    outputs_.emplace_back(DrainTarget{target});
   }
-  for (const TargetId& target : gone) outputs_.push_back(DrainTarget{target});
-}
-
-void Engine::On(const TimerExpired& input) { Play(TimerFired{input.timer_id}); }
-
-void Engine::On(const HealthCheckResult& input) { Play(input.result); }
-
-// Each attempt's outcome reaches the module once: a second report of it, or one of an attempt that was given
-// up by the deadline, finds nothing here.
-void Engine::Report(Requests::iterator at, const AttemptResult& input) {
-  Request& request = at->second;
-  const auto attempt = request.out.find(input.attempt);
-  if (attempt == request.out.end()) return;
-  AttemptFinished done;
-  done.id = std::to_string(input.request);
-  done.attempt = input.attempt;
-  done.target = std::move(attempt->second);
-  done.outcome = input.outcome;
-  done.latency = input.latency;
-  done.reported_usage = input.reported_usage;
-  done.units_served_elsewhere = input.units_served_elsewhere;
-  done.load_report = input.load_report;
-  request.out.erase(attempt);
-  --out_;
-  if (input.outcome == Outcome::kCorrupted) request.partial = input.payload;
-  if (input.outcome == Outcome::kCompleted) Finish(input.request, ResponseStatus::kServed, 0, input.payload);
-  done.request_finished = request.answered;
-  Play(done);
-  Forget(input.request);
+}
+
+void Engine::HandleInput(const TimerExpired& input) { ProcessEvent(TimerFired{input.timer_id}); }
+
+void Engine::HandleInput(const HealthCheckResult& input) { ProcessEvent(input.result); }
+
+// The Scheduler receives one outcome for each attempt: a second report, or one of an attempt that the
+// deadline has timed out, finds no open attempt here.
+void Engine::CompleteAttempt(RequestTable::iterator position, const AttemptResult& input) {
+  RequestState& request = position->second;
+  const auto attempt = request.open_attempts.find(input.attempt);
+  if (attempt == request.open_attempts.end()) {
+    return;
+  }
+  AttemptFinished finished;
+  finished.id = std::to_string(input.request);
+  finished.attempt = input.attempt;
+  finished.target = std::move(attempt->second);
+  finished.outcome = input.outcome;
+  finished.latency = input.latency;
+  finished.reported_usage = input.reported_usage;
+  finished.units_served_elsewhere = input.units_served_elsewhere;
+  finished.load_report = input.load_report;
+  request.open_attempts.erase(attempt);
+  --open_attempts_;
+  if (input.outcome == Outcome::kCorrupted) {
+    request.partial_payload = input.payload;
+  }
+  if (input.outcome == Outcome::kCompleted) {
+    SendResponse(input.request, ResponseStatus::kServed, 0, input.payload);
+  }
+  finished.request_finished = request.answered;
+  ProcessEvent(finished);
+  EraseIfClosed(input.request);
 }
 
 // ---- actions ----
 
-Engine::Requests::iterator Engine::Find(const RequestId& id) {
-  RequestNumber serial = 0;
-  std::from_chars(id.data(), id.data() + id.size(), serial);
-  return requests_.find(serial);
-}
-
-void Engine::Do(const SendAttempt& action) {
-  const auto at = Find(action.id);
-  if (at == requests_.end()) return;
-  Request& request = at->second;
-  const int trial = request.attempts;
-  const Time left = request.deadline - now_;
-  // A moot send is not transmitted and uses up no attempt of the request.
-  if (request.answered || trial >= try_limit_ || left <= 0 || action.timeout < 0) {
-    AttemptFinished done;
-    done.id = action.id;
-    done.attempt = request.attempts++;
-    done.target = action.target;
-    done.outcome = Outcome::kNotSent;
-    done.request_finished = request.answered;
-    pending_.push_back(done);
+Engine::RequestTable::iterator Engine::FindRequest(const RequestId& id) {
+  RequestNumber number = 0;
+  std::from_chars(id.data(), id.data() + id.size(), number);
+  return requests_.find(number);
+}
+
+void Engine::ExecuteAction(const SendAttempt& action) {
+  const auto position = FindRequest(action.id);
+  if (position == requests_.end()) {
+    return;
+  }
+  RequestState& request = position->second;
+  const int attempt = request.attempts;
+  const Time remaining = request.deadline - now_;
+  // A send that can't matter any more is not transmitted and doesn't count against the maximum of attempts.
+  if (request.answered || attempt >= max_attempts_ || remaining <= 0 || action.timeout < 0) {
+    AttemptFinished finished;
+    finished.id = action.id;
+    finished.attempt = request.attempts++;
+    finished.target = action.target;
+    finished.outcome = Outcome::kNotSent;
+    finished.request_finished = request.answered;
+    pending_events_.emplace_back(finished);
     return;
   }
   ++request.attempts;
-  request.out.emplace(trial, action.target);
-  ++out_;
-  const Time limit = action.timeout > 0 ? std::min(action.timeout, left) : left;
-  outputs_.push_back(
-      StartAttempt{at->first, trial, request.wire, action.target, limit, request.payload, action.not_after});
+  request.open_attempts.emplace(attempt, action.target);
+  ++open_attempts_;
+  const Time timeout = action.timeout > 0 ? std::min(action.timeout, remaining) : remaining;
+  outputs_.emplace_back(StartAttempt{position->first, attempt, request.protocol, action.target, timeout,
+                                     request.payload, action.not_after});
 }
 
-void Engine::Do(const RejectRequest& action) {
-  const auto at = Find(action.id);
-  if (at == requests_.end()) return;
-  Finish(at->first, ResponseStatus::kRejected, action.retry_after, at->second.partial);
-  Forget(at->first);
+void Engine::ExecuteAction(const RejectRequest& action) {
+  const auto position = FindRequest(action.id);
+  if (position == requests_.end()) {
+    return;
+  }
+  const RequestNumber number = position->first;
+  SendResponse(number, ResponseStatus::kRejected, action.retry_after, position->second.partial_payload);
+  EraseIfClosed(number);
 }
 
-void Engine::Do(const FailRequest& action) {
-  const auto at = Find(action.id);
-  if (at == requests_.end()) return;
-  const bool late = now_ >= at->second.deadline;
-  Finish(at->first, late ? ResponseStatus::kTimedOut : ResponseStatus::kFailed, 0, at->second.partial);
-  Forget(at->first);
+void Engine::ExecuteAction(const FailRequest& action) {
+  const auto position = FindRequest(action.id);
+  if (position == requests_.end()) {
+    return;
+  }
+  const RequestNumber number = position->first;
+  const bool expired = now_ >= position->second.deadline;
+  const ResponseStatus status = expired ? ResponseStatus::kTimedOut : ResponseStatus::kFailed;
+  SendResponse(number, status, 0, position->second.partial_payload);
+  EraseIfClosed(number);
 }
 
-void Engine::Do(const StartTimer& action) { outputs_.push_back(ArmTimer{action.timer_id, action.delay}); }
+void Engine::ExecuteAction(const StartTimer& action) {
+  outputs_.emplace_back(ArmTimer{action.timer_id, action.delay});
+}
 
-void Engine::Do(const CancelAttempt& action) {
-  const auto at = Find(action.id);
-  if (at == requests_.end() || !at->second.out.contains(action.attempt)) return;
-  outputs_.push_back(AbortAttempt{at->first, action.attempt, at->second.wire});
+void Engine::ExecuteAction(const CancelAttempt& action) {
+  const auto position = FindRequest(action.id);
+  if (position == requests_.end() || !position->second.open_attempts.contains(action.attempt)) {
+    return;
+  }
+  outputs_.emplace_back(AbortAttempt{position->first, action.attempt, position->second.protocol});
 }
 
-void Engine::Do(const CheckHealth& action) { outputs_.push_back(StartHealthCheck{action.target}); }
+void Engine::ExecuteAction(const CheckHealth& action) {
+  outputs_.emplace_back(StartHealthCheck{action.target});
+}
 
-void Engine::Do(const WatchEndpoints&) { outputs_.push_back(OpenWatch{}); }
+void Engine::ExecuteAction(const WatchEndpoints& /*action*/) { outputs_.emplace_back(OpenWatch{}); }
 
-// Exactly one final answer: whoever comes second finds the request answered.
-void Engine::Finish(RequestNumber serial, ResponseStatus verdict, Time hold_off, PayloadRef payload) {
-  const auto at = requests_.find(serial);
-  if (at == requests_.end() || at->second.answered) return;
-  at->second.answered = true;
-  Response answer{serial, at->second.wire, verdict, hold_off, std::move(payload)};
-  answer.met_objective = verdict == ResponseStatus::kServed && now_ <= at->second.aim;
+void Engine::SendResponse(RequestNumber number, ResponseStatus status, Time retry_after, PayloadRef payload) {
+  const auto position = requests_.find(number);
+  if (position == requests_.end() || position->second.answered) {
+    return;
+  }
+  RequestState& request = position->second;
+  request.answered = true;
+  Response response{number, request.protocol, status, retry_after, std::move(payload)};
+  response.met_objective = status == ResponseStatus::kServed && now_ <= request.objective_deadline;
   const auto open = static_cast<double>(requests_.size());
-  answer.queued_fraction = std::max(0.0, (open - static_cast<double>(out_)) / open);
-  outputs_.push_back(std::move(answer));
+  response.queued_fraction = std::max(0.0, (open - static_cast<double>(open_attempts_)) / open);
+  outputs_.emplace_back(std::move(response));
 }
 
-// A request is forgotten once it is answered and nothing of it is out.
-void Engine::Forget(RequestNumber serial) {
-  const auto at = requests_.find(serial);
-  if (at == requests_.end() || !at->second.answered || !at->second.out.empty()) return;
-  names_.erase(at->second.name);
-  requests_.erase(at);
+void Engine::EraseIfClosed(RequestNumber number) {
+  const auto position = requests_.find(number);
+  if (position == requests_.end()) {
+    return;
+  }
+  const RequestState& request = position->second;
+  if (!request.answered || !request.open_attempts.empty()) {
+    return;
+  }
+  client_request_ids_.erase(request.client_request_id);
+  requests_.erase(position);
 }
 
 }  // namespace walnutspur::core
--- a/src/core/port.h
+++ b/src/core/port.h
@@ -1,41 +1,51 @@
-// What the engine's outputs drive: a front answers clients, a connector carries out attempts.
+// The interfaces that the engine's outputs drive: front ends respond to clients, connectors send attempts to
+// targets. All of it is called on the event-loop thread.
 #ifndef WALNUTSPUR_CORE_PORT_H_
 #define WALNUTSPUR_CORE_PORT_H_
 
+#include <cstddef>
 #include <functional>
 
-#include "core/engine.h"
+#include "core/messages.h"
 
 namespace walnutspur::core {
 
+// Submits an input to the engine; callable from any thread.
 using SubmitInput = std::function<void(Input)>;
 
-// Numbers the requests of all fronts of a process.
+// The numbering of requests that all front ends of a process share.
 struct RequestNumbers {
   RequestNumber next = 1;
 };
 
+// Accepts requests of one protocol and responds to its clients.
 class FrontEnd {
  public:
   virtual ~FrontEnd() = default;
-  virtual void Respond(const Response& answer) = 0;
-  virtual std::size_t pending_requests() const = 0;  // requests taken and not answered
-  // Whether the client still waits for this request, as far as its connection can tell by now: its leaving
+  virtual void Respond(const Response& response) = 0;
+  // Requests accepted and not answered yet.
+  virtual std::size_t pending_requests() const = 0;
+  // Whether the client of a request is still connected, as far as the kernel knows: the end of the connection
   // may not have been read yet.
-  virtual bool IsClientConnected(RequestNumber) { return true; }
-  virtual void SetShutdownDeadline(Time end) = 0;  // what is unanswered then is timed out
-  // The program ends soon: asked over and over, with the time, us, until all has to be answered. From when
-  // another request would get no answer in that time on, connections end with their next answer and no new
-  // ones are taken.
+  virtual bool IsClientConnected(RequestNumber /*request*/) { return true; }
+  // Requests that are unanswered at `end` (us) are timed out then.
+  virtual void SetShutdownDeadline(Time end) = 0;
+  // Called repeatedly during shutdown with the time left until all requests have to be answered (us). Once
+  // another request could not be served in that time, connections close after their next response and no new
+  // ones are accepted.
   virtual void BeginGracefulShutdown(Time left) = 0;
   virtual std::size_t connections() const = 0;
 };
 
+// Sends attempts of one protocol to targets.
 class Connector {
  public:
   virtual ~Connector() = default;
+  // Starts an attempt; its outcome is submitted as an AttemptResult.
   virtual void Start(const StartAttempt& attempt) = 0;
-  virtual void Cancel(RequestNumber serial, int trial) = 0;
+  // Abandons an attempt, if it is still open.
+  virtual void Cancel(RequestNumber request, int attempt) = 0;
+  // Stops sending to a target; what has been sent may finish.
   virtual void Drain(const TargetId& target) = 0;
 };
 
--- a/src/core/queue.h
+++ b/src/core/queue.h
@@ -1,4 +1,4 @@
-// The only way between the thread that owns the Scheduler and the thread that owns the sockets.
+// The queue between the scheduler thread and the event-loop thread; the only state they share.
 #ifndef WALNUTSPUR_CORE_QUEUE_H_
 #define WALNUTSPUR_CORE_QUEUE_H_
 
@@ -9,15 +9,20 @@
 
 namespace walnutspur::core {
 
+// An unbounded queue with one reader. All methods may be called from any thread.
 template <typename T>
 class Queue {
  public:
-  // Returns whether the queue was empty: then its reader needs to be woken.
+  // Appends items. Returns whether the queue was empty before, so that its reader has to be notified.
   bool Push(std::vector<T> items) {
-    if (items.empty()) return false;
+    if (items.empty()) {
+      return false;
+    }
     const std::lock_guard lock(mutex_);
     const bool was_empty = items_.empty();
-    for (T& item : items) items_.push_back(std::move(item));
+    for (T& item : items) {
+      items_.push_back(std::move(item));
+    }
     filled_.notify_one();
     return was_empty;
   }
@@ -27,19 +32,20 @@
     return Push(std::move(items));
   }
 
-  // Takes all there is, at once.
+  // Removes and returns all items; doesn't wait.
   std::vector<T> Take() {
     const std::lock_guard lock(mutex_);
     return std::exchange(items_, {});
   }
 
-  // Waits until there is something or the queue is closed; empty then.
+  // Waits for items, then removes and returns all of them. Returns none once the queue is closed.
   std::vector<T> Wait() {
     std::unique_lock lock(mutex_);
     filled_.wait(lock, [this] { return closed_ || !items_.empty(); });
     return std::exchange(items_, {});
   }
 
+  // Ends all waiting, now and later.
   void Close() {
     const std::lock_guard lock(mutex_);
     closed_ = true;
--- a/src/core/scheduler_thread.h
+++ b/src/core/scheduler_thread.h
@@ -2,37 +2,42 @@
 #ifndef WALNUTSPUR_CORE_SCHEDULER_THREAD_H_
 #define WALNUTSPUR_CORE_SCHEDULER_THREAD_H_
 
+#include <cstdint>
 #include <functional>
 #include <thread>
+#include <utility>
 #include <vector>
 
+#include "core/clock.h"
 #include "core/engine.h"
 #include "core/queue.h"
 
 namespace walnutspur::core {
 
-// Microseconds of Unix time that never run backwards: taken once, carried on by the steady clock.
-Time Now();
-
+// Handles submitted inputs on a thread of its own and queues the outputs for the event-loop thread.
 class SchedulerThread {
  public:
-  // `wake` is called on the owner's thread whenever outputs wait that the reader has not been told of.
-  SchedulerThread(const Settings& settings, std::uint64_t seed, std::function<void()> wake);
+  // `notify_outputs` is called on the new thread when outputs are queued and the reader has not been notified
+  // since it last took them.
+  SchedulerThread(const Settings& settings, std::uint64_t seed, std::function<void()> notify_outputs);
+  // Handles the inputs submitted so far, then ends the thread.
   ~SchedulerThread();
   SchedulerThread(const SchedulerThread&) = delete;
   SchedulerThread& operator=(const SchedulerThread&) = delete;
 
+  // Callable from any thread.
   void Submit(Input input) { inputs_.Push(std::move(input)); }
+  // Removes and returns the queued outputs, in order; on the event-loop thread.
   std::vector<Output> TakeOutputs() { return outputs_.Take(); }
 
  private:
   void Run();
 
   Engine engine_;
-  std::function<void()> wake_;
+  std::function<void()> notify_outputs_;
   Queue<Input> inputs_;
   Queue<Output> outputs_;
-  std::thread thread_;
+  std::thread thread_;  // last: it uses the members above
 };
 
 }  // namespace walnutspur::core
