--- a/src/background/budget.cpp
+++ b/src/background/budget.cpp
@@ -6,132 +6,164 @@
 namespace walnutspur::background {
 namespace {
 
-constexpr double kUnknown = 0.5;  // of the speed while no report comes
-constexpr double kAhead = 1.2;    // over the pace of the wish: a round must not end late by a hair
-constexpr Time kSecond = 1'000'000;
+constexpr double kUnknownLoadSpeed = 0.5;  // fraction of the speed without a recent report
+constexpr double kGoalMargin = 1.2;        // over the pace of the goal, so that a round ends before it
+constexpr Time kSecond = 1'000'000;        // us
+constexpr double kMicrosPerSecond = 1e6;
+
+double Seconds(Time duration) { return static_cast<double>(std::max<Time>(0, duration)) / kSecond; }
+
+// The part of its round that a job has done, 0 to 1.
+double DoneFraction(const Progress& progress) {
+  if (progress.total == 0) {
+    return 0.0;
+  }
+  return static_cast<double>(progress.position) / static_cast<double>(progress.total);
+}
+
+// Requests per second that a goal needs: a job that is behind catches up, one that is ahead keeps an even
+// pace.
+double GoalRate(Time goal, const Progress& progress, Time now) {
+  const auto total = static_cast<double>(progress.total);
+  const double left = total - std::min(total, static_cast<double>(progress.position));
+  const auto time = static_cast<double>(std::max<Time>(kSecond, goal - (now - progress.since)));
+  return kGoalMargin * kSecond * std::max(left / time, total / static_cast<double>(goal));
+}
 
 }  // namespace
 
 // ---- pressure ----
 
 void Pressure::Take(const Report& report, Time now) {
-  const bool pressed = report.missed > options_.most_missed || report.waiting > options_.most_waiting ||
-                       report.bound > options_.most_bound;
-  // Down at once: live work feels the next request already. Up slowly: else the two would take turns.
-  speed_ = pressed ? 0 : std::min(1.0, speed_ + options_.recover);
-  heard_ = now;
-  any_ = true;
+  const bool overloaded = report.missed > options_.most_missed || report.waiting > options_.most_waiting ||
+                          report.bound > options_.most_bound;
+  // Down at once, since the next live request would suffer; up slowly, or else the two would oscillate.
+  speed_ = overloaded ? 0 : std::min(1.0, speed_ + options_.recover);
+  last_report_ = now;
 }
 
 double Pressure::Speed(Time now) const {
-  if (!any_ || now - heard_ > options_.report_lasts) return speed_ * kUnknown;
+  if (!last_report_ || now - *last_report_ > options_.report_lasts) {
+    return speed_ * kUnknownLoadSpeed;
+  }
   return speed_;
 }
 
-// ---- turns ----
+// ---- budget ----
 
 JobId Budget::Add(const JobOptions& options, const Progress& progress, Time now) {
   Job job;
   job.options = options;
   job.progress = progress;
-  if (job.progress.since == 0) job.progress.since = now;
-  job.at = now;
-  jobs_[next_] = job;
-  return next_++;
+  if (job.progress.since == 0) {
+    job.progress.since = now;
+  }
+  job.updated_at = now;
+  jobs_[next_id_] = job;
+  return next_id_++;
 }
 
 void Budget::Pause(JobId job) { jobs_.at(job).paused = true; }
 
-void Budget::Resume(JobId id, Time now) {
-  Job& job = jobs_.at(id);
-  Age(job, now);
-  job.paused = false;
+void Budget::Resume(JobId job, Time now) {
+  Job& resumed = jobs_.at(job);
+  PayDebts(resumed, now);
+  resumed.paused = false;
 }
 
-// The budget, less what the wish does not need, times what live work leaves; but never under the floor.
+// The budget, or what the goal needs if that is less, times the speed that live requests allow; never less
+// than the minimum.
 double Budget::Rate(const Job& job, Time now) const {
-  const JobOptions& o = job.options;
-  double rate = std::min(o.requests_a_second, o.bytes_a_second / std::max(1.0, o.usual_bytes));
-  if (o.wish > 0 && job.progress.total > 0) {
-    const double total = static_cast<double>(job.progress.total);
-    const double left = total - std::min(total, static_cast<double>(job.progress.position));
-    const double time = static_cast<double>(std::max<Time>(kSecond, o.wish - (now - job.progress.since)));
-    // What is behind makes up for it; what is ahead keeps the even pace.
-    rate = std::min(rate, kAhead * kSecond * std::max(left / time, total / static_cast<double>(o.wish)));
+  const JobOptions& options = job.options;
+  double rate =
+      std::min(options.requests_a_second, options.bytes_a_second / std::max(1.0, options.mean_request_bytes));
+  if (options.wish > 0 && job.progress.total > 0) {
+    rate = std::min(rate, GoalRate(options.wish, job.progress, now));
   }
-  return std::max(o.floor_a_second, rate * pressure_.Speed(now));
+  return std::max(options.floor_a_second, rate * pressure_.Speed(now));
 }
 
-void Budget::Age(Job& job, Time now) const {
+void Budget::PayDebts(Job& job, Time now) const {
   const double rate = Rate(job, now);
-  const double passed = static_cast<double>(std::max<Time>(0, now - job.at)) / kSecond;
-  job.debt = std::max(0.0, job.debt - passed * rate);
-  job.bytes_debt = std::max(0.0, job.bytes_debt - passed * job.options.bytes_a_second);
-  job.at = std::max(job.at, now);
+  const double elapsed = Seconds(now - job.updated_at);
+  job.request_debt = std::max(0.0, job.request_debt - elapsed * rate);
+  job.bytes_debt = std::max(0.0, job.bytes_debt - elapsed * job.options.bytes_a_second);
+  job.updated_at = std::max(job.updated_at, now);
 }
 
-// How long until its debts are paid; -1: nothing but an event lets it go.
-Time Budget::WaitOf(const Job& job, Time now) const {
-  if (held_ || job.paused || job.in_flight >= job.options.in_flight) return -1;
+std::optional<Time> Budget::WaitOf(const Job& job, Time now) const {
+  if (held_ || job.paused || job.in_flight >= job.options.in_flight) {
+    return std::nullopt;
+  }
   const double rate = Rate(job, now);
-  if (rate <= 0) return -1;
-  const double passed = static_cast<double>(std::max<Time>(0, now - job.at)) / kSecond;
-  const double requests = std::max(0.0, job.debt - passed * rate) / rate;
-  const double bytes =
-      std::max(0.0, job.bytes_debt - passed * job.options.bytes_a_second) / job.options.bytes_a_second;
-  return static_cast<Time>(std::ceil(std::max(requests, bytes) * 1e6));
+  if (rate <= 0) {
+    return std::nullopt;
+  }
+  const double elapsed = Seconds(now - job.updated_at);
+  const double byte_rate = job.options.bytes_a_second;
+  const double for_requests = std::max(0.0, job.request_debt - elapsed * rate) / rate;
+  const double for_bytes = std::max(0.0, job.bytes_debt - elapsed * byte_rate) / byte_rate;
+  return static_cast<Time>(std::ceil(std::max(for_requests, for_bytes) * kMicrosPerSecond));
+}
+
+// By priority; among equals the one that has done less of its round.
+bool Budget::GoesBefore(const Job& job, const Job& other) {
+  if (job.options.priority != other.options.priority) {
+    return job.options.priority > other.options.priority;
+  }
+  return DoneFraction(job.progress) < DoneFraction(other.progress);
 }
 
 std::optional<JobId> Budget::Next(Time now) {
   Job* best = nullptr;
-  JobId id = 0;
-  for (auto& [number, job] : jobs_) {
-    if (WaitOf(job, now) != 0) continue;
-    // Among equals the one that lies further back.
-    const auto part = [](const Job& j) {
-      return j.progress.total == 0
-                 ? 0.0
-                 : static_cast<double>(j.progress.position) / static_cast<double>(j.progress.total);
-    };
-    if (best && (job.options.priority < best->options.priority ||
-                 (job.options.priority == best->options.priority && part(job) >= part(*best))))
+  JobId best_id = 0;
+  for (auto& [id, job] : jobs_) {
+    if (WaitOf(job, now) != Time{0}) {
       continue;
-    best = &job;
-    id = number;
+    }
+    if (best == nullptr || GoesBefore(job, *best)) {
+      best = &job;
+      best_id = id;
+    }
   }
-  if (!best) return std::nullopt;
-  Age(*best, now);
-  best->debt += 1;
+  if (best == nullptr) {
+    return std::nullopt;
+  }
+  PayDebts(*best, now);
+  best->request_debt += 1;
   ++best->in_flight;
-  return id;
+  return best_id;
 }
 
 std::optional<Time> Budget::NextAt(Time now) const {
-  std::optional<Time> soonest;
+  std::optional<Time> earliest;
   for (const auto& [id, job] : jobs_) {
-    const Time wait = WaitOf(job, now);
-    if (wait >= 0 && (!soonest || now + wait < *soonest)) soonest = now + wait;
+    const std::optional<Time> wait = WaitOf(job, now);
+    if (wait && (!earliest || now + *wait < *earliest)) {
+      earliest = now + *wait;
+    }
   }
-  return soonest;
+  return earliest;
 }
 
-void Budget::Done(JobId id, std::uint64_t units, std::uint64_t bytes, Time now) {
-  Job& job = jobs_.at(id);
-  Age(job, now);
-  job.in_flight = std::max(0, job.in_flight - 1);
-  job.bytes_debt += static_cast<double>(bytes);
-  job.progress.position += units;
-  if (job.progress.total > 0 && job.progress.position >= job.progress.total) {
-    job.progress.position = 0;
-    ++job.progress.rounds;
-    job.progress.since = now;
+void Budget::Done(JobId job, std::uint64_t units, std::uint64_t bytes, Time now) {
+  Job& done = jobs_.at(job);
+  PayDebts(done, now);
+  done.in_flight = std::max(0, done.in_flight - 1);
+  done.bytes_debt += static_cast<double>(bytes);
+  Progress& progress = done.progress;
+  progress.position += units;
+  if (progress.total > 0 && progress.position >= progress.total) {
+    progress.position = 0;
+    ++progress.rounds;
+    progress.since = now;
   }
 }
 
-void Budget::Return(JobId id) {
-  Job& job = jobs_.at(id);
-  job.in_flight = std::max(0, job.in_flight - 1);
-  job.debt = std::max(0.0, job.debt - 1);
+void Budget::Return(JobId job) {
+  Job& returned = jobs_.at(job);
+  returned.in_flight = std::max(0, returned.in_flight - 1);
+  returned.request_debt = std::max(0.0, returned.request_debt - 1);
 }
 
 }  // namespace walnutspur::background
--- a/src/checksummed/scrub.cpp
+++ b/src/checksummed/scrub.cpp
@@ -34,7 +34,7 @@
                                  cursor.block / options_.chunk);
     background::JobOptions job = options_.job;
     job.name = volume.front.name;
-    job.usual_bytes = static_cast<double>(options_.chunk * integrity::kBlock);
+    job.mean_request_bytes = static_cast<double>(options_.chunk * integrity::kBlock);
     background::Progress progress;
     progress.total = scrubber.total();
     progress.position = scrubber.position();
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -6,213 +6,179 @@
 #include <cmath>
 #include <fstream>
 #include <sstream>
+#include <utility>
+
+#include "config/value_reader.h"
 
 namespace walnutspur::config {
 namespace {
 
-constexpr std::size_t kNear = 3;  // edits; a word further away is not what was meant
-
-std::string Plain(double value) {
-  std::ostringstream text;
-  text.precision(12);
-  text << value;
-  return text.str();
-}
+constexpr std::size_t kMaxEdits = 3;  // a word with more edits is not what was meant
 
-// "box[].id" in the scope "box[]." is "id"; keys of other scopes are none of this table's.
+// "box[].id" in the scope "box[]." is "id"; keys of other scopes don't belong to the table.
 bool InScope(const Key& key, const std::string& scope) {
   return key.path.starts_with(scope) && key.path.find("[].", scope.size()) == std::string::npos;
 }
 
+// Reads the tables of one document and collects their problems.
 class Reader {
  public:
   explicit Reader(const std::vector<Key>& keys) : keys_(keys) {}
 
-  // Reads the table at `scope` ("" or "box[].") into `out`; `prefix` is the dotted path inside of the scope.
+  // Reads the table of a scope ("" or "box[].") into `out`; `prefix` is the dotted path inside of the scope.
   void Read(const toml::table& table, const std::string& scope, const std::string& prefix, Table* out) {
     for (const auto& [name, node] : table) {
       const std::string path = prefix + std::string(name.str());
       const int line = static_cast<int>(node.source().begin.line);
       if (const Key* key = Find(scope + path)) {
-        Take(*key, path, node, line, out);
+        Store(*key, path, node, line, out);
       } else if (node.is_table() && IsSection(scope + path + ".")) {
         Read(*node.as_table(), scope, path + ".", out);
       } else if (IsSection(scope + path + "[].")) {
         ReadTables(node, scope + path, path, line, out);
       } else {
-        Unknown(scope, path, line);
+        ReportUnknown(scope, path, line);
       }
     }
   }
 
-  void Fill(const std::string& scope, int line, Table* out) {
+  // Adds the defaults of a scope to `out`, and a problem for each required key that is missing.
+  void AddDefaults(const std::string& scope, int line, Table* out) {
     for (const Key& key : keys_) {
-      if (!InScope(key, scope)) continue;
+      if (!InScope(key, scope)) {
+        continue;
+      }
       const std::string path = key.path.substr(scope.size());
-      if (out->Has(path)) continue;
+      if (out->Has(path)) {
+        continue;
+      }
       if (!key.fallback.empty()) {
-        const toml::table made = toml::parse("x = " + key.fallback);
-        Take(key, path, *made.get("x"), 0, out);
+        const toml::table parsed = toml::parse("x = " + key.fallback);
+        Store(key, path, *parsed.get("x"), 0, out);
       } else if (key.needed && !out->lines.contains(path)) {
-        problems.push_back({line, key.path, "is missing; allowed is " + Allowed(key)});
+        problems_.push_back({line, key.path, "is missing; allowed is " + Allowed(key)});
       }
     }
   }
 
-  std::vector<Problem> problems;
+  std::vector<Problem> TakeProblems() { return std::exchange(problems_, {}); }
 
  private:
   const Key* Find(const std::string& path) const {
-    const auto at = std::find_if(keys_.begin(), keys_.end(), [&](const Key& k) { return k.path == path; });
-    return at == keys_.end() ? nullptr : &*at;
+    const auto position =
+        std::find_if(keys_.begin(), keys_.end(), [&path](const Key& key) { return key.path == path; });
+    return position == keys_.end() ? nullptr : &*position;
   }
+
   bool IsSection(const std::string& start) const {
-    return std::any_of(keys_.begin(), keys_.end(), [&](const Key& k) { return k.path.starts_with(start); });
+    return std::any_of(keys_.begin(), keys_.end(),
+                       [&start](const Key& key) { return key.path.starts_with(start); });
   }
 
-  void ReadTables(const toml::node& node, const std::string& full, const std::string& path, int line,
+  void Store(const Key& key, const std::string& path, const toml::node& node, int line, Table* out) {
+    out->lines[path] = line;  // even if the value is wrong: the key is not missing
+    ValueResult result = ReadValue(key, node);
+    if (result.value) {
+      out->values[path] = std::move(*result.value);
+    } else {
+      problems_.push_back({line, key.path, result.problem + "; allowed is " + Allowed(key)});
+    }
+  }
+
+  void ReadTables(const toml::node& node, const std::string& full_path, const std::string& path, int line,
                   Table* out) {
+    const std::string problem = "must stand as [[" + full_path + "]]";
     const toml::array* items = node.as_array();
-    if (!items) return problems.push_back({line, full, "must stand as [[" + full + "]]"});
+    if (items == nullptr) {
+      problems_.push_back({line, full_path, problem});
+      return;
+    }
     for (const toml::node& item : *items) {
-      const int at = static_cast<int>(item.source().begin.line);
+      const int item_line = static_cast<int>(item.source().begin.line);
       if (!item.is_table()) {
-        problems.push_back({at, full, "must stand as [[" + full + "]]"});
+        problems_.push_back({item_line, full_path, problem});
         continue;
       }
-      Table& made = out->tables[path].emplace_back();
-      Read(*item.as_table(), full + "[].", "", &made);
-      Fill(full + "[].", at, &made);
+      Table& table = out->tables[path].emplace_back();
+      Read(*item.as_table(), full_path + "[].", "", &table);
+      AddDefaults(full_path + "[].", item_line, &table);
     }
   }
 
-  void Unknown(const std::string& scope, const std::string& path, int line) {
+  void ReportUnknown(const std::string& scope, const std::string& path, int line) {
     std::vector<std::string> known;
     for (const Key& key : keys_) {
-      if (InScope(key, scope)) known.push_back(key.path.substr(scope.size()));
+      if (InScope(key, scope)) {
+        known.push_back(key.path.substr(scope.size()));
+      }
     }
-    const std::string near = Nearest(path, known);
-    problems.push_back(
-        {line, scope + path, near.empty() ? "is no known key" : "is no known key; the nearest is " + near});
+    const std::string nearest = Nearest(path, known);
+    const std::string hint = nearest.empty() ? "" : "; the nearest is " + nearest;
+    problems_.push_back({line, scope + path, "is no known key" + hint});
   }
 
-  void Take(const Key& key, const std::string& path, const toml::node& node, int line, Table* out) {
-    const auto wrong = [&](const std::string& what) {
-      problems.push_back({line, key.path, what + "; allowed is " + Allowed(key)});
-    };
-    out->lines[path] = line;  // it is there, be it wrong
-    const auto in_range = [&](double value) { return value >= key.least && value <= key.most; };
-    switch (key.kind) {
-      case Kind::kBool:
-        if (!node.is_boolean()) return wrong("is not true or false");
-        out->values[path] = node.as_boolean()->get();
-        break;
-      case Kind::kInteger:
-        if (!node.is_integer()) return wrong("is not a whole number");
-        if (!in_range(static_cast<double>(node.as_integer()->get()))) return wrong("is out of range");
-        out->values[path] = node.as_integer()->get();
-        break;
-      case Kind::kNumber: {
-        if (!node.is_number()) return wrong("is not a number");
-        const double value = *node.value<double>();
-        if (!std::isfinite(value) || !in_range(value)) return wrong("is out of range");
-        out->values[path] = value;
-        break;
-      }
-      case Kind::kText: {
-        if (!node.is_string()) return wrong("is not a text");
-        const std::string& value = node.as_string()->get();
-        if (!Fits(key, value)) return wrong("cannot be \"" + value + "\"");
-        out->values[path] = value;
-        break;
-      }
-      case Kind::kTexts: {
-        const toml::array* items = node.as_array();
-        std::vector<std::string> values;
-        if (!items) return wrong("is not a list of texts");
-        for (const toml::node& item : *items) {
-          if (!item.is_string()) return wrong("is not a list of texts");
-          values.push_back(item.as_string()->get());
-          if (!Fits(key, values.back())) return wrong("cannot hold \"" + values.back() + "\"");
-        }
-        out->values[path] = values;
-        break;
-      }
+  const std::vector<Key>& keys_;
+  std::vector<Problem> problems_;
+};
+
+// The edit distance of two words (Levenshtein), by one row of its table at a time.
+std::size_t EditDistance(const std::string& word, const std::string& other) {
+  std::vector<std::size_t> row(other.size() + 1);
+  for (std::size_t i = 0; i <= other.size(); ++i) {
+    row[i] = i;
+  }
+  for (std::size_t i = 1; i <= word.size(); ++i) {
+    std::size_t diagonal = row[0];
+    row[0] = i;
+    for (std::size_t j = 1; j <= other.size(); ++j) {
+      const std::size_t substitution = diagonal + (word[i - 1] != other[j - 1] ? 1 : 0);
+      diagonal = row[j];
+      row[j] = std::min({row[j] + 1, row[j - 1] + 1, substitution});
     }
-    out->lines[path] = line;
   }
+  return row.back();
+}
 
-  static bool Fits(const Key& key, const std::string& value) {
-    if (key.most > 0 &&
-        (static_cast<double>(value.size()) > key.most || static_cast<double>(value.size()) < key.least))
-      return false;
-    return key.words.empty() || std::find(key.words.begin(), key.words.end(), value) != key.words.end();
+// The line break and header of a section in the example.
+std::string SectionHeader(const std::string& section) {
+  if (section.ends_with("[]")) {
+    return "\n[[" + section.substr(0, section.size() - 2) + "]]\n";
   }
-
-  const std::vector<Key>& keys_;
-};
+  return "\n[" + section + "]\n";
+}
 
 }  // namespace
 
 double Table::Number(const std::string& path) const {
   const Value& value = values.at(path);
-  if (const auto* whole = std::get_if<std::int64_t>(&value)) return static_cast<double>(*whole);
+  if (const auto* integer = std::get_if<std::int64_t>(&value)) {
+    return static_cast<double>(*integer);
+  }
   return std::get<double>(value);
 }
 
 std::string Nearest(const std::string& word, const std::vector<std::string>& known) {
   std::string best;
-  std::size_t least = kNear + 1;
+  std::size_t least = kMaxEdits + 1;
   for (const std::string& other : known) {
-    std::vector<std::size_t> row(other.size() + 1);
-    for (std::size_t i = 0; i <= other.size(); ++i) row[i] = i;
-    for (std::size_t i = 1; i <= word.size(); ++i) {
-      std::size_t diagonal = row[0];
-      row[0] = i;
-      for (std::size_t j = 1; j <= other.size(); ++j) {
-        const std::size_t change = diagonal + (word[i - 1] != other[j - 1]);
-        diagonal = row[j];
-        row[j] = std::min({row[j] + 1, row[j - 1] + 1, change});
-      }
-    }
-    // A short word is near to everything: at least half of it must stand.
-    if (row.back() < least && row.back() * 2 <= other.size()) {
-      least = row.back();
+    const std::size_t edits = EditDistance(word, other);
+    // A short word is similar to everything: at least half of it must be unchanged.
+    if (edits < least && edits * 2 <= other.size()) {
+      least = edits;
       best = other;
     }
   }
   return best;
 }
 
-std::string Allowed(const Key& key) {
-  const std::string range =
-      "from " + Plain(key.least) + " to " + Plain(key.most) + (key.unit.empty() ? "" : " " + key.unit);
-  std::string words;
-  for (const std::string& word : key.words) words += (words.empty() ? "" : ", ") + ("\"" + word + "\"");
-  switch (key.kind) {
-    case Kind::kBool:
-      return "true or false";
-    case Kind::kInteger:
-      return "a whole number " + range;
-    case Kind::kNumber:
-      return "a number " + range;
-    case Kind::kText:
-      if (!words.empty()) return "one of " + words;
-      return key.most > 0 ? "a text of " + Plain(key.least) + " to " + Plain(key.most) + " bytes" : "a text";
-    case Kind::kTexts:
-      return words.empty() ? "a list of texts" : "a list of " + words;
-  }
-  return "";
-}
-
 Document Read(const std::string& text, const std::vector<Key>& keys) {
   Document document;
   try {
     const toml::table root = toml::parse(text);
     Reader reader(keys);
     reader.Read(root, "", "", &document.root);
-    reader.Fill("", 0, &document.root);
-    document.problems = std::move(reader.problems);
+    reader.AddDefaults("", 0, &document.root);
+    document.problems = reader.TakeProblems();
     std::stable_sort(document.problems.begin(), document.problems.end(),
                      [](const Problem& a, const Problem& b) { return a.line < b.line; });
   } catch (const toml::parse_error& error) {
@@ -245,16 +211,19 @@
   std::string section;
   for (const Key& key : keys) {
     const std::size_t dot = key.path.rfind('.');
-    std::string own = dot == std::string::npos ? "" : key.path.substr(0, dot);
-    if (own != section) {
-      section = own;
-      const bool list = own.ends_with("[]");
-      if (list) own.resize(own.size() - 2);
-      out << (list ? "\n[[" : "\n[") << own << (list ? "]]\n" : "]\n");
+    const bool at_root = dot == std::string::npos;
+    const std::string key_section = at_root ? "" : key.path.substr(0, dot);
+    if (key_section != section) {
+      section = key_section;
+      out << SectionHeader(section);
     }
+    const std::string name = at_root ? key.path : key.path.substr(dot + 1);
     out << "# " << key.about << "; " << Allowed(key) << "\n";
-    out << (key.fallback.empty() ? "# " : "") << key.path.substr(dot == std::string::npos ? 0 : dot + 1)
-        << " = " << (key.fallback.empty() ? "..." : key.fallback) << "\n";
+    if (key.fallback.empty()) {
+      out << "# " << name << " = ...\n";
+    } else {
+      out << name << " = " << key.fallback << "\n";
+    }
   }
   return out.str();
 }
--- a/src/config/schema.h
+++ b/src/config/schema.h
@@ -1,8 +1,8 @@
-// TOML files checked against a table of keys: type, range, words, default and unit of each. It knows no key
-// of its own; who owns settings owns their table.
+// A schema for TOML files: type, range, allowed words, default and unit of each key. It defines no keys of
+// its own; each owner of settings has a table of them.
 //
-// A document is read whole and all that is wrong with it is told, each problem with line and key, before any
-// of it holds.
+// A document is read completely, and all its problems are reported, each with line and key, before any value
+// is used. Stateless; callable from any thread.
 #ifndef WALNUTSPUR_CONFIG_SCHEMA_H_
 #define WALNUTSPUR_CONFIG_SCHEMA_H_
 
@@ -15,36 +15,39 @@
 
 namespace walnutspur::config {
 
+// The type of a key's values. kTexts: a list of texts.
 enum class Kind { kBool, kInteger, kNumber, kText, kTexts };
 
 // One key. Its path is dotted; "box[].id" is the key of each table of [[box]].
 struct Key {
   std::string path;
   Kind kind = Kind::kText;
-  double least = 0, most = 0;      // of numbers, and of the length of texts
-  std::string unit;                // of numbers: "s", "bytes"; empty: plain
-  std::string fallback;            // as it would stand in the file; empty: none
-  std::vector<std::string> words;  // the only texts allowed; empty: any
-  bool needed = false;
-  std::string about;
+  double least = 0;                     // of numbers, and of the length of texts in bytes
+  double most = 0;                      // likewise; 0: texts are unbounded
+  std::string unit = {};                // of numbers: "s", "bytes"; empty: none
+  std::string fallback = {};            // the default, as written in a file; empty: none
+  std::vector<std::string> words = {};  // the only texts allowed; empty: any
+  bool needed = false;                  // missing it is a problem
+  std::string about = {};               // the description in the example
 };
 
+// What is wrong with a document.
 struct Problem {
-  int line = 0;  // from 1; 0: of the whole file
-  std::string key, what;
+  int line = 0;     // from 1; 0: the whole file
+  std::string key;  // its path; empty: no single key
+  std::string what;
 };
 
 using Value = std::variant<bool, std::int64_t, double, std::string, std::vector<std::string>>;
 
-// The values of one table, by the key's path; those of [[name]] tables in `tables`, in their order.
+// The values of one table, by the paths of their keys. A value has the type of the schema; reading it as
+// another throws std::bad_variant_access, except that an integer may be read as a number.
 struct Table {
-  std::map<std::string, Value> values;
-  std::map<std::string, int> lines;
-  std::map<std::string, std::vector<Table>> tables;
+  std::map<std::string, Value> values;               // defaults included
+  std::map<std::string, int> lines;                  // of the keys in the file; 0: default
+  std::map<std::string, std::vector<Table>> tables;  // of [[name]], in order
 
   bool Has(const std::string& path) const { return values.contains(path); }
-  // The value, or the fallback. Asking for a key as another kind than the schema's throws
-  // std::bad_variant_access; an integer may be asked for as a number.
   bool Bool(const std::string& path) const { return std::get<bool>(values.at(path)); }
   std::int64_t Integer(const std::string& path) const { return std::get<std::int64_t>(values.at(path)); }
   double Number(const std::string& path) const;
@@ -54,27 +57,28 @@
   }
 };
 
+// A document that has been read.
 struct Document {
   Table root;
-  std::vector<Problem> problems;  // in the order of lines; empty: the document holds
+  std::vector<Problem> problems;  // in the order of lines; empty: the document is valid
 };
 
-// Reads TOML text. Missing keys get their fallbacks. Never throws for what the text says.
+// Reads TOML text. Missing keys get their defaults. Invalid text results in problems, never in an exception.
 Document Read(const std::string& text, const std::vector<Key>& keys);
 
-// Reads a file; one that cannot be read is a problem of line 0.
+// Reads a file; a file that cannot be read is a problem of line 0.
 Document ReadFile(const std::string& path, const std::vector<Key>& keys);
 
-// "FILE:LINE: KEY: WHAT", or without line where there is none.
+// Formats a problem as "FILE:LINE: KEY: WHAT", without line or key where there is none.
 std::string Line(const std::string& file, const Problem& problem);
 
-// What a key allows, in words: "a number from 0.01 to 2.5 s".
+// Describes the values that a key allows: "a number from 0.01 to 2.5 s".
 std::string Allowed(const Key& key);
 
-// The known word nearest to another by edits (Levenshtein's distance), or empty where none is near.
+// The word of `known` with the least edit distance (Levenshtein) to `word`; empty if none is similar.
 std::string Nearest(const std::string& word, const std::vector<std::string>& known);
 
-// The table of keys as commented TOML with the defaults, for operators to start from.
+// A commented TOML file with all keys and their defaults.
 std::string Example(const std::vector<Key>& keys);
 
 }  // namespace walnutspur::config
--- /dev/null
+++ b/src/config/value_reader.cpp
@@ -0,0 +1,145 @@
+#include "config/value_reader.h"
+
+#include <algorithm>
+#include <cmath>
+#include <cstdint>
+#include <sstream>
+#include <utility>
+#include <vector>
+
+namespace walnutspur::config {
+namespace {
+
+constexpr int kSignificantDigits = 12;  // of numbers in messages
+
+ValueResult Invalid(std::string problem) { return {std::nullopt, std::move(problem)}; }
+ValueResult Valid(Value value) { return {std::move(value), ""}; }
+
+bool InRange(const Key& key, double value) { return value >= key.least && value <= key.most; }
+
+bool IsAllowedText(const Key& key, const std::string& text) {
+  if (key.most > 0 && !InRange(key, static_cast<double>(text.size()))) {
+    return false;
+  }
+  return key.words.empty() || std::find(key.words.begin(), key.words.end(), text) != key.words.end();
+}
+
+ValueResult ReadBool(const toml::node& node) {
+  if (!node.is_boolean()) {
+    return Invalid("is not true or false");
+  }
+  return Valid(node.as_boolean()->get());
+}
+
+ValueResult ReadInteger(const Key& key, const toml::node& node) {
+  if (!node.is_integer()) {
+    return Invalid("is not a whole number");
+  }
+  const std::int64_t value = node.as_integer()->get();
+  if (!InRange(key, static_cast<double>(value))) {
+    return Invalid("is out of range");
+  }
+  return Valid(value);
+}
+
+ValueResult ReadNumber(const Key& key, const toml::node& node) {
+  if (!node.is_number()) {
+    return Invalid("is not a number");
+  }
+  const double value = *node.value<double>();
+  if (!std::isfinite(value) || !InRange(key, value)) {
+    return Invalid("is out of range");
+  }
+  return Valid(value);
+}
+
+ValueResult ReadText(const Key& key, const toml::node& node) {
+  if (!node.is_string()) {
+    return Invalid("is not a text");
+  }
+  const std::string& value = node.as_string()->get();
+  if (!IsAllowedText(key, value)) {
+    return Invalid("cannot be \"" + value + "\"");
+  }
+  return Valid(value);
+}
+
+ValueResult ReadTexts(const Key& key, const toml::node& node) {
+  const toml::array* items = node.as_array();
+  if (items == nullptr) {
+    return Invalid("is not a list of texts");
+  }
+  std::vector<std::string> values;
+  for (const toml::node& item : *items) {
+    if (!item.is_string()) {
+      return Invalid("is not a list of texts");
+    }
+    values.push_back(item.as_string()->get());
+    if (!IsAllowedText(key, values.back())) {
+      return Invalid("cannot hold \"" + values.back() + "\"");
+    }
+  }
+  return Valid(values);
+}
+
+std::string FormatNumber(double value) {
+  std::ostringstream text;
+  text.precision(kSignificantDigits);
+  text << value;
+  return text.str();
+}
+
+std::string DescribeRange(const Key& key) {
+  return "from " + FormatNumber(key.least) + " to " + FormatNumber(key.most) +
+         (key.unit.empty() ? "" : " " + key.unit);
+}
+
+std::string DescribeText(const Key& key, const std::string& words) {
+  if (!words.empty()) {
+    return "one of " + words;
+  }
+  if (key.most > 0) {
+    return "a text of " + FormatNumber(key.least) + " to " + FormatNumber(key.most) + " bytes";
+  }
+  return "a text";
+}
+
+}  // namespace
+
+ValueResult ReadValue(const Key& key, const toml::node& node) {
+  switch (key.kind) {
+    case Kind::kBool:
+      return ReadBool(node);
+    case Kind::kInteger:
+      return ReadInteger(key, node);
+    case Kind::kNumber:
+      return ReadNumber(key, node);
+    case Kind::kText:
+      return ReadText(key, node);
+    case Kind::kTexts:
+      return ReadTexts(key, node);
+  }
+  return Invalid("has no type");
+}
+
+std::string Allowed(const Key& key) {
+  std::string words;
+  for (const std::string& word : key.words) {
+    words += (words.empty() ? "\"" : ", \"") + word + "\"";
+  }
+  switch (key.kind) {
+    case Kind::kBool:
+      return "true or false";
+    case Kind::kInteger:
+      return "a whole number " + DescribeRange(key);
+    case Kind::kNumber:
+      return "a number " + DescribeRange(key);
+    case Kind::kText:
+      return DescribeText(key, words);
+    case Kind::kTexts:
+      return words.empty() ? "a list of texts" : "a list of " + words;
+  }
+  return "";
+}
+
+}  // namespace walnutspur::config
--- /dev/null
+++ b/src/config/value_reader.h
@@ -0,0 +1,27 @@
+// The reading of single values by the schema; internal to this folder.
+//
+// Stateless.
+#ifndef WALNUTSPUR_CONFIG_VALUE_READER_H_
+#define WALNUTSPUR_CONFIG_VALUE_READER_H_
+
+#include <toml++/toml.h>
+
+#include <optional>
+#include <string>
+
+#include "config/schema.h"
+
+namespace walnutspur::config {
+
+// A value, or else what is wrong with it.
+struct ValueResult {
+  std::optional<Value> value;
+  std::string problem;
+};
+
+// Reads the value of a key and checks type, range and words.
+ValueResult ReadValue(const Key& key, const toml::node& node);
+
+}  // namespace walnutspur::config
+
+#endif  // WALNUTSPUR_CONFIG_VALUE_READER_H_
--- a/tests/unit/budget_test.cpp
+++ b/tests/unit/budget_test.cpp
@@ -3,6 +3,9 @@
 
 #include <doctest/doctest.h>
 
+#include <map>
+#include <vector>
+
 namespace walnutspur::background {
 namespace {
 
@@ -37,7 +40,7 @@
   JobOptions options;
   options.requests_a_second = 100;
   options.bytes_a_second = 100e6;
-  options.usual_bytes = 4096;
+  options.mean_request_bytes = 4096;
   options.floor_a_second = 2;
   return options;
 }
