--- a/bench/integrity.cpp
+++ b/bench/integrity.cpp
@@ -578,7 +578,7 @@
     due.push_back(at);
   }
   const auto scrubbed = [&] {
-    const json status = json::parse(app::AskControl(app::ControlPath(w.folder.path()), "status"))["scrub"];
+    const json status = json::parse(app::SendControlCommand(app::ControlPath(w.folder.path()), "status"))["scrub"];
     return scrub ? status["requests"].get<double>() - status["failed"].get<double>() : 0.0;
   };
   const double before = scrubbed();
--- a/src/app/command_line.h
+++ b/src/app/command_line.h
@@ -1,30 +1,42 @@
-// The command line: what is to be done, and with which files.
+// The command line: the action to perform and its arguments.
 #ifndef WALNUTSPUR_APP_COMMAND_LINE_H_
 #define WALNUTSPUR_APP_COMMAND_LINE_H_
 
 #include <string>
 #include <vector>
 
-#include "app/initiator.h"
 #include "app/integrity_tool.h"
+#include "app/options.h"
 
 namespace walnutspur::app {
 
-enum class Action { kServe, kCheck, kExample, kVersion, kFormat, kSuper, kVerify, kLedger, kAsk, kSaid };
+enum class Action {
+  kServe,
+  kCheck,
+  kExample,
+  kVersion,
+  kFormat,
+  kShowSuperblock,
+  kVerify,
+  kShowLedger,
+  kSendCommand,
+  kPrintMessage
+};
 
+// A parsed command line.
 struct Command {
   Action action = Action::kServe;
-  Options options;                 // of serve
-  std::string settings;            // our own settings' file; empty: none
-  std::string config;              // the platform's; empty: what BALANCER_CONFIG names
-  std::vector<std::string> files;  // of check
-  IntegrityOptions integrity;
-  std::string said;  // kSaid: what to print (help, or what is wrong)
-  int code = 0;      // kSaid: the exit code
+  Options options;                 // kServe
+  std::string settings;            // kServe: the settings file; empty: none
+  std::string config;              // kServe: the platform's configuration; empty: as BALANCER_CONFIG says
+  std::vector<std::string> files;  // kCheck
+  IntegrityOptions integrity;      // the actions on checksummed exports and running processes
+  std::string message;             // kPrintMessage: help, or what is wrong
+  int exit_code = 0;               // kPrintMessage
 };
 
-// `arguments` without the program's name. No argument at all is serve. What is wrong comes back as kSaid with
-// code 2.
+// Parses the arguments, without the program's name; none at all mean kServe. An invalid command line results
+// in kPrintMessage with exit code 2.
 Command ParseCommand(std::vector<std::string> arguments);
 
 }  // namespace walnutspur::app
--- /dev/null
+++ b/src/app/configuration_reload.cpp
@@ -0,0 +1,26 @@
+#include "app/configuration_reload.h"
+
+#include <exception>
+
+#include "log/log.h"
+
+namespace walnutspur::app {
+
+ConfigurationReload::ConfigurationReload(http::Config* config, http::DiscoveryClient* discovery)
+    : config_(config), discovery_(discovery) {}
+
+void ConfigurationReload::Reload() {
+  try {
+    const http::Config next = reader_();
+    if (next.discovery == config_->discovery) {
+      return;  // a signal without a change must not reopen the watch
+    }
+    config_->discovery = next.discovery;
+    discovery_->SwitchServer();
+  } catch (const std::exception& error) {
+    log::Event(log::Level::kWarn, "configuration_refused",
+               {{"what", error.what()}, {"stays", "the old one"}});
+  }
+}
+
+}  // namespace walnutspur::app
--- a/src/app/control.cpp
+++ b/src/app/control.cpp
@@ -9,158 +9,212 @@
 #include <sys/un.h>
 #include <unistd.h>
 
+#include <array>
 #include <cerrno>
 #include <cstring>
 #include <sstream>
-#include <stdexcept>
 #include <utility>
 
+#include "app/errors.h"
+
 namespace walnutspur::app {
 namespace {
 
-constexpr std::size_t kMostClients = 4;
-constexpr std::size_t kMostLine = 512;  // bytes
-constexpr Time kPatience = 2'000'000;   // us for a client from its first byte to its last
+constexpr std::size_t kMaxClients = 4;
+constexpr std::size_t kMaxLineBytes = 512;
+constexpr Time kClientTimeout = 2'000'000;  // us from a client's connection to its end
+constexpr int kBacklog = 8;                 // connections not accepted yet
+constexpr mode_t kOwnerOnly = 0177;         // as umask
+constexpr int kMillisPerSecond = 1000;
+constexpr suseconds_t kMicrosPerMilli = 1000;
+constexpr std::size_t kReadBytes = 4096;
 
 sockaddr_un AddressOf(const std::string& path) {
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
-  if (path.size() >= sizeof address.sun_path)
-    throw std::runtime_error("the path " + path + " is too long for a socket; allowed are " +
-                             std::to_string(sizeof address.sun_path - 1) + " bytes");
+  if (path.size() >= sizeof address.sun_path) {
+    throw ControlError("the path " + path + " is too long for a socket; allowed are " +
+                       std::to_string(sizeof address.sun_path - 1) + " bytes");
+  }
   std::memcpy(address.sun_path, path.data(), path.size());
   return address;
 }
 
-// A socket's descriptor that is connected there, or -1.
+// A descriptor that is connected to the socket, or -1 with errno.
 int Connect(const std::string& path) {
   const sockaddr_un address = AddressOf(path);
   const int fd = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  if (fd >= 0 && connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0) return fd;
+  if (fd >= 0 && connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0) {
+    return fd;
+  }
   const int error = errno;
-  if (fd >= 0) close(fd);
+  if (fd >= 0) {
+    close(fd);
+  }
   errno = error;
   return -1;
 }
 
+[[noreturn]] void ThrowErrno(const std::string& step, const std::string& path) {
+  throw ControlError(step + " " + path + ": " + std::strerror(errno));
+}
+
+// Removes the socket of a process that has died.
+void RemoveStaleSocket(const std::string& path) {
+  struct stat existing {};
+  if (lstat(path.c_str(), &existing) != 0) {
+    return;
+  }
+  if (!S_ISSOCK(existing.st_mode)) {
+    throw ControlError(path + " is there and is no socket");
+  }
+  if (const int fd = Connect(path); fd >= 0) {
+    close(fd);
+    throw ControlError(path + " belongs to another process that runs");
+  }
+  unlink(path.c_str());
+}
+
+// A descriptor that is bound to the path and can be opened by this user only.
+int BindSocket(const std::string& path, const sockaddr_un& address) {
+  const int fd = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
+  if (fd < 0) {
+    ThrowErrno("cannot make a socket for", path);
+  }
+  const mode_t previous_mask = umask(kOwnerOnly);
+  const bool bound = bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
+  umask(previous_mask);
+  if (!bound) {
+    close(fd);
+    ThrowErrno("cannot bind", path);
+  }
+  return fd;
+}
+
+// Reads until the end of the connection. Returns whether it has been reached without an error.
+bool ReadAll(int fd, std::string* text) {
+  std::array<char, kReadBytes> buffer{};
+  while (true) {
+    const ssize_t size = recv(fd, buffer.data(), buffer.size(), 0);
+    if (size <= 0) {
+      return size == 0;
+    }
+    text->append(buffer.data(), static_cast<std::size_t>(size));
+  }
+}
+
 }  // namespace
 
 struct Control::Client {
   Control* owner = nullptr;
   std::uint64_t number = 0;
   bool answered = false;
-  loop::EventHandle patience;
+  loop::EventHandle timeout;
   std::unique_ptr<bufferevent, loop::Deleter<bufferevent_free>> stream;
 };
 
-Control::Control(event_base* base, const std::string& path, std::function<std::string(const Words&)> answer)
-    : base_(base), path_(path), answer_(std::move(answer)), listener_(nullptr, evconnlistener_free) {
-  const sockaddr_un address = AddressOf(path);
-  const auto fail = [&](const char* step) {
-    throw std::runtime_error(std::string(step) + " " + path + ": " + std::strerror(errno));
-  };
-  struct stat there {};
-  if (lstat(path.c_str(), &there) == 0) {
-    if (!S_ISSOCK(there.st_mode)) throw std::runtime_error(path + " is there and is no socket");
-    if (const int fd = Connect(path); fd >= 0) {
-      close(fd);
-      throw std::runtime_error(path + " belongs to another process that runs");
-    }
-    unlink(path.c_str());
-  }
-  const int fd = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
-  if (fd < 0) fail("cannot make a socket for");
-  const mode_t before = umask(0177);
-  const bool bound = bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
-  umask(before);
-  if (!bound) {
-    close(fd);
-    fail("cannot bind");
-  }
+Control::Control(event_base* base, const std::string& path, Execute execute)
+    : base_(base), path_(path), execute_(std::move(execute)), listener_(nullptr, evconnlistener_free) {
+  Listen();
+}
+
+void Control::Listen() {
+  const sockaddr_un address = AddressOf(path_);
+  RemoveStaleSocket(path_);
+  const int fd = BindSocket(path_, address);
   listener_.reset(evconnlistener_new(
       base_,
       [](evconnlistener*, evutil_socket_t client, sockaddr*, int, void* arg) {
         static_cast<Control*>(arg)->OnAccept(client);
       },
-      this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, 8, fd));
+      this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, kBacklog, fd));
   if (!listener_) {
     close(fd);
-    fail("cannot listen at");
+    ThrowErrno("cannot listen at", path_);
   }
 }
 
 Control::~Control() { unlink(path_.c_str()); }
 
 void Control::OnAccept(int fd) {
-  if (clients_.size() >= kMostClients) {
+  if (clients_.size() >= kMaxClients) {
     close(fd);
     return;
   }
-  auto made = std::make_unique<Client>();
-  Client* c = made.get();
-  c->owner = this;
-  c->number = next_++;
-  c->stream.reset(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
-  c->patience = loop::MakeTimer(base_, [this, number = c->number] { clients_.erase(number); });
-  c->patience.Start(kPatience);
+  auto owned = std::make_unique<Client>();
+  Client* client = owned.get();
+  client->owner = this;
+  client->number = next_client_++;
+  client->stream.reset(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
+  client->timeout = loop::MakeTimer(base_, [this, number = client->number] { clients_.erase(number); });
+  client->timeout.Start(kClientTimeout);
   bufferevent_setcb(
-      c->stream.get(),
+      client->stream.get(),
       [](bufferevent*, void* arg) {
         auto* self = static_cast<Client*>(arg);
         self->owner->OnRead(*self);
       },
-      [](bufferevent* stream, void* arg) {  // it is called once before anything is written, too
+      [](bufferevent* stream, void* arg) {  // also called once before anything is written
         auto* self = static_cast<Client*>(arg);
         const bool written = evbuffer_get_length(bufferevent_get_output(stream)) == 0;
-        if (self->answered && written) self->owner->clients_.erase(self->number);
+        if (self->answered && written) {
+          self->owner->clients_.erase(self->number);
+        }
       },
-      [](bufferevent*, short what, void* arg) {
+      [](bufferevent*, auto events, void* arg) {
         auto* self = static_cast<Client*>(arg);
-        if (what & BEV_EVENT_ERROR || !self->answered) self->owner->clients_.erase(self->number);
+        if ((events & BEV_EVENT_ERROR) != 0 || !self->answered) {
+          self->owner->clients_.erase(self->number);
+        }
       },
-      c);
-  clients_[c->number] = std::move(made);
-  bufferevent_enable(c->stream.get(), EV_READ | EV_WRITE);
+      client);
+  clients_[client->number] = std::move(owned);
+  bufferevent_enable(client->stream.get(), EV_READ | EV_WRITE);
 }
 
 void Control::OnRead(Client& client) {
-  evbuffer* input = bufferevent_get_input(client.stream.get());
-  std::string line(evbuffer_get_length(input), '\0');
-  evbuffer_copyout(input, line.data(), line.size());
-  const std::size_t end = line.find('\n');
-  if (client.answered || (end == std::string::npos && line.size() <= kMostLine)) return;
-  std::string answer;
-  if (end == std::string::npos || end > kMostLine) {
-    answer = "error: the line is too long; allowed are " + std::to_string(kMostLine) + " bytes\n";
-  } else {
-    std::istringstream text(line.substr(0, end));
-    Words words;
-    for (std::string word; text >> word;) words.push_back(word);
-    answer = answer_(words);
+  evbuffer* buffer = bufferevent_get_input(client.stream.get());
+  std::string input(evbuffer_get_length(buffer), '\0');
+  evbuffer_copyout(buffer, input.data(), input.size());
+  const bool complete = input.find('\n') != std::string::npos || input.size() > kMaxLineBytes;
+  if (client.answered || !complete) {
+    return;
   }
+  const std::string response = Respond(input);
   client.answered = true;
-  bufferevent_write(client.stream.get(), answer.data(), answer.size());
+  bufferevent_write(client.stream.get(), response.data(), response.size());
+}
+
+std::string Control::Respond(const std::string& input) const {
+  const std::size_t end = input.find('\n');
+  if (end == std::string::npos || end > kMaxLineBytes) {
+    return "error: the line is too long; allowed are " + std::to_string(kMaxLineBytes) + " bytes\n";
+  }
+  std::istringstream line(input.substr(0, end));
+  Words words;
+  for (std::string word; line >> word;) {
+    words.push_back(word);
+  }
+  return execute_(words);
 }
 
-std::string AskControl(const std::string& path, const std::string& line, int ms) {
+std::string SendControlCommand(const std::string& path, const std::string& line, int timeout_ms) {
   const int fd = Connect(path);
-  if (fd < 0) throw std::runtime_error("no process answers at " + path + ": " + std::strerror(errno));
-  const timeval patience{ms / 1000, ms % 1000 * 1000};
-  setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+  if (fd < 0) {
+    ThrowErrno("no process answers at", path);
+  }
+  const timeval timeout{timeout_ms / kMillisPerSecond, timeout_ms % kMillisPerSecond * kMicrosPerMilli};
+  setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   const std::string text = line + "\n";
-  std::string answer;
-  bool whole = send(fd, text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size());
-  while (whole) {
-    char bytes[4096];
-    const ssize_t size = recv(fd, bytes, sizeof bytes, 0);
-    if (size == 0) break;
-    whole = size > 0;
-    if (whole) answer.append(bytes, static_cast<std::size_t>(size));
-  }
-  const std::string why = whole ? "it ended the connection" : std::strerror(errno);
+  std::string response;
+  const bool sent = send(fd, text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size());
+  const bool received = sent && ReadAll(fd, &response);
+  const std::string reason = received ? "it ended the connection" : std::strerror(errno);
   close(fd);
-  if (!whole || answer.empty()) throw std::runtime_error("no answer came from " + path + ": " + why);
-  return answer;
+  if (!received || response.empty()) {
+    throw ControlError("no answer came from " + path + ": " + reason);
+  }
+  return response;
 }
 
 }  // namespace walnutspur::app
--- a/src/app/control.h
+++ b/src/app/control.h
@@ -1,8 +1,9 @@
-// Operators' way into a running process: a Unix socket in the configured folder. A client sends one line of
-// words, reads the answer until the end, and that is all; nothing of the decisions can be changed by it.
+// The control socket: the operators' way into a running process, a Unix socket in the configured folder.
 //
-// Runs on the loop's thread. The socket is for the process's own user alone (0600), and is removed at the
-// end; one that a dead process left is replaced, one that somebody answers on is left alone.
+// A client sends one line of words and reads the response until the end of the connection. The socket can be
+// opened by the user of the process only (0600) and is removed at the end; one that a dead process left is
+// replaced, one on which a process still responds is left alone. Owned by the Initiator; runs on the
+// event-loop thread.
 #ifndef WALNUTSPUR_APP_CONTROL_H_
 #define WALNUTSPUR_APP_CONTROL_H_
 
@@ -20,31 +21,43 @@
 
 namespace walnutspur::app {
 
+// The server's side of the control socket.
 class Control {
  public:
   using Words = std::vector<std::string>;
-  // Throws std::runtime_error with one line if it cannot listen there.
-  Control(event_base* base, const std::string& path, std::function<std::string(const Words&)> answer);
+  // Returns the response to a command, which is given by its words.
+  using Execute = std::function<std::string(const Words&)>;
+
+  // Listens at `path`. Throws ControlError if it cannot.
+  Control(event_base* base, const std::string& path, Execute execute);
   ~Control();
   Control(const Control&) = delete;
   Control& operator=(const Control&) = delete;
 
  private:
   struct Client;
+  void Listen();
   void OnAccept(int fd);
   void OnRead(Client& client);
+  std::string Respond(const std::string& input) const;
 
   event_base* base_;
   std::string path_;
-  std::function<std::string(const Words&)> answer_;
+  Execute execute_;
   std::unique_ptr<evconnlistener, void (*)(evconnlistener*)> listener_;
   std::map<std::uint64_t, std::unique_ptr<Client>> clients_;
-  std::uint64_t next_ = 1;
+  std::uint64_t next_client_ = 1;
 };
 
-// The answer of the process that listens there; waits `ms` at most for each part of it. Throws
-// std::runtime_error with one line if nobody answers.
-std::string AskControl(const std::string& path, const std::string& line, int ms = 2000);
+// How long a client waits for each part of a response, ms.
+constexpr int kControlTimeoutMs = 2000;
+
+// Sends a command, one line without its end, to the process that listens at `path`, and returns the response.
+// Blocks. Throws ControlError if there is no response.
+std::string SendControlCommand(const std::string& path, const std::string& line,
+                               int timeout_ms = kControlTimeoutMs);
+
+// The path of the control socket in a folder.
 inline std::string ControlPath(const std::string& folder) { return folder + "/control.sock"; }
 
 }  // namespace walnutspur::app
--- /dev/null
+++ b/src/app/fleet_publisher.h
@@ -0,0 +1,51 @@
+// This process as a member of its fleet: publishes its state and load, and passes on what the fleet reports.
+//
+// Owned by the Initiator; runs on the event-loop thread.
+#ifndef WALNUTSPUR_APP_FLEET_PUBLISHER_H_
+#define WALNUTSPUR_APP_FLEET_PUBLISHER_H_
+
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "fleet/fleet.h"
+#include "http/target_pool.h"
+#include "loop/loop.h"
+
+namespace walnutspur::app {
+
+class FleetPublisher {
+ public:
+  struct Hooks {
+    std::function<void(FleetSize size)> on_size;                 // the number of members has changed
+    std::function<void(const std::string& reason)> on_expelled;  // the process has to end
+    std::function<bool()> is_draining;
+  };
+
+  // Loads the fleet library and joins the fleet. Throws FleetError.
+  FleetPublisher(event_base* base, const fleet::FleetOptions& options, http::TargetPool* targets,
+                 const Hooks& hooks);
+
+  // Counts a response towards the published load.
+  void CountResponse() { ++responses_; }
+  // Publishes now, and then once a period.
+  void Publish();
+  // Tells the other members that this one leaves.
+  void Leave() { fleet_->Leave(); }
+  // Executes an operator's command; returns JSON, or a line that starts with "error: ".
+  std::string Execute(const std::vector<std::string>& words) { return fleet_->Execute(words); }
+
+ private:
+  http::TargetPool* targets_;
+  std::function<bool()> is_draining_;
+  std::uint64_t responses_ = 0;  // since the last publication
+  double load_ = 0;              // responses per second, exponentially weighted
+  std::unique_ptr<fleet::Fleet> fleet_;
+  loop::EventHandle timer_;
+};
+
+}  // namespace walnutspur::app
+
+#endif  // WALNUTSPUR_APP_FLEET_PUBLISHER_H_
--- a/src/app/integrity_tool.h
+++ b/src/app/integrity_tool.h
@@ -1,5 +1,7 @@
-// `walnutspur integrity ...`: checksummed exports seen by operators, offline on a box's export or in the
-// ledger.
+// The commands of `walnutspur integrity`: checksummed exports and the corruption ledger, for operators.
+//
+// Each command prints to `out` and returns the exit code of the program: 0 all is well, 1 corruption was
+// found. Each blocks, and throws std::runtime_error with a message of one line if it cannot be completed.
 #ifndef WALNUTSPUR_APP_INTEGRITY_TOOL_H_
 #define WALNUTSPUR_APP_INTEGRITY_TOOL_H_
 
@@ -10,22 +12,30 @@
 
 namespace walnutspur::app {
 
+// The arguments of all commands; each uses some.
 struct IntegrityOptions {
-  std::string address, remote;      // of the box's NBD listener, and the export there
-  std::uint64_t journal = 4 << 20;  // format: bytes
-  bool force = false;               // format: over an export that is formatted already
-  std::string folder;               // ledger, and where a running process listens
-  std::vector<std::string> words;   // for a running process
+  std::string address;              // of the target's NBD listener: host:port
+  std::string remote;               // name of the export there
+  std::uint64_t journal = 4 << 20;  // bytes of a new journal
+  bool force = false;               // format an export that is formatted already
+  std::string folder;               // holds the corruption ledger and the control socket
+  std::vector<std::string> words;   // the command for a running process
 };
 
-// Each prints to `out`; returns the exit code: 0 all is well, 1 not. Throws std::runtime_error with one line.
+// Formats an export: lays out checksums and journal. The data of the export is lost.
 int Format(const IntegrityOptions& options, std::FILE* out);
+
+// Prints the superblock of an export.
 int ShowSuperblock(const IntegrityOptions& options, std::FILE* out);
-// Reads every block and holds it against its tag. Only on an export that no initiator has attached: it takes
-// part as a reader that changes nothing, so what is still in the journal is read over.
+
+// Reads every block of an export and compares it with its checksum. Only for an export that no initiator has
+// attached: nothing is recovered, so blocks whose newest content is in the journal are skipped.
 int Verify(const IntegrityOptions& options, std::FILE* out);
-// Of the process whose folder it is.
-int AskProcess(const IntegrityOptions& options, std::FILE* out);
+
+// Sends a command to the running process that uses the folder, and prints the response.
+int SendCommand(const IntegrityOptions& options, std::FILE* out);
+
+// Prints the corruption ledger of a folder.
 int ShowLedger(const IntegrityOptions& options, std::FILE* out);
 
 }  // namespace walnutspur::app
--- /dev/null
+++ b/src/app/output_dispatcher.cpp
@@ -0,0 +1,97 @@
+#include "app/output_dispatcher.h"
+
+#include <utility>
+#include <variant>
+
+namespace walnutspur::app {
+
+OutputDispatcher::OutputDispatcher(event_base* base, const OutputDestinations& destinations,
+                                   core::SubmitInput submit)
+    : base_(base), to_(destinations), submit_(std::move(submit)) {}
+
+void OutputDispatcher::Dispatch(const std::vector<core::Output>& outputs) {
+  for (const core::Output& output : outputs) {
+    std::visit([this](const auto& alternative) { Execute(alternative); }, output);
+  }
+}
+
+core::FrontEnd& OutputDispatcher::FrontEndOf(core::Protocol protocol) const {
+  if (protocol == core::Protocol::kNbd) {
+    return *to_.nbd;
+  }
+  if (protocol == core::Protocol::kInternal) {
+    return *to_.scrub;
+  }
+  return *to_.http;
+}
+
+core::Connector& OutputDispatcher::ConnectorOf(core::Protocol protocol) const {
+  if (protocol != core::Protocol::kHttp) {
+    return *to_.exports;
+  }
+  return *to_.http_targets;
+}
+
+// The client may have disconnected after the engine decided: then nothing is sent.
+void OutputDispatcher::Execute(const core::StartAttempt& output) const {
+  if (FrontEndOf(output.protocol).IsClientConnected(output.request)) {
+    ConnectorOf(output.protocol).Start(output);
+    return;
+  }
+  core::AttemptResult result;
+  result.request = output.request;
+  result.attempt = output.attempt;
+  result.outcome = Outcome::kNotSent;
+  submit_(std::move(result));
+}
+
+void OutputDispatcher::Execute(const core::AbortAttempt& output) const {
+  ConnectorOf(output.protocol).Cancel(output.request, output.attempt);
+}
+
+void OutputDispatcher::Execute(const core::DrainTarget& output) const {
+  to_.http_targets->Drain(output.target);
+  if (to_.exports != nullptr) {
+    to_.exports->Drain(output.target);
+  }
+  if (to_.scrub != nullptr) {
+    to_.scrub->OnTargetState(output.target, false, 0);
+  }
+}
+
+void OutputDispatcher::Execute(const core::ActivateTarget& output) const {
+  if (to_.exports != nullptr) {
+    to_.exports->Activate(output.target);
+  }
+  if (to_.scrub != nullptr) {
+    to_.scrub->OnTargetState(output.target, true, output.started_at);
+  }
+}
+
+void OutputDispatcher::Execute(const core::Response& output) const {
+  if (to_.scrub != nullptr && output.protocol != core::Protocol::kInternal) {
+    to_.scrub->ObserveResponse(output);
+  }
+  if (to_.fleet != nullptr) {
+    to_.fleet->CountResponse();
+  }
+  FrontEndOf(output.protocol).Respond(output);
+}
+
+void OutputDispatcher::Execute(const core::ArmTimer& output) {
+  const std::uint64_t number = next_timer_++;
+  const std::int64_t timer_id = output.timer_id;
+  timers_[number] = loop::MakeTimer(base_, [this, number, timer_id] {
+    timers_.erase(number);
+    submit_(core::TimerExpired{timer_id});
+  });
+  timers_[number].Start(output.delay);
+}
+
+void OutputDispatcher::Execute(const core::OpenWatch& /*output*/) const { to_.discovery->OpenWatch(); }
+
+void OutputDispatcher::Execute(const core::StartHealthCheck& output) const {
+  to_.http_targets->CheckHealth(output.target);
+}
+
+}  // namespace walnutspur::app
--- a/src/app/platform.cpp
+++ b/src/app/platform.cpp
@@ -2,66 +2,97 @@
 
 #include <algorithm>
 #include <charconv>
+#include <cstdint>
+#include <exception>
 #include <fstream>
-#include <stdexcept>
 
-#include "simulator/wire.h"
+#include "app/errors.h"
+#include "simulator/settings.h"
 
 namespace walnutspur::app {
 namespace {
 
 using nlohmann::json;
 
+constexpr int kSeedBase = 16;
+
 std::vector<std::string> ParseNames(const json& list) {
   std::vector<std::string> names;
-  for (const json& item : list)
+  for (const json& item : list) {
     names.push_back(item.is_object() ? item.at("name").get<std::string>() : item.get<std::string>());
+  }
   return names;
 }
 
-}  // namespace
+http::Names ParseAllNames(const json& settings) {
+  http::Names names;
+  names.classes = ParseNames(settings.at("classes"));
+  names.plans = ParseNames(settings.value("policies", json::array()));
+  names.zones = ParseNames(settings.value("zones", json::array()));
+  names.kinds = ParseNames(settings.value("hostTypes", json::array()));
+  return names;
+}
+
+std::uint64_t ParseSeed(const std::string& text) {
+  std::uint64_t seed = 0;
+  const char* end = text.data() + text.size();
+  const auto parsed = std::from_chars(text.data(), end, seed, kSeedBase);
+  if (parsed.ec != std::errc() || parsed.ptr != end) {
+    throw ConfigError("'seed' is not a hexadecimal number");
+  }
+  return seed;
+}
+
+void ParseExtra(const json& extra, http::Config* config) {
+  config->shards = extra.value("shards", 0);
+  config->writes = extra.value("changesData", config->writes);
+  if (!config->writes.empty() && config->writes.size() != config->settings.classes.size()) {
+    throw ConfigError("'changesData' does not fit the classes");
+  }
+}
 
-http::Config ParseConfig(const json& j) {
-  http::Config c;
-  c.name = j.value("name", "initiator");
-  c.listen = loop::ParseAddress(j.at("listen").get<std::string>());
-  c.discovery = loop::ParseAddress(j.at("discovery").get<std::string>());
-  loop::ToSocket(c.discovery);  // there is no DNS: a name would never be reached
-  const std::string seed = j.value("seed", "0");
-  const auto [at, error] = std::from_chars(seed.data(), seed.data() + seed.size(), c.seed, 16);
-  if (error != std::errc() || at != seed.data() + seed.size())
-    throw std::runtime_error("'seed' is not a hexadecimal number");
-  const json own = j.value("limits", json::object());
-  c.sockets = own.value("sockets", c.sockets);
-  c.memory_mb = own.value("memory_mb", c.memory_mb);
-  const json& settings = j.at("settings");
-  c.settings = walnutspur::wire::ParseSettings(settings);
-  if (c.settings.classes.empty()) throw std::runtime_error("'settings' has no classes");
-  c.settings.sends_retry_after = true;  // HTTP carries it, whatever the simulator's wire forwards
-  c.names.classes = ParseNames(settings.at("classes"));
-  c.names.plans = ParseNames(settings.value("policies", json::array()));
-  c.names.zones = ParseNames(settings.value("zones", json::array()));
-  c.names.kinds = ParseNames(settings.value("hostTypes", json::array()));
-  const json extra = settings.value("extra", json::object());
-  c.shards = extra.value("shards", 0);
-  c.writes = extra.value("changesData", c.writes);
-  if (!c.writes.empty() && c.writes.size() != c.settings.classes.size())
-    throw std::runtime_error("'changesData' does not fit the classes");
+void ParseSettings(const json& settings, http::Config* config) {
+  config->settings = simulator::ParseSettings(settings);
+  if (config->settings.classes.empty()) {
+    throw ConfigError("'settings' has no classes");
+  }
+  config->settings.sends_retry_after = true;  // HTTP carries it, whatever the simulator's protocol forwards
+  config->names = ParseAllNames(settings);
+  ParseExtra(settings.value("extra", json::object()), config);
   const json limits = settings.value("limits", json::object());
-  c.idle_timeout = limits.value("connIdle", c.idle_timeout);
-  c.connect_timeout = limits.value("dialTimeout", c.connect_timeout);
-  for (const auto& cls : c.settings.classes) c.longest_deadline = std::max(c.longest_deadline, cls.deadline);
-  c.known = j.value("known", json());
-  return c;
+  config->idle_timeout = limits.value("connIdle", config->idle_timeout);
+  config->connect_timeout = limits.value("dialTimeout", config->connect_timeout);
+  for (const RequestClass& request_class : config->settings.classes) {
+    config->longest_deadline = std::max(config->longest_deadline, request_class.deadline);
+  }
+}
+
+}  // namespace
+
+http::Config ParseConfig(const json& document) {
+  http::Config config;
+  config.name = document.value("name", "initiator");
+  config.listen = loop::ParseAddress(document.at("listen").get<std::string>());
+  config.discovery = loop::ParseAddress(document.at("discovery").get<std::string>());
+  loop::ToSocket(config.discovery);  // throws on a host name: there is no DNS to resolve it
+  config.seed = ParseSeed(document.value("seed", "0"));
+  const json limits = document.value("limits", json::object());
+  config.sockets = limits.value("sockets", config.sockets);
+  config.memory_mb = limits.value("memory_mb", config.memory_mb);
+  ParseSettings(document.at("settings"), &config);
+  config.known = document.value("known", json());
+  return config;
 }
 
 http::Config LoadConfig(const std::string& path) {
   std::ifstream file(path);
-  if (!file) throw std::runtime_error("cannot read " + path);
+  if (!file) {
+    throw ConfigError("cannot read " + path);
+  }
   try {
     return ParseConfig(json::parse(file));
   } catch (const std::exception& error) {
-    throw std::runtime_error(path + ": " + error.what());
+    throw ConfigError(path + ": " + error.what());
   }
 }
 
--- a/src/app/platform.h
+++ b/src/app/platform.h
@@ -1,4 +1,7 @@
-// The configuration that the platform writes as JSON, read and checked whole.
+// The platform's configuration of one initiator: a JSON file, whose settings are those of the simulator's
+// protocol.
+//
+// Read before the Initiator is constructed, and again on a reload.
 #ifndef WALNUTSPUR_APP_PLATFORM_H_
 #define WALNUTSPUR_APP_PLATFORM_H_
 
@@ -9,8 +12,10 @@
 
 namespace walnutspur::app {
 
-// Both throw std::exception with a message of one line.
-http::Config ParseConfig(const nlohmann::json& json);
+// Throws std::exception with a message of one line if the configuration is invalid.
+http::Config ParseConfig(const nlohmann::json& document);
+
+// Reads and parses a file. Throws ConfigError with a message that names the file.
 http::Config LoadConfig(const std::string& path);
 
 }  // namespace walnutspur::app
--- /dev/null
+++ b/src/app/replay.h
@@ -0,0 +1,46 @@
+// The replay of recorded traffic: the client side of each recorded stream is sent to the front end whose
+// protocol it speaks.
+//
+// Owned by the Initiator; runs on the event-loop thread.
+#ifndef WALNUTSPUR_APP_REPLAY_H_
+#define WALNUTSPUR_APP_REPLAY_H_
+
+#include <functional>
+#include <memory>
+#include <string>
+
+#include "http/config.h"
+#include "http/front_end.h"
+#include "loop/loop.h"
+#include "nbd/config.h"
+#include "nbd/front_end.h"
+#include "pcap/traffic.h"
+
+namespace walnutspur::app {
+
+// The listeners that a replay connects to; owned by the Initiator.
+struct ReplayTargets {
+  const http::Config* http_config = nullptr;
+  const http::FrontEnd* http = nullptr;
+  const nbd::Config* nbd_config = nullptr;
+  const nbd::FrontEnd* nbd = nullptr;  // null: streams of NBD are not sent
+};
+
+// One replay of a pcap file, from its construction on.
+class Replay {
+ public:
+  // At the end a summary is printed and `on_finished` called. Throws std::exception if the file at `path`
+  // cannot be read.
+  Replay(event_base* base, const std::string& path, const ReplayTargets& targets,
+         std::function<void()> on_finished);
+
+  const pcap::Player& player() const { return *player_; }
+
+ private:
+  std::function<void()> on_finished_;
+  std::unique_ptr<pcap::Player> player_;
+};
+
+}  // namespace walnutspur::app
+
+#endif  // WALNUTSPUR_APP_REPLAY_H_
--- /dev/null
+++ b/src/app/scrub_setup.cpp
@@ -0,0 +1,73 @@
+#include "app/scrub_setup.h"
+
+#include <algorithm>
+#include <cstdint>
+#include <string>
+#include <utility>
+
+#include "filestore/atomic_file.h"
+#include "integrity/cursor.h"
+#include "integrity/layout.h"
+#include "log/log.h"
+
+namespace walnutspur::app {
+namespace {
+
+constexpr Time kScrubDeadline = 5'000'000;           // us that a read of the scrub may be queued
+constexpr double kScrubPriorityWeight = 0.01;        // of its request class and of its plan: next to none
+constexpr const char* kCursorFile = "scrub.cursor";  // in the folder of the corruption ledger
+
+int AddScrubClass(walnutspur::Settings* settings) {
+  RequestClass request_class;
+  request_class.latency_objective = kScrubDeadline;
+  request_class.deadline = kScrubDeadline;
+  request_class.priority_weight = kScrubPriorityWeight;
+  settings->classes.push_back(request_class);
+  return static_cast<int>(settings->classes.size()) - 1;
+}
+
+// The minimum of the scrub is the reserved rate of its plan, its budget the rate. Beyond the minimum it gets
+// next to no share of the remaining capacity.
+int AddScrubPlan(const checksummed::ScrubOptions& options, const nbd::Config& nbd,
+                 walnutspur::Settings* settings) {
+  const double units = nbd::UnitsOf(nbd, static_cast<std::uint32_t>(options.chunk * integrity::kBlock));
+  Plan plan;
+  plan.rate = options.job.requests_a_second * units;
+  plan.reserved_rate = std::min(options.job.floor_a_second * units, plan.rate);
+  plan.weight = kScrubPriorityWeight;
+  plan.priority_factor = kScrubPriorityWeight;
+  settings->plans.push_back(plan);
+  return static_cast<int>(settings->plans.size()) - 1;
+}
+
+void LoadCursors(const std::string& path, integrity::Cursors* cursors) {
+  const auto bytes = filestore::ReadWholeFile(path);
+  if (!bytes) {
+    return;
+  }
+  std::string what;
+  const auto decoded = integrity::DecodeCursors(*bytes, &what);
+  if (decoded) {
+    *cursors = *decoded;
+  } else {
+    log::Event(log::Level::kWarn, "scrub_begins_anew", {{"file", path}, {"what", what}});
+  }
+}
+
+}  // namespace
+
+checksummed::ScrubOptions SetUpScrub(checksummed::ScrubOptions options, const nbd::Config& nbd,
+                                     checksummed::CorruptionTracker* corruption,
+                                     walnutspur::Settings* settings) {
+  options.deadline = kScrubDeadline;
+  options.request_class = AddScrubClass(settings);
+  options.plan = AddScrubPlan(options, nbd, settings);
+  options.slow_start_duration = settings->rules.slow_start_duration;
+  if (filestore::FileStore* store = corruption->file_store()) {
+    LoadCursors(corruption->folder() + "/" + kCursorFile, &options.cursors);
+    options.keep_cursors = [store](std::string bytes) { store->Put(kCursorFile, std::move(bytes)); };
+  }
+  return options;
+}
+
+}  // namespace walnutspur::app
--- /dev/null
+++ b/src/app/scrub_setup.h
@@ -0,0 +1,22 @@
+// The setup of the scrub: the request class, plan and cursors that it starts with.
+//
+// Called once, while the Initiator is constructed and before the Scheduler receives its settings.
+#ifndef WALNUTSPUR_APP_SCRUB_SETUP_H_
+#define WALNUTSPUR_APP_SCRUB_SETUP_H_
+
+#include "checksummed/corruption_tracker.h"
+#include "checksummed/scrub.h"
+#include "nbd/config.h"
+#include "walnutspur/scheduler.h"
+
+namespace walnutspur::app {
+
+// Appends a request class and a plan for the scrub to `settings`; clients have no names for them. Returns
+// `options` completed by both, and by the cursors that are stored beside the corruption ledger.
+checksummed::ScrubOptions SetUpScrub(checksummed::ScrubOptions options, const nbd::Config& nbd,
+                                     checksummed::CorruptionTracker* corruption,
+                                     walnutspur::Settings* settings);
+
+}  // namespace walnutspur::app
+
+#endif  // WALNUTSPUR_APP_SCRUB_SETUP_H_
--- a/src/app/settings.h
+++ b/src/app/settings.h
@@ -1,5 +1,7 @@
-// Our own settings: one TOML file beside the platform's configuration. Without it the program behaves as the
-// platform's pages say.
+// The settings file: an optional TOML file beside the platform's configuration. Without it the program
+// behaves as the platform specifies.
+//
+// Read once, before the Initiator is constructed.
 #ifndef WALNUTSPUR_APP_SETTINGS_H_
 #define WALNUTSPUR_APP_SETTINGS_H_
 
@@ -7,8 +9,8 @@
 #include <string>
 #include <vector>
 
+#include "app/settings_keys.h"
 #include "checksummed/scrub.h"
-#include "config/schema.h"
 #include "fleet/fleet.h"
 #include "http/config.h"
 #include "log/log.h"
@@ -18,20 +20,18 @@
 struct Settings {
   log::Options log;
   http::DigestOptions digests;
-  std::string folder;  // of the damage ledger
+  std::string folder;  // holds corruption ledger, scrub cursors and control socket; empty: none of them
   checksummed::ScrubOptions scrub;
-  std::optional<fleet::FleetOptions> fleet;  // nothing: there is none
-  std::string nbd;                           // the file of the NBD front; empty: there is none
+  std::optional<fleet::FleetOptions> fleet;  // empty: not a member of a fleet
+  std::string nbd;                           // configuration file of the NBD front end; empty: none
 };
 
-const std::vector<config::Key>& SettingsKeys();
-
-// Throws std::runtime_error with the first problem as one line: file, line, key, what, what is allowed.
+// Throws ConfigError with the first problem: file, line, key, what is wrong and what is allowed.
 Settings LoadSettings(const std::string& path);
 
-// All that is wrong with a file, a line each; empty: it holds. The file is taken for the platform's
-// configuration if it is JSON, for an NBD front's if it has [commands], [[box]] or [[export]], and for our
-// settings else.
+// All problems of a file, a line each; empty: it is valid. A file of JSON is checked as the platform's
+// configuration, one with [commands], [[box]] or [[export]] as that of an NBD front end, any other as a
+// settings file.
 std::vector<std::string> CheckFile(const std::string& path);
 
 }  // namespace walnutspur::app
--- a/src/lab/fleet/fleet_lab.cpp
+++ b/src/lab/fleet/fleet_lab.cpp
@@ -110,7 +110,7 @@
 json FleetLab::View(int member) {
   const Held& held = members_[static_cast<std::size_t>(member)];
   try {
-    return json::parse(app::AskControl(app::ControlPath(held.folder->path()), "fleet view"));
+    return json::parse(app::SendControlCommand(app::ControlPath(held.folder->path()), "fleet view"));
   } catch (const std::exception&) {
     return nullptr;  // it has only just been started
   }
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -6,58 +6,68 @@
 #include <spdlog/sinks/stdout_sinks.h>
 
 #include <algorithm>
+#include <array>
 #include <atomic>
 #include <chrono>
 #include <cstdio>
 #include <ctime>
-#include <stdexcept>
+#include <utility>
 
 namespace walnutspur::log {
 namespace {
 
-constexpr double kBurst = 2;  // seconds of the rate that a kind may use at once
+constexpr double kBurstSeconds = 2;  // of the rate, which a kind may use at once
+constexpr std::int64_t kMicrosPerSecond = 1'000'000;
+constexpr std::int64_t kMicrosPerMilli = 1000;
+constexpr unsigned char kFirstPrintable = 0x20;
+constexpr unsigned char kDelete = 0x7f;
 
 const char* NameOf(Level level) {
-  static constexpr const char* kNames[] = {"debug", "info", "warn", "error", "off"};
-  return kNames[static_cast<int>(level)];
+  static constexpr std::array<const char*, 5> kNames = {"debug", "info", "warn", "error", "off"};
+  return kNames[static_cast<std::size_t>(level)];
 }
 
-std::string Escaped(std::string_view text) {
+bool IsControl(unsigned char byte) { return byte < kFirstPrintable || byte == kDelete; }
+
+// Control characters are escaped too: a line break in a value must not start another line.
+std::string Escape(std::string_view text) {
   std::string out;
-  for (const char c : text) {
-    const auto byte = static_cast<unsigned char>(c);
-    if (c == '"' || c == '\\') {
+  for (const char character : text) {
+    const auto byte = static_cast<unsigned char>(character);
+    if (character == '"' || character == '\\') {
       out += '\\';
-      out += c;
-    } else if (byte < 0x20 || byte == 0x7f) {  // a line break in a value must not make a second line
-      char code[8];
-      std::snprintf(code, sizeof code, "\\u%04x", byte);
-      out += code;
+      out += character;
+    } else if (IsControl(byte)) {
+      std::array<char, 8> code{};
+      std::snprintf(code.data(), code.size(), "\\u%04x", byte);
+      out += code.data();
     } else {
-      out += c;
+      out += character;
     }
   }
   return out;
 }
 
-std::string Quoted(std::string_view text) { return '"' + Escaped(text) + '"'; }
+std::string Quote(std::string_view text) { return '"' + Escape(text) + '"'; }
 
-// What stands by itself in logfmt: anything without blanks, quotes, "=" and control characters.
-std::string Logfmt(std::string_view text) {
-  const bool plain = !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
-    return c > 0x20 && c != 0x7f && c != '"' && c != '=' && c != '\\';
+// Quoted unless logfmt takes the text as one value.
+std::string QuoteForLogfmt(std::string_view text) {
+  const bool plain = !text.empty() && std::all_of(text.begin(), text.end(), [](char character) {
+    return character > kFirstPrintable && character != kDelete && character != '"' && character != '=' &&
+           character != '\\';
   });
-  return plain ? std::string(text) : Quoted(text);
+  return plain ? std::string(text) : Quote(text);
 }
 
-std::string Stamp(std::int64_t now) {
-  const std::time_t seconds = static_cast<std::time_t>(now / 1'000'000);
+std::string FormatTime(std::int64_t now) {
+  const auto seconds = static_cast<std::time_t>(now / kMicrosPerSecond);
   std::tm utc{};
   gmtime_r(&seconds, &utc);
-  char text[48];
-  const std::size_t size = std::strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%S", &utc);
-  std::snprintf(text + size, sizeof text - size, ".%03dZ", static_cast<int>(now / 1000 % 1000));
-  return text;
+  std::array<char, 48> text{};
+  const std::size_t size = std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%M:%S", &utc);
+  const auto millis = static_cast<int>(now / kMicrosPerMilli % 1000);
+  std::snprintf(text.data() + size, text.size() - size, ".%03dZ", millis);
+  return text.data();
 }
 
 std::int64_t Now() {
@@ -66,46 +76,77 @@
       .count();
 }
 
+std::string FormatJson(std::int64_t now, Level level, std::string_view kind,
+                       const std::vector<Field>& fields) {
+  std::string out = R"({"time":)" + Quote(FormatTime(now)) + R"(,"level":")" + NameOf(level) +
+                    R"(","event":)" + Quote(kind);
+  for (const Field& field : fields) {
+    out += "," + Quote(field.name) + ":" + Quote(field.value);
+  }
+  return out + "}";
+}
+
+std::string FormatLogfmt(std::int64_t now, Level level, std::string_view kind,
+                         const std::vector<Field>& fields) {
+  std::string out = "time=" + FormatTime(now) + " level=" + NameOf(level) + " event=" + QuoteForLogfmt(kind);
+  for (const Field& field : fields) {
+    out += " " + field.name + "=" + QuoteForLogfmt(field.value);
+  }
+  return out;
+}
+
+spdlog::sink_ptr OpenSink(const std::string& file) {
+  if (file.empty()) {
+    return std::make_shared<spdlog::sinks::stderr_sink_mt>();
+  }
+  try {
+    return std::make_shared<spdlog::sinks::basic_file_sink_mt>(file);
+  } catch (const spdlog::spdlog_ex&) {
+    throw LogError("the log cannot be written to " + file);
+  }
+}
+
+std::atomic<Logger*>& ProcessLogger() {
+  static std::atomic<Logger*> logger{nullptr};
+  return logger;
+}
+
 }  // namespace
 
 std::optional<Level> LevelOf(std::string_view word) {
   for (const Level level : {Level::kDebug, Level::kInfo, Level::kWarn, Level::kError, Level::kOff}) {
-    if (word == NameOf(level)) return level;
+    if (word == NameOf(level)) {
+      return level;
+    }
   }
   return std::nullopt;
 }
 
 std::optional<std::uint64_t> Limiter::Admit(std::string_view kind, std::int64_t now) {
-  const double most = std::max(1.0, rate_ * kBurst);
-  auto at = kinds_.find(kind);
-  if (at == kinds_.end()) at = kinds_.emplace(std::string(kind), Kind{most, now, 0}).first;
-  Kind& k = at->second;
-  k.tokens =
-      std::min(most, k.tokens + rate_ * static_cast<double>(std::max<std::int64_t>(0, now - k.at)) / 1e6);
-  k.at = std::max(k.at, now);
-  if (k.tokens < 1) {
-    ++k.held;
+  const double capacity = std::max(1.0, rate_ * kBurstSeconds);
+  auto position = buckets_.find(kind);
+  if (position == buckets_.end()) {
+    position = buckets_.emplace(std::string(kind), Bucket{capacity, now, 0}).first;
+  }
+  Bucket& bucket = position->second;
+  const auto elapsed = static_cast<double>(std::max<std::int64_t>(0, now - bucket.updated_at));
+  bucket.tokens = std::min(capacity, bucket.tokens + rate_ * elapsed / kMicrosPerSecond);
+  bucket.updated_at = std::max(bucket.updated_at, now);
+  if (bucket.tokens < 1) {
+    ++bucket.suppressed;
     return std::nullopt;
   }
-  k.tokens -= 1;
-  return std::exchange(k.held, 0);
+  bucket.tokens -= 1;
+  return std::exchange(bucket.suppressed, 0);
 }
 
 std::string Format(Form form, std::int64_t now, Level level, std::string_view kind,
                    const std::vector<Field>& fields) {
-  if (form == Form::kJson) {
-    std::string out =
-        "{\"time\":" + Quoted(Stamp(now)) + ",\"level\":\"" + NameOf(level) + "\",\"event\":" + Quoted(kind);
-    for (const auto& [name, value] : fields) out += "," + Quoted(name) + ":" + Quoted(value);
-    return out + "}";
-  }
-  std::string out = "time=" + Stamp(now) + " level=" + NameOf(level) + " event=" + Logfmt(kind);
-  for (const auto& [name, value] : fields) out += " " + name + "=" + Logfmt(value);
-  return out;
+  return form == Form::kJson ? FormatJson(now, level, kind, fields) : FormatLogfmt(now, level, kind, fields);
 }
 
-// The pool ends first, and with it the thread that writes: lines that wait hold on to the logger, and the
-// last of them must not free it while we do.
+// The pool is destroyed first, and with it the thread that writes: queued lines share ownership of the
+// logger, and the writing thread must not be the one that destroys it.
 struct Logger::Sink {
   std::shared_ptr<spdlog::async_logger> logger;
   std::shared_ptr<spdlog::details::thread_pool> pool;
@@ -113,52 +154,50 @@
 
 Logger::Logger(const Options& options)
     : options_(options), limiter_(options.per_kind), sink_(std::make_unique<Sink>()) {
-  spdlog::sink_ptr sink;
-  try {
-    if (options.file.empty()) {
-      sink = std::make_shared<spdlog::sinks::stderr_sink_mt>();
-    } else {
-      sink = std::make_shared<spdlog::sinks::basic_file_sink_mt>(options.file);
-    }
-  } catch (const spdlog::spdlog_ex&) {
-    throw std::runtime_error("the log cannot be written to " + options.file);
-  }
+  spdlog::sink_ptr sink = OpenSink(options.file);
   sink_->pool = std::make_shared<spdlog::details::thread_pool>(std::max<std::size_t>(1, options.queue), 1);
   sink_->logger = std::make_shared<spdlog::async_logger>("walnutspur", std::move(sink), sink_->pool,
                                                          spdlog::async_overflow_policy::overrun_oldest);
   sink_->logger->set_pattern("%v");
-  sink_->logger->set_level(spdlog::level::trace);  // levels are ours
+  sink_->logger->set_level(spdlog::level::trace);  // the threshold is applied by Log
   sink_->logger->flush_on(spdlog::level::err);
 }
 
-Logger::~Logger() { sink_->logger->flush(); }  // the pool ends after what it holds
+Logger::~Logger() { sink_->logger->flush(); }
 
 std::uint64_t Logger::dropped() const { return sink_->pool->overrun_counter(); }
 
 void Logger::Log(Level level, std::string_view kind, const std::vector<Field>& fields) {
-  if (!enabled(level)) return;
+  if (!enabled(level)) {
+    return;
+  }
   const std::int64_t now = Now();
-  std::optional<std::uint64_t> held;
+  std::optional<std::uint64_t> suppressed;
   {
     const std::lock_guard lock(mutex_);
-    held = limiter_.Admit(kind, now);
+    suppressed = limiter_.Admit(kind, now);
+  }
+  if (!suppressed) {
+    return;
+  }
+  std::vector<Field> all_fields = fields;
+  if (*suppressed > 0) {
+    all_fields.push_back({"held_back", std::to_string(*suppressed)});
   }
-  if (!held) return;
-  std::vector<Field> all = fields;
-  if (*held > 0) all.emplace_back("held_back", std::to_string(*held));
   sink_->logger->log(level >= Level::kError ? spdlog::level::err : spdlog::level::info, "{}",
-                     Format(options_.form, now, level, kind, all));
+                     Format(options_.form, now, level, kind, all_fields));
 }
 
-namespace {
-std::atomic<Logger*> used{nullptr};
-}  // namespace
-
-void Use(Logger* logger) { used = logger; }
+void Use(Logger* logger) { ProcessLogger() = logger; }
 
 void Event(Level level, std::string_view kind, const std::vector<Field>& fields) {
-  if (Logger* logger = used) return logger->Log(level, kind, fields);
-  if (level < Level::kWarn) return;
+  if (Logger* logger = ProcessLogger()) {
+    logger->Log(level, kind, fields);
+    return;
+  }
+  if (level < Level::kWarn) {
+    return;
+  }
   static Logger fallback{Options{}};
   fallback.Log(level, kind, fields);
 }
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,82 +1,103 @@
-// Structured logs: one event a line, as logfmt or JSON, with its fields.
+// Structured logging: one event a line, as logfmt or JSON, with its fields.
 //
-// Asynchronous and bounded, by spdlog: a line is put together by who logs it and written by a thread of the
-// logger's. A full queue drops the oldest line and counts it; whoever logs is never held up. Repeated events
-// are limited by kind: what was held back is counted in the kind's next line.
+// Asynchronous and bounded, by spdlog: the logging thread formats a line, a thread of the logger writes it. A
+// full queue drops its oldest line and counts it, so that logging never blocks. Repeated events are
+// rate-limited by kind; the next line of the kind says how many were suppressed.
 #ifndef WALNUTSPUR_LOG_LOG_H_
 #define WALNUTSPUR_LOG_LOG_H_
 
+#include <cstddef>
 #include <cstdint>
+#include <functional>
 #include <map>
 #include <memory>
 #include <mutex>
 #include <optional>
+#include <stdexcept>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
 namespace walnutspur::log {
 
+// In order of severity. kOff: as a threshold, nothing is logged.
 enum class Level { kDebug, kInfo, kWarn, kError, kOff };
 enum class Form { kLogfmt, kJson };
 
+// The log file cannot be opened.
+class LogError : public std::runtime_error {
+ public:
+  using std::runtime_error::runtime_error;
+};
+
 struct Options {
-  Level level = Level::kWarn;  // quiet by default
+  Level level = Level::kWarn;  // events below it are not logged
   Form form = Form::kLogfmt;
   std::string file;         // empty: standard error
-  std::size_t queue = 512;  // lines that wait to be written
-  double per_kind = 5;      // lines a second of one kind, beyond a burst of twice as many
+  std::size_t queue = 512;  // lines that are not written yet, at most
+  double per_kind = 5;      // lines of one kind per second, on average; a burst may have twice as many
 };
 
-// Decides whether an event of a kind may be logged now. Without a clock: times are microseconds of one that
-// never runs backwards.
+// Rate limit by kind of event: a token bucket for each kind. Has no clock: times are microseconds that never
+// run backwards. Not thread-safe.
 class Limiter {
  public:
+  // `rate` is in events per second.
   explicit Limiter(double rate) : rate_(rate) {}
-  // Nothing: it is held back. Else how many of its kind were held back since the last that was let through.
+  // Admits an event at `now`: returns how many of its kind were suppressed since the last one admitted.
+  // Returns nothing if the event is to be suppressed.
   std::optional<std::uint64_t> Admit(std::string_view kind, std::int64_t now);
 
  private:
-  struct Kind {
+  struct Bucket {
     double tokens = 0;
-    std::int64_t at = 0;
-    std::uint64_t held = 0;
+    std::int64_t updated_at = 0;  // us
+    std::uint64_t suppressed = 0;
   };
   double rate_;
-  std::map<std::string, Kind, std::less<>> kinds_;  // few: kinds are named in the code, not by input
+  std::map<std::string, Bucket, std::less<>> buckets_;  // few: kinds are named in the code, not by input
 };
 
-using Field = std::pair<std::string, std::string>;
+// A field of an event.
+struct Field {
+  std::string name;
+  std::string value;
+};
 
-// One line without its end. Values that logfmt could misread are quoted, with the escapes of JSON.
+// Formats a line, without its end. Values that logfmt could misread are quoted, with the escapes of JSON.
+// `now` is Unix time in microseconds.
 std::string Format(Form form, std::int64_t now, Level level, std::string_view kind,
                    const std::vector<Field>& fields);
 
-// Reads "debug", "info", "warn", "error" or "off"; nothing else is one.
+// Parses "debug", "info", "warn", "error" or "off"; nothing for any other word.
 std::optional<Level> LevelOf(std::string_view word);
 
-// The logger of a process. Threads may share it.
+// A logger with a queue and a writing thread of its own. Thread-safe.
 class Logger {
  public:
-  explicit Logger(const Options& options);  // throws std::runtime_error if the file cannot be opened
-  ~Logger();                                // writes what waits
+  // Throws LogError if the file cannot be opened.
+  explicit Logger(const Options& options);
+  // Writes what is queued.
+  ~Logger();
 
   void Log(Level level, std::string_view kind, const std::vector<Field>& fields = {});
   bool enabled(Level level) const { return level >= options_.level && options_.level != Level::kOff; }
-  std::uint64_t dropped() const;  // lines that a full queue cost
+  // Lines that were dropped from the full queue.
+  std::uint64_t dropped() const;
 
  private:
   struct Sink;
   Options options_;
-  std::mutex mutex_;
+  std::mutex mutex_;  // guards limiter_
   Limiter limiter_;
   std::unique_ptr<Sink> sink_;
 };
 
-// The one that the process uses: warnings to standard error until `Use` gives another, which must outlive
-// whatever logs. A process that never logs starts no thread.
+// Makes `logger`, which has to outlive its use, the logger of the process. Before, warnings and errors go to
+// standard error; a process that never logs starts no thread.
 void Use(Logger* logger);
+
+// Logs an event by the logger of the process.
 void Event(Level level, std::string_view kind, const std::vector<Field>& fields = {});
 
 }  // namespace walnutspur::log
--- a/src/simulator/adapter.h
+++ b/src/simulator/adapter.h
@@ -1,36 +1,58 @@
-// The bench's wire: JSON lines to events, actions to JSON lines. No decision is taken here.
-#ifndef WALNUTSPUR_SIMULATOR_WIRE_H_
-#define WALNUTSPUR_SIMULATOR_WIRE_H_
+// The adapter between the simulator and the Scheduler: batches of JSON lines in, actions as JSON lines out.
+//
+// A batch starts with "round", ends with "eofBatch" and gets one reply. No decision is taken here. Owned by
+// the adapter program; single-threaded.
+#ifndef WALNUTSPUR_SIMULATOR_ADAPTER_H_
+#define WALNUTSPUR_SIMULATOR_ADAPTER_H_
 
 #include <map>
-#include <memory>
 #include <nlohmann/json.hpp>
 #include <string>
 #include <vector>
 
 #include "walnutspur/scheduler.h"
 
-namespace walnutspur::wire {
+namespace walnutspur::simulator {
 
-Settings ParseSettings(const nlohmann::json& settings);
-
-// Hosts the instances of one process and plays batches to them. Malformed input throws std::exception.
-class Host {
+// The initiator instances of one simulation.
+class Adapter {
  public:
-  // Takes one line. Returns true when it ended a batch, with the reply in `reply`.
-  bool Line(const std::string& line, std::string* reply);
-  bool InBatch() const { return in_batch_; }
+  // Handles one line. Returns whether it has ended a batch; its reply is in `reply` then. Throws
+  // std::exception (ProtocolError, or an error of the JSON parser) if the line is malformed or out of place.
+  bool HandleLine(const std::string& line, std::string* reply);
+  bool in_batch() const { return in_batch_; }
 
  private:
-  void Play(int instance, const Event& event);
+  using Handler = void (Adapter::*)(int instance, const nlohmann::json& message);
+
+  // The handler of an operation on an instance. Throws ProtocolError if there is none.
+  static Handler FindHandler(const std::string& operation);
+
+  void StartBatch(const nlohmann::json& message);
+  void EndBatch(std::string* reply);
+  void StoreEndpointList(const nlohmann::json& message);
+
+  void StartInstance(int instance, const nlohmann::json& message);
+  void KillInstance(int instance, const nlohmann::json& message);
+  void UpdateEndpoints(int instance, const nlohmann::json& message);
+  void ReceiveRequest(int instance, const nlohmann::json& message);
+  void FinishAttempt(int instance, const nlohmann::json& message);
+  void FireTimer(int instance, const nlohmann::json& message);
+  void FinishHealthCheck(int instance, const nlohmann::json& message);
+  void DisconnectClient(int instance, const nlohmann::json& message);
+  void StartResponse(int instance, const nlohmann::json& message);
+  void IgnorePeer(int instance, const nlohmann::json& message);
+
+  // Passes an event to an instance and appends its actions to the reply.
+  void HandleEvent(int instance, const Event& event);
 
   bool in_batch_ = false;
-  Time now_ = 0;
-  std::string reply_;
+  Time now_ = 0;       // simulated time of the batch, us
+  std::string reply_;  // to the batch, so far
   std::map<int, Scheduler> instances_;
-  std::map<int, std::vector<Endpoint>> lists_;
+  std::map<int, std::vector<Endpoint>> endpoint_lists_;  // by the number that updates refer to
 };
 
-}  // namespace walnutspur::wire
+}  // namespace walnutspur::simulator
 
-#endif  // WALNUTSPUR_SIMULATOR_WIRE_H_
+#endif  // WALNUTSPUR_SIMULATOR_ADAPTER_H_
--- a/src/simulator/adapter_main.cpp
+++ b/src/simulator/adapter_main.cpp
@@ -1,29 +1,33 @@
-// walnutspur_simulator_adapter: plays the bench's wire on standard input and output to instances of the
-// module.
-#include <cstdio>
+// walnutspur_simulator_adapter: lets the simulator drive instances of the Scheduler by standard input and
+// output.
+#include <cstdint>
 #include <exception>
 #include <iostream>
 #include <string>
 
-#include "simulator/wire.h"
+#include "simulator/adapter.h"
 
 int main() {
   std::ios::sync_with_stdio(false);
-  walnutspur::wire::Host host;
+  walnutspur::simulator::Adapter adapter;
   std::string line;
   std::string reply;
-  long number = 0;
+  std::uint64_t line_number = 0;
   while (std::getline(std::cin, line)) {
-    ++number;
-    if (line.empty()) continue;
+    ++line_number;
+    if (line.empty()) {
+      continue;
+    }
     try {
-      if (host.Line(line, &reply)) std::cout << reply << std::flush;
+      if (adapter.HandleLine(line, &reply)) {
+        std::cout << reply << std::flush;
+      }
     } catch (const std::exception& error) {
-      std::cerr << "walnutspur_simulator_adapter: line " << number << ": " << error.what() << '\n';
+      std::cerr << "walnutspur_simulator_adapter: line " << line_number << ": " << error.what() << '\n';
       return 1;
     }
   }
-  if (host.InBatch()) {
+  if (adapter.in_batch()) {
     std::cerr << "walnutspur_simulator_adapter: input ended inside a batch\n";
     return 1;
   }
--- a/tests/net/checked_test.cpp
+++ b/tests/net/checked_test.cpp
@@ -271,7 +271,7 @@
 TEST_CASE("an operator asks a running process, and the scrub goes on where the last process stood") {
   World w(1, true);
   const std::string path = app::ControlPath(w.folder.path());
-  const auto ask = [&](const std::string& line) { return app::AskControl(path, line); };
+  const auto ask = [&](const std::string& line) { return app::SendControlCommand(path, line); };
   nlohmann::json status = nlohmann::json::parse(ask("status"));
   CHECK(status["exports"][0]["state"] == "ready");
   CHECK(status["paths"][0]["state"] == "healthy");
--- a/tests/net/nbd_test.cpp
+++ b/tests/net/nbd_test.cpp
@@ -323,7 +323,7 @@
   stage.Play("client c send write");  // the box's listener takes the connection and says nothing
   stage.Play("client c expect refused\n wait 150");  // the module may give up before the handshake's timer
   stage.Halt();
-  CHECK(stage.initiator().box_connections() == 0);
+  CHECK(stage.initiator().nbd_target_connections() == 0);
 }
 
 TEST_CASE("a write that waits for a handshake when its box begins to drain never reaches it") {
--- a/tests/unit/config_test.cpp
+++ b/tests/unit/config_test.cpp
@@ -99,14 +99,14 @@
   CHECK(app::ParseCommand({"check", "a", "b"}).files.size() == 2);
   CHECK(app::ParseCommand({"version"}).action == app::Action::kVersion);
   const auto help = app::ParseCommand({"--help"});
-  CHECK(help.code == 0);
-  CHECK(help.said.find("check") != std::string::npos);
+  CHECK(help.exit_code == 0);
+  CHECK(help.message.find("check") != std::string::npos);
   for (const std::vector<std::string>& wrong :
        {std::vector<std::string>{"--unknown", "x"}, {"--nbd"}, {"check"}, {"serve", "check"}}) {
-    const auto said = app::ParseCommand(wrong);
-    CHECK(said.action == app::Action::kSaid);
-    CHECK(said.code == 2);
-    CHECK(said.said.find('\n') == said.said.size() - 1);
+    const auto command = app::ParseCommand(wrong);
+    CHECK(command.action == app::Action::kPrintMessage);
+    CHECK(command.exit_code == 2);
+    CHECK(command.message.find('\n') == command.message.size() - 1);
   }
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,6 +1,4 @@
 // The adapter: lines in, lines out, and what it does with bad input.
-#include "simulator/wire.h"
-
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -9,7 +7,9 @@
 #include <sstream>
 #include <string>
 
-namespace walnutspur::wire {
+#include "simulator/adapter.h"
+
+namespace walnutspur::simulator {
 namespace {
 
 using nlohmann::json;
@@ -47,9 +47,9 @@
 
 // The reply to the last batch of `lines`, each batch closed by its own eofBatch.
 std::string Reply(const std::vector<std::string>& lines) {
-  Host host;
+  Adapter adapter;
   std::string reply;
-  for (const std::string& line : lines) host.Line(line, &reply);
+  for (const std::string& line : lines) adapter.HandleLine(line, &reply);
   return reply;
 }
 
@@ -84,13 +84,13 @@
 }
 
 TEST(Wire, KillAndEnlistInOneBatchForgetsWhatWas) {
-  Host host;
+  Adapter adapter;
   std::string reply;
   for (const std::string& line :
        {std::string(kRound), Enlist(1), std::string(kCensus0), Cached(1), ArrivalLine(1, "000000000000000a"),
         std::string(kEnd), std::string(kRound), std::string(R"({"op":"kill","initiatorId":1})"), Enlist(1),
         std::string(kCensus0Again), Cached(1), ArrivalLine(1, "000000000000000b"), std::string(kEnd)}) {
-    host.Line(line, &reply);
+    adapter.HandleLine(line, &reply);
   }
   EXPECT_EQ(reply.find("000000000000000a"), std::string::npos);
   EXPECT_NE(reply.find(R"("target":"b:1")"), std::string::npos);
@@ -104,32 +104,33 @@
 }
 
 TEST(Wire, ABatchOfMegabytesIsTaken) {
-  Host host;
+  Adapter adapter;
   std::string reply;
-  host.Line(kRound, &reply);
-  for (const std::string& line : {Enlist(1), std::string(kCensus0), Cached(1)}) host.Line(line, &reply);
+  adapter.HandleLine(kRound, &reply);
+  for (const std::string& line : {Enlist(1), std::string(kCensus0), Cached(1)})
+    adapter.HandleLine(line, &reply);
   char id[17];
   for (int i = 0; i < 12000; ++i) {
     std::snprintf(id, sizeof id, "%016x", i);
-    host.Line(ArrivalLine(1, id), &reply);
+    adapter.HandleLine(ArrivalLine(1, id), &reply);
   }
-  EXPECT_TRUE(host.Line(kEnd, &reply));
+  EXPECT_TRUE(adapter.HandleLine(kEnd, &reply));
   EXPECT_NE(reply.find("send"), std::string::npos);
 }
 
 TEST(Wire, BadLinesThrow) {
   for (const char* bad : {"{", "[]", R"({"op":"eofBatch"})", R"({"now":1})"}) {
-    Host host;
+    Adapter adapter;
     std::string reply;
-    EXPECT_THROW(host.Line(bad, &reply), std::exception) << bad;
+    EXPECT_THROW(adapter.HandleLine(bad, &reply), std::exception) << bad;
   }
   for (const char* bad : {R"({"op":"dance","initiatorId":1})", R"({"op":"arrival","initiatorId":1})",
                           R"({"op":"membership","initiatorId":1,"mode":"full","list":7})",
                           R"({"op":"done","initiatorId":1,"tid":"x","trial":0,"target":"a","rc":"odd"})"}) {
-    Host host;
+    Adapter adapter;
     std::string reply;
-    host.Line(kRound, &reply);
-    EXPECT_THROW(host.Line(bad, &reply), std::exception) << bad;
+    adapter.HandleLine(kRound, &reply);
+    EXPECT_THROW(adapter.HandleLine(bad, &reply), std::exception) << bad;
   }
 }
 
@@ -161,4 +162,4 @@
 }
 
 }  // namespace
-}  // namespace walnutspur::wire
+}  // namespace walnutspur::simulator
