--- a/src/lab/fleet/process_cluster.cpp
+++ b/src/lab/fleet/process_cluster.cpp
@@ -146,7 +146,7 @@
 
 json ProcessCluster::Status(int member) {
   try {
-    return json::parse(app::AskControl(app::ControlPath(at(member).folder->path()), "fleet view"));
+    return json::parse(app::SendControlCommand(app::ControlPath(at(member).folder->path()), "fleet view"));
   } catch (const std::exception&) {
     return nullptr;  // it may be starting
   }
--- a/tests/net/checksummed_export_test.cpp
+++ b/tests/net/checksummed_export_test.cpp
@@ -307,7 +307,7 @@
 TEST_CASE("an operator queries a running process, and the scrub resumes where the last process stopped") {
   ExportFixture fixture(1, true);
   const std::string path = app::ControlPath(fixture.folder.path());
-  const auto query = [&](const std::string& line) { return app::AskControl(path, line); };
+  const auto query = [&](const std::string& line) { return app::SendControlCommand(path, line); };
   nlohmann::json status = nlohmann::json::parse(query("status"));
   CHECK(status["exports"][0]["state"] == "ready");
   CHECK(status["paths"][0]["state"] == "healthy");
--- a/tests/net/nbd_front_end_test.cpp
+++ b/tests/net/nbd_front_end_test.cpp
@@ -79,7 +79,7 @@
   runner.Play(
       "client c expect refused\n wait 150");  // the scheduler may give up before the handshake times out
   runner.Halt();
-  CHECK(runner.initiator().box_connections() == 0);
+  CHECK(runner.initiator().nbd_target_connections() == 0);
 }
 
 TEST_CASE("a write that waits for a handshake when its target begins to drain never reaches it") {
--- a/tests/scheduler/simulator_adapter_test.cpp
+++ b/tests/scheduler/simulator_adapter_test.cpp
@@ -7,9 +7,9 @@
 #include <sstream>
 #include <string>
 
-#include "simulator/wire.h"
+#include "simulator/adapter.h"
 
-namespace walnutspur::wire {
+namespace walnutspur::simulator {
 namespace {
 
 using nlohmann::json;
@@ -47,10 +47,10 @@
 
 // The reply to the last batch of `lines`, each batch closed by its own eofBatch.
 std::string Reply(const std::vector<std::string>& lines) {
-  Host host;
+  Adapter adapter;
   std::string reply;
   for (const std::string& line : lines) {
-    host.Line(line, &reply);
+    adapter.HandleLine(line, &reply);
   }
   return reply;
 }
@@ -58,9 +58,9 @@
 const char kRound[] = R"({"op":"round","now":5000000})";
 const char kEnd[] = R"({"op":"eofBatch"})";
 
-TEST(Wire, AnEmptyBatchGetsAnEmptyReply) { EXPECT_EQ(Reply({kRound, kEnd}), "{\"op\":\"eor\"}\n"); }
+TEST(SimulatorAdapter, AnEmptyBatchGetsAnEmptyReply) { EXPECT_EQ(Reply({kRound, kEnd}), "{\"op\":\"eor\"}\n"); }
 
-TEST(Wire, ASendNamesInstanceRequestAndTarget) {
+TEST(SimulatorAdapter, ASendNamesInstanceRequestAndTarget) {
   const std::string reply =
       Reply({kRound, Enlist(3), kCensus0, Cached(3), ArrivalLine(3, "00000000000000aa"), kEnd});
   EXPECT_NE(reply.find(R"("op":"send")"), std::string::npos);
@@ -70,7 +70,7 @@
   EXPECT_EQ(reply.substr(reply.size() - 13), "{\"op\":\"eor\"}\n");
 }
 
-TEST(Wire, ANumberedListIsReplacedWithinABatch) {
+TEST(SimulatorAdapter, ANumberedListIsReplacedWithinABatch) {
   const std::string reply =
       Reply({kRound, Enlist(1), Enlist(2), kCensus0, Cached(1), kCensus0Again, Cached(2),
              ArrivalLine(1, "0000000000000001"), ArrivalLine(2, "0000000000000002"), kEnd});
@@ -87,56 +87,56 @@
   EXPECT_EQ(sends, 2);
 }
 
-TEST(Wire, KillAndEnlistInOneBatchDiscardsEarlierState) {
-  Host host;
+TEST(SimulatorAdapter, KillAndEnlistInOneBatchDiscardsEarlierState) {
+  Adapter adapter;
   std::string reply;
   for (const std::string& line :
        {std::string(kRound), Enlist(1), std::string(kCensus0), Cached(1), ArrivalLine(1, "000000000000000a"),
         std::string(kEnd), std::string(kRound), std::string(R"({"op":"kill","initiatorId":1})"), Enlist(1),
         std::string(kCensus0Again), Cached(1), ArrivalLine(1, "000000000000000b"), std::string(kEnd)}) {
-    host.Line(line, &reply);
+    adapter.HandleLine(line, &reply);
   }
   EXPECT_EQ(reply.find("000000000000000a"), std::string::npos);
   EXPECT_NE(reply.find(R"("target":"b:1")"), std::string::npos);
 }
 
-TEST(Wire, EventsOfAKilledInstanceAreIgnored) {
+TEST(SimulatorAdapter, EventsOfAKilledInstanceAreIgnored) {
   EXPECT_EQ(
       Reply({kRound, Enlist(1), R"({"op":"kill","initiatorId":1})", ArrivalLine(1, "00000000000000aa"), kEnd})
           .find("send"),
       std::string::npos);
 }
 
-TEST(Wire, ABatchOfMegabytesIsAccepted) {
-  Host host;
+TEST(SimulatorAdapter, ABatchOfMegabytesIsAccepted) {
+  Adapter adapter;
   std::string reply;
-  host.Line(kRound, &reply);
+  adapter.HandleLine(kRound, &reply);
   for (const std::string& line : {Enlist(1), std::string(kCensus0), Cached(1)}) {
-    host.Line(line, &reply);
+    adapter.HandleLine(line, &reply);
   }
   char id[17];
   for (int i = 0; i < 12000; ++i) {
     std::snprintf(id, sizeof id, "%016x", i);
-    host.Line(ArrivalLine(1, id), &reply);
+    adapter.HandleLine(ArrivalLine(1, id), &reply);
   }
-  EXPECT_TRUE(host.Line(kEnd, &reply));
+  EXPECT_TRUE(adapter.HandleLine(kEnd, &reply));
   EXPECT_NE(reply.find("send"), std::string::npos);
 }
 
-TEST(Wire, InvalidLinesThrow) {
+TEST(SimulatorAdapter, InvalidLinesThrow) {
   for (const char* invalid : {"{", "[]", R"({"op":"eofBatch"})", R"({"now":1})"}) {
-    Host host;
+    Adapter adapter;
     std::string reply;
-    EXPECT_THROW(host.Line(invalid, &reply), std::exception) << invalid;
+    EXPECT_THROW(adapter.HandleLine(invalid, &reply), std::exception) << invalid;
   }
   for (const char* invalid :
        {R"({"op":"dance","initiatorId":1})", R"({"op":"arrival","initiatorId":1})",
         R"({"op":"membership","initiatorId":1,"mode":"full","list":7})",
         R"({"op":"done","initiatorId":1,"tid":"x","trial":0,"target":"a","rc":"odd"})"}) {
-    Host host;
+    Adapter adapter;
     std::string reply;
-    host.Line(kRound, &reply);
-    EXPECT_THROW(host.Line(invalid, &reply), std::exception) << invalid;
+    adapter.HandleLine(kRound, &reply);
+    EXPECT_THROW(adapter.HandleLine(invalid, &reply), std::exception) << invalid;
   }
 }
 
@@ -168,4 +168,4 @@
 }
 
 }  // namespace
-}  // namespace walnutspur::wire
+}  // namespace walnutspur::simulator
--- a/tests/unit/config_test.cpp
+++ b/tests/unit/config_test.cpp
@@ -86,14 +86,14 @@
   CHECK(app::ParseCommand({"check", "a", "b"}).files.size() == 2);
   CHECK(app::ParseCommand({"version"}).action == app::Action::kVersion);
   const auto help = app::ParseCommand({"--help"});
-  CHECK(help.code == 0);
-  CHECK(help.said.find("check") != std::string::npos);
+  CHECK(help.exit_code == 0);
+  CHECK(help.message.find("check") != std::string::npos);
   for (const std::vector<std::string>& arguments :
        {std::vector<std::string>{"--unknown", "x"}, {"--nbd"}, {"check"}, {"serve", "check"}}) {
     const auto command = app::ParseCommand(arguments);
-    CHECK(command.action == app::Action::kSaid);
-    CHECK(command.code == 2);
-    CHECK(command.said.find('\n') == command.said.size() - 1);
+    CHECK(command.action == app::Action::kPrintMessage);
+    CHECK(command.exit_code == 2);
+    CHECK(command.message.find('\n') == command.message.size() - 1);
   }
 }
 
