--- a/tests/net/discovery_server.cpp
+++ b/tests/net/discovery_server.cpp
@@ -7,11 +7,17 @@
 
 #include "core/scheduler_thread.h"
 #include "http_message.h"
+#include "scenario_limits.h"
 
 namespace walnutspur::test {
+namespace {
 
 using nlohmann::json;
 
+constexpr std::size_t kListChunkBytes = 20;
+
+}  // namespace
+
 DiscoveryServer::DiscoveryServer() {
   int port = 0;
   listener_ = Socket::Listen(&port);
@@ -19,7 +25,7 @@
 }
 
 std::string DiscoveryServer::WaitForWatch(int ms) {
-  const Time until = core::Now() + ms * 1000;
+  const Time until = core::Now() + FromMilliseconds(ms);
   if (listener_.Readable(ms)) {
     watch_ = listener_.Accept();
     response_started_ = false;
--- a/tests/net/discovery_server.h
+++ b/tests/net/discovery_server.h
@@ -42,8 +42,6 @@
   std::string Address() const { return "127.0.0.1:" + std::to_string(port_); }
 
  private:
-  static constexpr std::size_t kListChunkBytes = 20;
-
   std::atomic<int> port_ = 0;
   Socket listener_;
   Socket watch_;
--- a/tests/net/http_storage_server.cpp
+++ b/tests/net/http_storage_server.cpp
@@ -33,7 +33,7 @@
 
 std::string HttpStorageServer::Response(const std::string& kind) {
   if (kind == "noise") {
-    return std::string("\0noise\r\n\r\n", 10);
+    return {"\0noise\r\n\r\n", 10};
   }
   const std::string body = kind.starts_with("ok") && kind != "ok-and-closes" ? "stored" : "";
   const std::string length = kind == "huge" ? "3000000000" : std::to_string(body.size());
--- a/tests/net/loopback_socket.cpp
+++ b/tests/net/loopback_socket.cpp
@@ -73,7 +73,7 @@
   return true;
 }
 
-bool Socket::Send(const std::string& text) {
+bool Socket::Send(const std::string& text) const {
   return send(fd_, text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size());
 }
 
--- a/tests/net/loopback_socket.h
+++ b/tests/net/loopback_socket.h
@@ -32,7 +32,7 @@
   // came.
   bool Fill(int ms);
   // Sends all of the text; false when the peer takes no more.
-  bool Send(const std::string& text);
+  bool Send(const std::string& text) const;
   // Closes with FIN, or with RST where `reset` is set.
   void Close(bool reset = false);
 
--- a/tests/net/scenario_limits.h
+++ b/tests/net/scenario_limits.h
@@ -4,11 +4,16 @@
 
 #include <cstdint>
 
+#include "walnutspur/scheduler.h"
+
 namespace walnutspur::test {
 
 // How long a stand-in waits for an expected event, in milliseconds.
 constexpr int kScenarioTimeoutMs = 4'000;
 
+// A duration for core::Now(), which counts microseconds.
+constexpr Time FromMilliseconds(int ms) { return Time{ms} * 1000; }
+
 // The length of an NBD read or write.
 constexpr std::uint32_t kNbdRequestBytes = 4096;
 
--- a/tests/net/scenario_runner.cpp
+++ b/tests/net/scenario_runner.cpp
@@ -5,6 +5,7 @@
 #include <unistd.h>
 
 #include <csignal>
+#include <sstream>
 #include <stdexcept>
 
 #include "core/scheduler_thread.h"
@@ -55,7 +56,7 @@
     options.nbd = nbd_deploy_file_->path();
   }
   config_["discovery"] = discovery_.Address();
-  StartInitiator(config_, std::move(options), digests);
+  StartInitiator(config_, options, digests);
   Play("discovery expect watch\n discovery send a=SERVING b=SERVING");
 }
 
@@ -72,20 +73,20 @@
 }
 
 std::string ScenarioRunner::NbdDeployFile() const {
-  std::string text =
-      "listen = \"127.0.0.1:0\"\nhandshake_s = 0.3\nidle_s = 1\n"
-      "[commands]\nread = \"read\"\nwrite = \"write\"\nflush = \"write\"\n";
+  std::ostringstream text;
+  text << "listen = \"127.0.0.1:0\"\nhandshake_s = 0.3\nidle_s = 1\n"
+       << "[commands]\nread = \"read\"\nwrite = \"write\"\nflush = \"write\"\n";
   for (const auto& [name, target] : targets_) {
-    text +=
-        "[[box]]\nid = \"" + name + "\"\naddress = \"127.0.0.1:" + std::to_string(target->port()) + "\"\n";
-    text += "[[export]]\nname = \"" + name +
-            "\"\nvolume = \"v\"\nplan = \"basic\"\nshard = " + std::to_string(target->shard()) +
-            "\nbox = \"" + name + "\"\nsize = " + std::to_string(kExportBytes) + "\n";
+    text << "[[box]]\nid = \"" << name << "\"\naddress = \"127.0.0.1:" << target->port() << "\"\n"
+         << "[[export]]\nname = \"" << name
+         << "\"\nvolume = \"v\"\nplan = \"basic\"\nshard = " << target->shard() << "\nbox = \"" << name
+         << "\"\nsize = " << kExportBytes << "\n";
   }
-  return text;
+  return text.str();
 }
 
-void ScenarioRunner::StartInitiator(const json& config, app::Options options, http::DigestOptions digests) {
+void ScenarioRunner::StartInitiator(const json& config, const app::Options& options,
+                                    http::DigestOptions digests) {
   http::Config parsed = app::ParseConfig(config);
   parsed.digests = digests;
   initiator_ = std::make_unique<app::Initiator>(std::move(parsed), options);
@@ -115,7 +116,7 @@
 }
 
 bool ScenarioRunner::WaitForExit(int ms) {
-  const Time until = core::Now() + ms * 1000;
+  const Time until = core::Now() + FromMilliseconds(ms);
   while (!has_exited_ && core::Now() < until) {
     poll(nullptr, 0, kExitPollMs);
   }
@@ -261,14 +262,18 @@
   } else if (verb == "moves") {
     discovery_.Move();
   } else if (verb == "expect") {
-    const std::string request = discovery_.WaitForWatch(kWatchTimeoutMs);
-    if (request != "nothing") {
-      last_watch_request_ = request;
-    }
-    REQUIRE(request.find("follow=1") != std::string::npos);
-    if (step.HasWord(3)) {
-      CHECK(request.find(step.Word(3)) != std::string::npos);
-    }
+    ExpectWatch(step);
+  }
+}
+
+void ScenarioRunner::ExpectWatch(const ScenarioStep& step) {
+  const std::string request = discovery_.WaitForWatch(kWatchTimeoutMs);
+  if (request != "nothing") {
+    last_watch_request_ = request;
+  }
+  REQUIRE(request.find("follow=1") != std::string::npos);
+  if (step.HasWord(3)) {
+    CHECK(request.find(step.Word(3)) != std::string::npos);
   }
 }
 
--- a/tests/net/scenario_runner.h
+++ b/tests/net/scenario_runner.h
@@ -77,7 +77,7 @@
   void StartTargets();
   // The front end's deploy file: one export per target.
   std::string NbdDeployFile() const;
-  void StartInitiator(const nlohmann::json& config, app::Options options, http::DigestOptions digests);
+  void StartInitiator(const nlohmann::json& config, const app::Options& options, http::DigestOptions digests);
 
   void PlayStep(const ScenarioStep& step);
   void PlayClientStep(const ScenarioStep& step);
@@ -88,6 +88,7 @@
   void PlayTargetStep(const ScenarioStep& step);
   static void ExpectAtTarget(StorageServer& target, const ScenarioStep& step);
   void PlayDiscoveryStep(const ScenarioStep& step);
+  void ExpectWatch(const ScenarioStep& step);
   void SendEndpoints(const ScenarioStep& step);
   ScenarioClient& ClientNamed(const std::string& name);
 
--- a/tests/net/storage_server.cpp
+++ b/tests/net/storage_server.cpp
@@ -3,6 +3,7 @@
 #include <doctest/doctest.h>
 
 #include "core/scheduler_thread.h"
+#include "scenario_limits.h"
 
 namespace walnutspur::test {
 
@@ -49,7 +50,7 @@
 }
 
 ServerEvent StorageServer::WaitForEvent(int ms) {
-  const Time until = core::Now() + ms * 1000;
+  const Time until = core::Now() + FromMilliseconds(ms);
   while (true) {
     if (const auto event = TakeAnyRequest()) {
       return *event;
