--- a/include/walnutspur/events.h
+++ b/include/walnutspur/events.h
@@ -1,4 +1,4 @@
-// Events: what an initiator tells its Scheduler, as they happen.
+// Events: what an initiator reports to its Scheduler, as they happen.
 //
 // Plain data, made by the initiator on the scheduler's thread.
 #ifndef WALNUTSPUR_EVENTS_H_
--- a/src/limits/abandonment_estimate.h
+++ b/src/limits/abandonment_estimate.h
@@ -1,11 +1,11 @@
 // Client abandonment estimate: how long clients wait, as a part of their class's latency objective.
 //
-// Clients may disconnect long before the time that they announced, and work done after that is wasted. A
-// request tells whether clients disconnect at an age only if it was still open at that age; what ended before
-// says nothing about it. So the estimate is the product-limit estimate of Kaplan and Meier: the part of
-// clients that stay is the product of the parts that stay through each age in turn. To count disconnects
-// against all requests would let short bursts of them reject every request: what is rejected for their sake
-// could never show that it would have stayed. No I/O, clock or thread; owned by the scheduler's state.
+// Clients may disconnect long before the time that they announced, and work done after that is wasted.
+// Whether clients disconnect at an age shows only in requests still open at that age; what ended before says
+// nothing of it. So the estimate is the product-limit estimate of Kaplan and Meier: the part of clients that
+// stay is the product of the parts that stay through each age in turn. To count disconnects against all
+// requests would let short bursts of them reject every request: what is rejected for their sake could never
+// show that it would have stayed. No I/O, clock or thread; owned by the scheduler's state.
 #ifndef WALNUTSPUR_LIMITS_ABANDONMENT_ESTIMATE_H_
 #define WALNUTSPUR_LIMITS_ABANDONMENT_ESTIMATE_H_
 
--- a/tests/unit/decision_test.cpp
+++ b/tests/unit/decision_test.cpp
@@ -1,83 +1,18 @@
-// Records, tables, accounts and estimates of the scheduler: what its decisions rest on.
+// Records, tables, accounts and eviction of the scheduler.
 #include <doctest/doctest.h>
 
-#include <memory>
+#include <string>
 #include <vector>
 
 #include "decision/accounts.h"
-#include "decision/estimates.h"
 #include "decision/eviction.h"
 #include "decision/flow_table.h"
 #include "decision/state.h"
+#include "decision_fixture.h"
 
 namespace walnutspur::decision {
 namespace {
 
-constexpr Time kStart = 1'000'000'000;
-constexpr Time kOneSecond = 1'000'000;
-constexpr Time kObjective = 400'000;
-
-Settings MakeSettings() {
-  Settings settings;
-  settings.classes.resize(2);
-  for (RequestClass& request_class : settings.classes) {
-    request_class.latency_objective = kObjective;
-    request_class.deadline = 2 * kObjective;
-  }
-  settings.classes[1].ordered_by_key = true;
-  Plan plan;
-  plan.rate = 10;
-  plan.reserved_rate = 4;
-  plan.limit = 20;
-  plan.burst = 40;
-  settings.plans.push_back(plan);
-  settings.max_request_units = 2;
-  return settings;
-}
-
-// A state with one active target "a" (shard 3, zone 1), one second after its start.
-struct Fixture {
-  Fixture() : state(MakeSettings(), 7, 16 * kOneSecond) {
-    state.started_at = kStart;
-    state.now = kStart + kOneSecond;
-    target = &state.targets["a"];
-    target->CopyFrom({"a", EndpointState::kActive, 3, 1});
-    state.shard_targets[3] = target;
-  }
-
-  Volume& MakeVolume(const std::string& name, int initiator_count = 1) {
-    RequestArrived arrival;
-    arrival.volume = name;
-    arrival.initiator_count = initiator_count;
-    Volume& volume = VolumeOf(state, arrival);
-    volume.last_arrival = state.now;
-    return volume;
-  }
-
-  RequestRef Queue(const RequestId& id, Volume& volume, int shard = 3,
-                   QueuePosition position = QueuePosition::kBack) {
-    auto request = std::make_shared<RequestState>();
-    request->id = id;
-    request->arrived_at = state.now;
-    request->deadline = state.now + 2 * kObjective;
-    state.requests[id] = request;
-    state.flows.Enqueue(request, &volume, shard, position, state.settings.classes.size());
-    request->flow->last_arrival = state.now;
-    return request;
-  }
-
-  void Send(const RequestRef& request) {
-    state.flows.Remove(request);
-    request->target = target;
-    request->sent_at = state.now;
-    ++request->attempts;
-    target->attempts.push_back({request, state.now, request->units});
-  }
-
-  SchedulerState state;
-  TargetState* target;
-};
-
 std::vector<RequestId> QueuedIds(const ShardFlows& flows) {
   std::vector<RequestId> ids;
   flows.ForEachQueued([&](const RequestRef& request) { ids.push_back(request->id); });
@@ -183,14 +118,14 @@
 
 TEST_CASE("a volume's accounts start with its reserve, and with the limit's credit since the start") {
   Fixture fixture;
-  const Volume& whole_volume = fixture.MakeVolume("v");
-  CHECK(whole_volume.number == 1);
-  CHECK(whole_volume.reserve.tokens == 4 + 2);
-  CHECK(whole_volume.limit.tokens == 20);
+  const Volume& sole_volume = fixture.MakeVolume("v");
+  CHECK(sole_volume.number == 1);
+  CHECK(sole_volume.reserve.tokens == 4 + 2);
+  CHECK(sole_volume.limit.tokens == 20);
   const Volume& shared_volume = fixture.MakeVolume("w", 2);
   CHECK(shared_volume.reserve.tokens == 2 + 2);
   CHECK(shared_volume.limit.tokens == 10);
-  CHECK(&fixture.MakeVolume("v") == &whole_volume);
+  CHECK(&fixture.MakeVolume("v") == &sole_volume);
   fixture.state.settings.reports_remote_usage = true;  // then each instance may use all of the reserve
   CHECK(fixture.MakeVolume("x", 2).reserve.tokens == 4 + 2);
 }
@@ -248,176 +183,6 @@
   CHECK(flow.tag.finish == 3 + 4);
 }
 
-TEST_CASE("attempts that may still run linger at the target, others leave it") {
-  Fixture fixture;
-  Volume& volume = fixture.MakeVolume("v");
-  const RequestRef timed_out = fixture.Queue("1", volume);
-  const RequestRef completed = fixture.Queue("2", volume);
-  fixture.Send(timed_out);
-  fixture.Send(completed);
-  CHECK(UnitsInFlight(fixture.state, *fixture.target) == 2);
-  fixture.state.now += kOneSecond;
-  EndAttempt(fixture.state, *timed_out, Outcome::kTimedOut, *fixture.target);
-  EndAttempt(fixture.state, *completed, Outcome::kCompleted, *fixture.target);
-  CHECK(AttemptsInFlight(fixture.state, *fixture.target) == 1);
-  fixture.state.now += 3 * kOneSecond;
-  RemoveEndedAttempts(fixture.state, *fixture.target);
-  CHECK(fixture.target->attempts.size() == 1);
-  fixture.state.now += 1;
-  RemoveEndedAttempts(fixture.state, *fixture.target);
-  CHECK(fixture.target->attempts.empty());
-}
-
-TEST_CASE("an attempt is lost once one sent well after it has completed") {
-  Fixture fixture;
-  Volume& volume = fixture.MakeVolume("v");
-  const RequestRef request = fixture.Queue("1", volume);
-  fixture.Send(request);
-  const Attempt& attempt = fixture.target->attempts.front();
-  const Time margin = 80'000 + kObjective / 4;  // four service times and a part of the objective
-  fixture.target->latest_completed_send = attempt.sent_at + margin;
-  CHECK_FALSE(IsLost(fixture.state, attempt, *fixture.target));
-  fixture.target->latest_completed_send += 1;
-  CHECK(IsLost(fixture.state, attempt, *fixture.target));
-  CHECK(UnitsInFlight(fixture.state, *fixture.target) == 0);
-  CHECK(AttemptsInFlight(fixture.state, *fixture.target) == 0);
-}
-
-TEST_CASE("the expected queueing delay is at least the age of the oldest attempt in the queue") {
-  Fixture fixture;
-  Volume& volume = fixture.MakeVolume("v");
-  fixture.target->latency.SetQueueing(1'000, fixture.state.now);
-  CHECK(ExpectedQueueing(fixture.state, *fixture.target) == 1'000);
-  fixture.Send(fixture.Queue("1", volume));
-  fixture.state.now += kOneSecond;
-  CHECK(ExpectedQueueing(fixture.state, *fixture.target) == kOneSecond - 20'000);
-  SampleStuckAttempts(fixture.state, 2.0 * kOneSecond, *fixture.target);
-  CHECK(fixture.target->samples.count == 0);
-  SampleStuckAttempts(fixture.state, 0.5 * kOneSecond, *fixture.target);
-  CHECK(fixture.target->samples.count == 1);
-  CHECK(fixture.target->samples.queueing == kOneSecond - 20'000);
-  CHECK(fixture.target->samples.service == 20'000);
-}
-
-TEST_CASE("a target with a stale estimate is expected to queue like the others") {
-  Fixture fixture;
-  for (int i = 0; i < 100; ++i) {
-    fixture.state.fleet_queueing.Add(100'000, fixture.state.now, 2e6);
-    fixture.state.fleet_responses.Add(1, fixture.state.now, 2e6);
-  }
-  fixture.target->latency.SetQueueing(0, fixture.state.now);
-  CHECK(ExpectedQueueing(fixture.state, *fixture.target) == 0);
-  fixture.target->latency.SetQueueing(0, fixture.state.now - 10 * kOneSecond);
-  CHECK(ExpectedQueueing(fixture.state, *fixture.target) == doctest::Approx(99'010).epsilon(0.001));
-}
-
-TEST_CASE("responses update the latency of target, fleet and flow; errors do not") {
-  Fixture fixture;
-  Volume& volume = fixture.MakeVolume("v");
-  const RequestRef request = fixture.Queue("1", volume);
-  fixture.Send(request);
-  fixture.state.now += 2 * kObjective;
-  AttemptFinished result;
-  result.latency = 2 * kObjective;
-  result.outcome = Outcome::kErrored;
-  RecordLatency(fixture.state, *request, result, *fixture.target);
-  CHECK(fixture.target->samples.count == 0);
-  result.outcome = Outcome::kTimedOut;
-  RecordLatency(fixture.state, *request, result, *fixture.target);
-  CHECK(fixture.target->samples.count == 1);
-  CHECK(fixture.state.fleet_samples.count == 0);
-  result.outcome = Outcome::kCompleted;
-  RecordLatency(fixture.state, *request, result, *fixture.target);
-  CHECK(fixture.state.fleet_samples.count == 1);
-  CHECK(fixture.target->latest_completed_send == request->sent_at);
-  CHECK(request->flow->samples == 2);
-  CHECK(request->flow->lateness == 4);
-}
-
-TEST_CASE("outcomes update the histories of the target and of its zone") {
-  Fixture fixture;
-  const auto risk_of = [&](const routing::OutcomeHistory& history) {
-    return history.FailureProbability(0, 1, fixture.state.now);
-  };
-  RecordHealth(fixture.state, Outcome::kOverloaded, *fixture.target);
-  CHECK(risk_of(fixture.target->outcomes) == 0);
-  RecordHealth(fixture.state, Outcome::kErrored, *fixture.target);  // the target failed, the zone responds
-  CHECK(risk_of(fixture.target->outcomes) == 0.5);
-  CHECK(risk_of(fixture.state.zone_outcomes[1]) == 0);
-  RecordHealth(fixture.state, Outcome::kTimedOut, *fixture.target);
-  CHECK(risk_of(fixture.state.zone_outcomes[1]) > 0.3);
-}
-
-TEST_CASE("service is measured at healthy targets, and usage as reported") {
-  Fixture fixture;
-  Volume& volume = fixture.MakeVolume("v");
-  const RequestRef request = fixture.Queue("1", volume);
-  AttemptFinished result;
-  result.reported_usage = 151;
-  RecordService(fixture.state, *request, result, *fixture.target);
-  CHECK(volume.usage == 1.5);
-  CHECK(volume.usage_at == fixture.state.now);
-  const double served = ServedRate(fixture.state);
-  CHECK(served > 0);
-  result.outcome = Outcome::kTimedOut;  // from here on the rate stands still
-  RecordService(fixture.state, *request, result, *fixture.target);
-  fixture.state.now += 10 * kOneSecond;
-  CHECK(ServedRate(fixture.state) == served);
-}
-
-TEST_CASE("the demanded rate at a target is its part of present demand") {
-  Fixture fixture;
-  Volume& volume = fixture.MakeVolume("v");
-  Flow& here = *fixture.Queue("1", volume, 3)->flow;
-  fixture.state.served_rate = 12;
-  here.demand.rate = 1;
-  here.demand.units = 2;
-  volume.demand.rate = 4;
-  CHECK(DemandedRate(fixture.state, *fixture.target) == doctest::Approx(6));
-  here.demand.rate = 8;  // no more than all of it
-  CHECK(DemandedRate(fixture.state, *fixture.target) == doctest::Approx(12));
-}
-
-TEST_CASE("an interval's measurement counts attempts past their objective as late") {
-  Fixture fixture;
-  Volume& volume = fixture.MakeVolume("v");
-  const RequestRef request = fixture.Queue("1", volume);
-  Flow& flow = *request->flow;
-  flow.demand.rate = 9;
-  fixture.Send(request);
-  fixture.state.now += kObjective;
-  MeasureInterval(fixture.state, fixture.state.flows.Shard(3), *fixture.target);
-  CHECK(fixture.target->reserved_rate == 4);
-  CHECK(flow.samples == 0);
-  fixture.state.now += kObjective;
-  MeasureInterval(fixture.state, fixture.state.flows.Shard(3), *fixture.target);
-  CHECK(flow.samples == 1);
-  CHECK(flow.lateness == 2);
-}
-
-TEST_CASE("clients that announce a short wait or disconnect late are not counted as abandoning") {
-  Fixture fixture;
-  Volume& volume = fixture.MakeVolume("v");
-  const auto fraction_after = [&](Time ttl, Time age) {
-    Fixture other;
-    RequestState request;
-    request.arrived_at = other.state.now;
-    request.deadline = other.state.now + ttl;
-    other.state.now += age;
-    for (int i = 0; i < 50; ++i) {
-      RecordClientWait(other.state, request, true);
-    }
-    return other.state.abandonment.SafeFraction(other.state.now);
-  };
-  CHECK(fraction_after(kObjective, kObjective / 4) == doctest::Approx(0.25));
-  CHECK(fraction_after(kObjective - 1, kObjective / 4) == 1);
-  CHECK(fraction_after(2 * kObjective, kObjective) == 1);
-  const RequestRef finished = fixture.Queue("1", volume);
-  finished->finished = true;
-  RecordClientWait(fixture.state, *finished, true);
-  CHECK(fixture.state.abandonment.SafeFraction(fixture.state.now) == 1);
-}
-
 TEST_CASE("eviction removes what is idle, replaced or finished, and nothing that is in use") {
   Fixture fixture;
   SchedulerState& state = fixture.state;
--- /dev/null
+++ b/tests/unit/estimates_test.cpp
@@ -0,0 +1,180 @@
+// Estimates of targets, flows and clients.
+#include "decision/estimates.h"
+
+#include <doctest/doctest.h>
+
+#include "decision_fixture.h"
+
+namespace walnutspur::decision {
+
+TEST_CASE("attempts that may still run linger at the target, others leave it") {
+  Fixture fixture;
+  Volume& volume = fixture.MakeVolume("v");
+  const RequestRef timed_out = fixture.Queue("1", volume);
+  const RequestRef completed = fixture.Queue("2", volume);
+  fixture.Send(timed_out);
+  fixture.Send(completed);
+  CHECK(UnitsInFlight(fixture.state, *fixture.target) == 2);
+  fixture.state.now += kOneSecond;
+  EndAttempt(fixture.state, *timed_out, Outcome::kTimedOut, *fixture.target);
+  EndAttempt(fixture.state, *completed, Outcome::kCompleted, *fixture.target);
+  CHECK(AttemptsInFlight(fixture.state, *fixture.target) == 1);
+  fixture.state.now += 3 * kOneSecond;
+  RemoveEndedAttempts(fixture.state, *fixture.target);
+  CHECK(fixture.target->attempts.size() == 1);
+  fixture.state.now += 1;
+  RemoveEndedAttempts(fixture.state, *fixture.target);
+  CHECK(fixture.target->attempts.empty());
+}
+
+TEST_CASE("an attempt is lost once one sent well after it has completed") {
+  Fixture fixture;
+  Volume& volume = fixture.MakeVolume("v");
+  const RequestRef request = fixture.Queue("1", volume);
+  fixture.Send(request);
+  const Attempt& attempt = fixture.target->attempts.front();
+  const Time margin = 80'000 + kObjective / 4;  // four service times and a part of the objective
+  fixture.target->latest_completed_send = attempt.sent_at + margin;
+  CHECK_FALSE(IsLost(fixture.state, attempt, *fixture.target));
+  fixture.target->latest_completed_send += 1;
+  CHECK(IsLost(fixture.state, attempt, *fixture.target));
+  CHECK(UnitsInFlight(fixture.state, *fixture.target) == 0);
+  CHECK(AttemptsInFlight(fixture.state, *fixture.target) == 0);
+}
+
+TEST_CASE("the expected queueing delay is at least the age of the oldest attempt in the queue") {
+  Fixture fixture;
+  Volume& volume = fixture.MakeVolume("v");
+  fixture.target->latency.SetQueueing(1'000, fixture.state.now);
+  CHECK(ExpectedQueueing(fixture.state, *fixture.target) == 1'000);
+  fixture.Send(fixture.Queue("1", volume));
+  fixture.state.now += kOneSecond;
+  CHECK(ExpectedQueueing(fixture.state, *fixture.target) == kOneSecond - 20'000);
+  SampleStuckAttempts(fixture.state, 2.0 * kOneSecond, *fixture.target);
+  CHECK(fixture.target->samples.count == 0);
+  SampleStuckAttempts(fixture.state, 0.5 * kOneSecond, *fixture.target);
+  CHECK(fixture.target->samples.count == 1);
+  CHECK(fixture.target->samples.queueing == kOneSecond - 20'000);
+  CHECK(fixture.target->samples.service == 20'000);
+}
+
+TEST_CASE("a target with a stale estimate is expected to queue like the others") {
+  Fixture fixture;
+  for (int i = 0; i < 100; ++i) {
+    fixture.state.fleet_queueing.Add(100'000, fixture.state.now, 2e6);
+    fixture.state.fleet_responses.Add(1, fixture.state.now, 2e6);
+  }
+  fixture.target->latency.SetQueueing(0, fixture.state.now);
+  CHECK(ExpectedQueueing(fixture.state, *fixture.target) == 0);
+  fixture.target->latency.SetQueueing(0, fixture.state.now - 10 * kOneSecond);
+  CHECK(ExpectedQueueing(fixture.state, *fixture.target) == doctest::Approx(99'010).epsilon(0.001));
+}
+
+TEST_CASE("responses update the latency of target, fleet and flow; errors do not") {
+  Fixture fixture;
+  Volume& volume = fixture.MakeVolume("v");
+  const RequestRef request = fixture.Queue("1", volume);
+  fixture.Send(request);
+  fixture.state.now += 2 * kObjective;
+  AttemptFinished result;
+  result.latency = 2 * kObjective;
+  result.outcome = Outcome::kErrored;
+  RecordLatency(fixture.state, *request, result, *fixture.target);
+  CHECK(fixture.target->samples.count == 0);
+  result.outcome = Outcome::kTimedOut;
+  RecordLatency(fixture.state, *request, result, *fixture.target);
+  CHECK(fixture.target->samples.count == 1);
+  CHECK(fixture.state.fleet_samples.count == 0);
+  result.outcome = Outcome::kCompleted;
+  RecordLatency(fixture.state, *request, result, *fixture.target);
+  CHECK(fixture.state.fleet_samples.count == 1);
+  CHECK(fixture.target->latest_completed_send == request->sent_at);
+  CHECK(request->flow->samples == 2);
+  CHECK(request->flow->lateness == 4);
+}
+
+TEST_CASE("outcomes update the histories of the target and of its zone") {
+  Fixture fixture;
+  const auto failure_probability_of = [&](const routing::OutcomeHistory& history) {
+    return history.FailureProbability(0, 1, fixture.state.now);
+  };
+  RecordHealth(fixture.state, Outcome::kOverloaded, *fixture.target);
+  CHECK(failure_probability_of(fixture.target->outcomes) == 0);
+  RecordHealth(fixture.state, Outcome::kErrored, *fixture.target);  // the target failed, the zone responds
+  CHECK(failure_probability_of(fixture.target->outcomes) == 0.5);
+  CHECK(failure_probability_of(fixture.state.zone_outcomes[1]) == 0);
+  RecordHealth(fixture.state, Outcome::kTimedOut, *fixture.target);
+  CHECK(failure_probability_of(fixture.state.zone_outcomes[1]) > 0.3);
+}
+
+TEST_CASE("service is measured at healthy targets, and usage as reported") {
+  Fixture fixture;
+  Volume& volume = fixture.MakeVolume("v");
+  const RequestRef request = fixture.Queue("1", volume);
+  AttemptFinished result;
+  result.reported_usage = 151;
+  RecordService(fixture.state, *request, result, *fixture.target);
+  CHECK(volume.usage == 1.5);
+  CHECK(volume.usage_at == fixture.state.now);
+  const double served = ServedRate(fixture.state);
+  CHECK(served > 0);
+  result.outcome = Outcome::kTimedOut;  // from here on the rate stands still
+  RecordService(fixture.state, *request, result, *fixture.target);
+  fixture.state.now += 10 * kOneSecond;
+  CHECK(ServedRate(fixture.state) == served);
+}
+
+TEST_CASE("the demanded rate at a target is its part of present demand") {
+  Fixture fixture;
+  Volume& volume = fixture.MakeVolume("v");
+  Flow& here = *fixture.Queue("1", volume, 3)->flow;
+  fixture.state.served_rate = 12;
+  here.demand.rate = 1;
+  here.demand.units = 2;
+  volume.demand.rate = 4;
+  CHECK(DemandedRate(fixture.state, *fixture.target) == doctest::Approx(6));
+  here.demand.rate = 8;  // no more than all of it
+  CHECK(DemandedRate(fixture.state, *fixture.target) == doctest::Approx(12));
+}
+
+TEST_CASE("an interval's measurement counts attempts past their objective as late") {
+  Fixture fixture;
+  Volume& volume = fixture.MakeVolume("v");
+  const RequestRef request = fixture.Queue("1", volume);
+  Flow& flow = *request->flow;
+  flow.demand.rate = 9;
+  fixture.Send(request);
+  fixture.state.now += kObjective;
+  MeasureInterval(fixture.state, fixture.state.flows.Shard(3), *fixture.target);
+  CHECK(fixture.target->reserved_rate == 4);
+  CHECK(flow.samples == 0);
+  fixture.state.now += kObjective;
+  MeasureInterval(fixture.state, fixture.state.flows.Shard(3), *fixture.target);
+  CHECK(flow.samples == 1);
+  CHECK(flow.lateness == 2);
+}
+
+TEST_CASE("clients that announce a short wait or disconnect late are not counted as abandoning") {
+  Fixture fixture;
+  Volume& volume = fixture.MakeVolume("v");
+  const auto fraction_after = [&](Time ttl, Time age) {
+    Fixture other;
+    RequestState request;
+    request.arrived_at = other.state.now;
+    request.deadline = other.state.now + ttl;
+    other.state.now += age;
+    for (int i = 0; i < 50; ++i) {
+      RecordClientWait(other.state, request, true);
+    }
+    return other.state.abandonment.SafeFraction(other.state.now);
+  };
+  CHECK(fraction_after(kObjective, kObjective / 4) == doctest::Approx(0.25));
+  CHECK(fraction_after(kObjective - 1, kObjective / 4) == 1);
+  CHECK(fraction_after(2 * kObjective, kObjective) == 1);
+  const RequestRef finished = fixture.Queue("1", volume);
+  finished->finished = true;
+  RecordClientWait(fixture.state, *finished, true);
+  CHECK(fixture.state.abandonment.SafeFraction(fixture.state.now) == 1);
+}
+
+}  // namespace walnutspur::decision
--- a/tests/unit/limits_test.cpp
+++ b/tests/unit/limits_test.cpp
@@ -78,6 +78,26 @@
   return static_cast<int>(calls.size());
 }
 
+// The longest of forty delays after polls that were refused at once, and after polls that timed out.
+struct LongestDelays {
+  Time refused = 0;
+  Time timed_out = 0;
+};
+
+LongestDelays MeasureLongestDelays(int instances) {
+  PollBackoff refused(instances, kLongestDelay);
+  PollBackoff timed_out(instances, kLongestDelay);
+  LongestDelays longest;
+  Time now = kStart;
+  for (int i = 0; i < 40; ++i, now += 20 * kSecond) {
+    refused.OnPoll(now);
+    timed_out.OnPoll(now);
+    longest.refused = std::max(longest.refused, refused.NextDelay(now + 1'000, 0.999));
+    longest.timed_out = std::max(longest.timed_out, timed_out.NextDelay(now + 2 * kSecond, 0.999));
+  }
+  return longest;
+}
+
 }  // namespace
 
 TEST_CASE("the steady-state rate stands still from the time that responses cease") {
@@ -218,21 +238,11 @@
 TEST_CASE(
     "few instances retry within 2 s however often polls failed; many spread over what the service bears") {
   for (const int instances : {1, 6, 20, 300}) {
-    PollBackoff refused(instances, kLongestDelay);
-    PollBackoff timed_out(instances, kLongestDelay);
-    Time longest_refused = 0;
-    Time longest_timed_out = 0;
-    Time now = kStart;
-    for (int i = 0; i < 40; ++i, now += 20 * kSecond) {
-      refused.OnPoll(now);
-      timed_out.OnPoll(now);
-      longest_refused = std::max(longest_refused, refused.NextDelay(now + 1'000, 0.999));
-      longest_timed_out = std::max(longest_timed_out, timed_out.NextDelay(now + 2 * kSecond, 0.999));
-    }
-    CHECK(longest_refused <= (instances <= 20 ? 2 : 9) * kSecond);
-    CHECK(longest_timed_out <= (instances <= 20 ? 2 : 16) * kSecond);
+    const LongestDelays longest = MeasureLongestDelays(instances);
+    CHECK(longest.refused <= (instances <= 20 ? 2 : 9) * kSecond);
+    CHECK(longest.timed_out <= (instances <= 20 ? 2 : 16) * kSecond);
     // No more than 20 calls a second from all together while they time out.
-    CHECK(longest_timed_out >= instances * kSecond / 20);
+    CHECK(longest.timed_out >= instances * kSecond / 20);
   }
 }
 
