--- a/src/app/endpoint_list.h
+++ b/src/app/endpoint_list.h
@@ -4,7 +4,7 @@
 #ifndef WALNUTSPUR_APP_ENDPOINT_LIST_H_
 #define WALNUTSPUR_APP_ENDPOINT_LIST_H_
 
-#include "http/messages.h"
+#include "http/endpoint_list.h"
 #include "http/target_pool.h"
 #include "nbd/config.h"
 #include "walnutspur/scheduler.h"
--- a/src/app/settings_keys.cpp
+++ b/src/app/settings_keys.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <iterator>
 
-#include "fleet/view/member.h"
+#include "fleet/membership/member.h"
 
 namespace walnutspur::app {
 namespace {
--- a/tests/scheduler/simulator_adapter_test.cpp
+++ b/tests/scheduler/simulator_adapter_test.cpp
@@ -58,7 +58,9 @@
 const char kRound[] = R"({"op":"round","now":5000000})";
 const char kEnd[] = R"({"op":"eofBatch"})";
 
-TEST(SimulatorAdapter, AnEmptyBatchGetsAnEmptyReply) { EXPECT_EQ(Reply({kRound, kEnd}), "{\"op\":\"eor\"}\n"); }
+TEST(SimulatorAdapter, AnEmptyBatchGetsAnEmptyReply) {
+  EXPECT_EQ(Reply({kRound, kEnd}), "{\"op\":\"eor\"}\n");
+}
 
 TEST(SimulatorAdapter, ASendNamesInstanceRequestAndTarget) {
   const std::string reply =
