--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -8,6 +8,7 @@
 #include <algorithm>
 #include <atomic>
 #include <chrono>
+#include <cmath>
 #include <cstdio>
 #include <cstdlib>
 #include <functional>
@@ -19,6 +20,7 @@
 #include <vector>
 
 #include "core/scheduler_thread.h"
+#include "lab/fleet/fault_injector.h"
 #include "lab/fleet/process_cluster.h"
 #include "lab/fleet/simulated_cluster.h"
 
@@ -26,7 +28,9 @@
 
 using walnutspur::Time;
 using walnutspur::lab::ClusterOptions;
-using walnutspur::lab::FaultProxy;
+using walnutspur::lab::FaultInjector;
+using walnutspur::lab::FaultKind;
+using walnutspur::lab::kFaultKinds;
 using walnutspur::lab::ProcessCluster;
 using walnutspur::lab::Random;
 using walnutspur::lab::SimulatedCluster;
@@ -61,7 +65,7 @@
     return 0;
   }
   std::sort(times.begin(), times.end());
-  const auto index = static_cast<std::size_t>(quantile * static_cast<double>(times.size() - 1) + 0.5);
+  const auto index = static_cast<std::size_t>(std::lround(quantile * static_cast<double>(times.size() - 1)));
   return Seconds(times[index]);
 }
 
@@ -78,116 +82,6 @@
   double bytes = 0;    // of a member a second
 };
 
-// The values are drawn: their order is part of what a seed means.
-enum class FaultKind : std::uint8_t {
-  kCrash,
-  kRestart,
-  kStop,
-  kOneWayPartition,
-  kPairPartition,  // two members that do not reach each other, but all others
-  kBuildingPartition,
-  kHeavyLoss,
-  kReplay,
-  kShutdown,
-  kRestartAllButOne,
-};
-constexpr std::uint64_t kFaultKinds = 10;
-
-// Injects faults into a cluster of processes, and knows which members are down because of them.
-class FaultInjector {
- public:
-  FaultInjector(ProcessCluster& cluster, int members) : cluster_(cluster), members_(members) {}
-
-  // False: the member is down already.
-  bool Inject(FaultKind kind, int member, int other) {
-    if (IsDown(member)) {
-      return false;
-    }
-    switch (kind) {
-      case FaultKind::kCrash:
-        cluster_.Kill(member);
-        dead_.insert(member);
-        break;
-      case FaultKind::kRestart:
-        Restart(member);
-        break;
-      case FaultKind::kStop:
-        cluster_.Stop(member);
-        stopped_.insert(member);
-        break;
-      case FaultKind::kShutdown:
-        cluster_.Terminate(member);
-        dead_.insert(member);
-        break;
-      case FaultKind::kRestartAllButOne:
-        RestartAllBut(member);
-        break;
-      default:
-        InjectNetworkFault(kind, member, other);
-        break;
-    }
-    return true;
-  }
-
-  // Ends all faults but crashes, of which a part is ended.
-  void EndFaults(Random& random) {
-    cluster_.proxy().SetPartition(nullptr);
-    cluster_.proxy().SetFaults({});
-    for (const int member : stopped_) {
-      cluster_.Resume(member);
-    }
-    for (const int member : dead_) {
-      if (random.Chance(0.5)) {
-        cluster_.Start(member);
-      }
-    }
-  }
-
- private:
-  bool IsDown(int member) const { return dead_.contains(member) || stopped_.contains(member); }
-  void Restart(int member) {
-    cluster_.Kill(member);
-    cluster_.Start(member);
-  }
-  void RestartAllBut(int spared) {
-    for (int i = 0; i < members_; ++i) {
-      if (i != spared && !IsDown(i)) {
-        Restart(i);
-      }
-    }
-  }
-  void InjectNetworkFault(FaultKind kind, int member, int other) {
-    FaultProxy& proxy = cluster_.proxy();
-    switch (kind) {
-      case FaultKind::kOneWayPartition:
-        proxy.SetPartition([member](int from, int) { return from != member; });
-        break;
-      case FaultKind::kPairPartition:
-        proxy.SetPartition([member, other](int from, int to) {
-          return !((from == member && to == other) || (from == other && to == member));
-        });
-        break;
-      case FaultKind::kBuildingPartition:
-        proxy.SetPartition([](int from, int to) { return from % 2 == to % 2; });
-        break;
-      case FaultKind::kHeavyLoss:
-        proxy.SetFaults({.loss = 0.3, .duplication = 0.1, .corruption = 0.05, .max_delay = 50'000});
-        break;
-      case FaultKind::kReplay:
-        proxy.SetFaults(
-            {.loss = 0.05, .duplication = 0.05, .corruption = 0.02, .replay = 0.2, .max_delay = 20'000});
-        break;
-      default:
-        break;
-    }
-  }
-
-  ProcessCluster& cluster_;
-  int members_;
-  std::set<int> dead_;
-  std::set<int> stopped_;
-};
-
 // Some faults one after the other or at once, then none.
 ScriptResult RunScript(const std::string& program, int members, std::uint64_t seed) {
   Random random(seed, "script", static_cast<std::uint64_t>(members));
@@ -261,6 +155,7 @@
 void RunInParallel(int threads, int count, const std::function<void(int)>& run) {
   std::atomic<int> next = 0;
   std::vector<std::jthread> workers;
+  workers.reserve(static_cast<std::size_t>(threads));
   for (int i = 0; i < threads; ++i) {
     workers.emplace_back([&next, &run, count] {
       for (int index = next++; index < count; index = next++) {
@@ -341,7 +236,8 @@
 }
 
 void BenchPartition(SimulatedCluster& cluster, int members) {
-  cluster.SetPartition([members](int from, int to) { return (from < members / 2) == (to < members / 2); });
+  cluster.SetPartition(
+      [members](int sender, int receiver) { return (sender < members / 2) == (receiver < members / 2); });
   cluster.Run(60 * kSecond);
   cluster.SetPartition(nullptr);
   const Time duration = cluster.RunUntilConverged(kConvergenceTimeout);
--- a/src/fleet/codec/codec.cpp
+++ b/src/fleet/codec/codec.cpp
@@ -4,6 +4,7 @@
 #include <openssl/evp.h>
 #include <openssl/hmac.h>
 
+#include <algorithm>
 #include <array>
 #include <cmath>
 #include <cstring>
@@ -79,12 +80,8 @@
       envelope.target().size() > kMaxNameLength || envelope.target_address().size() > kMaxNameLength) {
     return false;
   }
-  for (const wire::Record& record : envelope.updates()) {
-    if (!IsValid(record)) {
-      return false;
-    }
-  }
-  return true;
+  return std::all_of(envelope.updates().begin(), envelope.updates().end(),
+                     [](const wire::Record& record) { return IsValid(record); });
 }
 
 wire::Envelope EncodeEnvelope(const std::string& fleet, const Message& message) {
--- a/src/fleet/membership/disseminator.h
+++ b/src/fleet/membership/disseminator.h
@@ -4,7 +4,7 @@
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_DISSEMINATOR_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_DISSEMINATOR_H_
 
-#include <cstdint>
+#include <cstddef>
 #include <string>
 
 #include "fleet/membership/message_sender.h"
@@ -12,7 +12,7 @@
 namespace walnutspur::fleet {
 
 // Members that a gossip message is sent to at a time.
-constexpr int kGossipFanout = 3;
+constexpr std::size_t kGossipFanout = 3;
 
 class Disseminator {
  public:
--- a/src/fleet/membership/failure_detector.cpp
+++ b/src/fleet/membership/failure_detector.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 void FailureDetector::Start() {
-  const double period = static_cast<double>(state_.options.period);
+  const auto period = static_cast<double>(state_.options.period);
   state_.timers.Start(static_cast<Time>(state_.draw() * period), [this](Time) { ProbeNext(); });
 }
 
--- a/src/fleet/membership/local_health.h
+++ b/src/fleet/membership/local_health.h
@@ -9,6 +9,8 @@
 
 namespace walnutspur::fleet {
 
+constexpr int kMaxHealthScore = 8;
+
 class LocalHealth {
  public:
   // Disabled, the score stays 0.
@@ -18,7 +20,7 @@
   int score() const { return score_; }
   void Adjust(int difference) {
     if (enabled_) {
-      score_ = std::clamp(score_ + difference, 0, kMaxScore);
+      score_ = std::clamp(score_ + difference, 0, kMaxHealthScore);
     }
   }
   // Intervals and timeouts grow with the score.
@@ -33,8 +35,6 @@
   bool StalledSince(Time time) const { return stalled_at_ > time; }
 
  private:
-  static constexpr int kMaxScore = 8;
-
   bool enabled_;
   int score_ = 0;
   Time stalled_at_ = 0;
--- a/src/fleet/membership/member_lifecycle.cpp
+++ b/src/fleet/membership/member_lifecycle.cpp
@@ -39,28 +39,28 @@
   disseminator_.Broadcast(record.name);
 }
 
-void MemberLifecycle::Suspect(const std::string& name, const std::string& by) {
+void MemberLifecycle::Suspect(const std::string& name, const std::string& reporter) {
   const Record* known = state_.table.Find(name);
   if (!known || known->state != MemberState::kAlive) {
     return;
   }
   Record next = *known;
   next.state = MemberState::kSuspect;
-  next.by = by;
+  next.by = reporter;
   Store(next);
-  ConfirmSuspicion(name, by);
+  ConfirmSuspicion(name, reporter);
   disseminator_.Broadcast(name);
   // Whoever receives a suspicion checks it: in a small fleet each member, in a large one some.
-  if (by != state_.table.self_name() && state_.draw() * state_.table.live_count() < kSuspectProbes) {
+  if (reporter != state_.table.self_name() && state_.draw() * state_.table.live_count() < kSuspectProbes) {
     state_.schedule.ProbeOutOfTurn(name);
   }
 }
 
-void MemberLifecycle::ConfirmSuspicion(const std::string& name, const std::string& by) {
-  if (!suspicions_.Confirm(name, by)) {
+void MemberLifecycle::ConfirmSuspicion(const std::string& name, const std::string& reporter) {
+  if (!suspicions_.Confirm(name, reporter)) {
     return;
   }
-  state_.table.SetReporter(name, by);  // each confirmation is passed on under its own reporter
+  state_.table.SetReporter(name, reporter);  // each confirmation is passed on under its own reporter
   if (suspicions_.confirmations(name) > 1) {
     disseminator_.Broadcast(name);
   }
@@ -82,10 +82,10 @@
   DeclareFailed(name, state_.table.self_name());
 }
 
-void MemberLifecycle::DeclareFailed(const std::string& name, const std::string& by) {
+void MemberLifecycle::DeclareFailed(const std::string& name, const std::string& reporter) {
   Record next = state_.table.Get(name);
   next.state = MemberState::kFailed;
-  next.by = by;
+  next.by = reporter;
   StoreAndBroadcast(next);
   RefuteIfPartitioned();
 }
--- a/src/fleet/membership/member_lifecycle.h
+++ b/src/fleet/membership/member_lifecycle.h
@@ -23,10 +23,10 @@
   void Store(const Record& record);
   void StoreAndBroadcast(const Record& record);
   // Makes an alive member suspect; others are left as they are.
-  void Suspect(const std::string& name, const std::string& by);
+  void Suspect(const std::string& name, const std::string& reporter);
   // Counts a further confirmation of a running suspicion.
-  void ConfirmSuspicion(const std::string& name, const std::string& by);
-  void DeclareFailed(const std::string& name, const std::string& by);
+  void ConfirmSuspicion(const std::string& name, const std::string& reporter);
+  void DeclareFailed(const std::string& name, const std::string& reporter);
   // Refutes all that is said of this member's incarnations up to `above`.
   void IncrementIncarnation(std::uint64_t above);
   // Entries that are held beside the table.
--- a/src/fleet/membership/member_table.h
+++ b/src/fleet/membership/member_table.h
@@ -40,7 +40,9 @@
   // `name` has to be in the table and dead.
   void Remove(const std::string& name);
   // Names the member whose report of the state is passed on; not a change of the member.
-  void SetReporter(const std::string& name, const std::string& by) { entries_.at(name).record.by = by; }
+  void SetReporter(const std::string& name, const std::string& reporter) {
+    entries_.at(name).record.by = reporter;
+  }
 
   // Null: unknown. Valid until the table changes.
   const Record* Find(const std::string& name) const;
--- a/src/fleet/membership/membership_state.h
+++ b/src/fleet/membership/membership_state.h
@@ -46,7 +46,7 @@
   MembershipState(const MembershipState&) = delete;
   MembershipState& operator=(const MembershipState&) = delete;
 
-  std::size_t DrawBelow(std::size_t count) {
+  std::size_t DrawBelow(std::size_t count) const {
     return static_cast<std::size_t>(draw() * static_cast<double>(count));
   }
   std::vector<std::string> PickRandom(std::size_t count, const std::string& except = "") {
--- a/src/fleet/membership/probe_schedule.cpp
+++ b/src/fleet/membership/probe_schedule.cpp
@@ -40,7 +40,7 @@
 
 bool ProbeSchedule::IsProbeable(const std::string& name) const {
   const Record* record = table_.Find(name);
-  return record && !IsDead(record->state) && name != table_.self_name();
+  return record != nullptr && !IsDead(record->state) && name != table_.self_name();
 }
 
 void ProbeSchedule::StartRound() {
--- a/src/fleet/membership/replay_filter.h
+++ b/src/fleet/membership/replay_filter.h
@@ -10,6 +10,8 @@
 
 namespace walnutspur::fleet {
 
+constexpr std::uint64_t kReorderWindow = 256;  // datagrams that may overtake each other
+
 class ReplayFilter {
  public:
   // False: a datagram with this number must have been received long ago.
@@ -28,8 +30,6 @@
   void Forget(const std::string& sender) { highest_.erase(sender); }
 
  private:
-  static constexpr std::uint64_t kReorderWindow = 256;  // datagrams that may overtake each other
-
   std::unordered_map<std::string, std::uint64_t> highest_;  // by sender
 };
 
--- a/src/fleet/membership/suspicion_tracker.cpp
+++ b/src/fleet/membership/suspicion_tracker.cpp
@@ -13,13 +13,13 @@
 
 }  // namespace
 
-bool SuspicionTracker::Confirm(const std::string& name, const std::string& by) {
+bool SuspicionTracker::Confirm(const std::string& name, const std::string& reporter) {
   Suspicion& suspicion = suspicions_[name];
   if (suspicion.confirmed_by.empty()) {
     suspicion.started_at = state_.timers.now();
   }
   return static_cast<int>(suspicion.confirmed_by.size()) <= kConfirmationsForMinimum &&
-         suspicion.confirmed_by.insert(by).second;
+         suspicion.confirmed_by.insert(reporter).second;
 }
 
 std::size_t SuspicionTracker::confirmations(const std::string& name) const {
--- a/src/fleet/membership/suspicion_tracker.h
+++ b/src/fleet/membership/suspicion_tracker.h
@@ -17,9 +17,9 @@
  public:
   explicit SuspicionTracker(MembershipState& state) : state_(state) {}
 
-  // Counts a confirmation, the first of which starts the suspicion. False: `by` has confirmed it before, or
-  // enough others have.
-  bool Confirm(const std::string& name, const std::string& by);
+  // Counts a confirmation, the first of which starts the suspicion. False: `reporter` has confirmed it
+  // before, or enough others have.
+  bool Confirm(const std::string& name, const std::string& reporter);
   // Number of members that confirm the suspicion.
   std::size_t confirmations(const std::string& name) const;
   // When the suspicion started; only while there is one.
--- a/src/fleet/transport/gossip_transport.cpp
+++ b/src/fleet/transport/gossip_transport.cpp
@@ -169,7 +169,7 @@
   handle.Start(timer.delay);
 }
 
-void GossipTransport::Log(const MemberChanged& change) {
+void GossipTransport::Log(const MemberChanged& change) const {
   const Record& record = change.record;
   hooks_.log(record.state == MemberState::kFailed && record.name != options_.name, "fleet_member",
              {{"name", record.name},
--- a/src/fleet/transport/gossip_transport.h
+++ b/src/fleet/transport/gossip_transport.h
@@ -34,7 +34,7 @@
   void Run(const std::vector<Action>& actions);
   void Send(const SendDatagram& datagram);
   void Start(const StartTimer& timer);
-  void Log(const MemberChanged& change);
+  void Log(const MemberChanged& change) const;
   void ReportSize();
   std::string StatusText() const;
 
--- a/src/lab/fault_proxy/fault_proxy.cpp
+++ b/src/lab/fault_proxy/fault_proxy.cpp
@@ -81,15 +81,15 @@
   faults_ = faults;
 }
 
-void FaultProxy::InjectFaults(int from, int to, std::string bytes) {
+void FaultProxy::InjectFaults(int sender, int receiver, std::string bytes) {
   const std::lock_guard lock(mutex_);
-  if (passes_ && !passes_(from, to)) {
+  if (passes_ && !passes_(sender, receiver)) {
     return;
   }
   if (random_.Chance(faults_.loss)) {
     return;
   }
-  history_.push_back({0, 0, to, bytes});
+  history_.push_back({0, 0, receiver, bytes});
   if (history_.size() > kMaxHistory) {
     history_.erase(history_.begin(), history_.begin() + kMaxHistory / 2);
   }
@@ -97,19 +97,19 @@
     bytes[random_.Below(bytes.size())] ^= static_cast<char>(1u << random_.Below(8));
   }
   if (random_.Chance(faults_.duplication)) {
-    Schedule(to, bytes);
+    Schedule(receiver, bytes);
   }
-  Schedule(to, std::move(bytes));
+  Schedule(receiver, std::move(bytes));
   if (random_.Chance(faults_.replay)) {
     const Datagram& replayed = history_[random_.Below(history_.size())];
-    Schedule(replayed.to, replayed.bytes);
+    Schedule(replayed.receiver, replayed.bytes);
   }
 }
 
-void FaultProxy::Schedule(int to, std::string bytes) {
+void FaultProxy::Schedule(int receiver, std::string bytes) {
   const Time delay = static_cast<Time>(
       random_.Between(static_cast<double>(faults_.min_delay), static_cast<double>(faults_.max_delay)));
-  scheduled_.push({core::Now() + delay, next_order_++, to, std::move(bytes)});
+  scheduled_.push({core::Now() + delay, next_order_++, receiver, std::move(bytes)});
 }
 
 void FaultProxy::Run() {
@@ -133,7 +133,7 @@
   while (!scheduled_.empty() && scheduled_.top().due <= core::Now()) {
     const Datagram datagram = scheduled_.top();
     scheduled_.pop();
-    const Link& link = links_[static_cast<std::size_t>(datagram.to)];
+    const Link& link = links_[static_cast<std::size_t>(datagram.receiver)];
     const sockaddr_in address = Loopback(link.member_port);
     sendto(link.fd, datagram.bytes.data(), datagram.bytes.size(), MSG_NOSIGNAL,
            reinterpret_cast<const sockaddr*>(&address), sizeof address);
--- a/src/lab/fault_proxy/fault_proxy.h
+++ b/src/lab/fault_proxy/fault_proxy.h
@@ -52,7 +52,7 @@
   // Address that the member has to advertise.
   std::string address(int member) const;
   // Drops all datagrams for which `passes` is false; null: none.
-  void SetPartition(std::function<bool(int from, int to)> passes);
+  void SetPartition(std::function<bool(int sender, int receiver)> passes);
   void SetFaults(const DatagramFaults& faults);
   // Totals of what was forwarded.
   std::uint64_t forwarded_datagrams() const { return forwarded_datagrams_; }
@@ -68,7 +68,7 @@
   struct Datagram {
     Time due = 0;
     std::uint64_t order = 0;
-    int to = 0;
+    int receiver = 0;
     std::string bytes;
     bool operator>(const Datagram& other) const {
       return due != other.due ? due > other.due : order > other.order;
@@ -79,8 +79,8 @@
   // Forwards what is due; microseconds until the next datagram is, at most kPollInterval.
   Time ForwardDue();
   void Receive(std::size_t link);
-  void InjectFaults(int from, int to, std::string bytes);
-  void Schedule(int to, std::string bytes);
+  void InjectFaults(int sender, int receiver, std::string bytes);
+  void Schedule(int receiver, std::string bytes);
 
   std::vector<Link> links_;  // by member
   std::mutex mutex_;         // guards the state from here to next_order_
--- a/src/lab/fleet/process_cluster.cpp
+++ b/src/lab/fleet/process_cluster.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 #include <map>
+#include <sstream>
 #include <utility>
 
 #include "app/control.h"
@@ -53,7 +54,9 @@
 std::string QuotedList(const std::vector<std::string>& values) {
   std::string list;
   for (const std::string& value : values) {
-    list += (list.empty() ? "\"" : ", \"") + value + "\"";
+    list += list.empty() ? "\"" : ", \"";
+    list += value;
+    list += "\"";
   }
   return "[" + list + "]";
 }
@@ -65,14 +68,17 @@
   }
   std::set<std::string> alive;
   for (const json& member : status["members"]) {
-    const std::string state = member["state"];
+    const auto state = member["state"].get<std::string>();
     if (state == "gone" || state == "left") {
       continue;
     }
     if (state != "alive") {
-      return name + " calls " + std::string(member["name"]) + " " + state;
+      std::string violation = name + " calls ";
+      violation += member["name"].get<std::string>();
+      violation += " " + state;
+      return violation;
     }
-    alive.insert(member["name"]);
+    alive.insert(member["name"].get<std::string>());
   }
   if (alive != running) {
     return name + " holds " + std::to_string(alive.size()) + " for alive of " +
@@ -97,12 +103,18 @@
     peers.push_back(proxy_.address(i));
     roster.push_back(name(i));
   }
-  return "[log]\nlevel = \"info\"\nper_kind = 1000.0\n[integrity]\nfolder = \"" + folder.path() +
-         "\"\n[fleet]\nid = \"lab\"\nname = \"" + name(member) +
-         "\"\nlisten = \"127.0.0.1:" + std::to_string(proxy_.port(address_of)) + "\"\nadvertise = \"" +
-         proxy_.address(address_of) + "\"\nbuilding = \"" + (member % 2 ? "east" : "west") +
-         "\"\nkey_file = \"" + folder.Put("key", kKey) + "\"\npeers = " + QuotedList(peers) +
-         "\nroster = " + QuotedList(roster) + "\n";
+  std::ostringstream text;
+  text << "[log]\nlevel = \"info\"\nper_kind = 1000.0\n"
+       << "[integrity]\nfolder = \"" << folder.path() << "\"\n"
+       << "[fleet]\nid = \"lab\"\n"
+       << "name = \"" << name(member) << "\"\n"
+       << "listen = \"127.0.0.1:" << proxy_.port(address_of) << "\"\n"
+       << "advertise = \"" << proxy_.address(address_of) << "\"\n"
+       << "building = \"" << (member % 2 ? "east" : "west") << "\"\n"
+       << "key_file = \"" << folder.Put("key", kKey) << "\"\n"
+       << "peers = " << QuotedList(peers) << "\n"
+       << "roster = " << QuotedList(roster) << "\n";
+  return text.str();
 }
 
 std::vector<std::string> ProcessCluster::PrepareCommand(const Folder& folder, int member,
--- a/src/lab/fleet/simulated_cluster.cpp
+++ b/src/lab/fleet/simulated_cluster.cpp
@@ -98,11 +98,11 @@
   }
 }
 
-void SimulatedCluster::Deliver(int to, std::shared_ptr<const fleet::Message> message, Time delay) {
+void SimulatedCluster::Deliver(int receiver, std::shared_ptr<const fleet::Message> message, Time delay) {
   Event event;
   event.at = now_ + delay;
   event.order = next_order_++;
-  event.member = to;
+  event.member = receiver;
   event.message = std::move(message);
   events_.push(std::move(event));
 }
@@ -125,17 +125,17 @@
   }
 }
 
-void SimulatedCluster::Send(int from, fleet::SendDatagram datagram) {
+void SimulatedCluster::Send(int sender, fleet::SendDatagram datagram) {
   ++datagrams_;
   if (options_.measure_sizes) {
     MeasureSize(datagram.message);
   }
-  const auto receiver = member_by_address_.find(datagram.address);
-  if (receiver == member_by_address_.end()) {
+  const auto addressee = member_by_address_.find(datagram.address);
+  if (addressee == member_by_address_.end()) {
     return;
   }
-  const int to = receiver->second;
-  if (mutate && !mutate(from, to, &datagram.message)) {
+  const int receiver = addressee->second;
+  if (mutate && !mutate(sender, receiver, &datagram.message)) {
     return;
   }
   const auto message = std::make_shared<const fleet::Message>(std::move(datagram.message));
@@ -143,15 +143,15 @@
   if (recorded_.size() > kMaxRecorded) {
     recorded_.pop_front();
   }
-  if (passes_ && !passes_(from, to)) {
+  if (passes_ && !passes_(sender, receiver)) {
     return;
   }
   if (options_.loss > 0 && random_.Chance(options_.loss)) {
     return;
   }
-  Deliver(to, message, DrawDelay());
+  Deliver(receiver, message, DrawDelay());
   if (options_.duplication > 0 && random_.Chance(options_.duplication)) {
-    Deliver(to, message, DrawDelay());
+    Deliver(receiver, message, DrawDelay());
   }
 }
 
--- a/src/lab/fleet/simulated_cluster.h
+++ b/src/lab/fleet/simulated_cluster.h
@@ -50,13 +50,13 @@
   // Its clock runs `rate` times as fast as virtual time.
   void SetClockRate(int member, double rate) { at(member).clock_rate = rate; }
   // Drops all datagrams for which `passes` is false; null: none.
-  void SetPartition(std::function<bool(int from, int to)> passes) { passes_ = std::move(passes); }
+  void SetPartition(std::function<bool(int sender, int receiver)> passes) { passes_ = std::move(passes); }
   void SetLoss(double probability) { options_.loss = probability; }
   // Starts a second process under the name of `member`, at another address. Returns its number.
   int StartDuplicate(int member);
   // Delivers a message that no member has sent.
-  void Inject(int to, const fleet::Message& message) {
-    Deliver(to, std::make_shared<const fleet::Message>(message), 1);
+  void Inject(int receiver, const fleet::Message& message) {
+    Deliver(receiver, std::make_shared<const fleet::Message>(message), 1);
   }
 
   void Run(Time duration);
@@ -87,7 +87,7 @@
     return back < recorded_.size() ? recorded_[recorded_.size() - 1 - back].get() : nullptr;
   }
   // Called with each datagram before it is sent, and may change it; false: it is dropped.
-  std::function<bool(int from, int to, fleet::Message*)> mutate;
+  std::function<bool(int sender, int receiver, fleet::Message*)> mutate;
 
  private:
   struct Event {
@@ -109,13 +109,13 @@
   }
   void AddMember(int member);
   void Execute(int member, std::vector<fleet::Action> actions);
-  void Send(int from, fleet::SendDatagram datagram);
+  void Send(int sender, fleet::SendDatagram datagram);
   void MeasureSize(const fleet::Message& message);
   void StartTimer(int member, const fleet::StartTimer& timer);
   void ApplyChange(int member, const fleet::MemberChanged& change);
   void CountFalseFailures(const fleet::Record& failed);
   Time DrawDelay();
-  void Deliver(int to, std::shared_ptr<const fleet::Message> message, Time delay);
+  void Deliver(int receiver, std::shared_ptr<const fleet::Message> message, Time delay);
   void Handle(const Event& event);
   Time RunUntil(const std::function<bool()>& condition, Time timeout);
 
--- a/tests/fleet/codec_test.cpp
+++ b/tests/fleet/codec_test.cpp
@@ -19,6 +19,30 @@
   return record;
 }
 
+void CheckDecodesTo(fleet::Codec& codec, const std::string& bytes, const fleet::Message& message) {
+  const auto decoded = codec.Decode(bytes);
+  REQUIRE(decoded);
+  CHECK(decoded->buckets == message.buckets);
+  CHECK(decoded->updates[0].facts == message.updates[0].facts);
+  CHECK(decoded->updates[0].state == fleet::MemberState::kSuspect);
+}
+
+void CheckInvertedBitsAreDropped(fleet::Codec& codec, const std::string& bytes, std::size_t index) {
+  for (int bit = 0; bit < 8; ++bit) {
+    std::string inverted = bytes;
+    inverted[index] = static_cast<char>(inverted[index] ^ (1 << bit));
+    CHECK_FALSE(codec.Decode(inverted));
+  }
+}
+
+void CheckDamagedIsDropped(fleet::Codec& codec, const std::string& bytes) {
+  for (std::size_t i = 0; i < bytes.size(); ++i) {
+    CHECK_FALSE(codec.Decode(bytes.substr(0, i)));
+    CheckInvertedBitsAreDropped(codec, bytes, i);
+  }
+  CHECK(codec.dropped().damaged == 9 * bytes.size());
+}
+
 }  // namespace
 
 TEST_CASE(
@@ -36,20 +60,8 @@
   const fleet::Record record = SuspectRecord();
   message.updates = {record};
   const std::string bytes = ours.Encode(message);
-  const auto decoded = same.Decode(bytes);
-  REQUIRE(decoded);
-  CHECK(decoded->buckets == message.buckets);
-  CHECK(decoded->updates[0].facts == record.facts);
-  CHECK(decoded->updates[0].state == fleet::MemberState::kSuspect);
-  for (std::size_t i = 0; i < bytes.size(); ++i) {
-    CHECK_FALSE(same.Decode(bytes.substr(0, i)));
-    for (int bit = 0; bit < 8; ++bit) {
-      std::string inverted = bytes;
-      inverted[i] = static_cast<char>(inverted[i] ^ (1 << bit));
-      CHECK_FALSE(same.Decode(inverted));
-    }
-  }
-  CHECK(same.dropped().damaged == 9 * bytes.size());
+  CheckDecodesTo(same, bytes, message);
+  CheckDamagedIsDropped(same, bytes);
   CHECK_FALSE(stranger.Decode(bytes));
   CHECK(stranger.dropped().untagged == 1);
   CHECK_FALSE(other.Decode(bytes));
--- a/tests/fleet/dissemination_test.cpp
+++ b/tests/fleet/dissemination_test.cpp
@@ -40,7 +40,7 @@
 TEST_CASE("halves that were partitioned for minutes are one fleet again soon after") {
   for (const int members : {4, 30}) {
     SimulatedCluster cluster = ConvergedCluster(members);
-    cluster.SetPartition([](int from, int to) { return from % 2 == to % 2; });
+    cluster.SetPartition([](int sender, int receiver) { return sender % 2 == receiver % 2; });
     cluster.Run(200 * kSecond);
     CHECK(cluster.membership(0).live_count() == members / 2);
     cluster.SetPartition(nullptr);
--- a/tests/fleet/failure_detection_test.cpp
+++ b/tests/fleet/failure_detection_test.cpp
@@ -5,6 +5,27 @@
 
 using lab::SimulatedCluster;
 
+namespace {
+
+void CheckStopWithProbeInFlight(SimulatedCluster& cluster) {
+  cluster.SetPartition([](int sender, int receiver) { return sender != 1 && receiver != 0; });
+  for (int i = 0; i < 100 && cluster.membership(0).suspect_count() == 0; ++i) {
+    cluster.Run(kSecond / 100);
+  }
+  REQUIRE(cluster.membership(0).suspect_count() > 0);  // and a probe is in flight
+  cluster.Stop(0);
+  cluster.SetPartition(nullptr);
+  cluster.Run(20 * kSecond);
+  const int before = cluster.false_failures();
+  const int suspects = cluster.membership(0).suspect_count();
+  cluster.Resume(0);
+  CHECK(cluster.membership(0).suspect_count() <= suspects);
+  CheckConverges(cluster);
+  CHECK(cluster.false_failures() == before);
+}
+
+}  // namespace
+
 TEST_CASE("all learn of a crash, of a departure at once, and of a restart under the same name at once") {
   SimulatedCluster cluster = ConvergedCluster(9);
   cluster.Run(60 * kSecond);  // so that its datagrams' numbers are far above those of its next process
@@ -35,20 +56,7 @@
 TEST_CASE("probes that time out while a process is stopped say nothing about others") {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulatedCluster cluster = ConvergedCluster(5, seed);
-    cluster.SetPartition([](int from, int to) { return from != 1 && to != 0; });
-    for (int i = 0; i < 100 && cluster.membership(0).suspect_count() == 0; ++i) {
-      cluster.Run(kSecond / 100);
-    }
-    REQUIRE(cluster.membership(0).suspect_count() > 0);  // and a probe is in flight
-    cluster.Stop(0);
-    cluster.SetPartition(nullptr);
-    cluster.Run(20 * kSecond);
-    const int before = cluster.false_failures();
-    const int suspects = cluster.membership(0).suspect_count();
-    cluster.Resume(0);
-    CHECK(cluster.membership(0).suspect_count() <= suspects);
-    CheckConverges(cluster);
-    CHECK(cluster.false_failures() == before);
+    CheckStopWithProbeInFlight(cluster);
   }
 }
 
@@ -62,10 +70,11 @@
 
 TEST_CASE("a one-way partition, and two members that do not reach each other, make nobody failed") {
   SimulatedCluster cluster = ConvergedCluster(9);
-  cluster.SetPartition([](int from, int to) { return from != 3 || to != 6; });
+  cluster.SetPartition([](int sender, int receiver) { return sender != 3 || receiver != 6; });
   cluster.Run(20 * kSecond);
+  // Between 1 and 2.
   cluster.SetPartition(
-      [](int from, int to) { return !(from + to == 3 && (from == 1 || to == 1)); });  // 1 and 2
+      [](int sender, int receiver) { return !(sender + receiver == 3 && (sender == 1 || receiver == 1)); });
   cluster.Run(20 * kSecond);
   cluster.SetPartition(nullptr);
   CheckConverges(cluster);
--- a/tests/fleet/fleet_settings_test.cpp
+++ b/tests/fleet/fleet_settings_test.cpp
@@ -10,29 +10,42 @@
 #include "app/settings.h"
 
 namespace walnutspur {
+namespace {
+
+struct Case {
+  std::string text;  // of the settings file
+  std::string line;  // part of the one line that is reported
+};
+
+void CheckReported(const Case& expected) {
+  char path[] = "/tmp/walnutspur-XXXXXX";
+  close(mkstemp(path));
+  std::ofstream(path) << expected.text;
+  const auto lines = app::CheckFile(path);
+  REQUIRE(lines.size() == 1);
+  CHECK_MESSAGE(lines[0].find(expected.line) != std::string::npos, lines[0]);
+  CHECK_THROWS(app::LoadSettings(path));
+  std::remove(path);
+}
+
+}  // namespace
 
 TEST_CASE("an error in a [fleet] table is reported in one line, with its line and what is allowed") {
-  const std::string good = "[fleet]\nid = \"f\"\nname = \"a\"\nlisten = \"127.0.0.1:7000\"\n";
-  const struct {
-    std::string text, line;
-  } kCases[] = {
-      {good, "fleet.roster: is missing; allowed are the names of 3, 5 or 7 members"},
-      {good + "roster = [\"a\", \"b\", \"c\", \"d\"]",
-       ":5: fleet.roster: has 4 names; allowed are 3, 5 or 7"},
-      {good + "roster = [\"a\", \"b\", \"a\"]", ":5: fleet.roster: names \"a\" twice"},
-      {"[fleet]\nroster = [\"a\", \"b\", \"c\"]\nid = \"f\"\nname = \"a\"\nlisten = \"x\"",
-       ":5: fleet.listen: is no address; allowed is host:port"},
-  };
-  for (const auto& expected : kCases) {
-    char path[] = "/tmp/walnutspur-XXXXXX";
-    close(mkstemp(path));
-    std::ofstream(path) << expected.text;
-    const auto lines = app::CheckFile(path);
-    REQUIRE(lines.size() == 1);
-    CHECK_MESSAGE(lines[0].find(expected.line) != std::string::npos, lines[0]);
-    CHECK_THROWS(app::LoadSettings(path));
-    std::remove(path);
-  }
+  const std::string good = R"([fleet]
+id = "f"
+name = "a"
+listen = "127.0.0.1:7000"
+)";
+  CheckReported({good, "fleet.roster: is missing; allowed are the names of 3, 5 or 7 members"});
+  CheckReported(
+      {good + R"(roster = ["a", "b", "c", "d"])", ":5: fleet.roster: has 4 names; allowed are 3, 5 or 7"});
+  CheckReported({good + R"(roster = ["a", "b", "a"])", R"(:5: fleet.roster: names "a" twice)"});
+  CheckReported({R"([fleet]
+roster = ["a", "b", "c"]
+id = "f"
+name = "a"
+listen = "x")",
+                 ":5: fleet.listen: is no address; allowed is host:port"});
 }
 
 }  // namespace walnutspur
--- a/tests/fleet/message_mutation_test.cpp
+++ b/tests/fleet/message_mutation_test.cpp
@@ -28,12 +28,12 @@
 constexpr int kMutations = 13;
 
 // False: the message is dropped.
-bool Mutate(SimulatedCluster& cluster, Mutation mutation, int to, Message* message) {
+bool Mutate(SimulatedCluster& cluster, Mutation mutation, int receiver, Message* message) {
   switch (mutation) {
     case Mutation::kDrop:
       return false;
     case Mutation::kDuplicate:
-      cluster.Inject(to, *message);
+      cluster.Inject(receiver, *message);
       break;
     case Mutation::kNumberZero:
       message->number = 0;
@@ -54,7 +54,7 @@
       message->started_at -= kSecond;
       break;
     case Mutation::kOtherSender:
-      message->from = "m" + std::to_string((to + 2) % 3);
+      message->from = "m" + std::to_string((receiver + 2) % 3);
       break;
     default:
       break;
@@ -93,14 +93,14 @@
   options.members = 3;
   SimulatedCluster cluster(options);
   std::size_t messages = 0;
-  cluster.mutate = [&](int, int to, Message* message) {
+  cluster.mutate = [&](int, int receiver, Message* message) {
     if (messages++ != index) {
       return true;
     }
     for (fleet::Record& update : message->updates) {
       MutateUpdate(mutation, update);
     }
-    return Mutate(cluster, mutation, to, message);
+    return Mutate(cluster, mutation, receiver, message);
   };
   for (int i = 0; i < 3; ++i) {
     cluster.Start(i);
@@ -118,21 +118,24 @@
   return result;
 }
 
+void CheckHolds(std::size_t index, int mutation) {
+  const ScenarioResult result = RunScenario(index, static_cast<Mutation>(mutation));
+  CHECK_MESSAGE(result.holds, "message ", index, " mutation ", mutation, ": ", result.violation);
+}
+
 }  // namespace
 
 TEST_CASE("each message by itself dropped, duplicated or changed: all invariants hold") {
   const ScenarioResult unchanged = RunScenario(SIZE_MAX, Mutation::kDrop);
   REQUIRE(unchanged.holds);
   REQUIRE(unchanged.messages > 80);
-  int runs = 0;
   for (std::size_t index = 0; index < unchanged.messages; ++index) {
     for (int mutation = 0; mutation < kMutations; ++mutation) {
-      const ScenarioResult result = RunScenario(index, static_cast<Mutation>(mutation));
-      ++runs;
-      CHECK_MESSAGE(result.holds, "message ", index, " mutation ", mutation, ": ", result.violation);
+      CheckHolds(index, mutation);
     }
   }
-  MESSAGE(unchanged.messages, " messages, ", kMutations, " mutations, ", runs, " runs");
+  MESSAGE(unchanged.messages, " messages, ", kMutations, " mutations, ", unchanged.messages * kMutations,
+          " runs");
 }
 
 }  // namespace walnutspur
--- a/tests/fleet/process_cluster_test.cpp
+++ b/tests/fleet/process_cluster_test.cpp
@@ -28,7 +28,7 @@
                              .replay = 0.1,
                              .min_delay = 0,
                              .max_delay = 20'000});
-  cluster.proxy().SetPartition([](int from, int to) { return from % 2 == to % 2; });
+  cluster.proxy().SetPartition([](int sender, int receiver) { return sender % 2 == receiver % 2; });
   const auto partitioned = [&cluster] {
     return cluster.Status(0)["live"] == 3 && cluster.Status(1)["live"] == 2;
   };
