--- a/src/pcap/capture.h
+++ b/src/pcap/capture.h
@@ -1,7 +1,10 @@
-// pcap files, read and written; nothing is captured live.
+// Capture files in pcap format: TCP streams read from them and written to them. Nothing is captured live.
+// Objects have no shared state; each belongs to one thread.
 #ifndef WALNUTSPUR_PCAP_CAPTURE_H_
 #define WALNUTSPUR_PCAP_CAPTURE_H_
 
+#include <array>
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <memory>
@@ -9,73 +12,64 @@
 #include <string_view>
 #include <vector>
 
+#include "pcap/error.h"
+#include "pcap/reassembly.h"
+#include "pcap/segment.h"
+
 struct pcap;
 struct pcap_dumper;
 
 namespace walnutspur::pcap {
 
-struct Endpoint {
-  std::string address;  // 4 or 16 bytes
-  std::uint16_t port = 0;
-  auto operator<=>(const Endpoint&) const = default;
-};
-
-// One direction of a TCP stream, put in order.
-class Reassembly {
- public:
-  explicit Reassembly(std::size_t most) : most_(most) {}
-
-  void Begin(std::uint32_t first);  // the number of the first byte
-  // `cut` bytes of the segment were not captured.
-  void Add(std::uint32_t number, std::string_view bytes, std::size_t cut = 0);
-
-  bool begun() const { return begun_; }
-  const std::string& bytes() const { return bytes_; }  // up to the first gap
-  bool gap() const { return full_ || !later_.empty(); }
-
- private:
-  std::size_t most_;
-  bool begun_ = false, full_ = false;
-  std::uint32_t next_ = 0;
-  std::string bytes_;
-  std::map<std::uint32_t, std::string> later_;  // by distance from the first byte
-  std::size_t held_ = 0;
-};
-
+// A TCP stream as a file shows it.
 struct Stream {
-  explicit Stream(std::size_t most) : to_server(most), to_client(most) {}
-  Endpoint client, server;
-  Reassembly to_server, to_client;
-  bool opened = false;    // its start is in the file
-  bool finished = false;  // its end too
+  explicit Stream(std::size_t max_bytes) : to_server(max_bytes), to_client(max_bytes) {}
+  Endpoint client;
+  Endpoint server;
+  Reassembly to_server;
+  Reassembly to_client;
+  bool opened = false;    // the file holds its first segment
+  bool finished = false;  // the file holds a FIN or RST of it
 };
 
-// The TCP streams of a file, in order of their first packet. Throws std::runtime_error if it is no pcap file;
-// a file that is cut off gives what it holds. `most` bounds the bytes held of each direction.
-std::vector<Stream> ReadStreams(const std::string& path, std::size_t most = 16 << 20);
+constexpr std::size_t kDefaultMaxStreamBytes = 16 << 20;
+
+// The TCP streams of a file, in the order of their first packets. `max_bytes` bounds what is held of each
+// direction of each. Throws CaptureError if it is not a pcap file; from one that is cut off it returns what
+// it holds.
+std::vector<Stream> ReadStreams(const std::string& path, std::size_t max_bytes = kDefaultMaxStreamBytes);
 
-// Writes streams as IPv4 packets.
+// Writes streams to a file, as IPv4 packets.
 class Writer {
  public:
-  // Throws std::runtime_error. After `most` bytes of data nothing more is written.
-  Writer(const std::string& path, std::size_t most);
+  // Throws CaptureError. After `max_bytes` of data in all, further data is not written.
+  Writer(const std::string& path, std::size_t max_bytes);
+  // Closes the streams that are open.
   ~Writer();
+  Writer(const Writer&) = delete;
+  Writer& operator=(const Writer&) = delete;
 
-  using Id = std::uint64_t;
+  using Id = std::uint64_t;  // of a stream; from 1
+  // Begins a stream with the segments of its handshake.
   Id Open(const Endpoint& client, const Endpoint& server);
+  // Writes data of an open stream.
   void Data(Id stream, bool to_server, std::string_view bytes);
+  // Ends a stream with the segments of its closing, and flushes the file.
   void Close(Id stream);
 
  private:
-  struct Flow {
-    Endpoint client, server;
-    std::uint32_t next[2] = {1, 1};  // to the server, to the client
+  enum Direction : std::size_t { kToServer, kToClient, kDirections };
+
+  struct OpenStream {
+    Endpoint client;
+    Endpoint server;
+    std::array<std::uint32_t, kDirections> next_sequence = {0, 0};
   };
-  void Packet(Flow& flow, bool to_server, std::uint8_t flags, std::string_view bytes);
+  void WriteSegment(OpenStream& stream, Direction direction, std::uint8_t flags, std::string_view bytes);
 
-  std::size_t left_;
-  Id next_ = 1;
-  std::map<Id, Flow> flows_;
+  std::size_t remaining_bytes_;
+  Id next_id_ = 1;
+  std::map<Id, OpenStream> streams_;
   std::unique_ptr<struct pcap, void (*)(struct pcap*)> handle_;
   std::unique_ptr<struct pcap_dumper, void (*)(struct pcap_dumper*)> file_;
 };
--- /dev/null
+++ b/src/pcap/error.h
@@ -0,0 +1,17 @@
+// The error that this folder throws.
+#ifndef WALNUTSPUR_PCAP_ERROR_H_
+#define WALNUTSPUR_PCAP_ERROR_H_
+
+#include <stdexcept>
+
+namespace walnutspur::pcap {
+
+// A capture file that cannot be read or written.
+class CaptureError : public std::runtime_error {
+ public:
+  using std::runtime_error::runtime_error;
+};
+
+}  // namespace walnutspur::pcap
+
+#endif  // WALNUTSPUR_PCAP_ERROR_H_
--- /dev/null
+++ b/src/pcap/reassembly.h
@@ -0,0 +1,45 @@
+// Puts the segments of one direction of a TCP stream in order. Plain data; any thread.
+#ifndef WALNUTSPUR_PCAP_REASSEMBLY_H_
+#define WALNUTSPUR_PCAP_REASSEMBLY_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <string>
+#include <string_view>
+
+namespace walnutspur::pcap {
+
+class Reassembly {
+ public:
+  // At most `max_bytes` are held; the stream counts as cut off there.
+  explicit Reassembly(std::size_t max_bytes) : max_bytes_(max_bytes) {}
+
+  // Sets the sequence number of the first byte; later calls have no effect.
+  void Begin(std::uint32_t first);
+  // Adds a segment. Without a Begin before, the first one begins the stream. `missing_bytes` at the segment's
+  // end were not captured.
+  void Add(std::uint32_t sequence, std::string_view bytes, std::size_t missing_bytes = 0);
+
+  bool begun() const { return begun_; }
+  // The stream up to its first gap.
+  const std::string& bytes() const { return bytes_; }
+  // Whether something is missing behind bytes().
+  bool gap() const { return truncated_ || !pending_.empty(); }
+
+ private:
+  void AddPending(std::uint32_t position, std::string_view bytes);
+  void AppendPending();
+
+  std::size_t max_bytes_;
+  bool begun_ = false;
+  bool truncated_ = false;           // nothing more can be appended
+  std::uint32_t next_sequence_ = 0;  // of the byte behind bytes_
+  std::string bytes_;
+  std::map<std::uint32_t, std::string> pending_;  // segments behind a gap, by position in the stream
+  std::size_t pending_bytes_ = 0;
+};
+
+}  // namespace walnutspur::pcap
+
+#endif  // WALNUTSPUR_PCAP_REASSEMBLY_H_
--- a/src/pcap/traffic.h
+++ b/src/pcap/traffic.h
@@ -1,10 +1,11 @@
-// Traffic between fronts and pcap files: streams of a file are played to the fronts, and what the fronts
-// serve is written to a file.
+// Traffic between the front ends and capture files: a Player replays a file's streams to the front ends, a
+// Recorder writes what the front ends serve to a file. Both belong to the thread of the event loop.
 #ifndef WALNUTSPUR_PCAP_TRAFFIC_H_
 #define WALNUTSPUR_PCAP_TRAFFIC_H_
 
 #include <event2/bufferevent.h>
 
+#include <cstddef>
 #include <functional>
 #include <memory>
 #include <string>
@@ -13,72 +14,85 @@
 
 #include "loop/address.h"
 #include "loop/loop.h"
+#include "loop/stream.h"
 #include "pcap/capture.h"
 
 struct evbuffer;
 
 namespace walnutspur::pcap {
 
-// Records what passes on the streams that it is attached to.
+// Records what is received and sent on the streams that it is attached to. It must outlive them.
 class Recorder {
  public:
-  Recorder(const std::string& path, std::size_t most) : writer_(path, most) {}
+  // Throws CaptureError. At most `max_bytes` of data are written.
+  Recorder(const std::string& path, std::size_t max_bytes) : writer_(path, max_bytes) {}
 
+  // Records a stream of a front end from here on.
   void Attach(bufferevent* stream);
 
  private:
   struct Tap {
     Recorder* owner = nullptr;
     bufferevent* stream = nullptr;
-    Writer::Id id = 0;  // 0: nothing has passed yet
+    Writer::Id id = 0;  // 0: nothing has been received or sent yet
   };
-  void Pass(Tap& tap, bool to_server, evbuffer* buffer, std::size_t added);
+  void Record(Tap& tap, bool to_server, evbuffer* buffer, std::size_t added);
 
   Writer writer_;
-  // By stream. libevent tells nothing when it frees one: a new one in its place ends the old.
+  // By stream. libevent does not report that a stream is freed: another one at its address replaces it.
   std::unordered_map<bufferevent*, std::unique_ptr<Tap>> taps_;
 };
 
-// Plays the clients' side of a file's streams to the fronts, over connections of its own: the fronts' parsers
-// see the bytes as they would from clients. What comes back is kept.
+// Replays the clients' side of a file's streams to the front ends, over connections of its own, so that the
+// front ends' parsers read the bytes as from clients. Holds what the front ends send.
 class Player {
  public:
+  // One stream's result.
   struct Result {
-    std::string sent, received;
+    std::string sent;
+    std::string received;
     bool gap = false;  // the stream ends at a gap in the file
   };
-  // Where a stream is played to; port 0: nowhere.
+  // Where to replay a stream to; port 0: it is left out.
   using AddressOf = std::function<loop::Address(const Stream&)>;
-  // `quiet` is how long a stream may bring nothing before it is taken to be answered. `done` is called on the
-  // loop once all are played.
-  Player(event_base* base, const std::vector<Stream>& streams, const AddressOf& address_of, Time quiet,
-         std::function<void()> done);
 
+  // A stream counts as answered once it receives nothing for `quiet_time` us. `on_done` is called on the loop
+  // once all streams are.
+  Player(event_base* base, const std::vector<Stream>& streams, const AddressOf& address_of, Time quiet_time,
+         std::function<void()> on_done);
+
+  // One for each stream, in their order.
   const std::vector<Result>& results() const { return results_; }
 
  private:
-  struct Play {
+  // One stream's connection.
+  struct Replay {
     Player* owner = nullptr;
-    std::size_t number = 0;
+    std::size_t number = 0;  // index into the results
     loop::Address address;
     bool ended = false;
-    std::function<void()> end;
-    loop::EventHandle quiet;
-    std::unique_ptr<bufferevent, loop::Deleter<bufferevent_free>> stream;
+    loop::EventHandle quiet_timer;
+    loop::StreamPtr stream;
+
+    // The stream's callbacks, see loop::SetCallbacks.
+    void OnReadable();
+    void OnEvent(loop::EventMask what);
   };
-  void Start(Play& play);
-  void Next();
+  void Start(Replay& replay);
+  void End(Replay& replay);
+  void StartNext();
 
   event_base* base_;
-  Time quiet_;
+  Time quiet_time_;
   std::vector<Result> results_;
-  std::vector<std::unique_ptr<Play>> plays_;
-  std::size_t open_ = 0, next_ = 0;
+  std::vector<std::unique_ptr<Replay>> replays_;  // those that have not ended, in the order of the file
+  std::size_t open_ = 0;                          // connections: the first so many replays
+  std::size_t next_ = 0;                          // the first replay that has not started
   loop::EventHandle step_;
-  std::function<void()> done_;
+  std::function<void()> on_done_;
 };
 
-// Whether a client's first bytes are NBD's.
+// Whether a client's first bytes are those of NBD.
 bool LooksLikeNbd(const std::string& bytes);
 
 }  // namespace walnutspur::pcap
