--- a/src/nbd/blocking_client.cpp
+++ b/src/nbd/blocking_client.cpp
@@ -1,6 +1,5 @@
 #include "nbd/blocking_client.h"
 
-#include <netinet/tcp.h>
 #include <poll.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -8,29 +7,48 @@
 #include <algorithm>
 #include <cerrno>
 #include <cstring>
-#include <stdexcept>
+#include <iterator>
 #include <utility>
 
 #include "loop/address.h"
+#include "loop/stream.h"
 
 namespace walnutspur::nbd {
+namespace {
 
-BlockingClient::BlockingClient(const std::string& address, const std::string& export_name, int patience_ms)
-    : session_(export_name), patience_(patience_ms) {
-  const sockaddr_in to = loop::ToSocket(loop::ParseAddress(address));
-  fd_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  try {
-    if (fd_ < 0 || connect(fd_, reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0) {
-      throw std::runtime_error("cannot connect to " + address + ": " + std::strerror(errno));
+constexpr std::size_t kReceiveBytes = 256 << 10;
+
+void SendAll(int fd, const std::string& bytes) {
+  for (std::size_t at = 0; at < bytes.size();) {
+    const ssize_t size = send(fd, bytes.data() + at, bytes.size() - at, MSG_NOSIGNAL);
+    if (size < 0 && errno == EINTR) {
+      continue;
     }
-    const int on = 1;
-    setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    while (!session_.ready()) {
-      Take(patience_);
-      if (session_.ended()) {
-        throw std::runtime_error(address + ": " + session_.why());
-      }
+    if (size <= 0) {
+      throw ConnectionError("the connection ended");
     }
+    at += static_cast<std::size_t>(size);
+  }
+}
+
+// Waits for some bytes.
+std::string Receive(int fd) {
+  std::string bytes(kReceiveBytes, '\0');
+  const ssize_t size = recv(fd, bytes.data(), bytes.size(), 0);
+  if (size <= 0) {
+    throw ConnectionError("the connection ended");
+  }
+  bytes.resize(static_cast<std::size_t>(size));
+  return bytes;
+}
+
+}  // namespace
+
+BlockingClient::BlockingClient(const std::string& address, const std::string& export_name, int timeout_ms)
+    : session_(export_name), timeout_ms_(timeout_ms) {
+  try {
+    Connect(address);
+    CompleteHandshake(address);
   } catch (...) {
     if (fd_ >= 0) {
       close(fd_);
@@ -41,71 +59,72 @@
 
 BlockingClient::~BlockingClient() { close(fd_); }
 
-void BlockingClient::Put(const std::string& bytes) {
-  for (std::size_t at = 0; at < bytes.size();) {
-    const ssize_t size = send(fd_, bytes.data() + at, bytes.size() - at, MSG_NOSIGNAL);
-    if (size < 0 && errno == EINTR) {
-      continue;
-    }
-    if (size <= 0) {
-      throw std::runtime_error("the connection ended");
+void BlockingClient::Connect(const std::string& address) {
+  const sockaddr_in server = loop::ToSocket(loop::ParseAddress(address));
+  fd_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+  if (fd_ < 0 || connect(fd_, reinterpret_cast<const sockaddr*>(&server), sizeof server) != 0) {
+    throw ConnectionError("cannot connect to " + address + ": " + std::strerror(errno));
+  }
+  loop::DisableNagle(fd_);
+}
+
+void BlockingClient::CompleteHandshake(const std::string& address) {
+  while (!session_.ready()) {
+    Take(timeout_ms_);
+    if (session_.ended()) {
+      throw ConnectionError(address + ": " + session_.why());
     }
-    at += static_cast<std::size_t>(size);
   }
 }
 
+// Loops because a reply may arrive in parts. In the handshake it returns once the session is ready or has
+// ended.
 std::vector<Reply> BlockingClient::Take(int wait_ms) {
-  const bool handshake = !session_.ready();
+  const bool in_handshake = !session_.ready();
   std::vector<Reply> replies;
-  while (replies.empty() && session_.ready() != handshake) {  // an answer may come in parts
-    pollfd poller{fd_, POLLIN, 0};
-    if (poll(&poller, 1, wait_ms) <= 0) {
-      if (handshake) {
-        throw std::runtime_error("the handshake stalls");
+  while (replies.empty() && session_.ready() != in_handshake) {
+    pollfd polled{fd_, POLLIN, 0};
+    if (poll(&polled, 1, wait_ms) <= 0) {
+      if (in_handshake) {
+        throw ConnectionError("the handshake stalls");
       }
       return {};
     }
-    std::string bytes(256 << 10, '\0');
-    const ssize_t size = recv(fd_, bytes.data(), bytes.size(), 0);
-    if (size <= 0) {
-      throw std::runtime_error("the connection ended");
-    }
-    bytes.resize(static_cast<std::size_t>(size));
     std::string out;
-    session_.Feed(bytes, &out, &replies);
+    session_.Feed(Receive(fd_), &out, &replies);
     if (!out.empty()) {
-      Put(out);
+      SendAll(fd_, out);
     }
-    if (session_.ended() && handshake) {
+    if (session_.ended() && in_handshake) {
       break;
     }
     if (session_.ended()) {
-      throw std::runtime_error("the server does not speak NBD: " + session_.why());
+      throw ConnectionError("the server does not speak NBD: " + session_.why());
     }
   }
   return replies;
 }
 
 std::uint64_t BlockingClient::Send(Request request) {
-  request.cookie = cookie_++;
+  request.cookie = next_cookie_++;
   std::string out;
   session_.Send(request, &out);
-  Put(out);
+  SendAll(fd_, out);
   return request.cookie;
 }
 
 Reply BlockingClient::Wait(std::uint64_t cookie) {
   while (true) {
-    const auto at =
-        std::find_if(replies_.begin(), replies_.end(), [&](const Reply& r) { return r.cookie == cookie; });
+    const auto at = std::find_if(replies_.begin(), replies_.end(),
+                                 [&](const Reply& received) { return received.cookie == cookie; });
     if (at != replies_.end()) {
       Reply reply = std::move(*at);
       replies_.erase(at);
       return reply;
     }
-    std::vector<Reply> more = Take(patience_);
+    std::vector<Reply> more = Take(timeout_ms_);
     if (more.empty()) {
-      throw std::runtime_error("no answer in time");
+      throw ConnectionError("no answer in time");
     }
     std::move(more.begin(), more.end(), std::back_inserter(replies_));
   }
@@ -137,7 +156,7 @@
 std::string DataOf(const Reply& reply) {
   std::string data;
   for (const Piece& piece : reply.pieces) {
-    piece.hole > 0 ? data.append(piece.hole, '\0') : data.append(piece.data);
+    AppendBytes(piece, &data);
   }
   return data;
 }
--- a/src/nbd/blocking_client.h
+++ b/src/nbd/blocking_client.h
@@ -1,5 +1,5 @@
-// A client of NBD that waits: for tools, stand-ins and tests, not for the program's loop. One thread may use
-// one.
+// An NBD client whose calls wait for their replies: for tools, simulators and tests, not for the event loop.
+// It owns its socket; one thread at a time may use it.
 #ifndef WALNUTSPUR_NBD_BLOCKING_CLIENT_H_
 #define WALNUTSPUR_NBD_BLOCKING_CLIENT_H_
 
@@ -7,42 +7,52 @@
 #include <string>
 #include <vector>
 
-#include "nbd/codec.h"
+#include "nbd/client_session.h"
+#include "nbd/error.h"
+#include "nbd/protocol.h"
 
 namespace walnutspur::nbd {
 
+constexpr int kDefaultTimeoutMs = 5000;
+
 class BlockingClient {
  public:
-  // Connects and goes through the handshake; throws std::runtime_error with one line.
-  BlockingClient(const std::string& address, const std::string& export_name, int patience_ms = 5000);
+  // Connects and completes the handshake. `timeout_ms` bounds the wait for each of the server's messages.
+  // Throws ConnectionError with a message of one line, or loop::AddressError.
+  BlockingClient(const std::string& address, const std::string& export_name,
+                 int timeout_ms = kDefaultTimeoutMs);
   ~BlockingClient();
   BlockingClient(const BlockingClient&) = delete;
   BlockingClient& operator=(const BlockingClient&) = delete;
 
+  // Bytes of the export.
   std::uint64_t size() const { return session_.size(); }
 
-  // Each waits for its answer; a connection that ends, or stays silent too long, throws std::runtime_error.
+  // Each sends one command and waits for its reply. Throws ConnectionError if the connection ends or the
+  // timeout expires.
   Reply Read(std::uint64_t offset, std::uint32_t length);
   Reply Write(std::uint64_t offset, std::string data);
   Reply Flush();
 
-  // Sends without waiting, and takes answers as they come.
+  // Sends a command without waiting for its reply; returns its cookie.
   std::uint64_t Send(Request request);
-  std::vector<Reply> Take(int wait_ms);  // empty: none came in time
+  // The next replies to arrive; empty if none arrives in time. Throws ConnectionError if the connection ends.
+  std::vector<Reply> Take(int wait_ms);
   int fd() const { return fd_; }
 
  private:
+  void Connect(const std::string& address);
+  void CompleteHandshake(const std::string& address);
   Reply Wait(std::uint64_t cookie);
-  void Put(const std::string& bytes);
 
   ClientSession session_;
   int fd_ = -1;
-  int patience_;
-  std::uint64_t cookie_ = 1;
-  std::vector<Reply> replies_;
+  int timeout_ms_;
+  std::uint64_t next_cookie_ = 1;
+  std::vector<Reply> replies_;  // received while waiting for another
 };
 
-// The bytes of a read's pieces; holes are zeros.
+// The bytes of a read's pieces, holes as zeros.
 std::string DataOf(const Reply& reply);
 
 }  // namespace walnutspur::nbd
--- /dev/null
+++ b/src/nbd/client_connection.cpp
@@ -0,0 +1,146 @@
+#include "nbd/client_connection.h"
+
+#include <event2/buffer.h>
+#include <sys/socket.h>
+
+#include <array>
+#include <utility>
+#include <vector>
+
+#include "core/scheduler_thread.h"
+#include "nbd/messages.h"
+
+namespace walnutspur::nbd {
+namespace {
+
+// Beyond either, a client's input is not read: what it can make the initiator hold is bounded.
+constexpr std::size_t kMaxCommandsInFlight = 32;
+constexpr std::size_t kMaxUnwrittenBytes = 256 << 10;
+
+constexpr std::size_t kReadBytes = 4096;     // processed at a time
+constexpr Time kCommandTimeout = 2'500'000;  // us from a command's first byte to its last
+
+// Devices on poor links disappear without closing their connections.
+void EnableKeepAlive(evutil_socket_t fd) {
+  const int enabled = 1;
+  setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &enabled, sizeof enabled);
+}
+
+}  // namespace
+
+ClientConnection::ClientConnection(std::uint64_t number, const Config& config, ClientConnectionOwner* owner)
+    : number_(number), config_(config), owner_(owner), session_(config.exports), connected_at_(core::Now()) {}
+
+bool ClientConnection::Adopt(event_base* base, evutil_socket_t fd) {
+  stream_ = loop::AdoptSocket(base, fd);
+  if (!stream_) {
+    return false;
+  }
+  loop::DisableNagle(fd);
+  EnableKeepAlive(fd);
+  handshake_timer_ = loop::MakeTimer(base, [this] { owner_->OnEnd(*this); });
+  handshake_timer_.Start(config_.handshake_timeout);
+  command_timer_ = loop::MakeTimer(base, [this] { owner_->OnEnd(*this); });
+  loop::SetCallbacks(stream_.get(), this);
+  return true;
+}
+
+void ClientConnection::Begin() {
+  bufferevent_enable(stream_.get(), EV_READ | EV_WRITE);
+  Write(Greeting());
+}
+
+void ClientConnection::Write(const std::string& bytes) {
+  if (!bytes.empty()) {
+    loop::Write(stream_.get(), bytes);
+  }
+}
+
+void ClientConnection::OnEvent(loop::EventMask what) {
+  if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) {
+    owner_->OnEnd(*this);
+  }
+}
+
+bool ClientConnection::HasCapacity() const {
+  return in_flight_.size() < kMaxCommandsInFlight &&
+         loop::UnwrittenBytes(stream_.get()) <= kMaxUnwrittenBytes;
+}
+
+// The command timer stops as well: the client is not the one that delays the rest of its command.
+void ClientConnection::PauseReading() {
+  bufferevent_disable(stream_.get(), EV_READ);
+  command_timer_.Stop();
+  command_timer_runs_ = false;
+}
+
+void ClientConnection::ResumeReading() {
+  bufferevent_enable(stream_.get(), EV_READ);
+  ProcessInput();
+}
+
+void ClientConnection::ProcessInput() {
+  if (write_closed_) {
+    loop::DrainInput(stream_.get(), loop::BufferedInputBytes(stream_.get()));
+    return;
+  }
+  while (!session_.ended() && loop::BufferedInputBytes(stream_.get()) > 0) {
+    if (!HasCapacity()) {
+      PauseReading();
+      return;
+    }
+    std::array<char, kReadBytes> bytes;
+    const int size = evbuffer_remove(bufferevent_get_input(stream_.get()), bytes.data(), bytes.size());
+    if (size <= 0) {
+      break;
+    }
+    FeedSession({bytes.data(), static_cast<std::size_t>(size)});
+  }
+  CloseIfIdle();
+}
+
+void ClientConnection::FeedSession(std::string_view bytes) {
+  std::string out;
+  std::vector<Request> requests;
+  session_.Feed(bytes, &out, &requests);
+  Write(out);
+  if (session_.chosen() != nullptr) {
+    handshake_timer_.Stop();
+  }
+  for (Request& request : requests) {
+    has_sent_command_ = true;
+    owner_->OnCommand(*this, std::move(request));
+  }
+  UpdateCommandTimer(!requests.empty());
+}
+
+// Without a timeout, a client that stops in the middle of a command would be waited for indefinitely.
+void ClientConnection::UpdateCommandTimer(bool command_completed) {
+  const bool runs = session_.unfinished();
+  if (!runs) {
+    command_timer_.Stop();
+  } else if (!command_timer_runs_ || command_completed) {
+    command_timer_.Start(kCommandTimeout);
+  }
+  command_timer_runs_ = runs;
+}
+
+void ClientConnection::CloseIfIdle() {
+  const bool written = loop::UnwrittenBytes(stream_.get()) == 0;
+  if (session_.ended()) {
+    if (written) {
+      owner_->OnEnd(*this);
+    } else {
+      handshake_timer_.Start(config_.handshake_timeout);  // the client may never read its last replies
+    }
+    return;
+  }
+  if (!owner_->draining() || write_closed_ || !in_flight_.empty() || session_.unfinished() || !written) {
+    return;
+  }
+  write_closed_ = true;
+  handshake_timer_.Stop();
+  loop::ShutdownWrites(stream_.get());
+}
+
+}  // namespace walnutspur::nbd
--- a/src/nbd/front_end.cpp
+++ b/src/nbd/front_end.cpp
@@ -1,388 +1,247 @@
 #include "nbd/front_end.h"
 
-#include <arpa/inet.h>
-#include <event2/buffer.h>
-#include <netinet/tcp.h>
-#include <sys/socket.h>
-#include <unistd.h>
-
 #include <algorithm>
-#include <cstring>
-#include <stdexcept>
+#include <string>
+#include <utility>
 #include <vector>
 
 #include "core/scheduler_thread.h"
 #include "loop/address.h"
 #include "loop/peer.h"
-#include "nbd/payload.h"
 
 namespace walnutspur::nbd {
 namespace {
 
-constexpr std::size_t kMostInFlight = 32;       // commands of one client; then it is not read
-constexpr std::size_t kMostUnread = 256 << 10;  // bytes of answers that a client leaves unread; likewise
-constexpr Time kAcceptAgain = 20'000;           // us
-constexpr Time kWhole = 2'500'000;              // us in which a command must be whole
-constexpr Time kSettle = 30'000;                // us that a new connection has to say something
-constexpr Time kSilent = 250'000;               // us that one has to ask something once it could
-constexpr Time kDeadlineGuard = 5'000;          // us, like the HTTP front's
+// How long a connection is safe from eviction: until its handshake is complete, and until its first command.
+constexpr Time kHandshakeGrace = 30'000;      // us
+constexpr Time kFirstCommandGrace = 250'000;  // us
 
-std::string HoldOff(Time time) { return std::to_string(time / 1000) + " ms"; }
+constexpr Time kDeadlineGuard = 5'000;  // us beyond a deadline; as the HTTP front end's
 
-}  // namespace
+bool InHandshake(const ClientConnection& client) { return client.session().chosen() == nullptr; }
 
-Error ErrorOf(core::ResponseStatus verdict) {
-  switch (verdict) {
-    case core::ResponseStatus::kServed:
-      return kOk;
-    case core::ResponseStatus::kRejected:
-      return kNoMemory;  // for want of resources: trying again is harmless
-    case core::ResponseStatus::kFailed:
-    case core::ResponseStatus::kTimedOut:
-      return kIo;  // the effect is unknown
-    case core::ResponseStatus::kDuplicate:
-      return kInvalid;
+// Connections in their handshake are evicted before others, and among equals the oldest.
+bool IsEvictedBefore(const ClientConnection& client, const ClientConnection& other) {
+  if (InHandshake(client) != InHandshake(other)) {
+    return InHandshake(client);
   }
-  return kIo;
+  return client.connected_at() < other.connected_at();
 }
 
-FrontEnd::FrontEnd(event_base* base, const Config& config, const Settings& settings, std::size_t most,
-                   core::RequestNumbers* serials, core::SubmitInput post)
+}  // namespace
+
+FrontEnd::FrontEnd(event_base* base, const Config& config, const Settings& settings,
+                   std::size_t max_connections, core::RequestNumbers* request_numbers,
+                   core::SubmitInput submit)
     : base_(base),
       config_(config),
       settings_(settings),
-      most_(most),
-      serials_(serials),
-      post_(std::move(post)),
-      resume_(loop::MakeTimer(base, [this] {
-        if (clients_.size() >= most_ && !MakeRoom()) {
-          return Pause();
-        }
-        evconnlistener_enable(listener_.get());
-      })) {
-  sockaddr_in address = loop::ToSocket(loop::ParseAddress(config.listen));
-  listener_.reset(evconnlistener_new_bind(
-      base,
-      [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* arg) {
-        static_cast<FrontEnd*>(arg)->OnAccept(fd);
-      },
-      this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC, -1,
-      reinterpret_cast<sockaddr*>(&address), sizeof address));
-  if (!listener_) {
-    throw std::runtime_error("cannot listen at " + config.listen + ": " + std::strerror(errno));
-  }
-  evconnlistener_set_error_cb(listener_.get(),
-                              [](evconnlistener*, void* arg) { static_cast<FrontEnd*>(arg)->Pause(); });
-  socklen_t length = sizeof address;
-  getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&address), &length);
-  port_ = ntohs(address.sin_port);
-}
+      max_connections_(max_connections),
+      request_numbers_(request_numbers),
+      submit_(std::move(submit)),
+      listener_(base, loop::ParseAddress(config.listen), loop::ListenerOptions{},
+                loop::ListenerCallbacks{.on_accept = [this](evutil_socket_t fd) { OnAccept(fd); },
+                                        .on_error = [this] { listener_.Pause(); },
+                                        .has_capacity = [this] { return HasCapacity(); }}) {}
 
 FrontEnd::~FrontEnd() = default;
 
-// Out of descriptors: the listener stays readable, so it rests instead of spinning.
-void FrontEnd::Pause() {
-  if (!listener_) {
-    return;
-  }
-  evconnlistener_disable(listener_.get());
-  resume_.Start(kAcceptAgain);
-}
+// ---- connections ----
 
 void FrontEnd::OnAccept(evutil_socket_t fd) {
-  auto client = std::make_unique<Client>(config_.exports);
-  client->owner = this;
-  client->number = next_client_++;
-  client->since = core::Now();
-  client->stream.reset(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE));
-  if (!client->stream) {
-    close(fd);
+  ClientConnectionOwner* self = this;  // a private base, which make_unique cannot convert to
+  auto accepted = std::make_unique<ClientConnection>(next_client_++, config_, self);
+  if (!accepted->Adopt(base_, fd)) {
     return;
   }
-  const int on = 1;
-  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);  // devices on poor links vanish without a word
-  Client* c = client.get();
-  // A handshake that stalls, at whatever byte, ends with this timer and leaves nothing behind.
-  c->handshake = loop::MakeTimer(base_, [c] { c->owner->End(*c); });
-  c->handshake.Start(config_.handshake_timeout);
-  // So does a command: a client that stops inside of one would be waited for as long as it likes.
-  c->unfinished = loop::MakeTimer(base_, [c] { c->owner->End(*c); });
-  bufferevent_setcb(
-      c->stream.get(),
-      [](bufferevent*, void* arg) {
-        auto* self = static_cast<Client*>(arg);
-        self->owner->OnRead(*self);
-      },
-      [](bufferevent*, void* arg) {  // all is written
-        auto* self = static_cast<Client*>(arg);
-        bufferevent_enable(self->stream.get(), EV_READ);
-        self->owner->OnRead(*self);
-      },
-      [](bufferevent*, short what, void* arg) {
-        auto* self = static_cast<Client*>(arg);
-        if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) {
-          self->owner->End(*self);
-        }
-      },
-      c);
-  clients_[c->number] = std::move(client);
+  ClientConnection& client = *accepted;
+  clients_[client.number()] = std::move(accepted);
   if (on_accept) {
-    on_accept(c->stream.get());
+    on_accept(client.stream());
   }
-  bufferevent_enable(c->stream.get(), EV_READ | EV_WRITE);
-  Write(*c, Greeting());
-  if (clients_.size() >= most_ && !MakeRoom()) {
-    Pause();
+  client.Begin();
+  if (!HasCapacity()) {
+    listener_.Pause();
   }
 }
 
-// Guards usual clients against floods: the client goes that has been in its handshake the longest, or else
-// has asked nothing since. One that has asked is not ended while others may wait: a device is mounted on it.
-bool FrontEnd::MakeRoom() {
+bool FrontEnd::HasCapacity() { return clients_.size() < max_connections_ || EvictConnection(); }
+
+// Keeps floods of connections from shutting others out. A client that has sent a command is never evicted: a
+// device is mounted on it.
+bool FrontEnd::EvictConnection() {
   const Time now = core::Now();
-  Client* best = nullptr;
-  for (const auto& [number, c] : clients_) {
-    if (c->asked || now - c->since < (c->session.chosen() ? kSilent : kSettle)) {
+  ClientConnection* evicted = nullptr;
+  for (const auto& [number, client] : clients_) {
+    const Time grace = InHandshake(*client) ? kHandshakeGrace : kFirstCommandGrace;
+    if (client->has_sent_command() || now - client->connected_at() < grace) {
       continue;
     }
-    const bool better =
-        best == nullptr || (c->session.chosen() == nullptr && best->session.chosen() != nullptr) ||
-        ((c->session.chosen() == nullptr) == (best->session.chosen() == nullptr) && c->since < best->since);
-    if (better) {
-      best = c.get();
+    if (evicted == nullptr || IsEvictedBefore(*client, *evicted)) {
+      evicted = client.get();
     }
   }
-  if (best) {
-    End(*best);
+  if (evicted == nullptr) {
+    return false;
   }
-  return best != nullptr;
+  OnEnd(*evicted);
+  return true;
 }
 
-void FrontEnd::Write(Client& client, const std::string& bytes) {
-  if (!bytes.empty()) {
-    bufferevent_write(client.stream.get(), bytes.data(), bytes.size());
+void FrontEnd::OnEnd(ClientConnection& connection) {
+  const auto at = clients_.find(connection.number());
+  if (at == clients_.end()) {
+    return;
+  }
+  const std::unique_ptr<ClientConnection> ended = std::move(at->second);
+  clients_.erase(at);
+  for (const auto& [cookie, request] : ended->in_flight()) {
+    if (pending_.erase(request) > 0) {
+      submit_(core::ClientClosed{request});
+    }
   }
 }
 
-// Reads on only while there is room for more of the client's commands and answers: both are bounded.
-void FrontEnd::OnRead(Client& client) {
-  evbuffer* input = bufferevent_get_input(client.stream.get());
-  if (client.closing) {
-    evbuffer_drain(input, evbuffer_get_length(input));
-    return;
+bool FrontEnd::IsClientConnected(core::RequestNumber request) {
+  const auto at = pending_.find(request);
+  if (at == pending_.end()) {
+    return false;
   }
-  while (!client.session.ended() && evbuffer_get_length(input) > 0) {
-    if (client.in_flight.size() >= kMostInFlight ||
-        evbuffer_get_length(bufferevent_get_output(client.stream.get())) > kMostUnread) {
-      bufferevent_disable(client.stream.get(), EV_READ);
-      client.unfinished.Stop();  // the wait is ours
-      client.waiting = false;
-      return;
-    }
-    char bytes[4096];
-    const int size = evbuffer_remove(input, bytes, sizeof bytes);
-    if (size <= 0) {
-      break;
-    }
-    std::string out;
-    std::vector<Request> requests;
-    client.session.Feed({bytes, static_cast<std::size_t>(size)}, &out, &requests);
-    Write(client, out);
-    if (client.session.chosen()) {
-      client.handshake.Stop();
-    }
-    for (Request& request : requests) {
-      Take(client, std::move(request));
-    }
-    const bool waiting = client.session.unfinished();
-    if (waiting && (!client.waiting || !requests.empty())) {
-      client.unfinished.Start(kWhole);
-    }
-    if (!waiting) {
-      client.unfinished.Stop();
-    }
-    client.waiting = waiting;
+  ClientConnection& client = *clients_.at(at->second.client);
+  if (!loop::PeerHasClosed(client.fd())) {
+    return true;
   }
-  EndIfIdle(client);
+  OnEnd(client);
+  return false;
 }
 
-void FrontEnd::Take(Client& client, Request request) {
-  const Export& chosen = *client.session.chosen();
-  const Volume& volume = config_.volumes[&chosen - config_.exports.data()];
+// ---- commands ----
+
+void FrontEnd::OnCommand(ClientConnection& connection, Request request) {
   const std::uint64_t cookie = request.cookie;
-  client.asked = true;
-  const auto refuse = [&](Error error, const char* why) {
+  if (const auto rejection = Check(connection, request)) {
     std::string out;
-    client.session.Reply(cookie, error, why, &out);
-    Write(client, out);
-  };
+    connection.session().Reply(cookie, rejection->error, rejection->message, &out);
+    connection.Write(out);
+    return;
+  }
+  const Volume& volume = VolumeOf(connection);
+  core::RequestReceived received = MakeRequest(volume, request);
+  received.payload = MakePayload(volume, std::move(request));
+  connection.AddInFlight(cookie, received.request);
+  AddPending(connection, cookie, received);
+  submit_(std::move(received));
+}
+
+std::optional<CommandError> FrontEnd::Check(const ClientConnection& connection,
+                                            const Request& request) const {
   if (draining_) {
-    return refuse(kShutdown, "the initiator ends");
+    return CommandError{kShutdown, "the initiator ends"};
   }
-  const auto cls = config_.classes.find(request.type);
-  if (cls == config_.classes.end()) {
-    return refuse(kInvalid, "unknown command");
+  if (!config_.classes.contains(request.type)) {
+    return CommandError{kInvalid, "unknown command"};
   }
   if (request.flags != 0) {
-    return refuse(kInvalid, "unknown flags");
+    return CommandError{kInvalid, "unknown flags"};
   }
-  if (client.in_flight.contains(cookie)) {
-    return refuse(kInvalid, "the cookie is in use");
+  if (connection.in_flight().contains(request.cookie)) {
+    return CommandError{kInvalid, "the cookie is in use"};
   }
-  if (request.type != kFlush) {
-    if (request.length == 0) {
-      return refuse(kInvalid, "no length");
-    }
-    if (request.oversized || request.length > chosen.largest) {
-      return refuse(kOverflow, "too long");
-    }
-    if (request.offset > chosen.size || request.length > chosen.size - request.offset) {
-      return refuse(request.type == kWrite ? kNoSpace : kInvalid, "past the end");
-    }
-  } else if (request.length != 0 || request.offset != 0) {
-    return refuse(kInvalid, "a flush has no range");
-  }
-  core::RequestReceived arrived;
-  arrived.request = serials_->next++;
-  arrived.protocol = core::Protocol::kNbd;
-  arrived.attributes.request_class = cls->second;
-  arrived.attributes.plan = volume.plan;
-  arrived.attributes.volume = volume.volume;
-  arrived.attributes.key = volume.volume + "/" + std::to_string(request.offset);
-  arrived.attributes.units = UnitsOf(config_, request.length);
-  // A write of a checksummed export goes into the journal and later in place: the box does it twice.
+  return CheckRange(request, *connection.session().chosen());
+}
+
+const Volume& FrontEnd::VolumeOf(const ClientConnection& connection) const {
+  const std::ptrdiff_t index = connection.session().chosen() - config_.exports.data();
+  return config_.volumes[static_cast<std::size_t>(index)];
+}
+
+core::RequestReceived FrontEnd::MakeRequest(const Volume& volume, const Request& request) {
+  const int request_class = config_.classes.at(request.type);
+  core::RequestReceived received;
+  received.request = request_numbers_->next++;
+  received.protocol = core::Protocol::kNbd;
+  received.attributes.request_class = request_class;
+  received.attributes.plan = volume.plan;
+  received.attributes.volume = volume.volume;
+  received.attributes.key = volume.volume + "/" + std::to_string(request.offset);
+  received.attributes.units = UnitsOf(config_, request.length);
   if (volume.checksummed && request.type == kWrite) {
-    arrived.attributes.units = std::min(2 * arrived.attributes.units, settings_.max_request_units);
+    // The target writes it twice: into the journal, and in place later.
+    received.attributes.units = std::min(2 * received.attributes.units, settings_.max_request_units);
   }
-  arrived.attributes.shard = volume.shard;
-  arrived.attributes.initiator_count = volume.initiator_count;
-  const Time patience = settings_.classes[cls->second].deadline;
-  arrived.deadline = core::Now() + patience;
+  received.attributes.shard = volume.shard;
+  received.attributes.initiator_count = volume.initiator_count;
+  received.deadline = core::Now() + settings_.classes[request_class].deadline;
+  return received;
+}
+
+std::shared_ptr<CommandPayload> FrontEnd::MakePayload(const Volume& volume, Request request) const {
   auto payload = std::make_shared<CommandPayload>();
   payload->request = std::move(request);
   payload->remote = volume.remote;
   if (volume.checksummed) {
     payload->volume = static_cast<int>(&volume - config_.volumes.data());
   }
-  arrived.payload = std::move(payload);
-  client.in_flight[cookie] = arrived.request;
-  const core::RequestNumber serial = arrived.request;
-  Held& held = held_[serial];
-  held.client = client.number;
-  held.cookie = cookie;
-  held.deadline = loop::MakeTimer(base_, [this, serial] { post_(core::DeadlineExpired{serial}); });
-  held.came = core::Now();
-  held.until = arrived.deadline + kDeadlineGuard;
-  held.deadline.Start((end_ > 0 ? std::min(held.until, end_) : held.until) - core::Now());
-  post_(std::move(arrived));
+  return payload;
 }
 
-void FrontEnd::Respond(const core::Response& answer) {
-  const auto at = held_.find(answer.request);
-  if (at == held_.end()) {
-    return;  // the client has left
-  }
-  Client& client = *clients_.at(at->second.client);
-  const std::uint64_t cookie = at->second.cookie;
-  last_answers_.OnResponse(core::Now() - at->second.came);
-  held_.erase(at);
-  client.in_flight.erase(cookie);
-  std::string out;
-  if (answer.status == core::ResponseStatus::kServed) {
-    const auto& pieces = static_cast<const ReplyPayload&>(*answer.payload).pieces;
-    if (pieces.empty()) {
-      client.session.Reply(cookie, kOk, "", &out);
-    } else {
-      client.session.Reply(cookie, pieces, &out);
-    }
-  } else {
-    const std::string why = answer.status == core::ResponseStatus::kRejected
-                                ? "refused: come back in " + HoldOff(answer.retry_after)
-                            : answer.status == core::ResponseStatus::kTimedOut ? "timed out"
-                                                                               : "failed";
-    const auto* partial = static_cast<const ReplyPayload*>(answer.payload.get());
-    if (partial && !partial->bad.empty()) {
-      client.session.Reply(cookie, partial->pieces, partial->bad, &out);
-    } else {
-      client.session.Reply(cookie, ErrorOf(answer.status), why, &out);
-    }
-  }
-  Write(client, out);
-  bufferevent_enable(client.stream.get(), EV_READ);
-  OnRead(client);  // what had to wait for room
+void FrontEnd::AddPending(const ClientConnection& connection, std::uint64_t cookie,
+                          const core::RequestReceived& received) {
+  const core::RequestNumber request = received.request;
+  PendingRequest& pending = pending_[request];
+  pending.client = connection.number();
+  pending.cookie = cookie;
+  pending.deadline_timer =
+      loop::MakeTimer(base_, [this, request] { submit_(core::DeadlineExpired{request}); });
+  pending.received_at = core::Now();
+  pending.deadline = received.deadline + kDeadlineGuard;
+  const Time fires_at =
+      shutdown_deadline_ > 0 ? std::min(pending.deadline, shutdown_deadline_) : pending.deadline;
+  pending.deadline_timer.Start(fires_at - core::Now());
 }
 
-// A client that said goodbye, or sent what is no NBD, gets no further answers; nor is one kept at the end.
-void FrontEnd::EndIfIdle(Client& client) {
-  if (client.session.ended()) {
-    if (evbuffer_get_length(bufferevent_get_output(client.stream.get())) == 0) {
-      return End(client);
-    }
-    return client.handshake.Start(config_.handshake_timeout);  // it may never read what is left for it
-  }
-  if (!draining_ || client.closing || !client.in_flight.empty() || client.session.unfinished() ||
-      evbuffer_get_length(bufferevent_get_output(client.stream.get())) > 0) {
-    return;
-  }
-  client.closing = true;
-  client.handshake.Stop();
-  shutdown(bufferevent_getfd(client.stream.get()), SHUT_WR);
-}
-
-void FrontEnd::End(Client& client) {
-  const auto at = clients_.find(client.number);
-  if (at == clients_.end()) {
-    return;
-  }
-  const std::unique_ptr<Client> gone = std::move(at->second);
-  clients_.erase(at);
-  for (const auto& [cookie, serial] : gone->in_flight) {
-    if (held_.erase(serial) > 0) {
-      post_(core::ClientClosed{serial});
-    }
+void FrontEnd::Respond(const core::Response& response) {
+  const auto at = pending_.find(response.request);
+  if (at == pending_.end()) {
+    return;  // the client has disconnected
   }
+  ClientConnection& client = *clients_.at(at->second.client);
+  const std::uint64_t cookie = at->second.cookie;
+  shutdown_estimate_.OnResponse(core::Now() - at->second.received_at);
+  pending_.erase(at);
+  client.RemoveInFlight(cookie);
+  client.Write(EncodeResponse(client.session(), cookie, response));
+  client.ResumeReading();
 }
 
-bool FrontEnd::IsClientConnected(core::RequestNumber serial) {
-  const auto at = held_.find(serial);
-  if (at == held_.end()) {
-    return false;
-  }
-  Client& client = *clients_.at(at->second.client);
-  if (!loop::PeerHasClosed(bufferevent_getfd(client.stream.get()))) {
-    return true;
-  }
-  End(client);
-  return false;
-}
+// ---- shutdown ----
 
-void FrontEnd::SetShutdownDeadline(Time end) {
-  end_ = end;
-  for (auto& [serial, held] : held_) {
-    if (held.until > end) {
-      held.deadline.Start(end - core::Now());
+void FrontEnd::SetShutdownDeadline(Time deadline) {
+  shutdown_deadline_ = deadline;
+  for (auto& [request, pending] : pending_) {
+    if (pending.deadline > deadline) {
+      pending.deadline_timer.Start(deadline - core::Now());
     }
   }
 }
 
-// NBD has no last answer: commands that come from here on are refused unrun, and once none is in flight the
-// connection is shut for writing and read until the client has closed it.
-void FrontEnd::BeginGracefulShutdown(Time left) {
-  if (!draining_ && last_answers_.IsLastResponse(left)) {
+// NBD cannot mark a response as a connection's last. While the program drains, further commands are rejected
+// without an attempt, and a connection with nothing in flight is shut down for writing; what it still sends
+// is read until the client closes it.
+void FrontEnd::BeginGracefulShutdown(Time remaining) {
+  if (!draining_ && shutdown_estimate_.IsLastResponse(remaining)) {
     draining_ = true;
-    resume_.Stop();
-    listener_.reset();
+    listener_.Close();
   }
   if (!draining_) {
     return;
   }
-  std::vector<Client*> all;
+  std::vector<ClientConnection*> clients;
   for (const auto& [number, client] : clients_) {
-    all.push_back(client.get());
+    clients.push_back(client.get());
   }
-  for (Client* client : all) {
-    EndIfIdle(*client);
+  for (ClientConnection* client : clients) {
+    client->CloseIfIdle();
   }
 }
 
--- a/src/nbd/payload.h
+++ b/src/nbd/payload.h
@@ -1,26 +1,31 @@
-// What the core passes between the NBD front and the boxes without a look inside.
+// NBD commands and replies as the scheduler thread passes them between the front end and the target pools,
+// without looking inside. Shared and immutable once submitted.
 #ifndef WALNUTSPUR_NBD_PAYLOAD_H_
 #define WALNUTSPUR_NBD_PAYLOAD_H_
 
+#include <cstdint>
 #include <string>
 #include <vector>
 
 #include "core/engine.h"
 #include "integrity/slice.h"
-#include "nbd/codec.h"
+#include "nbd/protocol.h"
 
 namespace walnutspur::nbd {
 
+// A client's command.
 struct CommandPayload : core::Payload {
-  Request request;                     // with the cookie of the client; a box gets one of its own
-  std::vector<integrity::Slice> tail;  // of a write: what follows the request's own data
-  std::string remote;                  // the export at the box
-  int path = 0;                        // by which of the box's addresses
-  int volume = -1;                     // of the configuration, if the initiator keeps its checksums
+  Request request;                     // with the client's cookie; each attempt gets a cookie of its own
+  std::vector<integrity::Slice> tail;  // of a write: data that follows the request's own
+  std::string remote;                  // the name of the export at the target
+  int path = 0;                        // index into Target::addresses
+  int volume = -1;                     // index into Config::volumes where the export is checksummed; else -1
 };
+
+// The data of a read.
 struct ReplyPayload : core::Payload {
   std::vector<Piece> pieces;
-  std::vector<std::uint64_t> bad;  // offsets of damaged blocks, of which nothing is in the pieces
+  std::vector<std::uint64_t> bad;  // offsets of damaged blocks, which no piece holds
 };
 
 }  // namespace walnutspur::nbd
--- /dev/null
+++ b/src/nbd/target_connection.cpp
@@ -0,0 +1,182 @@
+#include "nbd/target_connection.h"
+
+#include <event2/buffer.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "integrity/slice.h"
+
+namespace walnutspur::nbd {
+namespace {
+
+constexpr std::size_t kMaxAttempts = 16;      // of one connection; beyond them another one is opened
+constexpr double kIdleFraction = 0.8;         // of the time after which the target closes an idle connection
+constexpr std::size_t kMinSharedSize = 2048;  // bytes; less is cheaper to copy than to share
+
+// Appends a slice, a large one without a copy of its bytes.
+void AppendSlice(evbuffer* output, const integrity::Slice& slice) {
+  if (slice.bytes.size() < kMinSharedSize) {
+    evbuffer_add(output, slice.bytes.data(), slice.bytes.size());
+    return;
+  }
+  using Owner = std::shared_ptr<const void>;
+  auto owner = std::make_unique<Owner>(slice.owner);
+  const auto release = [](const void*, std::size_t, void* arg) {
+    const std::unique_ptr<Owner> released(static_cast<Owner*>(arg));
+  };
+  if (evbuffer_add_reference(output, slice.bytes.data(), slice.bytes.size(), release, owner.get()) == 0) {
+    static_cast<void>(owner.release());  // the buffer owns it now
+  }
+}
+
+}  // namespace
+
+TargetConnection::TargetConnection(std::uint64_t number, TargetExport target_export, const Config& config,
+                                   TargetConnectionOwner* owner)
+    : number_(number),
+      export_(std::move(target_export)),
+      config_(config),
+      owner_(owner),
+      session_(export_.remote) {}
+
+bool TargetConnection::Open(event_base* base) {
+  stream_ = loop::MakeClientStream(base);
+  if (!stream_) {
+    return false;
+  }
+  connect_timer_ = loop::MakeTimer(base, [this] { owner_->OnEnd(*this); });
+  idle_timer_ = loop::MakeTimer(base, [this] { owner_->OnEnd(*this); });
+  loop::SetCallbacks(stream_.get(), this);
+  bufferevent_enable(stream_.get(), EV_READ | EV_WRITE);
+  return true;
+}
+
+// The timeout is shorter than the grace period of a drain, so that no attempt that waits for the connection
+// reaches a target that has been draining for longer.
+bool TargetConnection::Connect(const sockaddr_in& address) {
+  connect_timer_.Start(config_.connect_timeout);
+  return loop::Connect(stream_.get(), address);
+}
+
+Request TargetConnection::MakeRequest(const Request& command, std::uint64_t cookie) const {
+  Request request;  // without data, which is sent without a copy
+  request.flags = command.flags;
+  request.type = command.type;
+  request.offset = command.offset;
+  request.length = command.length;
+  request.cookie = cookie;
+  // A flush covers the writes on its own connection, unless the target can do otherwise (kCanMultiConn), and
+  // a write and the flush after it may use two connections. Such a write is made durable by itself (FUA)
+  // where the target supports that.
+  if (request.type == kWrite && (session_.flags() & (kSendFua | kCanMultiConn)) == kSendFua) {
+    request.flags |= kFua;
+  }
+  return request;
+}
+
+void TargetConnection::Send(const loop::AttemptKey& key, std::uint64_t cookie,
+                            const std::shared_ptr<const CommandPayload>& command) {
+  in_flight_[cookie] = key;
+  std::string header;
+  session_.Send(MakeRequest(command->request, cookie), &header);
+  evbuffer* output = bufferevent_get_output(stream_.get());
+  const std::size_t before = evbuffer_get_length(output);
+  evbuffer_add(output, header.data(), header.size());
+  AppendSlice(output, {command, command->request.data});
+  for (const integrity::Slice& slice : command->tail) {
+    AppendSlice(output, slice);
+  }
+  bytes_queued_ += evbuffer_get_length(output) - before;
+  unwritten_.push_back({cookie, bytes_queued_});
+}
+
+void TargetConnection::Abandon(const loop::AttemptKey& key, std::uint64_t cookie) {
+  std::erase(waiting_, key);
+  in_flight_.erase(cookie);
+  if (cookie != 0) {
+    retired_ = true;
+  }
+}
+
+void TargetConnection::StartIdleTimer() {
+  if (load() > 0) {
+    return;
+  }
+  if (retired_) {
+    idle_timer_.Start(0);
+  } else if (session_.ready()) {
+    idle_timer_.Start(static_cast<Time>(kIdleFraction * static_cast<double>(config_.idle_timeout)));
+  }
+}
+
+bool TargetConnection::AcceptsAttempts() const { return !retired_ && load() < kMaxAttempts; }
+
+bool TargetConnection::IsWritten(std::uint64_t cookie) const {
+  if (cookie == 0) {
+    return false;
+  }
+  const auto at = std::find_if(unwritten_.begin(), unwritten_.end(),
+                               [&](const UnwrittenCommand& command) { return command.cookie == cookie; });
+  return at == unwritten_.end() || at->end <= bytes_queued_ - loop::UnwrittenBytes(stream_.get());
+}
+
+bool TargetConnection::HasUnwrittenAttempts() const {
+  return !waiting_.empty() || std::any_of(in_flight_.begin(), in_flight_.end(),
+                                          [&](const auto& sent) { return !IsWritten(sent.first); });
+}
+
+void TargetConnection::OnReadable() {
+  const bool was_ready = session_.ready();
+  std::string out;
+  std::vector<Reply> replies;
+  session_.Feed(loop::TakeInput(stream_.get()), &out, &replies);
+  WriteHandshake(out);
+  for (Reply& reply : replies) {
+    OnReply(std::move(reply));
+  }
+  if (session_.ended() || session_.surplus()) {
+    owner_->OnEnd(*this);
+    return;
+  }
+  if (!was_ready && session_.ready()) {
+    connect_timer_.Stop();
+    SendWaiting();
+  }
+  StartIdleTimer();
+}
+
+void TargetConnection::WriteHandshake(const std::string& bytes) {
+  if (!bytes.empty()) {
+    bytes_queued_ += bytes.size();
+    loop::Write(stream_.get(), bytes);
+  }
+}
+
+void TargetConnection::OnReply(Reply reply) {
+  std::erase_if(unwritten_, [&](const UnwrittenCommand& command) { return command.cookie == reply.cookie; });
+  const auto at = in_flight_.find(reply.cookie);
+  if (at == in_flight_.end()) {
+    return;  // abandoned
+  }
+  const loop::AttemptKey key = at->second;
+  in_flight_.erase(at);
+  owner_->OnReply(key, std::move(reply));
+}
+
+void TargetConnection::SendWaiting() {
+  for (const loop::AttemptKey& key : std::exchange(waiting_, {})) {
+    owner_->OnReady(*this, key);
+  }
+}
+
+void TargetConnection::OnEvent(loop::EventMask what) {
+  if (what & BEV_EVENT_CONNECTED) {
+    loop::DisableNagle(bufferevent_getfd(stream_.get()));
+  }
+  if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) {
+    owner_->OnEnd(*this);
+  }
+}
+
+}  // namespace walnutspur::nbd
--- a/src/nbd/target_pool.h
+++ b/src/nbd/target_pool.h
@@ -1,90 +1,69 @@
-// Carries out attempts by NBD: connections to disk boxes, several commands in flight on each.
+// Carries out attempts over NBD: a pool of connections to storage servers, each used by several attempts at a
+// time. Belongs to the thread of the event loop.
 #ifndef WALNUTSPUR_NBD_TARGET_POOL_H_
 #define WALNUTSPUR_NBD_TARGET_POOL_H_
 
-#include <event2/bufferevent.h>
-
+#include <cstddef>
+#include <cstdint>
 #include <map>
 #include <memory>
 #include <optional>
 #include <string>
 #include <unordered_map>
-#include <vector>
 
 #include "core/port.h"
+#include "loop/attempt_key.h"
 #include "loop/loop.h"
-#include "nbd/codec.h"
 #include "nbd/config.h"
-#include "nbd/front_end.h"
-#include "nbd/payload.h"
+#include "nbd/target_connection.h"
 
 namespace walnutspur::nbd {
 
-class TargetPool : public core::Connector {
+class TargetPool : public core::Connector, private TargetConnectionOwner {
  public:
-  // `most` bounds the connections.
-  TargetPool(event_base* base, const Config& config, std::size_t most, core::SubmitInput post);
+  // `max_connections` bounds the connections to all targets. `config` must outlive the pool.
+  TargetPool(event_base* base, const Config& config, std::size_t max_connections, core::SubmitInput submit);
 
+  // core::Connector
   void Start(const core::StartAttempt& attempt) override;
-  void Cancel(core::RequestNumber serial, int trial) override;
+  void Cancel(core::RequestNumber request, int attempt) override;
   void Drain(const TargetId& target) override;
 
   std::size_t connections() const { return connections_.size(); }
-  // What the box said of an export, as far as a connection to it is up; else nothing.
+  // The transmission flags of an export, as long as a connection to it is ready; else empty.
   std::optional<std::uint16_t> flags(const TargetId& target, const std::string& remote) const;
 
  private:
-  using Key = std::pair<core::RequestNumber, int>;
-  struct Place {  // an export at a box, by one of its addresses
-    TargetId box;
-    std::string remote;
-    int path = 0;
-    bool operator==(const Place&) const = default;
-  };
-
-  struct Connection {
-    explicit Connection(std::string remote) : session(std::move(remote)) {}
-    TargetPool* owner = nullptr;
-    std::uint64_t number = 0;
-    Place place;
-    ClientSession session;
-    std::map<std::uint64_t, Key> in_flight;                       // by cookie; what is given up leaves it
-    std::vector<Key> waiting;                                     // for the handshake
-    std::vector<std::pair<std::uint64_t, std::uint64_t>> unsent;  // cookie, end in the bytes written so far
-    std::uint64_t queued = 0;  // bytes handed to the stream since the start
-    bool retired = false;      // takes no new command
-    loop::EventHandle connect, idle;
-    StreamPtr stream;
-  };
-  struct Out {
+  // An attempt that has no result yet.
+  struct PendingAttempt {
     core::StartAttempt attempt;
-    Connection* connection = nullptr;
+    TargetConnection* connection = nullptr;
     std::uint64_t cookie = 0;  // 0: waits for the handshake
-    Time sent = 0;
-    loop::EventHandle limit;
+    Time started_at = 0;       // us
+    loop::EventHandle timeout;
   };
 
-  Connection* Find(const Place& place);
-  Connection* Open(const Place& place);
-  void Send(Connection& connection, const Key& key);
-  void OnRead(Connection& connection);
-  void OnReply(Connection& connection, Reply reply);
-  bool Written(const Connection& connection, std::uint64_t cookie) const;
-  void GiveUp(const Key& key, Outcome outcome);
-  void Report(const Key& key, Outcome outcome, core::PayloadRef payload = nullptr);
-  void Break(Connection& connection);
-  void Rest(Connection& connection);
+  // TargetConnectionOwner
+  void OnReady(TargetConnection& connection, const loop::AttemptKey& key) override;
+  void OnReply(const loop::AttemptKey& key, Reply reply) override;
+  void OnEnd(TargetConnection& connection) override;
+
+  TargetConnection* FindConnection(const TargetExport& target_export);
+  TargetConnection* OpenConnection(const TargetExport& target_export);
+  void Abandon(const loop::AttemptKey& key, Outcome outcome);
+  void Report(const loop::AttemptKey& key, Outcome outcome, core::PayloadRef payload = nullptr);
 
   event_base* base_;
   const Config& config_;
-  std::size_t most_;
-  core::SubmitInput post_;
-  std::uint64_t next_connection_ = 1, next_cookie_ = 1;
-  std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
-  std::map<Key, Out> out_;
+  std::size_t max_connections_;
+  core::SubmitInput submit_;
+  std::uint64_t next_connection_ = 1;
+  std::uint64_t next_cookie_ = 1;
+  std::unordered_map<std::uint64_t, std::unique_ptr<TargetConnection>> connections_;  // by number
+  std::map<loop::AttemptKey, PendingAttempt> pending_;
 };
 
-// The outcome that a box's whole reply stands for.
+// The outcome of an attempt whose reply was received in full.
 Outcome OutcomeOf(Error error, std::uint16_t command);
 
 }  // namespace walnutspur::nbd
