--- a/src/checksummed/checksummed_exports.h
+++ b/src/checksummed/checksummed_exports.h
@@ -1,5 +1,5 @@
 // Carries out attempts on checksummed exports: one integrity::Volume for each, on top of the connections of
-// nbd::Boxes. Attempts on other exports pass through to those.
+// nbd::TargetPool. Attempts on other exports pass through to those.
 //
 // An attempt is one command of a volume, which asks the box for as many reads and writes as it needs; all of
 // a read's go by one path. Whatever of them is under way when the attempt ends is awaited by the volume, not
--- a/src/fleet/transport/gossip_transport.cpp
+++ b/src/fleet/transport/gossip_transport.cpp
@@ -7,7 +7,6 @@
 
 #include <array>
 #include <cerrno>
-#include <chrono>
 #include <cmath>
 #include <cstring>
 #include <fstream>
@@ -15,6 +14,7 @@
 #include <sstream>
 #include <utility>
 
+#include "core/clock.h"
 #include "fleet/error.h"
 #include "loop/address.h"
 
@@ -27,17 +27,7 @@
 constexpr std::size_t kMaxKeySize = 4096;
 constexpr double kReportedChange = 0.1;  // of the load share: a change by more than that is reported
 
-// Microseconds of Unix time that never run backwards, like core::Now; incarnations begin as it.
-Time Now() {
-  using std::chrono::duration_cast;
-  using std::chrono::microseconds;
-  const auto steady = [] {
-    return duration_cast<microseconds>(std::chrono::steady_clock::now().time_since_epoch()).count();
-  };
-  static const Time kOffset =
-      duration_cast<microseconds>(std::chrono::system_clock::now().time_since_epoch()).count() - steady();
-  return kOffset + steady();
-}
+using core::Now;  // incarnations begin as it
 
 std::string ReadKey(const std::string& path) {
   if (path.empty()) {
--- a/src/limits/shutdown_deadline_estimate.h
+++ b/src/limits/shutdown_deadline_estimate.h
@@ -18,7 +18,7 @@
 constexpr double kSlowResponseFall = 0.05;  // of a faster one, such that four fifths of responses are faster
 constexpr double kLeadTimeFactor = 1.5;     // of the estimate: the last responses come all at once
 constexpr Time kShortestLeadTime =
-    200'000;  // us: longer than idle connections are given (http/front_end.cpp)
+    200'000;  // us: longer than idle connections are given (http/client_connection.cpp)
 constexpr Time kLongestLeadTime = 1'000'000;  // us: beyond it most clients have disconnected
 
 // Estimate over the responses of one front end.
