--- a/src/filestore/atomic_file.cpp
+++ b/src/filestore/atomic_file.cpp
@@ -12,6 +12,8 @@
 namespace walnutspur::filestore {
 namespace {
 
+constexpr mode_t kFileMode = 0640;
+
 bool WriteAll(int fd, std::string_view bytes) {
   while (!bytes.empty()) {
     const ssize_t size = write(fd, bytes.data(), bytes.size());
@@ -26,6 +28,36 @@
   return true;
 }
 
+// Writes a new file and syncs it; null, or the step that failed, with its error in errno.
+const char* WriteAndSync(const std::string& path, std::string_view bytes) {
+  const int fd = open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode);
+  if (fd < 0) {
+    return "cannot open";
+  }
+  if (!WriteAll(fd, bytes)) {
+    close(fd);
+    return "cannot write";
+  }
+  // After an error of fsync nothing is known of what is on the disk: the new file is discarded and not synced
+  // again.
+  if (fsync(fd) != 0) {
+    close(fd);
+    return "cannot sync";
+  }
+  close(fd);
+  return nullptr;
+}
+
+bool SyncFolder(const std::string& folder) {
+  const int fd = open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+  if (fd < 0) {
+    return false;
+  }
+  const bool synced = fsync(fd) == 0;
+  close(fd);
+  return synced;
+}
+
 }  // namespace
 
 bool WriteFileAtomically(const std::string& folder, const std::string& name, std::string_view bytes,
@@ -37,30 +69,13 @@
     std::remove(next.c_str());
     return false;
   };
-  const int fd = open(next.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0640);
-  if (fd < 0) {
-    return fail("cannot open");
-  }
-  if (!WriteAll(fd, bytes)) {
-    close(fd);
-    return fail("cannot write");
+  if (const char* failed_step = WriteAndSync(next, bytes)) {
+    return fail(failed_step);
   }
-  // After an error of fsync nothing is known of what is on the disk: the new file is given up, not tried
-  // again.
-  if (fsync(fd) != 0) {
-    close(fd);
-    return fail("cannot sync");
-  }
-  close(fd);
   if (std::rename(next.c_str(), path.c_str()) != 0) {
     return fail("cannot rename");
   }
-  const int at = open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-  const bool synced = at >= 0 && fsync(at) == 0;
-  if (at >= 0) {
-    close(at);
-  }
-  if (!synced) {
+  if (!SyncFolder(folder)) {
     return fail("cannot sync the folder of");
   }
   return true;
--- a/src/filestore/atomic_file.h
+++ b/src/filestore/atomic_file.h
@@ -1,5 +1,5 @@
-// Files that are there whole or not at all: a new one is written beside the old, synced and renamed, and the
-// folder is synced. May block for as long as the disk likes: not for the loop's thread.
+// Files that are replaced atomically: the new one is written beside the old, synced and renamed, and the
+// folder is synced. No state; all calls may block on the disk and must not be made on an event loop's thread.
 #ifndef WALNUTSPUR_FILESTORE_ATOMIC_FILE_H_
 #define WALNUTSPUR_FILESTORE_ATOMIC_FILE_H_
 
@@ -9,7 +9,7 @@
 
 namespace walnutspur::filestore {
 
-// False, with one line, if it could not be made to last; the old file then still stands.
+// False, with one line in `what`, if the file could not be made durable; the old one is then still there.
 bool WriteFileAtomically(const std::string& folder, const std::string& name, std::string_view bytes,
                          std::string* what);
 // Nothing if there is no such file or it cannot be read.
--- a/src/filestore/file_store.cpp
+++ b/src/filestore/file_store.cpp
@@ -5,16 +5,18 @@
 
 namespace walnutspur::filestore {
 
-FileStore::FileStore(Write write, std::function<void(const std::string&)> told,
-                     std::chrono::milliseconds rest, std::chrono::milliseconds most_rest)
-    : write_(std::move(write)), told_(std::move(told)), rest_(rest), most_rest_(most_rest), thread_([this] {
-        Run();
-      }) {}
+FileStore::FileStore(Write write, ReportStatus report_status, std::chrono::milliseconds backoff,
+                     std::chrono::milliseconds max_backoff)
+    : write_(std::move(write)),
+      report_status_(std::move(report_status)),
+      backoff_(backoff),
+      max_backoff_(max_backoff),
+      thread_([this] { Run(); }) {}
 
 FileStore::~FileStore() {
   {
     const std::lock_guard lock(mutex_);
-    ends_ = true;
+    stopping_ = true;
   }
   changed_.notify_all();
   thread_.join();
@@ -23,14 +25,14 @@
 void FileStore::Put(const std::string& name, std::string bytes) {
   {
     const std::lock_guard lock(mutex_);
-    waiting_[name] = std::move(bytes);
+    pending_[name] = std::move(bytes);
   }
   changed_.notify_all();
 }
 
-bool FileStore::Flush(std::chrono::milliseconds most) {
+bool FileStore::Flush(std::chrono::milliseconds timeout) {
   std::unique_lock lock(mutex_);
-  return settled_.wait_for(lock, most, [this] { return waiting_.empty() && !writing_; });
+  return idle_.wait_for(lock, timeout, [this] { return pending_.empty() && !writing_; });
 }
 
 std::uint64_t FileStore::written() const {
@@ -43,41 +45,48 @@
   return failed_;
 }
 
+// The caller holds the lock.
+FileStore::PendingFile FileStore::TakePending() {
+  const auto first = pending_.begin();
+  PendingFile file{first->first, std::move(first->second)};
+  pending_.erase(first);
+  return file;
+}
+
 void FileStore::Run() {
-  std::chrono::milliseconds rest = rest_;
+  std::chrono::milliseconds backoff = backoff_;
   bool failing = false;
   std::unique_lock lock(mutex_);
   while (true) {
-    changed_.wait(lock, [this] { return ends_ || !waiting_.empty(); });
-    if (waiting_.empty()) {
+    changed_.wait(lock, [this] { return stopping_ || !pending_.empty(); });
+    if (pending_.empty()) {
       return;
     }
-    const auto [name, bytes] = *waiting_.begin();
-    waiting_.erase(waiting_.begin());
+    PendingFile file = TakePending();
     writing_ = true;
     lock.unlock();
     std::string what;
-    const bool done = write_(name, bytes, &what);
-    if (done == failing) {
-      told_(done ? "" : what);
+    const bool written = write_(file.name, file.bytes, &what);
+    if (written == failing) {
+      report_status_(written ? "" : what);
     }
-    failing = !done;
+    failing = !written;
     lock.lock();
     writing_ = false;
-    if (done) {
+    if (written) {
       ++written_;
-      rest = rest_;
-      settled_.notify_all();
+      backoff = backoff_;
+      idle_.notify_all();
       continue;
     }
     ++failed_;
-    if (ends_) {
-      return;  // that was the last try
+    if (stopping_) {
+      return;
     }
-    waiting_.try_emplace(name, bytes);  // unless a newer one has come meanwhile
-    // A disk that fails gets time: neither a burst of changes nor a retry may keep it busy.
-    changed_.wait_for(lock, rest, [this] { return ends_; });
-    rest = std::min(2 * rest, most_rest_);
+    pending_.try_emplace(file.name, std::move(file.bytes));  // unless newer content is pending
+    // Neither new content nor a retry may keep a failing disk busy.
+    changed_.wait_for(lock, backoff, [this] { return stopping_; });
+    backoff = std::min(2 * backoff, max_backoff_);
   }
 }
 
--- a/src/filestore/file_store.h
+++ b/src/filestore/file_store.h
@@ -1,8 +1,9 @@
-// Keeps small files in one folder from a thread of its own, so that a slow or hanging disk stops nobody. Of
-// each name the newest content alone waits; what fails is tried again, ever more rarely, and told once.
+// Stores small files of one folder asynchronously, so that a slow or hanging disk blocks nobody. Of each name
+// only the newest content waits to be written. A failed write is retried with a growing backoff and reported
+// once.
 //
-// Owns its thread. Put may be called from any thread and never blocks on the disk. The destructor gives what
-// waits one last try.
+// Owns its thread, on which all writes run. Put, Flush and the counters may be called from any thread; only
+// Flush waits for the disk. The destructor makes one last attempt to write what is pending.
 #ifndef WALNUTSPUR_FILESTORE_FILE_STORE_H_
 #define WALNUTSPUR_FILESTORE_FILE_STORE_H_
 
@@ -19,34 +20,48 @@
 
 class FileStore {
  public:
+  // Writes one file; false, with one line in `what`, if that failed.
   using Write = std::function<bool(const std::string& name, const std::string& bytes, std::string* what)>;
+  // Called with the error when writes begin to fail, and with an empty one when they succeed again.
+  using ReportStatus = std::function<void(const std::string& error)>;
 
-  // `write` runs on the keeper's thread; `told` there too, with a line when writing begins to fail and with
-  // an empty one when it works again. `rest` is the first pause after a failure, doubled up to `most_rest`.
-  FileStore(Write write, std::function<void(const std::string& what)> told,
-            std::chrono::milliseconds rest = std::chrono::seconds(1),
-            std::chrono::milliseconds most_rest = std::chrono::minutes(1));
+  // Both functions run on the store's thread. `backoff` is the first pause after a failure, doubled up to
+  // `max_backoff`.
+  FileStore(Write write, ReportStatus report_status,
+            std::chrono::milliseconds backoff = std::chrono::seconds(1),
+            std::chrono::milliseconds max_backoff = std::chrono::minutes(1));
   ~FileStore();
   FileStore(const FileStore&) = delete;
   FileStore& operator=(const FileStore&) = delete;
 
+  // Replaces the content of a file that is pending, if there is any.
   void Put(const std::string& name, std::string bytes);
-  // Until nothing waits or is being written, or the time is over; whether nothing does.
-  bool Flush(std::chrono::milliseconds most);
+  // Waits until nothing is pending or being written; false after the timeout.
+  bool Flush(std::chrono::milliseconds timeout);
   std::uint64_t written() const;
   std::uint64_t failed() const;
 
  private:
+  struct PendingFile {
+    std::string name;
+    std::string bytes;
+  };
+
   void Run();
+  PendingFile TakePending();
 
   const Write write_;
-  const std::function<void(const std::string&)> told_;
-  const std::chrono::milliseconds rest_, most_rest_;
-  mutable std::mutex mutex_;
-  std::condition_variable changed_, settled_;
-  std::map<std::string, std::string> waiting_;
-  bool writing_ = false, ends_ = false;
-  std::uint64_t written_ = 0, failed_ = 0;
+  const ReportStatus report_status_;
+  const std::chrono::milliseconds backoff_;
+  const std::chrono::milliseconds max_backoff_;
+  mutable std::mutex mutex_;  // guards all below but thread_
+  std::condition_variable changed_;
+  std::condition_variable idle_;
+  std::map<std::string, std::string> pending_;  // content by name
+  bool writing_ = false;
+  bool stopping_ = false;
+  std::uint64_t written_ = 0;
+  std::uint64_t failed_ = 0;
   std::thread thread_;
 };
 
