--- a/Makefile
+++ b/Makefile
@@ -59,8 +59,8 @@
 fuzz-integrity:
 	mkdir -p build-fuzz/corpus
 	clang++ -std=c++20 -g -O1 -fsanitize=fuzzer,address,undefined -fno-sanitize-recover=all -Isrc -Iinclude \
-	  tests/fuzz/integrity_fuzz.cpp src/integrity/blame.cpp src/integrity/digest.cpp src/integrity/layout.cpp \
-	  src/integrity/ledger.cpp src/integrity/cursor.cpp src/filestore/atomic_file.cpp -lisal -lcrypto -o build-fuzz/integrity_fuzz
+	  tests/fuzz/integrity_fuzz.cpp src/integrity/corruption_log.cpp src/integrity/cursor.cpp src/integrity/digest.cpp \
+	  src/integrity/layout.cpp src/integrity/structured_field.cpp -lisal -lcrypto -o build-fuzz/integrity_fuzz
 	build-fuzz/integrity_fuzz -max_total_time=$(SECONDS_EACH) -max_len=8192 -print_final_stats=1 \
 	  build-fuzz/corpus tests/fuzz/corpus
 
--- a/bench/integrity.cpp
+++ b/bench/integrity.cpp
@@ -23,8 +23,8 @@
 #include "app/control.h"
 #include "core/scheduler_thread.h"
 #include "http/message_reader.h"
+#include "integrity/corruption_log_file.h"
 #include "integrity/crc32c.h"
-#include "integrity/ledger.h"
 #include "integrity/volume.h"
 #include "lab/box/box.h"
 #include "lab/discovery.h"
@@ -35,7 +35,7 @@
 namespace {
 
 using namespace walnutspur;
-using integrity::kBlock;
+using integrity::kBlockBytes;
 using lab::Damage;
 using nlohmann::json;
 
@@ -67,7 +67,7 @@
 
   explicit World(const Options& wanted) : options(wanted), random(g_seed) {
     const auto format = [](lab::Disk& disk) {
-      for (const auto& io : integrity::FormatPlan(kSize, integrity::kUsualJournal, g_seed)) {
+      for (const auto& io : integrity::FormatPlan(kSize, integrity::kDefaultJournalBytes, g_seed)) {
         if (io.kind == integrity::IoKind::kWrite) disk.Write(io.offset, io.data, true);
       }
     };
@@ -239,11 +239,12 @@
   for (int round = 0; done < wanted; ++round) {
     World w({2, false, 0, ""});
     auto client = w.Connect();
-    std::string content = w.Random(kBlocks * kBlock);
+    std::string content = w.Random(kBlocks * kBlockBytes);
     for (int generation = 0; generation < 2; ++generation) {
-      content = w.Random(kBlocks * kBlock);
+      content = w.Random(kBlocks * kBlockBytes);
       for (std::uint64_t block = 0; block < kBlocks; block += 16)
-        if (!Put(*client, block * kBlock, content.substr(block * kBlock, 16 * kBlock))) ++wrong_bytes;
+        if (!Put(*client, block * kBlockBytes, content.substr(block * kBlockBytes, 16 * kBlockBytes)))
+          ++wrong_bytes;
       w.InPlace();
     }
     // Far apart, so that each damage has its blocks to itself.
@@ -256,27 +257,28 @@
       damaged[block] = kinds[i % 6];
     for (const auto& [at, kind] : damaged) {
       if (kind != Damage::kLost && kind != Damage::kAstray && kind != Damage::kTorn) continue;
-      lab::Fault fault{kind, -1, at * kBlock, (at + 1) * kBlock, (at + 2) * kBlock};
+      lab::Fault fault{kind, -1, at * kBlockBytes, (at + 1) * kBlockBytes, (at + 2) * kBlockBytes};
       if (kind == Damage::kAstray) ends.insert(at + 2);
       w.box->Add(fault);
-      const std::string data = w.Random(kBlock);
-      Put(*client, at * kBlock, data);
-      content.replace(at * kBlock, kBlock, data);
+      const std::string data = w.Random(kBlockBytes);
+      Put(*client, at * kBlockBytes, data);
+      content.replace(at * kBlockBytes, kBlockBytes, data);
     }
     w.InPlace();
     for (const auto& [at, kind] : damaged) {
-      if (kind == Damage::kFlipRest) w.box->Add({kind, -1, at * kBlock, (at + 1) * kBlock});
+      if (kind == Damage::kFlipRest) w.box->Add({kind, -1, at * kBlockBytes, (at + 1) * kBlockBytes});
     }
     // Those that strike a read one after the other: a path that is bad for good would be taken out of use.
     const auto read = [&](std::uint64_t at) {
-      const nbd::Reply reply = client->Read(at * kBlock, kBlock);
-      if (reply.error == nbd::kOk && nbd::DataOf(reply) != content.substr(at * kBlock, kBlock)) ++wrong_bytes;
+      const nbd::Reply reply = client->Read(at * kBlockBytes, kBlockBytes);
+      if (reply.error == nbd::kOk && nbd::DataOf(reply) != content.substr(at * kBlockBytes, kBlockBytes))
+        ++wrong_bytes;
       for (const nbd::Piece& piece : reply.partial) wrong_bytes += piece.size() > 0;
       return reply.error;
     };
     for (const auto& [at, kind] : damaged) {
       if (kind == Damage::kStale || kind == Damage::kFlipPath)
-        w.box->Add({kind, -1, at * kBlock, (at + 1) * kBlock, 0, 1});  // on the path that is taken
+        w.box->Add({kind, -1, at * kBlockBytes, (at + 1) * kBlockBytes, 0, 1});  // on the path that is taken
       for (int i = 0; i < 3; ++i) read(at);
     }
     for (const std::uint64_t at : ends) {
@@ -285,16 +287,16 @@
     std::uint64_t struck = 0;
     for (const Damage kind : kinds) struck += w.box->struck(kind);
     poll(nullptr, 0, 1200);  // the ledger's file
-    integrity::Ledger ledger;
+    integrity::CorruptionLog ledger;
     std::string what;
-    integrity::LedgerFile(w.folder.path()).Load(&ledger, &what);
+    integrity::CorruptionLogFile(w.folder.path()).Load(&ledger, &what);
     for (const auto& [at, kind] : damaged) {
       const auto* entry = ledger.Find({"a", "disk", at});
-      const integrity::Fault right = kind == Damage::kLost       ? integrity::Fault::kLost
-                                     : kind == Damage::kAstray   ? integrity::Fault::kAstray
-                                     : kind == Damage::kStale    ? integrity::Fault::kStale
+      const integrity::Fault right = kind == Damage::kLost       ? integrity::Fault::kLostWrite
+                                     : kind == Damage::kAstray   ? integrity::Fault::kMisdirectedWrite
+                                     : kind == Damage::kStale    ? integrity::Fault::kStaleRead
                                      : kind == Damage::kFlipPath ? integrity::Fault::kPath
-                                                                 : integrity::Fault::kRest;
+                                                                 : integrity::Fault::kAtRest;
       caught += entry != nullptr;
       const bool good = entry && entry->fault == right && (kind != Damage::kFlipPath || entry->path >= 0);
       blamed += good;
@@ -408,12 +410,12 @@
     struck_before = struck;
   }
   poll(nullptr, 0, 1200);  // the ledger's file
-  integrity::Ledger ledger;
+  integrity::CorruptionLog ledger;
   std::string what;
-  integrity::LedgerFile(w.folder.path()).Load(&ledger, &what);
+  integrity::CorruptionLogFile(w.folder.path()).Load(&ledger, &what);
   for (const auto& [uri, rest] : at_rest) {
     const auto* entry = ledger.Find({"a", uri, 0});
-    blamed += entry && entry->fault == (rest ? integrity::Fault::kRest : integrity::Fault::kMemory);
+    blamed += entry && entry->fault == (rest ? integrity::Fault::kAtRest : integrity::Fault::kMemory);
   }
   for (const auto& [place, entry] : ledger.entries())
     alarms += !at_rest.contains(place.remote) && place.remote != name(0);
@@ -437,7 +439,7 @@
   std::thread writer([&] {  // overlapping, ragged writes beside the reads
     auto client = w.Connect();
     while (!stop) {
-      const std::uint64_t offset = w.Draw(kBlocks * kBlock - 20000);
+      const std::uint64_t offset = w.Draw(kBlocks * kBlockBytes - 20000);
       if (client->Write(offset, w.Random(1 + w.Draw(16000))).error == nbd::kOk) ++writes;
     }
   });
@@ -448,8 +450,8 @@
     while (out.size() < 8) {
       nbd::Request request;
       request.type = nbd::kRead;
-      request.offset = w.Draw(kBlocks - 16) * kBlock;
-      request.length = 16 * kBlock;
+      request.offset = w.Draw(kBlocks - 16) * kBlockBytes;
+      request.length = 16 * kBlockBytes;
       out.push_back(client->Send(request));
     }
     for (const nbd::Reply& reply : client->Take(5000)) {
@@ -462,9 +464,9 @@
   stop = true;
   writer.join();
   poll(nullptr, 0, 1200);
-  integrity::Ledger ledger;
+  integrity::CorruptionLog ledger;
   std::string what;
-  integrity::LedgerFile(w.folder.path()).Load(&ledger, &what);
+  integrity::CorruptionLogFile(w.folder.path()).Load(&ledger, &what);
   Claim("1 false alarms", bad == 0 && ledger.entries().empty(),
         std::to_string(bad) + " bad blocks told, " + std::to_string(ledger.entries().size()) +
             " in the ledger, in " + std::to_string(read) + " clean blocks beside " + std::to_string(writes) +
@@ -478,7 +480,7 @@
   constexpr std::uint64_t kBlocks = 64;
   World w({1, false, 0, "", true});
   // Of each block: what may stand there. The last is the newest; a flush leaves that one alone.
-  std::vector<std::vector<std::string>> may(kBlocks, {std::string(kBlock, '\0')});
+  std::vector<std::vector<std::string>> may(kBlocks, {std::string(kBlockBytes, '\0')});
   int lost = 0, alarms = 0, writes = 0, powers = 0, boxes = 0;
   for (int i = 0; i < wanted; ++i) {
     auto client = w.Connect();
@@ -499,9 +501,9 @@
     try {
       while (true) {
         const std::uint64_t block = w.Draw(kBlocks);
-        const std::string data = w.Random(kBlock);
+        const std::string data = w.Random(kBlockBytes);
         may[block].push_back(data);
-        const nbd::Error error = client->Write(block * kBlock, data).error;
+        const nbd::Error error = client->Write(block * kBlockBytes, data).error;
         if (error == nbd::kNoMemory) may[block].pop_back();  // it never ran
         if (error == nbd::kNoMemory && killed) break;
         if (error != nbd::kOk && error != nbd::kNoMemory) break;
@@ -521,10 +523,10 @@
     w.Begin();
     client = w.Connect();
     for (std::uint64_t block = 0; block < kBlocks; ++block) {
-      nbd::Reply reply = client->Read(block * kBlock, kBlock);
+      nbd::Reply reply = client->Read(block * kBlockBytes, kBlockBytes);
       for (int tries = 0; tries < 50 && reply.error == nbd::kNoMemory && reply.bad.empty(); ++tries) {
         poll(nullptr, 0, 10);
-        reply = client->Read(block * kBlock, kBlock);
+        reply = client->Read(block * kBlockBytes, kBlockBytes);
       }
       if (reply.error != nbd::kOk) {
         ++alarms;
@@ -564,8 +566,8 @@
   World w({1, false, 0, settings});
   auto client = w.Connect();
   // Everywhere: what was never written is not asked of the box, and a scrub of it would cost nothing.
-  for (std::uint64_t at = 0; at + 16 * kBlock <= client->size(); at += 16 * kBlock)
-    Put(*client, at, w.Random(16 * kBlock));
+  for (std::uint64_t at = 0; at + 16 * kBlockBytes <= client->size(); at += 16 * kBlockBytes)
+    Put(*client, at, w.Random(16 * kBlockBytes));
   w.InPlace();
   w.box->SetService(1500);
   poll(nullptr, 0, 500);
@@ -591,8 +593,8 @@
     while (next < due.size() && start + static_cast<Time>(due[next] * 1e6) <= now && sent.size() < 400) {
       nbd::Request request;
       request.type = nbd::kRead;
-      request.offset = random() % 512 * kBlock;
-      request.length = kBlock;
+      request.offset = random() % 512 * kBlockBytes;
+      request.length = kBlockBytes;
       sent[client->Send(request)] = start + static_cast<Time>(due[next] * 1e6);
       ++next;
     }
@@ -647,7 +649,7 @@
 // ---- 4. cost ----
 
 void Cost() {
-  std::string block(kBlock, '\0');
+  std::string block(kBlockBytes, '\0');
   const auto gigabytes = [&](auto call) {
     const auto from = std::chrono::steady_clock::now();
     std::size_t rounds = 0;
@@ -656,13 +658,13 @@
       rounds += 1000;
     }
     const double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count();
-    return static_cast<double>(rounds) * kBlock / seconds / 1e9;
+    return static_cast<double>(rounds) * kBlockBytes / seconds / 1e9;
   };
   volatile std::uint32_t keep = 0;
-  std::string other(kBlock, '\0');
+  std::string other(kBlockBytes, '\0');
   const double tags = gigabytes([&] { keep = keep + integrity::TagSum(integrity::DataSum(block), 1, 2, 3); });
   const double copies = gigabytes([&] {
-    std::memcpy(other.data(), block.data(), kBlock);
+    std::memcpy(other.data(), block.data(), kBlockBytes);
     __asm__ volatile("" : : "r"(other.data()) : "memory");
   });
   Claim("4 tag code", true, std::to_string(tags) + " GB/s, memcpy " + std::to_string(copies) + " GB/s");
--- a/src/app/initiator.cpp
+++ b/src/app/initiator.cpp
@@ -60,11 +60,11 @@
   // By HTTP a box has one path, and a whole object is what is damaged or not.
   targets_->on_digest_checked = [this](const TargetId& target, const std::string& uri, bool good,
                                        const std::string& body) {
-    if (good && damages_->calm()) return;
+    if (good && damages_->has_no_known_corruption()) return;
     integrity::Reading reading;
     reading.good = good;
-    reading.found = integrity::DataSum(body);
-    damages_->Note({target, uri, 0}, 1, reading, core::Now());
+    reading.data_sum = integrity::DataSum(body);
+    damages_->AddReading({target, uri, 0}, 1, reading, core::Now());
   };
   front_ = std::make_unique<http::FrontEnd>(base_.get(), config_, &serials_, post);
   if (!options.nbd.empty()) StartNbd(options, post);
@@ -137,7 +137,7 @@
   for (std::size_t i = 0; i < nbd_.volumes.size(); ++i) {
     const nbd::Volume& volume = nbd_.volumes[i];
     if (!volume.checksummed || volume.front.name != words[1]) continue;
-    const std::uint64_t blocks = volume.front.size / integrity::kBlock;
+    const std::uint64_t blocks = volume.front.size / integrity::kBlockBytes;
     if (read.ec != std::errc() || read.ptr != number.data() + number.size() || block >= blocks)
       return "error: " + number + " is no block of the export; allowed are 0 to " +
              std::to_string(blocks - 1) + "\n";
@@ -150,10 +150,10 @@
 std::string Initiator::Status() {
   using nlohmann::json;
   json all = {{"ledger",
-               {{"damaged", damages_->ledger().bad()},
-                {"all", damages_->ledger().entries().size()},
-                {"dropped", damages_->ledger().dropped()},
-                {"open_cases", damages_->cases().open()}}},
+               {{"damaged", damages_->corruption_log().damaged_count()},
+                {"all", damages_->corruption_log().entries().size()},
+                {"dropped", damages_->corruption_log().dropped()},
+                {"open_cases", damages_->investigations().open_count()}}},
               {"exports", json::array()},
               {"paths", json::array()},
               {"scrub", {{"on", scrub_ != nullptr}, {"paused", scrub_ && scrub_->paused()}}}};
@@ -167,19 +167,19 @@
                 {"state", state == State::kReady    ? "ready"
                           : state == State::kBroken ? "broken"
                                                     : "attaching"},
-                {"open", volume->open()}};
-    if (state == State::kBroken) one["why"] = volume->why();
+                {"open", volume->pending_commands()}};
+    if (state == State::kBroken) one["why"] = volume->error();
     if (state == State::kReady)
-      one.update({{"journal", volume->super().geometry.journal_size},
+      one.update({{"journal", volume->superblock().geometry.journal_size},
                   {"journal_used", volume->journal_used()},
                   {"checkpoints", volume->checkpoints()},
-                  {"lost_in_journal", volume->bad().size()}});
+                  {"lost_in_journal", volume->damaged_blocks().size()}});
     all["exports"].push_back(std::move(one));
   }
   if (boxes_) {
     for (const auto& path : boxes_->paths())
       all["paths"].push_back(
-          {{"box", path.box}, {"path", path.path}, {"state", integrity::NameOf(path.state)}});
+          {{"box", path.target}, {"path", path.path}, {"state", integrity::NameOf(path.state)}});
   }
   if (scrub_) {
     all["scrub"].update({{"requests", scrub_->requests()}, {"failed", scrub_->failed()}});
@@ -210,7 +210,7 @@
     mallopt(M_MMAP_THRESHOLD, kKeptMemory);
     mallopt(M_TRIM_THRESHOLD, kKeptMemory);
   }
-  if (checks && options.scrub.on) AddScrub(options.scrub, post);
+  if (checks && options.scrub.enabled) AddScrub(options.scrub, post);
 }
 
 // The scrub's class and plan are the module's own: no client can name them, and they earn next to nothing.
@@ -222,7 +222,7 @@
   config_.settings.classes.push_back(cls);
   // The floor is the plan's reserve, the budget its rate; beyond the floor it has next to no part in what is
   // left.
-  const double units = nbd::UnitsOf(nbd_, static_cast<std::uint32_t>(scrub.chunk * integrity::kBlock));
+  const double units = nbd::UnitsOf(nbd_, static_cast<std::uint32_t>(scrub.chunk * integrity::kBlockBytes));
   Plan plan;
   plan.rate = scrub.job.requests_a_second * units;
   plan.reserved_rate = std::min(scrub.job.floor_a_second * units, plan.rate);
@@ -239,7 +239,7 @@
       if (cursors) scrub.cursors = *cursors;
       if (!cursors) log::Event(log::Level::kWarn, "scrub_begins_anew", {{"file", path}, {"what", what}});
     }
-    scrub.keep_cursors = [keeper](std::string bytes) { keeper->Put(kCursors, std::move(bytes)); };
+    scrub.save_cursors = [keeper](std::string bytes) { keeper->Put(kCursors, std::move(bytes)); };
   }
   scrub_ = std::make_unique<checksummed::Scrub>(base_.get(), nbd_, scrub, &serials_, post);
   boxes_->on_suspected_corruption = [this](std::size_t number, std::uint64_t block) {
--- a/src/app/integrity_tool.cpp
+++ b/src/app/integrity_tool.cpp
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "app/control.h"
+#include "integrity/corruption_log_file.h"
+#include "integrity/format.h"
 #include "integrity/layout.h"
-#include "integrity/ledger.h"
-#include "integrity/volume.h"
 #include "nbd/blocking_client.h"
 
 namespace walnutspur::app {
@@ -35,18 +35,18 @@
   return all;
 }
 
-SuperRead ReadSuper(nbd::BlockingClient& client) {
-  const std::uint64_t blocks = client.size() / kBlock;
+DecodedSuperblock ReadSuper(nbd::BlockingClient& client) {
+  const std::uint64_t blocks = client.size() / kBlockBytes;
   if (blocks < 3) throw std::runtime_error("the export is smaller than its reserved region");
-  const std::string bytes = ReadAll(client, (blocks - 2) * kBlock, 2 * kBlock);
-  return ChooseSuper(DecodeSuper(std::string_view(bytes).substr(0, kBlock), client.size()),
-                     DecodeSuper(std::string_view(bytes).substr(kBlock), client.size()));
+  const std::string bytes = ReadAll(client, (blocks - 2) * kBlockBytes, 2 * kBlockBytes);
+  return ChooseSuperblock(DecodeSuperblock(std::string_view(bytes).substr(0, kBlockBytes), client.size()),
+                          DecodeSuperblock(std::string_view(bytes).substr(kBlockBytes), client.size()));
 }
 
 Superblock WholeSuper(nbd::BlockingClient& client) {
-  const SuperRead read = ReadSuper(client);
-  if (read.state != SuperState::kWhole) throw std::runtime_error(read.what);
-  return read.super;
+  const DecodedSuperblock read = ReadSuper(client);
+  if (read.state != SuperblockState::kValid) throw std::runtime_error(read.error);
+  return read.superblock;
 }
 
 std::string Stamp(std::int64_t us) {
@@ -60,16 +60,16 @@
 
 // The blocks whose newest content is in the journal: their place may hold anything older.
 std::set<std::uint64_t> InJournal(nbd::BlockingClient& client, const Superblock& super) {
-  const std::string journal = ReadAll(client, super.geometry.journal_at, super.geometry.journal_size);
+  const std::string journal = ReadAll(client, super.geometry.journal_offset, super.geometry.journal_size);
   std::set<std::uint64_t> blocks;
-  std::uint64_t at = super.tail_at, sequence = super.tail_sequence, used = 0;
+  std::uint64_t at = super.tail_offset, sequence = super.tail_sequence, used = 0;
   while (used < journal.size()) {
-    const auto head = DecodeHead(std::string_view(journal).substr(at), super.export_id);
+    const auto head = DecodeRecordHeader(std::string_view(journal).substr(at), super.export_id);
     if (!head || head->sequence != sequence || head->epoch < super.tail_epoch ||
         at + head->size > journal.size() ||
-        !DataFits(*head, std::string_view(journal).substr(at), super.export_id))
+        !RecordDataMatches(*head, std::string_view(journal).substr(at), super.export_id))
       break;
-    for (std::size_t i = 0; i < head->blocks.size(); ++i) blocks.insert(head->first + i);
+    for (std::size_t i = 0; i < head->blocks.size(); ++i) blocks.insert(head->first_block + i);
     used += head->size;
     at = (at + head->size) % journal.size();
     ++sequence;
@@ -81,16 +81,16 @@
 
 int Format(const IntegrityOptions& options, std::FILE* out) {
   nbd::BlockingClient client(options.address, options.remote);
-  const SuperRead there = ReadSuper(client);
-  if (there.state == SuperState::kNewer) throw std::runtime_error(there.what);
-  if (there.state != SuperState::kNone && !options.force)
+  const DecodedSuperblock there = ReadSuper(client);
+  if (there.state == SuperblockState::kNewer) throw std::runtime_error(there.error);
+  if (there.state != SuperblockState::kMissing && !options.force)
     throw std::runtime_error(
-        there.state == SuperState::kWhole
+        there.state == SuperblockState::kValid
             ? "the export is formatted already; --force formats it anew, and all data is lost"
-            : there.what + "; --force formats it nevertheless");
+            : there.error + "; --force formats it nevertheless");
   std::random_device device;
   const std::uint64_t id = static_cast<std::uint64_t>(device()) << 32 | device();
-  for (const Io& io : FormatPlan(client.size(), options.journal, id, kPart)) {
+  for (const IoRequest& io : FormatPlan(client.size(), options.journal, id, kPart)) {
     const nbd::Reply reply = io.kind == IoKind::kFlush ? client.Flush() : client.Write(io.offset, io.data);
     if (reply.error == nbd::kOk && io.fua && client.Flush().error == nbd::kOk) continue;
     if (reply.error != nbd::kOk || io.fua)
@@ -114,7 +114,7 @@
                static_cast<unsigned long long>(s.geometry.blocks),
                static_cast<unsigned long long>(s.geometry.journal_size),
                static_cast<unsigned long long>(s.epoch), static_cast<unsigned long long>(s.tail_sequence),
-               static_cast<unsigned long long>(s.tail_at));
+               static_cast<unsigned long long>(s.tail_offset));
   return 0;
 }
 
@@ -124,9 +124,9 @@
   const std::set<std::uint64_t> waiting = InJournal(client, super);
   std::uint64_t good = 0, empty = 0, bad = 0;
   for (std::uint64_t index = 0; index < super.geometry.tag_blocks; ++index) {
-    const std::string slots = ReadAll(client, super.geometry.SlotAt(index, 0), 2 * kBlock);
-    const auto a = DecodeTags(std::string_view(slots).substr(0, kBlock), super.export_id, index);
-    const auto b = DecodeTags(std::string_view(slots).substr(kBlock), super.export_id, index);
+    const std::string slots = ReadAll(client, super.geometry.SlotOffset(index, 0), 2 * kBlockBytes);
+    const auto a = DecodeTagBlock(std::string_view(slots).substr(0, kBlockBytes), super.export_id, index);
+    const auto b = DecodeTagBlock(std::string_view(slots).substr(kBlockBytes), super.export_id, index);
     const std::uint64_t first = index * kTagsPerBlock;
     const std::uint64_t count = std::min<std::uint64_t>(kTagsPerBlock, super.geometry.blocks - first);
     if (!a || !b)
@@ -136,15 +136,16 @@
       continue;
     }
     const TagBlock& tags = !a || (b && b->version > a->version) ? *b : *a;
-    const std::string data = ReadAll(client, first * kBlock, count * kBlock);
+    const std::string data = ReadAll(client, first * kBlockBytes, count * kBlockBytes);
     for (std::uint64_t i = 0; i < count; ++i) {
       const Tag& tag = tags.tags[i];
-      if (waiting.contains(first + i) || (IsHole(tag) && tag.generation != kUnknown)) {
+      if (waiting.contains(first + i) || (IsHole(tag) && tag.generation != kUnknownGeneration)) {
         ++empty;
         continue;
       }
-      const std::uint32_t sum = DataSum(std::string_view(data).substr(i * kBlock, kBlock));
-      if (tag.generation != kUnknown && TagSum(sum, super.export_id, first + i, tag.generation) == tag.sum) {
+      const std::uint32_t sum = DataSum(std::string_view(data).substr(i * kBlockBytes, kBlockBytes));
+      if (tag.generation != kUnknownGeneration &&
+          TagSum(sum, super.export_id, first + i, tag.generation) == tag.sum) {
         ++good;
         continue;
       }
@@ -168,30 +169,30 @@
 }
 
 int ShowLedger(const IntegrityOptions& options, std::FILE* out) {
-  Ledger ledger;
+  CorruptionLog ledger;
   std::string what;
-  LedgerFile file(options.folder);
+  CorruptionLogFile file(options.folder);
   switch (file.Load(&ledger, &what)) {
-    case LedgerFile::Found::kNone:
+    case CorruptionLogFile::LoadResult::kMissing:
       throw std::runtime_error("there is no " + file.path());
-    case LedgerFile::Found::kRefused:
+    case CorruptionLogFile::LoadResult::kRejected:
       throw std::runtime_error(what);
-    case LedgerFile::Found::kRead:
+    case CorruptionLogFile::LoadResult::kLoaded:
       break;
   }
   for (const auto& [place, entry] : ledger.entries()) {
-    std::fprintf(out, "%s %s block %llu %s%s first %s last %s times %u", place.box.c_str(),
+    std::fprintf(out, "%s %s block %llu %s%s first %s last %s times %u", place.target.c_str(),
                  place.remote.c_str(), static_cast<unsigned long long>(place.block), NameOf(entry.fault),
-                 entry.mended ? " mended" : "", Stamp(entry.first).c_str(), Stamp(entry.last).c_str(),
-                 entry.times);
+                 entry.repaired ? " mended" : "", Stamp(entry.first_seen).c_str(),
+                 Stamp(entry.last_seen).c_str(), entry.times);
     if (entry.path >= 0) std::fprintf(out, " path %d", entry.path);
-    if (entry.fault == Fault::kAstray)
-      std::fprintf(out, " of %llu", static_cast<unsigned long long>(entry.belongs_to));
+    if (entry.fault == Fault::kMisdirectedWrite)
+      std::fprintf(out, " of %llu", static_cast<unsigned long long>(entry.owner_block));
     std::fprintf(out, "\n");
   }
-  std::fprintf(out, "%zu damaged, %zu in all, %llu dropped\n", ledger.bad(), ledger.entries().size(),
-               static_cast<unsigned long long>(ledger.dropped()));
-  return ledger.bad() == 0 ? 0 : 1;
+  std::fprintf(out, "%zu damaged, %zu in all, %llu dropped\n", ledger.damaged_count(),
+               ledger.entries().size(), static_cast<unsigned long long>(ledger.dropped()));
+  return ledger.damaged_count() == 0 ? 0 : 1;
 }
 
 }  // namespace walnutspur::app
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -160,7 +160,7 @@
   s.digests.on = root.Bool("integrity.digests");
   s.digests.compute = integrity::AlgorithmOf(root.Text("integrity.compute"));
   s.folder = root.Text("integrity.folder");
-  s.scrub.on = root.Bool("scrub.on");
+  s.scrub.enabled = root.Bool("scrub.on");
   s.scrub.job.bytes_a_second = root.Number("scrub.bytes");
   s.scrub.job.requests_a_second = root.Number("scrub.requests");
   s.scrub.job.in_flight = static_cast<int>(root.Integer("scrub.in_flight"));
--- a/src/checksummed/checksummed_exports.h
+++ b/src/checksummed/checksummed_exports.h
@@ -1,121 +1,115 @@
-// Carries out attempts on checksummed exports: one integrity::Volume for each, on top of the connections of
-// nbd::Boxes. Attempts on other exports pass through to those.
+// Executes attempts on checksummed exports: one integrity::Volume for each, on top of the connections of an
+// nbd::TargetPool. Attempts on other exports pass through to the pool.
 //
-// An attempt is one command of a volume, which asks the box for as many reads and writes as it needs; all of
-// a read's go by one path. Whatever of them is under way when the attempt ends is awaited by the volume, not
-// by the engine. Checkpoints are the volume's own work: the module has counted a write's units twice for
-// them.
+// An attempt is one command of a volume, which issues as many storage requests as it needs; all those of a
+// read go by one path. Requests that are in flight when the attempt ends are awaited by the volume, not by
+// the scheduler. Checkpoints are the volume's own work; the protocol's cost of a write counts its units twice
+// for them.
 //
-// Runs on the loop's thread. Owns the volumes and the paths' states; what is known of damage is Damages'.
+// Owned by the initiator; runs on the event loop's thread.
 #ifndef WALNUTSPUR_CHECKSUMMED_CHECKSUMMED_EXPORTS_H_
 #define WALNUTSPUR_CHECKSUMMED_CHECKSUMMED_EXPORTS_H_
 
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
-#include <optional>
-#include <set>
 #include <string>
-#include <unordered_map>
 #include <vector>
 
 #include "checksummed/corruption_tracker.h"
+#include "checksummed/io_dispatcher.h"
+#include "checksummed/path_tracker.h"
 #include "core/port.h"
-#include "integrity/blame.h"
 #include "integrity/volume.h"
+#include "loop/attempt_key.h"
 #include "loop/loop.h"
 #include "nbd/config.h"
+#include "nbd/payload.h"
 #include "nbd/target_pool.h"
 
 namespace walnutspur::checksummed {
 
+// Commands of clients and of the scrub since the start.
 struct Counts {
-  std::uint64_t reads = 0, writes = 0;  // commands of clients and of the scrub
+  std::uint64_t reads = 0;
+  std::uint64_t writes = 0;
 };
 
 class ChecksummedExports : public core::Connector {
  public:
-  // `most` bounds the connections.
-  ChecksummedExports(event_base* base, const nbd::Config& config, std::size_t most,
-                     CorruptionTracker* damages, core::SubmitInput post);
+  // `max_connections` bounds the connections to all targets. `tracker` must outlive this; `submit` takes the
+  // results of attempts.
+  ChecksummedExports(event_base* base, const nbd::Config& config, std::size_t max_connections,
+                     CorruptionTracker* tracker, core::SubmitInput submit);
 
   void Start(const core::StartAttempt& attempt) override;
-  void Cancel(core::RequestNumber serial, int trial) override;
-  // Nothing more goes to a box that drains or is gone, checkpoints included, until it is live again.
+  void Cancel(core::RequestNumber request, int attempt) override;
+  // No request is sent to a target that is draining or terminated, checkpoints included, until it is active.
   void Drain(const TargetId& target) override;
   void Activate(const TargetId& target);
 
-  std::size_t connections() const { return boxes_.connections(); }
+  std::size_t connections() const { return targets_.connections(); }
+  // Null for an export without checksums.
   const integrity::Volume* volume(std::size_t number) const { return exports_[number].volume.get(); }
   const Counts& counts() const { return counts_; }
-  struct PathStatus {
-    std::string box;
-    int path = 0;
-    integrity::PathState state = integrity::PathState::kHealthy;
-  };
-  std::vector<PathStatus> paths();  // of boxes with checked exports
-  integrity::PathState PathOf(const std::string& box, int path);
+  std::vector<PathStatus> paths();  // to targets with checksummed exports
+  integrity::PathState PathOf(const std::string& target, int path) { return paths_.StateOf(target, path); }
 
-  // Called with each block that was found bad and on which no verdict has fallen yet.
+  // Called with each block that was found corrupt and to which no fault could be attributed yet.
   std::function<void(std::size_t number, std::uint64_t block)> on_suspected_corruption;
 
  private:
-  using Key = std::pair<core::RequestNumber, int>;
-
   struct Export {
     const nbd::Volume* config = nullptr;
-    std::unique_ptr<integrity::Volume> volume;
-    bool held = false;  // the box takes nothing
-    bool pumping = false;
-    bool told = false;  // that it is broken
-    Time written = 0;   // the last write's answer
-    Time dirty_since = 0;
-    Time rest = 0;            // before the next try, after a failure
-    loop::EventHandle tick;   // checkpoints
-    loop::EventHandle again;  // attaching
+    std::unique_ptr<integrity::Volume> volume;  // null: an export without checksums
+    bool suspended = true;        // its target takes no requests, until it is known to be active
+    bool dispatching = false;     // guards Dispatch against reentry
+    bool failure_logged = false;  // that it could not be attached
+    Time last_write = 0;          // when a write was answered last
+    Time dirty_since = 0;         // since when the journal holds records; 0: it does not
+    Time attach_backoff = 0;      // us before the next attempt to attach, after a failure
+    loop::EventHandle checkpoint_timer;
+    loop::EventHandle attach_timer;
   };
-  struct Out {  // an attempt
-    Key key;
+  struct PendingAttempt {
+    loop::AttemptKey key;
     std::size_t number = 0;  // of the export
-    Time sent = 0;
+    Time started = 0;
     int path = 0;
     std::shared_ptr<const nbd::CommandPayload> payload;
-    loop::EventHandle limit;
-  };
-  struct Asked {  // of a box
-    std::size_t number = 0;
-    integrity::Io io;      // without its data
-    bool syncing = false;  // the write is done, and its flush is under way
+    loop::EventHandle timeout;
   };
 
-  void Post(core::Input input);
-  void OnIo(const core::AttemptResult& ended);
-  bool Fits(const Export& e) const;
+  void OnInput(core::Input input);
+  void OnIoCompleted(const ExportIo& completed, integrity::IoStatus status, std::string data);
+  bool IsTargetSuitable(const Export& exported) const;
+
   void Attach(std::size_t number);
-  void Pump(std::size_t number);
-  void Launch(std::size_t number, integrity::Io io);
-  void Ask(const Asked& asked, nbd::Request request, int path, std::vector<integrity::Slice> tail = {});
-  void OnResult(std::size_t number, integrity::Result result);
-  void Judge(std::size_t number, const Out& out, const integrity::Result& result);
+  void Dispatch(std::size_t number);
+  void OnAttachFailed(Export& exported);
+  void CheckpointIfDue(std::size_t number);
+  void SendIo(std::size_t number, integrity::IoRequest request);
+
+  integrity::CommandId AddAttempt(const core::StartAttempt& attempt,
+                                  std::shared_ptr<const nbd::CommandPayload> payload);
+  void OnResult(std::size_t number, integrity::CommandResult result);
+  void ReportSuspectedCorruption(std::size_t number, const PendingAttempt& attempt,
+                                 const integrity::CommandResult& result);
   void Report(integrity::CommandId command, Outcome outcome, core::PayloadRef payload = nullptr);
-  void GiveUp(integrity::CommandId command, Outcome outcome);
-  void Tick(std::size_t number);
-  int Choose(const Export& e, const nbd::Request& request);
-  integrity::Place PlaceOf(const Export& e, std::uint64_t block) const;
+  void Abandon(integrity::CommandId command, Outcome outcome);
 
   event_base* base_;
   const nbd::Config& config_;
-  CorruptionTracker* damages_;
-  core::SubmitInput post_;
-  nbd::TargetPool boxes_;
-  std::vector<Export> exports_;  // by the number of the configuration's volume; without a volume: not checked
-  std::map<std::string, integrity::Paths> paths_;  // by box
-  std::map<integrity::CommandId, Out> out_;
-  std::map<Key, integrity::CommandId> commands_;
-  std::unordered_map<core::RequestNumber, Asked> asked_;
+  core::SubmitInput submit_;
+  nbd::TargetPool targets_;
+  PathTracker paths_;
+  IoDispatcher dispatcher_;
+  std::vector<Export> exports_;  // by the number of the configuration's volume
+  std::map<integrity::CommandId, PendingAttempt> attempts_;
+  std::map<loop::AttemptKey, integrity::CommandId> commands_;
   integrity::CommandId next_command_ = 1;
-  core::RequestNumber next_asked_;
   Counts counts_;
 };
 
--- a/src/checksummed/corruption_tracker.cpp
+++ b/src/checksummed/corruption_tracker.cpp
@@ -8,8 +8,14 @@
 namespace walnutspur::checksummed {
 namespace {
 
-constexpr Time kSave = 1'000'000;  // us from a verdict to the ledger's file: one save for many
-const std::string kLedger = "damage.ledger";
+constexpr Time kSaveDelay = 1'000'000;  // us from a change to the save of the log: one save for many changes
+
+void LogStoreStatus(const std::string& error) {
+  if (error.empty()) {
+    return log::Event(log::Level::kWarn, "folder_works_again", {});
+  }
+  log::Event(log::Level::kError, "folder_not_written", {{"what", error}});
+}
 
 }  // namespace
 
@@ -17,59 +23,59 @@
   if (folder.empty()) {
     return;
   }
-  file_ = std::make_unique<integrity::LedgerFile>(folder);
-  std::string what;
-  if (file_->Load(&ledger_, &what) == integrity::LedgerFile::Found::kRefused) {
-    log::Event(log::Level::kError, "ledger_refused", {{"what", what}});
-  }
-  keeper_ = std::make_unique<filestore::FileStore>(
+  LoadLog();
+  file_store_ = std::make_unique<filestore::FileStore>(
       [this](const std::string& name, const std::string& bytes, std::string* why) {
-        return name == kLedger ? file_->Write(bytes, why)
-                               : filestore::WriteFileAtomically(folder_, name, bytes, why);
+        return name == integrity::kCorruptionLogName
+                   ? log_file_->Write(bytes, why)
+                   : filestore::WriteFileAtomically(folder_, name, bytes, why);
       },
-      [](const std::string& why) {
-        if (why.empty()) {
-          return log::Event(log::Level::kWarn, "folder_works_again", {});
-        }
-        log::Event(log::Level::kError, "folder_not_written", {{"what", why}});
-      });
-  save_ = loop::MakeTimer(base, [this] { Save(); });
+      LogStoreStatus);
+  save_timer_ = loop::MakeTimer(base, [this] { SaveLog(); });
 }
 
 CorruptionTracker::~CorruptionTracker() {
-  if (keeper_ && ledger_.changed()) {
-    Save();
+  if (file_store_ && corruption_log_.changed()) {
+    SaveLog();
+  }
+}
+
+void CorruptionTracker::LoadLog() {
+  log_file_ = std::make_unique<integrity::CorruptionLogFile>(folder_);
+  std::string what;
+  if (log_file_->Load(&corruption_log_, &what) == integrity::CorruptionLogFile::LoadResult::kRejected) {
+    log::Event(log::Level::kError, "ledger_refused", {{"what", what}});
   }
 }
 
-void CorruptionTracker::Save() {
-  saving_ = false;
-  keeper_->Put(kLedger, ledger_.Encode());
+void CorruptionTracker::SaveLog() {
+  save_scheduled_ = false;
+  file_store_->Put(integrity::kCorruptionLogName, corruption_log_.Encode());
 }
 
-std::optional<integrity::Verdict> CorruptionTracker::Note(const integrity::Place& place, int paths,
-                                                          const integrity::Reading& reading, Time now) {
+std::optional<integrity::FaultAttribution> CorruptionTracker::AddReading(
+    const integrity::BlockLocation& location, int paths, const integrity::Reading& reading, Time now) {
   if (!reading.good) {
     ++mismatches_;
   }
-  auto verdict = cases_.Note(place, paths, reading, now);
+  auto attribution = investigations_.AddReading(location, paths, reading, now);
   if (reading.good) {
-    ledger_.Mend(place, now);
+    corruption_log_.MarkRepaired(location, now);
   }
-  if (verdict) {
-    ++verdicts_;
-    ledger_.Note(place, *verdict, now);
+  if (attribution) {
+    ++attributions_;
+    corruption_log_.Record(location, *attribution, now);
     log::Event(log::Level::kError, "damage",
-               {{"box", place.box},
-                {"export", place.remote},
-                {"block", std::to_string(place.block)},
-                {"fault", integrity::NameOf(verdict->fault)},
-                {"path", std::to_string(verdict->path)}});
+               {{"box", location.target},
+                {"export", location.remote},
+                {"block", std::to_string(location.block)},
+                {"fault", integrity::NameOf(attribution->fault)},
+                {"path", std::to_string(attribution->path)}});
   }
-  if (keeper_ && ledger_.changed() && !std::exchange(saving_, true)) {
-    save_.Start(kSave);
+  if (file_store_ && corruption_log_.changed() && !std::exchange(save_scheduled_, true)) {
+    save_timer_.Start(kSaveDelay);
   }
-  return verdict;
+  return attribution;
 }
 
 }  // namespace walnutspur::checksummed
--- a/src/checksummed/corruption_tracker.h
+++ b/src/checksummed/corruption_tracker.h
@@ -1,7 +1,8 @@
-// What is known of damage, whichever wire it was met on: the open cases, the damage ledger, and the folder
-// that keeps the ledger from one start to the next.
+// What is known of corruption, whichever protocol it was detected on: open investigations, the corruption
+// log, and the folder that stores the log from one process to the next.
 //
-// Runs on the loop's thread and owns the keeper's, which alone touches the folder once this is made.
+// Owned by the initiator; runs on the event loop's thread. The folder is written by the file store's thread
+// alone once this has been constructed.
 #ifndef WALNUTSPUR_CHECKSUMMED_CORRUPTION_TRACKER_H_
 #define WALNUTSPUR_CHECKSUMMED_CORRUPTION_TRACKER_H_
 
@@ -11,46 +12,50 @@
 #include <string>
 
 #include "filestore/file_store.h"
-#include "integrity/blame.h"
-#include "integrity/ledger.h"
+#include "integrity/corruption_log_file.h"
+#include "integrity/fault_attribution.h"
 #include "loop/loop.h"
 
 namespace walnutspur::checksummed {
 
 class CorruptionTracker {
  public:
-  // `folder` keeps the ledger, empty: memory only. A ledger there that cannot be read is logged and left
-  // alone.
+  // `folder` stores the log; empty: it is in memory only. A log there that cannot be read is reported and not
+  // changed.
   CorruptionTracker(event_base* base, const std::string& folder);
   ~CorruptionTracker();
   CorruptionTracker(const CorruptionTracker&) = delete;
   CorruptionTracker& operator=(const CorruptionTracker&) = delete;
 
-  // One reading of a block, or of an object by HTTP, on a box with so many paths. A verdict goes into the
-  // ledger and the log.
-  std::optional<integrity::Verdict> Note(const integrity::Place& place, int paths,
-                                         const integrity::Reading& reading, Time now);
-  // A good reading would say nothing now: no case is open and nothing is known to be bad.
-  bool calm() const { return cases_.open() == 0 && ledger_.bad() == 0; }
-
-  const integrity::Cases& cases() const { return cases_; }
-  const integrity::Ledger& ledger() const { return ledger_; }
-  filestore::FileStore* file_store() { return keeper_.get(); }  // null: nothing is kept
+  // Adds a reading of a block, or of an HTTP object, on a target with so many paths. An attribution is added
+  // to the corruption log and logged as an event.
+  std::optional<integrity::FaultAttribution> AddReading(const integrity::BlockLocation& location, int paths,
+                                                        const integrity::Reading& reading, Time now);
+  // No investigation is open and no block is known to be corrupt, so that a good reading has no effect.
+  bool has_no_known_corruption() const {
+    return investigations_.open_count() == 0 && corruption_log_.damaged_count() == 0;
+  }
+
+  const integrity::CorruptionInvestigations& investigations() const { return investigations_; }
+  const integrity::CorruptionLog& corruption_log() const { return corruption_log_; }
+  filestore::FileStore* file_store() { return file_store_.get(); }  // null: nothing is stored
   const std::string& folder() const { return folder_; }
-  std::uint64_t mismatches() const { return mismatches_; }  // bad readings
-  std::uint64_t verdicts() const { return verdicts_; }
+  std::uint64_t mismatches() const { return mismatches_; }      // readings that did not match
+  std::uint64_t attributions() const { return attributions_; }  // since the start
 
  private:
-  void Save();
+  void LoadLog();
+  void SaveLog();
 
   std::string folder_;
-  integrity::Cases cases_;
-  integrity::Ledger ledger_;
-  std::uint64_t mismatches_ = 0, verdicts_ = 0;
-  std::unique_ptr<integrity::LedgerFile> file_;  // the keeper's thread writes it
-  std::unique_ptr<filestore::FileStore> keeper_;
-  loop::EventHandle save_;
-  bool saving_ = false;  // the timer runs: later verdicts must not put it off
+  integrity::CorruptionInvestigations investigations_;
+  integrity::CorruptionLog corruption_log_;
+  std::uint64_t mismatches_ = 0;
+  std::uint64_t attributions_ = 0;
+  std::unique_ptr<integrity::CorruptionLogFile> log_file_;  // written on the file store's thread
+  std::unique_ptr<filestore::FileStore> file_store_;
+  loop::EventHandle save_timer_;
+  bool save_scheduled_ = false;  // later attributions must not postpone the save
 };
 
 }  // namespace walnutspur::checksummed
--- a/src/checksummed/scrub.cpp
+++ b/src/checksummed/scrub.cpp
@@ -9,108 +9,119 @@
 namespace walnutspur::checksummed {
 namespace {
 
-constexpr Time kReport = 200'000;   // us between reports of what live work feels
-constexpr Time kLook = 250'000;     // us between looks while only an event could let a job go
-constexpr Time kKeep = 10'000'000;  // us between cursors kept
-constexpr Time kLeastTurn = 1'000;  // us
+constexpr Time kReportInterval = 200'000;          // us between reports of the pressure on live work
+constexpr Time kIdleScheduleInterval = 250'000;    // us while no read is due
+constexpr Time kMinScheduleInterval = 1'000;       // us
+constexpr Time kSaveCursorsInterval = 10'000'000;  // us
 
 }  // namespace
 
 Scrub::Scrub(event_base* base, const nbd::Config& config, const ScrubOptions& options,
-             core::RequestNumbers* serials, core::SubmitInput post)
-    : base_(base), config_(config), options_(options), serials_(serials), post_(std::move(post)) {
+             core::RequestNumbers* request_numbers, core::SubmitInput submit)
+    : base_(base),
+      config_(config),
+      options_(options),
+      request_numbers_(request_numbers),
+      submit_(std::move(submit)) {
   const Time now = core::Now();
   for (std::size_t i = 0; i < config_.volumes.size(); ++i) {
-    const nbd::Volume& volume = config_.volumes[i];
-    if (!volume.checksummed) {
-      continue;
+    if (config_.volumes[i].checksummed) {
+      AddJob(i, now);
     }
-    Box& box = boxes_[volume.target];
-    if (!box.budget) {
-      box.budget = std::make_unique<background::Budget>(options_.pressure);
-      box.turn = loop::MakeTimer(base_, [this, name = volume.target] { Turn(name); });
-    }
-    const auto known = options_.cursors.find(volume.front.name);
-    const integrity::Cursor cursor = known == options_.cursors.end() ? integrity::Cursor() : known->second;
-    integrity::Scrubber scrubber(volume.front.size / integrity::kBlock, options_.chunk,
-                                 cursor.block / options_.chunk);
-    background::JobOptions job = options_.job;
-    job.name = volume.front.name;
-    job.usual_bytes = static_cast<double>(options_.chunk * integrity::kBlock);
-    background::Progress progress;
-    progress.total = scrubber.total();
-    progress.position = scrubber.position();
-    progress.rounds = cursor.rounds;
-    progress.since = std::min(cursor.since, now);  // a clock that was set back must not shorten the round
-    jobs_.push_back({i, volume.target, box.budget->Add(job, progress, now), std::move(scrubber)});
-  }
-  report_ = loop::MakeTimer(base_, [this] { Report(); });
-  if (!options_.on) {
+  }
+  report_timer_ = loop::MakeTimer(base_, [this] { ReportPressure(); });
+  if (!options_.enabled) {
     return;
   }
-  report_.Start(kReport);
-  for (auto& [name, box] : boxes_) {
-    box.turn.Start(kLook);
+  report_timer_.Start(kReportInterval);
+  for (auto& [name, target] : targets_) {
+    target.schedule_timer.Start(kIdleScheduleInterval);
   }
 }
 
 Scrub::~Scrub() {
-  if (options_.on) {
-    KeepCursors();
+  if (options_.enabled) {
+    SaveCursors();
   }
 }
 
-void Scrub::KeepCursors() {
-  if (!options_.keep_cursors) {
+void Scrub::AddJob(std::size_t number, Time now) {
+  const nbd::Volume& volume = config_.volumes[number];
+  TargetState& target = targets_[volume.target];
+  if (!target.budget) {
+    target.budget = std::make_unique<background::Budget>(options_.pressure);
+    target.schedule_timer = loop::MakeTimer(base_, [this, name = volume.target] { ScheduleReads(name); });
+  }
+  const auto saved = options_.cursors.find(volume.front.name);
+  const integrity::Cursor cursor = saved == options_.cursors.end() ? integrity::Cursor() : saved->second;
+  integrity::Scrubber scrubber(volume.front.size / integrity::kBlockBytes, options_.chunk,
+                               cursor.block / options_.chunk);
+  background::JobOptions job = options_.job;
+  job.name = volume.front.name;
+  job.usual_bytes = static_cast<double>(options_.chunk * integrity::kBlockBytes);
+  background::Progress progress;
+  progress.total = scrubber.total();
+  progress.position = scrubber.position();
+  progress.rounds = cursor.rounds;
+  progress.since = std::min(cursor.since, now);  // a clock that was set back must not shorten the round
+  jobs_.push_back({number, volume.target, target.budget->Add(job, progress, now), std::move(scrubber)});
+}
+
+// Cursors of exports that are not served at present are saved again as they were.
+void Scrub::SaveCursors() {
+  if (!options_.save_cursors) {
     return;
   }
-  integrity::Cursors now = options_.cursors;  // of exports that are not served at present, too
+  integrity::Cursors cursors = options_.cursors;
   for (const Job& job : jobs_) {
-    const background::Progress& progress = boxes_.at(job.box).budget->progress(job.id);
-    now[config_.volumes[job.number].front.name] = {job.scrubber.position() * options_.chunk, progress.rounds,
-                                                   progress.since};
+    const background::Progress& progress = targets_.at(job.target).budget->progress(job.id);
+    cursors[config_.volumes[job.number].front.name] = {job.scrubber.position() * options_.chunk,
+                                                       progress.rounds, progress.since};
   }
-  kept_ = core::Now();
-  if (now == known_) {
+  cursors_saved_at_ = core::Now();
+  if (cursors == saved_cursors_) {
     return;
   }
-  known_ = std::move(now);
-  options_.keep_cursors(integrity::Encode(known_));
+  saved_cursors_ = std::move(cursors);
+  options_.save_cursors(integrity::Encode(saved_cursors_));
 }
 
-// A second without any live request is calm as well.
-void Scrub::Report() {
+// An interval without live requests counts as one without pressure.
+void Scrub::ReportPressure() {
   background::Report report;
-  if (answers_ > 0) {
-    report.missed = static_cast<double>(missed_) / static_cast<double>(answers_);
+  if (responses_ > 0) {
+    report.missed = static_cast<double>(missed_objectives_) / static_cast<double>(responses_);
   }
-  report.bound = waiting_;
-  answers_ = missed_ = 0;
-  waiting_ = 0;
-  for (auto& [name, box] : boxes_) {
-    box.budget->Take(report, core::Now());
+  report.bound = max_queued_fraction_;
+  responses_ = 0;
+  missed_objectives_ = 0;
+  max_queued_fraction_ = 0;
+  for (auto& [name, target] : targets_) {
+    target.budget->Take(report, core::Now());
   }
-  if (core::Now() - kept_ >= kKeep) {
-    KeepCursors();
+  if (core::Now() - cursors_saved_at_ >= kSaveCursorsInterval) {
+    SaveCursors();
   }
   if (!stopped_) {
-    report_.Start(kReport);
+    report_timer_.Start(kReportInterval);
   }
 }
 
-void Scrub::ObserveResponse(const core::Response& answer) {
-  ++answers_;
-  missed_ += static_cast<unsigned long>(!answer.met_objective);
-  waiting_ = std::max(waiting_, answer.queued_fraction);
+void Scrub::ObserveResponse(const core::Response& response) {
+  ++responses_;
+  if (!response.met_objective) {
+    ++missed_objectives_;
+  }
+  max_queued_fraction_ = std::max(max_queued_fraction_, response.queued_fraction);
 }
 
-void Scrub::OnTargetState(const std::string& name, bool live, Time launched) {
-  const auto at = boxes_.find(name);
-  if (at == boxes_.end()) {
+void Scrub::OnTargetState(const std::string& target, bool active, Time started_at) {
+  const auto found = targets_.find(target);
+  if (found == targets_.end()) {
     return;
   }
-  at->second.live = live;
-  at->second.launched = launched;
+  found->second.active = active;
+  found->second.started_at = started_at;
 }
 
 void Scrub::Recheck(std::size_t number, std::uint64_t block) {
@@ -124,91 +135,102 @@
 void Scrub::Pause(bool paused) {
   paused_ = paused;
   for (const Job& job : jobs_) {
-    background::Budget& budget = *boxes_.at(job.box).budget;
-    paused ? budget.Pause(job.id) : budget.Resume(job.id, core::Now());
+    background::Budget& budget = *targets_.at(job.target).budget;
+    if (paused) {
+      budget.Pause(job.id);
+    } else {
+      budget.Resume(job.id, core::Now());
+    }
   }
 }
 
-void Scrub::Turn(const std::string& name) {
+void Scrub::ScheduleReads(const std::string& target) {
   if (stopped_) {
     return;
   }
-  Box& box = boxes_.at(name);
+  TargetState& state = targets_.at(target);
   const Time now = core::Now();
-  box.budget->Hold(!box.live || !Warm(box, now));
-  while (const auto granted = box.budget->Next(now)) {
+  state.budget->Hold(!state.active || !IsWarmedUp(state, now));
+  while (const auto granted = state.budget->Next(now)) {
     for (std::size_t i = 0; i < jobs_.size(); ++i) {
-      if (jobs_[i].box == name && jobs_[i].id == *granted) {
-        Begin(i);
+      if (jobs_[i].target == target && jobs_[i].id == *granted) {
+        StartRead(i);
       }
     }
   }
-  const auto next = box.budget->NextAt(now);
-  box.turn.Start(next ? std::clamp<Time>(*next - now, kLeastTurn, kLook) : kLook);
+  const auto next = state.budget->NextAt(now);
+  state.schedule_timer.Start(next ? std::clamp<Time>(*next - now, kMinScheduleInterval, kIdleScheduleInterval)
+                                  : kIdleScheduleInterval);
 }
 
-void Scrub::Begin(std::size_t number) {
-  Job& job = jobs_[number];
+void Scrub::StartRead(std::size_t job_index) {
+  Job& job = jobs_[job_index];
   const auto range = job.scrubber.Next();
   if (!range) {
-    return boxes_.at(job.box).budget->Return(job.id);
-  }
+    return targets_.at(job.target).budget->Return(job.id);
+  }
+  core::RequestReceived received = MakeRequest(job, *range);
+  const core::RequestNumber request = received.request;
+  PendingRead& pending = pending_reads_[request];
+  pending.job = job_index;
+  pending.range = *range;
+  pending.deadline = loop::MakeTimer(base_, [this, request] { submit_(core::DeadlineExpired{request}); });
+  pending.deadline.Start(options_.deadline);
+  ++requests_;
+  submit_(std::move(received));
+}
+
+core::RequestReceived Scrub::MakeRequest(const Job& job, const integrity::Scrubber::Range& range) {
   const nbd::Volume& volume = config_.volumes[job.number];
-  core::RequestReceived arrived;
-  arrived.request = serials_->next++;
-  arrived.protocol = core::Protocol::kInternal;
-  arrived.attributes.request_class = options_.request_class;
-  arrived.attributes.plan = options_.plan;
-  arrived.attributes.volume = "scrub/" + volume.volume;
-  arrived.attributes.key = arrived.attributes.volume + "/" + std::to_string(range->first);
-  const auto bytes = static_cast<std::uint32_t>(range->count * integrity::kBlock);
-  arrived.attributes.units = nbd::UnitsOf(config_, bytes);
-  arrived.attributes.shard = volume.shard;
-  arrived.deadline = core::Now() + options_.deadline;
+  const auto bytes = static_cast<std::uint32_t>(range.count * integrity::kBlockBytes);
+  core::RequestReceived received;
+  received.request = request_numbers_->next++;
+  received.protocol = core::Protocol::kInternal;
+  received.attributes.request_class = options_.request_class;
+  received.attributes.plan = options_.plan;
+  received.attributes.volume = "scrub/" + volume.volume;
+  received.attributes.key = received.attributes.volume + "/" + std::to_string(range.first);
+  received.attributes.units = nbd::UnitsOf(config_, bytes);
+  received.attributes.shard = volume.shard;
+  received.deadline = core::Now() + options_.deadline;
   auto payload = std::make_shared<nbd::CommandPayload>();
   payload->request.type = nbd::kRead;
-  payload->request.offset = range->first * integrity::kBlock;
+  payload->request.offset = range.first * integrity::kBlockBytes;
   payload->request.length = bytes;
   payload->remote = volume.remote;
   payload->volume = static_cast<int>(job.number);
-  arrived.payload = std::move(payload);
-  Held& held = held_[arrived.request];
-  held.job = number;
-  held.range = *range;
-  const core::RequestNumber serial = arrived.request;
-  held.deadline = loop::MakeTimer(base_, [this, serial] { post_(core::DeadlineExpired{serial}); });
-  held.deadline.Start(options_.deadline);
-  ++requests_;
-  post_(std::move(arrived));
+  received.payload = std::move(payload);
+  return received;
 }
 
-void Scrub::Respond(const core::Response& answer) {
-  const auto at = held_.find(answer.request);
-  if (at == held_.end()) {
+void Scrub::Respond(const core::Response& response) {
+  const auto found = pending_reads_.find(response.request);
+  if (found == pending_reads_.end()) {
     return;
   }
-  const Held held = std::move(at->second);
-  held_.erase(at);
-  Job& job = jobs_[held.job];
-  const auto* partial = static_cast<const nbd::ReplyPayload*>(answer.payload.get());
-  // Damage that was found is an answer too: it is in the ledger.
-  const bool read =
-      answer.status == core::ResponseStatus::kServed || ((partial != nullptr) && !partial->bad.empty());
-  int done = 0;
-  if (read) {
-    done = job.scrubber.Done(held.range);
+  const PendingRead pending = std::move(found->second);
+  pending_reads_.erase(found);
+  Job& job = jobs_[pending.job];
+  const auto* reply = static_cast<const nbd::ReplyPayload*>(response.payload.get());
+  // A read that has found corruption has succeeded: the corruption log has what it found.
+  const bool has_corrupt_blocks = reply != nullptr && !reply->bad.empty();
+  const bool has_read = response.status == core::ResponseStatus::kServed || has_corrupt_blocks;
+  int completed_chunks = 0;
+  if (has_read) {
+    completed_chunks = job.scrubber.Done(pending.range);
   } else {
-    job.scrubber.Failed(held.range);
+    job.scrubber.Failed(pending.range);
     ++failed_;
   }
-  const std::uint64_t bytes = read ? held.range.count * integrity::kBlock : 0;
-  boxes_.at(job.box).budget->Done(job.id, static_cast<std::uint64_t>(done), bytes, core::Now());
+  const std::uint64_t bytes = has_read ? pending.range.count * integrity::kBlockBytes : 0;
+  targets_.at(job.target)
+      .budget->Done(job.id, static_cast<std::uint64_t>(completed_chunks), bytes, core::Now());
 }
 
 std::vector<Scrub::Status> Scrub::status() const {
   std::vector<Status> all;
   for (const Job& job : jobs_) {
-    const background::Budget& budget = *boxes_.at(job.box).budget;
+    const background::Budget& budget = *targets_.at(job.target).budget;
     const background::Progress& progress = budget.progress(job.id);
     all.push_back({config_.volumes[job.number].front.name, progress.position, progress.total, progress.rounds,
                    budget.Rate(job.id, core::Now()), budget.in_flight(job.id)});
--- a/src/checksummed/scrub.h
+++ b/src/checksummed/scrub.h
@@ -1,12 +1,13 @@
-// The scrub: a front whose client is the program itself. It reads checksummed exports through the same
-// decisions as everybody else, in a class and on a plan of next to no worth, as fast as live work leaves
-// room.
+// The scrub of checksummed exports: reads all of their blocks in the background, as internal requests of a
+// class of their own, so that corruption is found before clients meet it. A budget for each target limits the
+// reads by the load that live requests feel.
 //
-// Runs on the loop's thread. When it may read is background::Budget's to say, one for each box; what, is
-// integrity::Scrubber's.
+// Owned by the initiator; runs on the event loop's thread.
 #ifndef WALNUTSPUR_CHECKSUMMED_SCRUB_H_
 #define WALNUTSPUR_CHECKSUMMED_SCRUB_H_
 
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
@@ -24,90 +25,102 @@
 namespace walnutspur::checksummed {
 
 struct ScrubOptions {
-  bool on = false;
-  int request_class = 0, plan = 0;  // of the module's settings
-  Time deadline = 0;                // that class's deadline
-  Time slow_start_duration = 0;     // a box that has started within it is left alone
-  std::uint64_t chunk = 16;         // blocks that one request reads
+  bool enabled = false;
+  int request_class = 0;         // of the scheduler's settings
+  int plan = 0;                  // of the scheduler's settings
+  Time deadline = 0;             // us; that of the class
+  Time slow_start_duration = 0;  // us after the start of a target within which it is not scrubbed
+  std::uint64_t chunk = 16;      // blocks that one request reads
   background::JobOptions job;
   background::PressureOptions pressure;
-  integrity::Cursors cursors;                     // where an earlier process stood
-  std::function<void(std::string)> keep_cursors;  // takes them encoded, now and then; empty: nothing is kept
+  integrity::Cursors cursors;                     // where an earlier process stopped
+  std::function<void(std::string)> save_cursors;  // takes encoded cursors; empty: they are not saved
 };
 
 class Scrub : public core::FrontEnd {
  public:
+  // `config` and `request_numbers` must outlive this; `submit` takes requests and expired deadlines.
   Scrub(event_base* base, const nbd::Config& config, const ScrubOptions& options,
-        core::RequestNumbers* serials, core::SubmitInput post);
+        core::RequestNumbers* request_numbers, core::SubmitInput submit);
   ~Scrub() override;
+  Scrub(const Scrub&) = delete;
+  Scrub& operator=(const Scrub&) = delete;
 
-  void Respond(const core::Response& answer) override;
-  std::size_t pending_requests() const override { return 0; }  // nobody waits for it
+  void Respond(const core::Response& response) override;
+  std::size_t pending_requests() const override { return 0; }  // no client waits for a scrub
   void SetShutdownDeadline(Time) override { stopped_ = true; }
   void BeginGracefulShutdown(Time) override { stopped_ = true; }
   std::size_t connections() const override { return 0; }
 
-  // Of a live request's answer: what live work feels.
-  void ObserveResponse(const core::Response& answer);
-  // What the list says of a box: `launched` as discovery tells it, 0: long ago.
-  void OnTargetState(const std::string& box, bool live, Time launched);
-  // A block that should be read again soon.
+  // The response to a live request, from which the pressure on live work is measured.
+  void ObserveResponse(const core::Response& response);
+  // The discovery's state of a target; `started_at` 0: long ago.
+  void OnTargetState(const std::string& target, bool active, Time started_at);
+  // A block of an export that should be read again soon.
   void Recheck(std::size_t number, std::uint64_t block);
   void Pause(bool paused);
   bool paused() const { return paused_; }
 
+  // The progress on one export, in chunks.
   struct Status {
     std::string name;
-    std::uint64_t position = 0, total = 0, rounds = 0;  // chunks
-    double rate = 0;                                    // requests a second, at present
+    std::uint64_t position = 0;
+    std::uint64_t total = 0;
+    std::uint64_t rounds = 0;
+    double rate = 0;  // requests a second, at present
     int in_flight = 0;
   };
   std::vector<Status> status() const;
-  std::uint64_t requests() const { return requests_; }
-  std::uint64_t failed() const { return failed_; }
+  std::uint64_t requests() const { return requests_; }  // since the start
+  std::uint64_t failed() const { return failed_; }      // of these
 
  private:
   struct Job {
     std::size_t number = 0;  // of the export
-    std::string box;
+    std::string target;
     background::JobId id = 0;
     integrity::Scrubber scrubber;
   };
-  struct Box {
+  struct TargetState {
     std::unique_ptr<background::Budget> budget;
-    bool live = false;
-    Time launched = 0;
-    loop::EventHandle turn;
+    bool active = false;
+    Time started_at = 0;  // 0: long ago
+    loop::EventHandle schedule_timer;
   };
-  struct Held {
+  struct PendingRead {
     std::size_t job = 0;
     integrity::Scrubber::Range range;
     loop::EventHandle deadline;
   };
 
-  void Turn(const std::string& box);
-  void Begin(std::size_t job);
-  void Report();
-  void KeepCursors();
-  bool Warm(const Box& box, Time now) const {
-    return box.launched == 0 || now >= box.launched + options_.slow_start_duration;
+  void AddJob(std::size_t number, Time now);
+  void ScheduleReads(const std::string& target);
+  void StartRead(std::size_t job);
+  core::RequestReceived MakeRequest(const Job& job, const integrity::Scrubber::Range& range);
+  void ReportPressure();
+  void SaveCursors();
+  bool IsWarmedUp(const TargetState& target, Time now) const {
+    return target.started_at == 0 || now >= target.started_at + options_.slow_start_duration;
   }
 
   event_base* base_;
   const nbd::Config& config_;
   ScrubOptions options_;
-  core::RequestNumbers* serials_;
-  core::SubmitInput post_;
-  bool stopped_ = false, paused_ = false;
-  Time kept_ = 0;  // when the cursors were kept last
-  integrity::Cursors known_;
-  std::map<std::string, Box> boxes_;
+  core::RequestNumbers* request_numbers_;
+  core::SubmitInput submit_;
+  bool stopped_ = false;
+  bool paused_ = false;
+  Time cursors_saved_at_ = 0;
+  integrity::Cursors saved_cursors_;
+  std::map<std::string, TargetState> targets_;
   std::vector<Job> jobs_;
-  std::map<core::RequestNumber, Held> held_;
-  loop::EventHandle report_;
-  std::uint64_t answers_ = 0, missed_ = 0;  // of live requests since the last report
-  double waiting_ = 0;
-  std::uint64_t requests_ = 0, failed_ = 0;
+  std::map<core::RequestNumber, PendingRead> pending_reads_;
+  loop::EventHandle report_timer_;
+  std::uint64_t responses_ = 0;          // to live requests since the last report
+  std::uint64_t missed_objectives_ = 0;  // of these
+  double max_queued_fraction_ = 0;       // of these
+  std::uint64_t requests_ = 0;
+  std::uint64_t failed_ = 0;
 };
 
 }  // namespace walnutspur::checksummed
--- /dev/null
+++ b/src/integrity/checkpointer.h
@@ -0,0 +1,83 @@
+// Checkpoints of one volume: the content of acknowledged journal records is written in place, together with
+// its tags, and the records are freed.
+//
+//   flush  ->  tag blocks read  ->  data and tags in place  ->  flush  ->  superblock with the new tail
+//
+// A checkpoint that fails has changed nothing that matters: the journal still holds all of its content, and
+// the next one writes the same again.
+//
+// Owned by Volume; used on the thread of the volume's owner.
+#ifndef WALNUTSPUR_INTEGRITY_CHECKPOINTER_H_
+#define WALNUTSPUR_INTEGRITY_CHECKPOINTER_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <set>
+#include <utility>
+#include <vector>
+
+#include "integrity/volume_context.h"
+
+namespace walnutspur::integrity {
+
+class Checkpointer {
+ public:
+  // `context` must outlive this. `on_finished` is called whenever a checkpoint has freed records.
+  Checkpointer(VolumeContext* context, std::function<void()> on_finished)
+      : context_(context), on_finished_(std::move(on_finished)) {}
+
+  // Begins a checkpoint of all acknowledged records; nothing happens if there are none or one is under way.
+  // Retries void records that could not be written in either case.
+  void Start();
+  void OnTagsRead(std::uint64_t index, TagReadStatus status);
+  // A flush or a write of the checkpoint has ended.
+  void OnIoCompleted(IoStatus status);
+
+  bool is_running() const { return step_ != Step::kIdle; }
+  // Whether the content of this record is part of the checkpoint that is under way.
+  bool Includes(std::uint64_t sequence) const { return is_running() && sequence <= target_sequence_; }
+  std::uint64_t completed() const { return completed_; }
+  std::size_t tracked_entries() const { return versions_.size() + tag_blocks_.size(); }
+
+ private:
+  enum class Step {
+    kIdle,
+    kFlushingRecords,
+    kLoadingTags,
+    kWritingInPlace,
+    kFlushingInPlace,
+    kWritingSuperblock
+  };
+
+  void Flush(Step step);
+  void CollectContent();
+  void LoadTagBlocks();
+  bool LoadTagBlock(std::uint64_t index);
+  void WriteInPlace();
+  void UpdateTags();
+  void WriteBlocks();
+  void WriteRun(std::uint64_t first_block, std::vector<Slice> run);
+  void WriteTagBlocks();
+  void WriteSuperblock();
+  void Fail();
+  void Finish();
+  void Clear();
+
+  VolumeContext* context_;
+  std::function<void()> on_finished_;
+  Step step_ = Step::kIdle;
+  std::uint64_t target_sequence_ = 0;  // the last record of the checkpoint
+  std::size_t requests_in_flight_ = 0;
+  bool io_failed_ = false;
+  Superblock next_superblock_;
+  std::map<std::uint64_t, BlockVersion> versions_;  // by block, what goes in place
+  std::set<std::uint64_t> unknown_blocks_;          // whose content is lost, which their tags will record
+  std::map<std::uint64_t, TagBlock> tag_blocks_;    // by index; pinned in the cache
+  std::uint64_t completed_ = 0;
+};
+
+}  // namespace walnutspur::integrity
+
+#endif  // WALNUTSPUR_INTEGRITY_CHECKPOINTER_H_
--- /dev/null
+++ b/src/integrity/command_executor.h
@@ -0,0 +1,85 @@
+// Execution of clients' commands on one volume. A read loads tags and data and verifies them before any of it
+// is passed on. A write locks its blocks, loads what it needs to preserve, and is answered when its journal
+// record is acknowledged.
+//
+// Owned by Volume, which submits commands once the export is attached; used on the thread of the volume's
+// owner.
+#ifndef WALNUTSPUR_INTEGRITY_COMMAND_EXECUTOR_H_
+#define WALNUTSPUR_INTEGRITY_COMMAND_EXECUTOR_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <deque>
+#include <map>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "integrity/block_locks.h"
+#include "integrity/checkpointer.h"
+#include "integrity/pending_command.h"
+#include "integrity/volume_context.h"
+#include "integrity/volume_io.h"
+
+namespace walnutspur::integrity {
+
+class CommandExecutor {
+ public:
+  // Both must outlive this.
+  CommandExecutor(VolumeContext* context, Checkpointer* checkpointer)
+      : context_(context), checkpointer_(checkpointer) {}
+
+  void Submit(Command command);
+  // Answers a command that is not going to be executed.
+  void Reject(CommandId command);
+  // The client does not wait for the command any more. Requests in flight for it are not cancelled.
+  void Abandon(CommandId command);
+
+  // Completions of storage requests. `issued_read`: the command itself had issued the read that has ended.
+  void OnTagsRead(CommandId command, std::uint64_t index, TagReadStatus status, bool issued_read);
+  void OnDataRead(const PendingIo& request, IoStatus status, std::string data);
+  void OnRecordWritten(std::uint64_t sequence, IoStatus status);
+  void OnFlushed(CommandId command, IoStatus status);
+  void OnCheckpointFinished();
+
+  std::vector<CommandResult> TakeResults();
+  std::size_t pending() const { return pending_.size(); }
+  std::size_t tracked_entries() const {
+    return pending_.size() + waiting_for_space_.size() + locks_.locked_blocks() + locks_.waiters();
+  }
+
+ private:
+  bool IsValid(const Command& command) const;
+  bool FitsIntoJournal(const PendingCommand& pending) const;
+  void StartChange(PendingCommand& pending);
+  void Lock(PendingCommand& pending);
+
+  void Load(PendingCommand& pending);
+  void LoadTags(PendingCommand& pending);
+  void LoadData(PendingCommand& pending);
+  bool MustReadFromTarget(const PendingCommand& pending, std::uint64_t block);
+  void OnLoaded(PendingCommand& pending);
+  bool AreTagsLoaded(const PendingCommand& pending);
+
+  void FinishRead(PendingCommand& pending, std::vector<CorruptBlock> corrupt);
+  void AppendToJournal(PendingCommand& pending);
+  std::uint32_t NextGenerationOf(std::uint64_t block) const;
+  void AcknowledgeRecords();
+  void OnAcknowledged(CommandId command);
+  void Finish(PendingCommand& pending, CommandResult::Status status, std::string data = "",
+              std::vector<CorruptBlock> corrupt = {});
+  void StartReadyWaiters();
+  PendingCommand* Find(CommandId command);
+
+  VolumeContext* context_;
+  Checkpointer* checkpointer_;
+  std::map<CommandId, std::unique_ptr<PendingCommand>> pending_;
+  BlockLocks locks_;
+  std::deque<CommandId> waiting_for_space_;  // in the journal
+  bool space_needed_ = false;           // a command has begun to wait for space since the last checkpoint
+  std::vector<CommandResult> results_;  // not collected yet
+};
+
+}  // namespace walnutspur::integrity
+
+#endif  // WALNUTSPUR_INTEGRITY_COMMAND_EXECUTOR_H_
--- a/src/integrity/corruption_log.cpp
+++ b/src/integrity/corruption_log.cpp
@@ -1,251 +1,280 @@
-#include "integrity/ledger.h"
+#include "integrity/corruption_log.h"
 
 #include <algorithm>
-#include <cstdio>
+#include <limits>
 #include <optional>
 #include <utility>
 
-#include "filestore/atomic_file.h"
 #include "integrity/crc32c.h"
+#include "integrity/little_endian.h"
 
 namespace walnutspur::integrity {
 namespace {
 
+// The format, little-endian:
+//   header   magic, u16 version, u16 spare, u32 entries, u32 dropped, u32 CRC32C of all other bytes
+//   entry    target and remote (u32 length and bytes each), u64 block, u8 fault, u8 repaired, i64 first seen,
+//            i64 last seen, u32 times, i32 path, u64 owner block
 constexpr std::string_view kMagic = "WSPRLDG1";
-constexpr std::uint16_t kLedgerVersion = 1;
-constexpr std::size_t kHead = 24;  // magic, version, count, sum
-constexpr std::size_t kMostName = 4096;
-constexpr int kFaults = 8;
+constexpr std::uint16_t kFormatVersion = 1;
+constexpr std::size_t kHeaderBytes = 24;
+constexpr std::size_t kChecksumBytes = 4;
+constexpr std::size_t kMaxNameBytes = 4096;
 
 class Writer {
  public:
   template <typename T>
   void Put(T value) {
-    for (std::size_t i = 0; i < sizeof(T); ++i) {
-      out.push_back(static_cast<char>(static_cast<std::uint64_t>(value) >> (8 * i) & 0xff));
-    }
+    bytes.resize(bytes.size() + sizeof(T));
+    StoreLittleEndian(value, bytes.data() + bytes.size() - sizeof(T));
   }
   void Put(const std::string& text) {
     Put(static_cast<std::uint32_t>(text.size()));
-    out += text;
+    bytes += text;
   }
-  std::string out;
+  std::string bytes;
 };
 
+// Reads values one after the other; each Get is false if too few bytes are left.
 class Reader {
  public:
-  explicit Reader(std::string_view in) : in_(in) {}
+  explicit Reader(std::string_view bytes) : bytes_(bytes) {}
   template <typename T>
   bool Get(T* value) {
-    if (in_.size() < sizeof(T)) {
+    if (bytes_.size() < sizeof(T)) {
       return false;
     }
-    std::uint64_t bits = 0;
-    for (std::size_t i = 0; i < sizeof(T); ++i) {
-      bits |= static_cast<std::uint64_t>(static_cast<unsigned char>(in_[i])) << (8 * i);
-    }
-    in_.remove_prefix(sizeof(T));
-    *value = static_cast<T>(bits);
+    *value = LoadLittleEndian<T>(bytes_);
+    bytes_.remove_prefix(sizeof(T));
     return true;
   }
   bool Get(std::string* text) {
     std::uint32_t size = 0;
-    if (!Get(&size) || size > kMostName || in_.size() < size) {
+    if (!Get(&size) || size > kMaxNameBytes || bytes_.size() < size) {
       return false;
     }
-    *text = in_.substr(0, size);
-    in_.remove_prefix(size);
+    *text = bytes_.substr(0, size);
+    bytes_.remove_prefix(size);
     return true;
   }
-  bool done() const { return in_.empty(); }
+  bool done() const { return bytes_.empty(); }
 
  private:
-  std::string_view in_;
+  std::string_view bytes_;
+};
+
+struct Header {
+  std::uint16_t version = kFormatVersion;
+  std::uint16_t spare = 0;
+  std::uint32_t entries = 0;
+  std::uint32_t dropped = 0;
+  std::uint32_t checksum = 0;
 };
 
-bool AtRest(Fault fault) {
-  return fault != Fault::kPath && fault != Fault::kMemory && fault != Fault::kStale;
+struct LocatedEntry {
+  BlockLocation location;
+  CorruptionEntry entry;
+};
+
+void WriteEntry(Writer* out, const BlockLocation& location, const CorruptionEntry& entry) {
+  out->Put(location.target);
+  out->Put(location.remote);
+  out->Put(location.block);
+  out->Put(static_cast<std::uint8_t>(entry.fault));
+  out->Put(static_cast<std::uint8_t>(entry.repaired));
+  out->Put(entry.first_seen);
+  out->Put(entry.last_seen);
+  out->Put(entry.times);
+  out->Put(static_cast<std::int32_t>(entry.path));
+  out->Put(entry.owner_block);
+}
+
+std::optional<LocatedEntry> ReadEntry(Reader* in) {
+  LocatedEntry read;
+  BlockLocation& location = read.location;
+  CorruptionEntry& entry = read.entry;
+  std::uint8_t fault = 0;
+  std::uint8_t repaired = 0;
+  std::int32_t path = 0;
+  const bool complete = in->Get(&location.target) && in->Get(&location.remote) && in->Get(&location.block) &&
+                        in->Get(&fault) && in->Get(&repaired) && in->Get(&entry.first_seen) &&
+                        in->Get(&entry.last_seen) && in->Get(&entry.times) && in->Get(&path) &&
+                        in->Get(&entry.owner_block);
+  if (!complete || fault >= kFaultCount) {
+    return std::nullopt;
+  }
+  entry.fault = static_cast<Fault>(fault);
+  entry.repaired = repaired != 0;
+  entry.path = path;
+  return read;
+}
+
+// `bytes` has a complete header.
+Header ReadHeader(std::string_view bytes) {
+  Header header;
+  Reader in(bytes.substr(kMagic.size(), kHeaderBytes - kMagic.size()));
+  in.Get(&header.version);
+  in.Get(&header.spare);
+  in.Get(&header.entries);
+  in.Get(&header.dropped);
+  in.Get(&header.checksum);
+  return header;
+}
+
+bool IsAtRest(Fault fault) {
+  return fault != Fault::kPath && fault != Fault::kMemory && fault != Fault::kStaleRead;
+}
+
+bool IsDroppedBefore(const CorruptionEntry& a, const CorruptionEntry& b) {
+  if (a.repaired != b.repaired) {
+    return a.repaired;
+  }
+  return a.last_seen < b.last_seen;
 }
 
 }  // namespace
 
-void Ledger::MakeRoom() {
-  if (entries_.size() < most_) {
+void CorruptionLog::MakeRoom() {
+  if (entries_.size() < max_entries_) {
     return;
   }
-  // What is mended goes first, then what was seen the longest ago.
-  const auto least = std::min_element(entries_.begin(), entries_.end(), [](const auto& a, const auto& b) {
-    return std::pair(!a.second.mended, a.second.last) < std::pair(!b.second.mended, b.second.last);
+  const auto dropped = std::min_element(entries_.begin(), entries_.end(), [](const auto& a, const auto& b) {
+    return IsDroppedBefore(a.second, b.second);
   });
-  entries_.erase(least);
+  entries_.erase(dropped);
   ++dropped_;
 }
 
-void Ledger::Note(const Place& place, const Verdict& verdict, std::int64_t now) {
-  if (!entries_.contains(place)) {
+void CorruptionLog::Record(const BlockLocation& location, const FaultAttribution& attribution,
+                           std::int64_t now) {
+  if (!entries_.contains(location)) {
     MakeRoom();
   }
-  Entry& entry = entries_[place];
+  CorruptionEntry& entry = entries_[location];
   if (entry.times == 0) {
-    entry.first = now;
-  }
-  entry.fault = verdict.fault;
-  entry.last = now;
-  entry.path = verdict.path;
-  entry.belongs_to = verdict.belongs_to;
-  // A path or an old answer has passed by; the block itself is whole.
-  entry.mended = !AtRest(verdict.fault);
+    entry.first_seen = now;
+  }
+  entry.fault = attribution.fault;
+  entry.last_seen = now;
+  entry.path = attribution.path;
+  entry.owner_block = attribution.owner_block;
+  // After a transient fault the block itself is intact.
+  entry.repaired = !IsAtRest(attribution.fault);
   ++entry.times;
   changed_ = true;
-  if (verdict.fault == Fault::kAstray) {
-    const auto other = entries_.find({place.box, place.remote, verdict.belongs_to});
-    if (other != entries_.end() && other->second.fault == Fault::kLost && !other->second.mended) {
-      other->second.fault = Fault::kAstray;
-      other->second.belongs_to = verdict.belongs_to;
-    }
-  } else if (verdict.fault == Fault::kLost) {
-    for (const auto& [at, other] : entries_) {
-      if (other.fault != Fault::kAstray || other.mended || other.belongs_to != place.block || at == place) {
-        continue;
-      }
-      if (at.box != place.box || at.remote != place.remote) {
-        continue;
-      }
-      entry.fault = Fault::kAstray;
-      entry.belongs_to = place.block;
-      break;
-    }
+  if (attribution.fault == Fault::kMisdirectedWrite) {
+    LinkMisdirectedWrite(location, attribution);
+  } else if (attribution.fault == Fault::kLostWrite) {
+    LinkLostWrite(location);
   }
 }
 
-void Ledger::Mend(const Place& place, std::int64_t now) {
-  const auto at = entries_.find(place);
-  if (at == entries_.end() || at->second.mended) {
+// The block whose content was found elsewhere has not lost its write: it was misdirected.
+void CorruptionLog::LinkMisdirectedWrite(const BlockLocation& location, const FaultAttribution& attribution) {
+  const auto owner = entries_.find({location.target, location.remote, attribution.owner_block});
+  if (owner == entries_.end()) {
     return;
   }
-  at->second.mended = true;
-  at->second.last = now;
+  CorruptionEntry& entry = owner->second;
+  if (entry.fault == Fault::kLostWrite && !entry.repaired) {
+    entry.fault = Fault::kMisdirectedWrite;
+    entry.owner_block = attribution.owner_block;
+  }
+}
+
+// The write that looks lost may be known to have been misdirected to another block.
+void CorruptionLog::LinkLostWrite(const BlockLocation& location) {
+  const bool was_misdirected = std::any_of(entries_.begin(), entries_.end(), [&](const auto& candidate) {
+    const auto& [other, entry] = candidate;
+    return entry.fault == Fault::kMisdirectedWrite && !entry.repaired &&
+           entry.owner_block == location.block && other != location && other.target == location.target &&
+           other.remote == location.remote;
+  });
+  if (was_misdirected) {
+    CorruptionEntry& entry = entries_.at(location);
+    entry.fault = Fault::kMisdirectedWrite;
+    entry.owner_block = location.block;
+  }
+}
+
+void CorruptionLog::MarkRepaired(const BlockLocation& location, std::int64_t now) {
+  const auto found = entries_.find(location);
+  if (found == entries_.end() || found->second.repaired) {
+    return;
+  }
+  found->second.repaired = true;
+  found->second.last_seen = now;
   changed_ = true;
 }
 
-const Entry* Ledger::Find(const Place& place) const {
-  const auto at = entries_.find(place);
-  return at == entries_.end() ? nullptr : &at->second;
+const CorruptionEntry* CorruptionLog::Find(const BlockLocation& location) const {
+  const auto found = entries_.find(location);
+  return found == entries_.end() ? nullptr : &found->second;
 }
 
-bool Ledger::IsBad(const Place& place) const {
-  const Entry* entry = Find(place);
-  return (entry != nullptr) && !entry->mended;
+bool CorruptionLog::IsDamaged(const BlockLocation& location) const {
+  const CorruptionEntry* entry = Find(location);
+  return entry != nullptr && !entry->repaired;
 }
 
-std::size_t Ledger::bad() const {
-  return static_cast<std::size_t>(
-      std::count_if(entries_.begin(), entries_.end(), [](const auto& e) { return !e.second.mended; }));
+std::size_t CorruptionLog::damaged_count() const {
+  return static_cast<std::size_t>(std::count_if(entries_.begin(), entries_.end(),
+                                                [](const auto& entry) { return !entry.second.repaired; }));
 }
 
-std::string Ledger::Encode() {
+std::string CorruptionLog::Encode() {
   Writer body;
-  for (const auto& [place, entry] : entries_) {
-    body.Put(place.box);
-    body.Put(place.remote);
-    body.Put(place.block);
-    body.Put(static_cast<std::uint8_t>(entry.fault));
-    body.Put(static_cast<std::uint8_t>(entry.mended));
-    body.Put(entry.first);
-    body.Put(entry.last);
-    body.Put(entry.times);
-    body.Put(static_cast<std::int32_t>(entry.path));
-    body.Put(entry.belongs_to);
-  }
-  Writer head;
-  head.out = kMagic;
-  head.Put(kLedgerVersion);
-  head.Put(std::uint16_t{0});
-  head.Put(static_cast<std::uint32_t>(entries_.size()));
-  head.Put(dropped_ > 0xffffffff ? 0xffffffffu : static_cast<std::uint32_t>(dropped_));
-  head.Put(Crc32c(body.out, Crc32c(head.out)));
+  for (const auto& [location, entry] : entries_) {
+    WriteEntry(&body, location, entry);
+  }
+  Writer header;
+  header.bytes = kMagic;
+  header.Put(kFormatVersion);
+  header.Put(Header().spare);
+  header.Put(static_cast<std::uint32_t>(entries_.size()));
+  const std::uint64_t max_dropped = std::numeric_limits<std::uint32_t>::max();
+  header.Put(static_cast<std::uint32_t>(std::min(dropped_, max_dropped)));
+  header.Put(Crc32c(body.bytes, Crc32c(header.bytes)));
   changed_ = false;
-  return head.out + body.out;
+  return header.bytes + body.bytes;
 }
 
-bool Ledger::Decode(std::string_view bytes, std::string* what) {
-  const auto refuse = [&](std::string why) {
+bool CorruptionLog::Decode(std::string_view bytes, std::string* what) {
+  const auto reject = [&](std::string why) {
     *what = std::move(why);
     return false;
   };
-  if (bytes.size() < kHead || bytes.substr(0, kMagic.size()) != kMagic) {
-    return refuse("is no damage ledger");
+  if (bytes.size() < kHeaderBytes || bytes.substr(0, kMagic.size()) != kMagic) {
+    return reject("is no damage ledger");
   }
-  std::uint16_t version = 0;
-  std::uint16_t spare = 0;
-  std::uint32_t count = 0;
-  std::uint32_t dropped = 0;
-  std::uint32_t sum = 0;
-  Reader head(bytes.substr(kMagic.size(), kHead - kMagic.size()));
-  head.Get(&version);
-  head.Get(&spare);
-  head.Get(&count);
-  head.Get(&dropped);
-  head.Get(&sum);
-  if (version > kLedgerVersion) {
-    return refuse("is of version " + std::to_string(version) + "; known are versions up to " +
-                  std::to_string(kLedgerVersion));
-  }
-  if (Crc32c(bytes.substr(kHead), Crc32c(bytes.substr(0, kHead - 4))) != sum) {
-    return refuse("is cut off or damaged: its checksum does not fit");
-  }
-  Reader body(bytes.substr(kHead));
-  std::map<Place, Entry> entries;
-  for (std::uint32_t i = 0; i < count; ++i) {
-    Place place;
-    Entry entry;
-    std::uint8_t fault = 0;
-    std::uint8_t mended = 0;
-    std::int32_t path = 0;
-    if (!body.Get(&place.box) || !body.Get(&place.remote) || !body.Get(&place.block) || !body.Get(&fault) ||
-        !body.Get(&mended) || !body.Get(&entry.first) || !body.Get(&entry.last) || !body.Get(&entry.times) ||
-        !body.Get(&path) || !body.Get(&entry.belongs_to) || fault >= kFaults) {
-      return refuse("holds an entry that cannot be read");
+  const Header header = ReadHeader(bytes);
+  if (header.version > kFormatVersion) {
+    return reject("is of version " + std::to_string(header.version) + "; known are versions up to " +
+                  std::to_string(kFormatVersion));
+  }
+  const std::string_view body = bytes.substr(kHeaderBytes);
+  if (Crc32c(body, Crc32c(bytes.substr(0, kHeaderBytes - kChecksumBytes))) != header.checksum) {
+    return reject("is cut off or damaged: its checksum does not fit");
+  }
+  Reader in(body);
+  std::map<BlockLocation, CorruptionEntry> entries;
+  for (std::uint32_t i = 0; i < header.entries; ++i) {
+    const auto read = ReadEntry(&in);
+    if (!read) {
+      return reject("holds an entry that cannot be read");
     }
-    entry.fault = static_cast<Fault>(fault);
-    entry.mended = mended != 0;
-    entry.path = path;
-    entries[place] = entry;
+    entries[read->location] = read->entry;
   }
-  if (!body.done()) {
-    return refuse("holds more than it says");
+  if (!in.done()) {
+    return reject("holds more than it says");
   }
   entries_ = std::move(entries);
-  dropped_ = dropped;
-  while (entries_.size() > most_) {
+  dropped_ = header.dropped;
+  while (entries_.size() > max_entries_) {
     MakeRoom();
   }
   changed_ = false;
   return true;
 }
 
-// ---- the file ----
-
-LedgerFile::Found LedgerFile::Load(Ledger* ledger, std::string* what) {
-  const std::optional<std::string> bytes = filestore::ReadWholeFile(path());
-  if (!bytes) {
-    return Found::kNone;
-  }
-  std::string why;
-  if (ledger->Decode(*bytes, &why)) {
-    return Found::kRead;
-  }
-  *what = path() + " " + why;
-  refused_ = true;
-  return Found::kRefused;
-}
-
-bool LedgerFile::Write(const std::string& bytes, std::string* what) {
-  if (refused_) {
-    std::rename(path().c_str(), (path() + ".refused").c_str());
-    refused_ = false;
-  }
-  return filestore::WriteFileAtomically(folder_, kName, bytes, what);
-}
-
 }  // namespace walnutspur::integrity
--- /dev/null
+++ b/src/integrity/corruption_log_file.cpp
@@ -0,0 +1,32 @@
+#include "integrity/corruption_log_file.h"
+
+#include <cstdio>
+#include <optional>
+
+#include "filestore/atomic_file.h"
+
+namespace walnutspur::integrity {
+
+CorruptionLogFile::LoadResult CorruptionLogFile::Load(CorruptionLog* log, std::string* what) {
+  const std::optional<std::string> bytes = filestore::ReadWholeFile(path());
+  if (!bytes) {
+    return LoadResult::kMissing;
+  }
+  std::string why;
+  if (log->Decode(*bytes, &why)) {
+    return LoadResult::kLoaded;
+  }
+  *what = path() + " " + why;
+  rejected_ = true;
+  return LoadResult::kRejected;
+}
+
+bool CorruptionLogFile::Write(const std::string& bytes, std::string* what) {
+  if (rejected_) {
+    std::rename(path().c_str(), (path() + ".refused").c_str());
+    rejected_ = false;
+  }
+  return filestore::WriteFileAtomically(folder_, kCorruptionLogName, bytes, what);
+}
+
+}  // namespace walnutspur::integrity
--- a/src/integrity/crc32c.h
+++ b/src/integrity/crc32c.h
@@ -1,4 +1,4 @@
-// CRC32C (Castagnoli; RFC 3720, appendix B.4), by ISA-L.
+// CRC32C (Castagnoli; RFC 3720, appendix B.4), by ISA-L. No state; safe on any thread.
 #ifndef WALNUTSPUR_INTEGRITY_CRC32C_H_
 #define WALNUTSPUR_INTEGRITY_CRC32C_H_
 
@@ -9,7 +9,7 @@
 
 namespace walnutspur::integrity {
 
-// The sum of what `so_far` is the sum of, followed by `bytes`.
+// The checksum of the bytes that `so_far` is the checksum of, followed by `bytes`.
 inline std::uint32_t Crc32c(std::string_view bytes, std::uint32_t so_far = 0) {
   // ISA-L takes a mutable pointer and an int; it does not write, and nothing here is near 2 GiB.
   auto* data = reinterpret_cast<unsigned char*>(const_cast<char*>(bytes.data()));
--- a/src/integrity/cursor.cpp
+++ b/src/integrity/cursor.cpp
@@ -8,26 +8,27 @@
 namespace {
 
 constexpr int kCursorVersion = 1;
-constexpr std::string_view kSumWord = "sum ";
+constexpr std::string_view kFormatWord = "walnutspur-scrub";
+constexpr std::string_view kChecksumWord = "sum ";
 
 }  // namespace
 
-// A line for each export, its name last, since it may hold anything but the end of a line.
+// One line for each export, with its name last, which may contain anything but a line break.
 std::string Encode(const Cursors& cursors) {
   std::ostringstream out;
-  out << "walnutspur-scrub " << kCursorVersion << '\n';
-  for (const auto& [name, at] : cursors) {
+  out << kFormatWord << ' ' << kCursorVersion << '\n';
+  for (const auto& [name, cursor] : cursors) {
     if (name.find('\n') != std::string::npos) {
       continue;
     }
-    out << at.block << ' ' << at.rounds << ' ' << at.since << ' ' << name << '\n';
+    out << cursor.block << ' ' << cursor.rounds << ' ' << cursor.since << ' ' << name << '\n';
   }
   std::string text = out.str();
-  return text + std::string(kSumWord) + std::to_string(Crc32c(text)) + '\n';
+  return text + std::string(kChecksumWord) + std::to_string(Crc32c(text)) + '\n';
 }
 
 std::optional<Cursors> DecodeCursors(std::string_view bytes, std::string* what) {
-  const auto refuse = [&](const char* why) {
+  const auto reject = [&](const char* why) {
     *what = why;
     return std::nullopt;
   };
@@ -35,28 +36,28 @@
   std::string word;
   std::string line;
   int version = 0;
-  if (!(in >> word >> version) || word != "walnutspur-scrub") {
-    return refuse("is no scrub cursor");
+  if (!(in >> word >> version) || word != kFormatWord) {
+    return reject("is no scrub cursor");
   }
   if (version > kCursorVersion) {
-    return refuse("is of a newer version");
+    return reject("is of a newer version");
   }
-  const std::size_t end = bytes.rfind(kSumWord);
+  const std::size_t end = bytes.rfind(kChecksumWord);
   if (end == std::string_view::npos || end == 0 || bytes[end - 1] != '\n' ||
-      bytes.substr(end) != std::string(kSumWord) + std::to_string(Crc32c(bytes.substr(0, end))) + '\n') {
-    return refuse("is cut off or damaged: its checksum does not fit");
+      bytes.substr(end) != std::string(kChecksumWord) + std::to_string(Crc32c(bytes.substr(0, end))) + '\n') {
+    return reject("is cut off or damaged: its checksum does not fit");
   }
   Cursors cursors;
   std::istringstream lines(std::string(bytes.substr(0, end)));
   std::getline(lines, line);
   while (std::getline(lines, line)) {
     std::istringstream fields(line);
-    Cursor at;
-    if (!(fields >> at.block >> at.rounds >> at.since) || fields.get() != ' ') {
-      return refuse("holds a line that cannot be read");
+    Cursor cursor;
+    if (!(fields >> cursor.block >> cursor.rounds >> cursor.since) || fields.get() != ' ') {
+      return reject("holds a line that cannot be read");
     }
     std::getline(fields, word);
-    cursors[word] = at;
+    cursors[word] = cursor;
   }
   return cursors;
 }
--- a/src/integrity/fault_attribution.cpp
+++ b/src/integrity/fault_attribution.cpp
@@ -1,222 +1,155 @@
-#include "integrity/blame.h"
+#include "integrity/fault_attribution.h"
 
 #include <algorithm>
-#include <cmath>
 
 namespace walnutspur::integrity {
 namespace {
 
-constexpr std::size_t kMostReadings = 8;  // of one case; with so many it is decided by the majority
-constexpr int kSame = 2;                  // equal bad readings that show damage at rest
+using Readings = std::vector<Reading>;  // of one block, oldest first, never empty
 
-}  // namespace
+constexpr int kMaxReadings = 8;         // with so many the majority decides
+constexpr int kMinEqualReadings = 2;    // equal mismatches that show corruption at rest
+constexpr int kMinVaryingReadings = 3;  // different mismatches that show faulty memory
 
-const char* NameOf(PathState state) {
-  static constexpr const char* kNames[] = {"healthy", "suspect", "quarantined", "probation"};
-  return kNames[static_cast<int>(state)];
-}
+int CountOf(const Readings& readings) { return static_cast<int>(readings.size()); }
 
-const char* NameOf(Fault fault) {
-  static constexpr const char* kNames[] = {"path",   "memory", "rest", "lost",
-                                           "astray", "stale",  "tags", "record"};
-  return kNames[static_cast<int>(fault)];
+std::set<int> PathsOfReadings(const Readings& readings) {
+  std::set<int> paths;
+  for (const Reading& reading : readings) {
+    paths.insert(reading.path);
+  }
+  return paths;
 }
 
-// ---- paths ----
-
-Paths::Paths(int count, const PathOptions& options)
-    : options_(options), paths_(static_cast<std::size_t>(std::max(1, count))) {
-  for (Path& path : paths_) {
-    path.rest = options_.rest;
-  }
+FaultAttribution Attribute(Fault fault, const Readings& readings) {
+  FaultAttribution attribution;
+  attribution.fault = fault;
+  attribution.readings = CountOf(readings);
+  return attribution;
 }
 
-void Paths::Age(Path& path, Time now) {
-  if (now > path.at) {
-    const double kept =
-        std::exp2(-static_cast<double>(now - path.at) / static_cast<double>(options_.half_life));
-    path.good *= kept;
-    path.bad *= kept;
-    path.at = now;
-  }
-  if (path.state == PathState::kQuarantined && now >= path.until) {
-    path.state = PathState::kProbation;
-    path.goods = 0;
+// The last reading matches, so the block is intact and the mismatches before it were not at rest.
+FaultAttribution AttributeTransientFault(const Readings& readings, int paths) {
+  const bool was_stale = std::all_of(readings.begin(), readings.end() - 1, [](const Reading& reading) {
+    return reading.mismatch == MismatchKind::kPreviousContent;
+  });
+  if (was_stale) {
+    FaultAttribution attribution = Attribute(Fault::kStaleRead, readings);
+    attribution.path = readings.front().path;
+    return attribution;
+  }
+  std::set<int> faulty_paths;
+  for (const Reading& reading : readings) {
+    if (!reading.good) {
+      faulty_paths.insert(reading.path);
+    }
   }
-  if (path.state == PathState::kSuspect && path.bad < options_.healthy_below) {
-    path.state = PathState::kHealthy;
+  // Mismatches on several paths, or on the only one, cannot be attributed to a path.
+  if (faulty_paths.size() != 1 || paths <= 1) {
+    return Attribute(Fault::kMemory, readings);
   }
+  FaultAttribution attribution = Attribute(Fault::kPath, readings);
+  attribution.path = *faulty_paths.begin();
+  return attribution;
 }
 
-PathState Paths::StateOf(int path, Time now) {
-  Path& p = paths_[static_cast<std::size_t>(path)];
-  Age(p, now);
-  return p.state;
+Fault FaultAtRest(MismatchKind mismatch) {
+  switch (mismatch) {
+    case MismatchKind::kPreviousContent:
+      return Fault::kLostWrite;
+    case MismatchKind::kOtherBlock:
+      return Fault::kMisdirectedWrite;
+    case MismatchKind::kTagsUnreadable:
+      return Fault::kTags;
+    case MismatchKind::kUnrecognized:
+    case MismatchKind::kRecordDamaged:
+      break;
+  }
+  return Fault::kAtRest;
 }
 
-int Paths::Choose(Time now, const std::set<int>& avoid) {
-  ++turn_;
-  const auto count = paths_.size();
-  int best = 0;
-  int best_rank = 1000;
-  for (std::size_t i = 0; i < count; ++i) {
-    const int number = static_cast<int>((turn_ + i) % count);
-    Path& path = paths_[static_cast<std::size_t>(number)];
-    Age(path, now);
-    int rank = 0;
-    switch (path.state) {
-      case PathState::kHealthy:
-        rank = 1;
-        break;
-      case PathState::kProbation:
-        // Its share comes before the healthy ones': without requests no probation would end.
-        rank = turn_ % static_cast<std::uint64_t>(options_.probation_every) == 0 ? 0 : 3;
-        break;
-      case PathState::kSuspect:
-        rank = 2;
-        break;
-      case PathState::kQuarantined:
-        rank = 4;
-        break;
-    }
-    if (avoid.contains(number)) {
-      rank += 10;
-    }
-    if (rank < best_rank) {
-      best_rank = rank;
-      best = number;
-    }
-  }
-  return best;
+// The last reading does not match.
+std::optional<FaultAttribution> AttributePersistentFault(const Readings& readings, int paths) {
+  const Reading& last = readings.back();
+  const int count = CountOf(readings);
+  const auto equal = std::count_if(readings.begin(), readings.end(), [&](const Reading& reading) {
+    return reading.data_sum == last.data_sum && reading.mismatch == last.mismatch;
+  });
+  const bool on_every_path = static_cast<int>(PathsOfReadings(readings).size()) >= paths;
+  if (equal >= kMinEqualReadings && equal == count && on_every_path) {
+    FaultAttribution attribution = Attribute(FaultAtRest(last.mismatch), readings);
+    attribution.owner_block = last.owner_block;
+    return attribution;
+  }
+  if (count >= kMaxReadings) {
+    return Attribute(2 * equal > count ? Fault::kAtRest : Fault::kMemory, readings);
+  }
+  // Content at rest would not differ on each reading.
+  const bool varies = equal == 1 && count >= std::max(kMinVaryingReadings, paths + 1);
+  if (varies && on_every_path) {
+    return Attribute(Fault::kMemory, readings);
+  }
+  return std::nullopt;
 }
 
-void Paths::Good(int path, Time now) {
-  Path& p = paths_[static_cast<std::size_t>(path)];
-  Age(p, now);
-  p.good += 1;
-  if (p.state != PathState::kProbation || ++p.goods < options_.probation_goods) {
-    return;
+// The fault that the readings show; nothing if they are not sufficient yet.
+std::optional<FaultAttribution> AttributeFault(const Readings& readings, int paths) {
+  if (readings.back().good) {
+    return AttributeTransientFault(readings, paths);
   }
-  p.state = PathState::kHealthy;
-  p.bad = 0;
-  p.rest = options_.rest;  // served its time: the next quarantine is short again
-}
-
-void Paths::Bad(int path, Time now) {
-  Path& p = paths_[static_cast<std::size_t>(path)];
-  Age(p, now);
-  p.bad += 1;
-  const bool again = p.state == PathState::kProbation;
-  const bool enough =
-      p.bad >= options_.quarantine_at && p.bad >= options_.quarantine_share * (p.good + p.bad);
-  if (p.state != PathState::kQuarantined && (again || enough)) {
-    p.state = PathState::kQuarantined;
-    p.until = now + p.rest;
-    p.rest = std::min(p.rest * 2, options_.most_rest);
-  } else if (p.state == PathState::kHealthy && p.bad >= options_.suspect_at) {
-    p.state = PathState::kSuspect;
+  // The volume has confirmed damaged records by itself.
+  if (readings.back().mismatch == MismatchKind::kRecordDamaged) {
+    return Attribute(Fault::kRecord, readings);
   }
+  return AttributePersistentFault(readings, paths);
 }
 
-// ---- cases ----
+}  // namespace
+
+const char* NameOf(Fault fault) {
+  static constexpr const char* kNames[kFaultCount] = {"path",   "memory", "rest", "lost",
+                                                      "astray", "stale",  "tags", "record"};
+  return kNames[static_cast<int>(fault)];
+}
 
-std::optional<Verdict> Cases::Note(const Place& place, int paths, const Reading& reading, Time now) {
-  auto at = open_.find(place);
-  if (at == open_.end()) {
+std::optional<FaultAttribution> CorruptionInvestigations::AddReading(const BlockLocation& location, int paths,
+                                                                     const Reading& reading, Time now) {
+  auto found = open_.find(location);
+  if (found == open_.end()) {
     if (reading.good) {
       return std::nullopt;
     }
-    if (open_.size() >= most_) {
-      const auto oldest = std::min_element(open_.begin(), open_.end(), [](const auto& a, const auto& b) {
-        return a.second.since < b.second.since;
-      });
-      open_.erase(oldest);
+    if (open_.size() >= max_open_) {
+      CloseOldest();
     }
-    at = open_.emplace(place, Case{{}, now}).first;
+    found = open_.emplace(location, Investigation{{}, now}).first;
   }
-  at->second.readings.push_back(reading);
-  const auto verdict = Judge(at->second.readings, paths);
-  if (verdict) {
-    open_.erase(at);
+  found->second.readings.push_back(reading);
+  const auto attribution = AttributeFault(found->second.readings, paths);
+  if (attribution) {
+    open_.erase(found);
   }
-  return verdict;
+  return attribution;
 }
 
-std::set<int> Cases::PathsOf(const Place& place) const {
-  std::set<int> paths;
-  const auto at = open_.find(place);
-  if (at == open_.end()) {
-    return paths;
-  }
-  for (const Reading& r : at->second.readings) {
-    paths.insert(r.path);
-  }
-  return paths;
+void CorruptionInvestigations::CloseOldest() {
+  const auto oldest = std::min_element(open_.begin(), open_.end(), [](const auto& a, const auto& b) {
+    return a.second.opened < b.second.opened;
+  });
+  open_.erase(oldest);
 }
 
-std::vector<Place> Cases::places() const {
-  std::vector<Place> all;
-  for (const auto& [place, open] : open_) {
-    all.push_back(place);
-  }
-  return all;
+std::set<int> CorruptionInvestigations::PathsOf(const BlockLocation& location) const {
+  const auto found = open_.find(location);
+  return found == open_.end() ? std::set<int>() : PathsOfReadings(found->second.readings);
 }
 
-std::optional<Verdict> Cases::Judge(const std::vector<Reading>& readings, int paths) {
-  const Reading& last = readings.back();
-  Verdict verdict;
-  verdict.readings = static_cast<int>(readings.size());
-  if (last.good) {  // so the block itself is whole, and what was bad before was not what stands there
-    const Reading& first = readings.front();
-    const bool old = std::all_of(readings.begin(), readings.end() - 1,
-                                 [](const Reading& r) { return r.looks == Looks::kOld; });
-    if (old) {
-      verdict.fault = Fault::kStale;
-      verdict.path = first.path;
-      return verdict;
-    }
-    std::set<int> bad;
-    for (const Reading& r : readings) {
-      if (!r.good) {
-        bad.insert(r.path);
-      }
-    }
-    // Bad on all paths there are, or on the only one: not one path's doing.
-    const bool one = bad.size() == 1 && paths > 1;
-    verdict.fault = one ? Fault::kPath : Fault::kMemory;
-    verdict.path = one ? *bad.begin() : -1;
-    return verdict;
-  }
-  // Tags and records are said to be bad by who has read them more than once.
-  if (last.looks == Looks::kRecordBad) {
-    verdict.fault = Fault::kRecord;
-    return verdict;
-  }
-  std::set<int> seen;
-  int equal = 0;
-  for (const Reading& r : readings) {
-    seen.insert(r.path);
-    equal += static_cast<int>(r.found == last.found && r.looks == last.looks);
+std::vector<BlockLocation> CorruptionInvestigations::locations() const {
+  std::vector<BlockLocation> all;
+  for (const auto& [location, investigation] : open_) {
+    all.push_back(location);
   }
-  const bool everywhere = static_cast<int>(seen.size()) >= paths;
-  if (equal >= kSame && everywhere && equal == static_cast<int>(readings.size())) {
-    verdict.fault = last.looks == Looks::kOld         ? Fault::kLost
-                    : last.looks == Looks::kElsewhere ? Fault::kAstray
-                    : last.looks == Looks::kTagsBad   ? Fault::kTags
-                                                      : Fault::kRest;
-    verdict.belongs_to = last.belongs_to;
-    return verdict;
-  }
-  if (readings.size() < kMostReadings) {
-    // Different each time, on every path, often enough: nothing at rest looks so.
-    if (static_cast<int>(readings.size()) >= std::max(3, paths + 1) && everywhere && equal == 1) {
-      verdict.fault = Fault::kMemory;
-      return verdict;
-    }
-    return std::nullopt;
-  }
-  verdict.fault = 2 * equal > static_cast<int>(readings.size()) ? Fault::kRest : Fault::kMemory;
-  return verdict;
+  return all;
 }
 
 }  // namespace walnutspur::integrity
--- /dev/null
+++ b/src/integrity/io_queue.h
@@ -0,0 +1,52 @@
+// Storage requests of one volume: those that its owner has not collected yet and those in flight.
+//
+// Owned by VolumeState; used on the thread of the volume's owner.
+#ifndef WALNUTSPUR_INTEGRITY_IO_QUEUE_H_
+#define WALNUTSPUR_INTEGRITY_IO_QUEUE_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+#include <unordered_map>
+#include <vector>
+
+#include "integrity/volume_io.h"
+
+namespace walnutspur::integrity {
+
+// What the volume remembers of a request in flight; the data is the owner's.
+struct PendingIo {
+  IoKind kind = IoKind::kRead;
+  IoPurpose purpose = IoPurpose::kData;
+  CommandId command = kVolumeCommand;
+  std::uint64_t offset = 0;  // bytes
+  std::uint32_t length = 0;  // bytes
+  // Of a journal write: the sequence number of its record. Of a flush: the last record that was acknowledged
+  // when the flush was issued, all up to which it makes durable.
+  std::uint64_t record_sequence = 0;
+};
+
+class IoQueue {
+ public:
+  // Assigns the request's id and hands it to the owner with the next TakeRequests.
+  void Issue(IoRequest request, std::uint64_t record_sequence = 0);
+  void IssueRead(IoPurpose purpose, CommandId command, std::uint64_t offset, std::uint32_t length);
+  void IssueFlush(CommandId command, std::uint64_t acknowledged_sequence);
+
+  // Removes a request that has ended; nothing if it is unknown.
+  std::optional<PendingIo> Complete(IoId id);
+  // Forgets all requests in flight: their completions will be ignored.
+  void ForgetPending() { pending_.clear(); }
+
+  std::vector<IoRequest> TakeRequests();
+  std::size_t in_flight() const { return pending_.size(); }
+
+ private:
+  IoId next_id_ = 1;
+  std::vector<IoRequest> requests_;  // not collected yet
+  std::unordered_map<IoId, PendingIo> pending_;
+};
+
+}  // namespace walnutspur::integrity
+
+#endif  // WALNUTSPUR_INTEGRITY_IO_QUEUE_H_
--- /dev/null
+++ b/src/integrity/journal.h
@@ -0,0 +1,94 @@
+// The journal of one volume: a ring in which every write is recorded before it is acknowledged. Appends
+// records, tracks which of them are written, acknowledged and durable, and frees them after a checkpoint.
+//
+// Records are acknowledged in order only, since a replay ends at the first one that is missing. A record
+// whose write failed may or may not be in the ring, so a void record replaces it before later ones are
+// acknowledged.
+//
+// Owned by VolumeState; used on the thread of the volume's owner.
+#ifndef WALNUTSPUR_INTEGRITY_JOURNAL_H_
+#define WALNUTSPUR_INTEGRITY_JOURNAL_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <deque>
+#include <optional>
+#include <vector>
+
+#include "integrity/io_queue.h"
+#include "integrity/journal_record.h"
+#include "integrity/journal_replay.h"
+#include "integrity/layout.h"
+
+namespace walnutspur::integrity {
+
+// What a record contains.
+struct RecordContent {
+  CommandId command = kVolumeCommand;
+  std::uint64_t first_block = 0;
+  bool has_data = true;                // false: the blocks become holes
+  std::vector<BlockVersion> versions;  // of adjoining blocks from the first on; Append sets their sequence
+};
+
+class Journal {
+ public:
+  // `durable_records`: each record is written durably by itself, for targets whose flush covers one
+  // connection only.
+  Journal(const Superblock* superblock, IoQueue* io_queue, bool durable_records)
+      : superblock_(superblock), io_queue_(io_queue), durable_records_(durable_records) {}
+
+  // Continues after what the replay found.
+  void Resume(const ReplayedJournal& replayed);
+
+  bool HasSpaceFor(std::uint32_t size) const;
+  // Writes a record, which there must be space for, and a filler before it where the ring's end is too small.
+  void Append(RecordContent content);
+
+  // Takes the end of a record's write. The command of a record that failed just now, which is not going to be
+  // acknowledged any more.
+  std::optional<CommandId> OnWritten(std::uint64_t sequence, IoStatus status);
+  // Acknowledges the next record if its write has ended; null if there is none. Valid until the next Append
+  // or Release.
+  JournalRecord* AcknowledgeNext();
+  // Writes void records again that have failed as well.
+  void RetryVoidRecords();
+
+  // A flush that was issued when this record was the last acknowledged one has completed.
+  void OnFlushed(std::uint64_t sequence);
+  // Frees the records up to this one: their content is in place.
+  void Release(std::uint64_t sequence);
+  // Where the record with this number is, or where it will go if it is not written yet.
+  std::uint64_t OffsetOf(std::uint64_t sequence) const;
+
+  bool empty() const { return records_.empty(); }
+  std::size_t size() const { return records_.size(); }
+  std::uint64_t used_bytes() const { return used_bytes_; }
+  std::uint64_t acknowledged_sequence() const { return acknowledged_sequence_; }
+  bool has_acknowledged_records() const {
+    return !records_.empty() && acknowledged_sequence_ >= records_.front().sequence;
+  }
+
+ private:
+  JournalRecord& AddRecord(std::uint32_t size);
+  void AppendFiller();
+  RecordHeader HeaderOf(const JournalRecord& record) const;
+  void WriteRecord(JournalRecord& record, const RecordHeader& header, std::vector<Slice> data);
+  const JournalRecord* Find(std::uint64_t sequence) const;
+  JournalRecord* Find(std::uint64_t sequence);
+
+  const Superblock* superblock_;
+  IoQueue* io_queue_;
+  bool durable_records_;
+  std::deque<JournalRecord> records_;  // not in place yet, by sequence number without gaps
+  std::uint64_t head_offset_ = 0;      // where the next record goes, bytes from the start of the journal
+  std::uint64_t used_bytes_ = 0;
+  std::uint64_t next_sequence_ = 1;
+  std::uint64_t acknowledged_sequence_ = 0;  // all records up to this one are acknowledged
+  std::uint64_t durable_sequence_ = 0;       // and all up to this one durable
+  std::uint64_t last_first_block_ = 0;       // of the record appended last
+  std::uint16_t last_block_count_ = 0;
+};
+
+}  // namespace walnutspur::integrity
+
+#endif  // WALNUTSPUR_INTEGRITY_JOURNAL_H_
--- /dev/null
+++ b/src/integrity/journal_replay.cpp
@@ -0,0 +1,125 @@
+#include "integrity/journal_replay.h"
+
+#include <utility>
+
+namespace walnutspur::integrity {
+
+ReplayedJournal JournalReplay::Run() {
+  offset_ = superblock_.tail_offset;
+  sequence_ = superblock_.tail_sequence;
+  epoch_ = superblock_.tail_epoch;
+  while (ReplayNext()) {
+    offset_ = (offset_ + replayed_.records.back().size) % journal_.size();
+    ++sequence_;
+  }
+  replayed_.head_offset = offset_;
+  replayed_.next_sequence = sequence_;
+  return std::move(replayed_);
+}
+
+// Adds the record that is due. False at the end of the journal, or if it cannot be replayed any further.
+bool JournalReplay::ReplayNext() {
+  const std::optional<RecordHeader> header = NextHeader();
+  if (header && RecordDataMatches(*header, journal_.substr(offset_), superblock_.export_id)) {
+    epoch_ = header->epoch;
+    AddRecord(*header, true);
+    return true;
+  }
+  const std::optional<FoundRecord> successor = FindProofOfDurability();
+  if (!successor) {
+    return false;
+  }
+  SkipDamaged(header, *successor);
+  return replayed_.error.empty();
+}
+
+// The header of the record that is due; nothing if it is damaged or there is none. A record of an earlier
+// epoch than its predecessor's was discarded by an earlier replay.
+std::optional<RecordHeader> JournalReplay::NextHeader() const {
+  auto header = DecodeRecordHeader(journal_.substr(offset_), superblock_.export_id);
+  if (!header) {
+    return std::nullopt;
+  }
+  const bool is_due = header->sequence == sequence_ && header->epoch >= epoch_;
+  const bool fits = offset_ + header->size <= journal_.size() &&
+                    header->first_block + header->blocks.size() <= superblock_.geometry.blocks &&
+                    replayed_.used_bytes + header->size < journal_.size();
+  if (!is_due || !fits) {
+    return std::nullopt;
+  }
+  return header;
+}
+
+// Replaces a record that was durable and is damaged by a void one, and marks the blocks that it changed. If
+// its header is lost, its successor's names the blocks.
+void JournalReplay::SkipDamaged(const std::optional<RecordHeader>& header, const FoundRecord& successor) {
+  if (header) {
+    MarkDamaged(header->first_block, header->blocks.size());
+    AddRecord(*header, false);
+    return;
+  }
+  const bool is_next = successor.header.sequence == sequence_ + 1 && successor.offset != offset_;
+  if (!is_next) {
+    replayed_.error = "the journal is damaged from record " + std::to_string(sequence_) +
+                      " on, and which blocks that concerns cannot be told: format or restore the export";
+    return;
+  }
+  const std::uint64_t end = successor.offset > offset_ ? successor.offset : journal_.size();
+  RecordHeader damaged;
+  damaged.sequence = sequence_;
+  damaged.size = static_cast<std::uint32_t>(end - offset_);
+  MarkDamaged(successor.header.previous_first_block, successor.header.previous_block_count);
+  AddRecord(damaged, false);
+}
+
+// The earliest later record that was written after the one that is due had become durable: proof that the
+// latter is damaged and not merely cut off by a crash.
+std::optional<JournalReplay::FoundRecord> JournalReplay::FindProofOfDurability() const {
+  std::optional<FoundRecord> earliest;
+  for (std::uint64_t at = 0; at + kSectorBytes <= journal_.size(); at += kSectorBytes) {
+    const auto header = DecodeRecordHeader(journal_.substr(at), superblock_.export_id);
+    if (!header || header->sequence <= sequence_ || header->epoch < epoch_ ||
+        header->durable_sequence < sequence_) {
+      continue;
+    }
+    if (!earliest || header->sequence < earliest->header.sequence) {
+      earliest = FoundRecord{at, *header};
+    }
+  }
+  return earliest;
+}
+
+void JournalReplay::MarkDamaged(std::uint64_t first_block, std::uint64_t count) {
+  const std::uint64_t end = first_block + count;
+  for (std::uint64_t block = first_block; block < end && block < superblock_.geometry.blocks; ++block) {
+    replayed_.overlay.Erase(block);
+    replayed_.damaged_blocks.insert(block);
+  }
+}
+
+void JournalReplay::AddRecord(const RecordHeader& header, bool is_valid) {
+  JournalRecord record;
+  record.sequence = header.sequence;
+  record.offset = offset_;
+  record.first_block = header.first_block;
+  record.size = header.size;
+  record.state = is_valid ? JournalRecord::State::kWritten : JournalRecord::State::kVoid;
+  record.write_in_flight = false;
+  const std::string_view bytes = journal_.substr(offset_, header.size);
+  for (std::size_t i = 0; is_valid && i < header.blocks.size(); ++i) {
+    BlockVersion version;
+    version.sequence = header.sequence;
+    version.tag = {header.blocks[i].generation, header.blocks[i].sum, 0};
+    if (header.has_data) {
+      version.data = Own(std::string(RecordBlockData(header, bytes, i)));
+    }
+    replayed_.overlay.Add(header.first_block + i, std::move(version));
+    replayed_.damaged_blocks.erase(header.first_block + i);
+  }
+  replayed_.last_first_block = header.first_block;
+  replayed_.last_block_count = static_cast<std::uint16_t>(header.blocks.size());
+  replayed_.used_bytes += header.size;
+  replayed_.records.push_back(std::move(record));
+}
+
+}  // namespace walnutspur::integrity
--- a/src/integrity/layout.cpp
+++ b/src/integrity/layout.cpp
@@ -2,303 +2,381 @@
 
 #include <algorithm>
 #include <array>
-#include <cstring>
+#include <utility>
 
 #include "integrity/crc32c.h"
+#include "integrity/little_endian.h"
 
 namespace walnutspur::integrity {
 namespace {
 
-constexpr std::string_view kSuperMagic = "WSPRSUP1", kTagMagic = "WSPRTAG1", kRecordMagic = "WSPRREC1";
-constexpr std::size_t kRecordFixed = 72, kRecordEach = 8;
+constexpr std::string_view kSuperblockMagic = "WSPRSUP1";
+constexpr std::string_view kTagMagic = "WSPRTAG1";
+constexpr std::string_view kRecordMagic = "WSPRREC1";
+constexpr std::size_t kChecksumBytes = 4;
 
-template <typename Bytes, typename T>
-void Put(Bytes* out, std::size_t at, T value) {
-  for (std::size_t i = 0; i < sizeof(T); ++i) {
-    (*out)[at + i] = static_cast<char>(value >> (8 * i) & 0xff);
-  }
+// Offsets of the fields, in bytes. Each structure begins with its magic.
+namespace superblock_field {
+constexpr std::size_t kVersion = 8;
+constexpr std::size_t kBlockBytes = 12;
+constexpr std::size_t kExportId = 16;
+constexpr std::size_t kBlocks = 24;
+constexpr std::size_t kJournalSize = 32;
+constexpr std::size_t kSuperblockOffset = 40;
+constexpr std::size_t kEpoch = 48;
+constexpr std::size_t kSequence = 56;
+constexpr std::size_t kTailOffset = 64;
+constexpr std::size_t kTailSequence = 72;
+constexpr std::size_t kTailEpoch = 80;
+constexpr std::size_t kChecksum = kSectorBytes - kChecksumBytes;  // of all bytes before it
+}  // namespace superblock_field
+
+namespace tag_field {
+constexpr std::size_t kExportId = 8;
+constexpr std::size_t kIndex = 16;
+constexpr std::size_t kVersion = 24;
+constexpr std::size_t kChecksum = 32;
+}  // namespace tag_field
+
+namespace record_field {
+constexpr std::size_t kExportId = 8;
+constexpr std::size_t kSequence = 16;
+constexpr std::size_t kEpoch = 24;
+constexpr std::size_t kDurableSequence = 32;
+constexpr std::size_t kFirstBlock = 40;
+constexpr std::size_t kSize = 48;
+constexpr std::size_t kBlockCount = 52;
+constexpr std::size_t kHasData = 54;
+constexpr std::size_t kChecksum = 56;
+constexpr std::size_t kPreviousBlockCount = 60;
+constexpr std::size_t kPreviousFirstBlock = 64;
+constexpr std::size_t kBlocks = 72;
+constexpr std::size_t kBytesPerBlock = 8;  // generation and sum
+}  // namespace record_field
+
+template <typename T>
+void Put(std::string* out, std::size_t offset, T value) {
+  StoreLittleEndian(value, out->data() + offset);
 }
+
 template <typename T>
-T Get(std::string_view in, std::size_t at) {
-  std::uint64_t value = 0;
-  for (std::size_t i = 0; i < sizeof(T); ++i) {
-    value |= static_cast<std::uint64_t>(static_cast<unsigned char>(in[at + i])) << (8 * i);
-  }
-  return static_cast<T>(value);
+T Get(std::string_view in, std::size_t offset) {
+  return LoadLittleEndian<T>(in.substr(offset, sizeof(T)));
 }
 
-bool AllZero(std::string_view bytes) {
-  return std::all_of(bytes.begin(), bytes.end(), [](char c) { return c == 0; });
+bool IsAllZero(std::string_view bytes) {
+  return std::all_of(bytes.begin(), bytes.end(), [](char byte) { return byte == 0; });
 }
 
-// The sum stands in the last four bytes of what it covers.
-void Seal(std::string* bytes, std::size_t size) {
-  Put(bytes, size - 4, Crc32c(std::string_view(*bytes).substr(0, size - 4)));
+// Over the tag block but for its checksum and the spare bytes of its header.
+std::uint32_t TagBlockChecksum(std::string_view bytes) {
+  return Crc32c(bytes.substr(kTagHeaderBytes), Crc32c(bytes.substr(0, tag_field::kChecksum)));
 }
-bool Sealed(std::string_view bytes, std::size_t size) {
-  return Get<std::uint32_t>(bytes, size - 4) == Crc32c(bytes.substr(0, size - 4));
+
+// Over the record's header but for its checksum.
+std::uint32_t RecordChecksum(std::string_view header) {
+  return Crc32c(header.substr(record_field::kChecksum + kChecksumBytes),
+                Crc32c(header.substr(0, record_field::kChecksum)));
 }
 
-std::size_t HeadSize(std::size_t blocks) {
-  const std::size_t bytes = kRecordFixed + kRecordEach * blocks;
-  return (bytes + kSector - 1) / kSector * kSector;
+// Bytes of a record's header: complete sectors.
+std::size_t RecordHeaderSize(std::size_t blocks) {
+  const std::size_t bytes = record_field::kBlocks + record_field::kBytesPerBlock * blocks;
+  return (bytes + kSectorBytes - 1) / kSectorBytes * kSectorBytes;
 }
 
-}  // namespace
+std::uint64_t TagBlocksFor(std::uint64_t blocks) { return (blocks + kTagsPerBlock - 1) / kTagsPerBlock; }
 
-std::optional<Geometry> Fit(std::uint64_t size, std::uint64_t journal) {
-  journal = std::max(kLeastJournal, journal) / kBlock * kBlock;
-  const std::uint64_t all = size / kBlock;
-  const std::uint64_t fixed = journal / kBlock + 2;
-  if (all <= fixed) {
-    return std::nullopt;
+// The most blocks for which the blocks and the two slots of each of their tag blocks fit into `available`.
+std::uint64_t MaxDataBlocks(std::uint64_t available) {
+  std::uint64_t blocks = available * kTagsPerBlock / (kTagsPerBlock + 2);
+  while (blocks + 1 + 2 * TagBlocksFor(blocks + 1) <= available) {
+    ++blocks;
   }
-  const std::uint64_t room = all - fixed;
-  Geometry g;
-  // The most blocks for which blocks + 2 * ceil(blocks / tags a block) fit.
-  g.blocks = room * kTagsPerBlock / (kTagsPerBlock + 2);
-  const auto tag_blocks = [](std::uint64_t n) { return (n + kTagsPerBlock - 1) / kTagsPerBlock; };
-  while (g.blocks + 1 + 2 * tag_blocks(g.blocks + 1) <= room) {
-    ++g.blocks;
+  while (blocks > 0 && blocks + 2 * TagBlocksFor(blocks) > available) {
+    --blocks;
   }
-  while (g.blocks > 0 && g.blocks + 2 * tag_blocks(g.blocks) > room) {
-    --g.blocks;
+  return blocks;
+}
+
+DecodedSuperblock Rejected(SuperblockState state, std::string error) {
+  DecodedSuperblock decoded;
+  decoded.state = state;
+  decoded.error = std::move(error);
+  return decoded;
+}
+
+}  // namespace
+
+std::optional<Geometry> FitGeometry(std::uint64_t size, std::uint64_t journal) {
+  journal = std::max(kMinJournalBytes, journal) / kBlockBytes * kBlockBytes;
+  const std::uint64_t all_blocks = size / kBlockBytes;
+  const std::uint64_t fixed_blocks = journal / kBlockBytes + kSuperblockCopies;
+  if (all_blocks <= fixed_blocks) {
+    return std::nullopt;
   }
-  if (g.blocks == 0) {
+  Geometry geometry;
+  geometry.blocks = MaxDataBlocks(all_blocks - fixed_blocks);
+  if (geometry.blocks == 0) {
     return std::nullopt;
   }
-  g.tag_blocks = tag_blocks(g.blocks);
-  g.tags_at = g.blocks * kBlock;
-  g.journal_at = g.tags_at + 2 * g.tag_blocks * kBlock;
-  g.journal_size = journal;
-  g.super_at = (all - 2) * kBlock;
-  return g;
+  geometry.tag_blocks = TagBlocksFor(geometry.blocks);
+  geometry.tags_offset = geometry.blocks * kBlockBytes;
+  geometry.journal_offset = geometry.tags_offset + 2 * geometry.tag_blocks * kBlockBytes;
+  geometry.journal_size = journal;
+  geometry.superblock_offset = (all_blocks - kSuperblockCopies) * kBlockBytes;
+  return geometry;
 }
 
-std::string Encode(const Superblock& s) {
-  std::string out(kBlock, '\0');
-  out.replace(0, kSuperMagic.size(), kSuperMagic);
-  Put(&out, 8, s.version);
-  Put(&out, 12, kBlock);
-  Put(&out, 16, s.export_id);
-  Put(&out, 24, s.geometry.blocks);
-  Put(&out, 32, s.geometry.journal_size);
-  Put(&out, 40, s.geometry.super_at);
-  Put(&out, 48, s.epoch);
-  Put(&out, 56, s.sequence);
-  Put(&out, 64, s.tail_at);
-  Put(&out, 72, s.tail_sequence);
-  Put(&out, 80, s.tail_epoch);
-  Seal(&out, kSector);  // one sector: it is written whole or not at all
+// ---- superblock ----
+
+// All fields lie in one sector, so that a superblock is written atomically.
+std::string Encode(const Superblock& superblock) {
+  namespace field = superblock_field;
+  std::string out(kBlockBytes, '\0');
+  out.replace(0, kSuperblockMagic.size(), kSuperblockMagic);
+  Put(&out, field::kVersion, superblock.version);
+  Put(&out, field::kBlockBytes, kBlockBytes);
+  Put(&out, field::kExportId, superblock.export_id);
+  Put(&out, field::kBlocks, superblock.geometry.blocks);
+  Put(&out, field::kJournalSize, superblock.geometry.journal_size);
+  Put(&out, field::kSuperblockOffset, superblock.geometry.superblock_offset);
+  Put(&out, field::kEpoch, superblock.epoch);
+  Put(&out, field::kSequence, superblock.sequence);
+  Put(&out, field::kTailOffset, superblock.tail_offset);
+  Put(&out, field::kTailSequence, superblock.tail_sequence);
+  Put(&out, field::kTailEpoch, superblock.tail_epoch);
+  Put(&out, field::kChecksum, Crc32c(std::string_view{out}.substr(0, field::kChecksum)));
   return out;
 }
 
-SuperRead DecodeSuper(std::string_view bytes, std::uint64_t size) {
-  SuperRead read;
-  if (bytes.size() < kSector || AllZero(bytes.substr(0, kSector))) {
-    read.what = "there is no superblock: the export is not formatted";
-    return read;
-  }
-  if (bytes.substr(0, kSuperMagic.size()) != kSuperMagic) {
-    read.state = SuperState::kForeign;
-    read.what = "where the superblock should be there is something else";
-    return read;
-  }
-  if (!Sealed(bytes, kSector)) {
-    read.state = SuperState::kDamaged;
-    read.what = "the superblock's checksum does not fit";
-    return read;
-  }
-  Superblock& s = read.super;
-  s.version = Get<std::uint16_t>(bytes, 8);
-  if (s.version > kVersion) {
-    read.state = SuperState::kNewer;
-    read.what = "the superblock is of version " + std::to_string(s.version) + "; known are versions up to " +
-                std::to_string(kVersion);
-    return read;
-  }
-  s.export_id = Get<std::uint64_t>(bytes, 16);
-  s.epoch = Get<std::uint64_t>(bytes, 48);
-  s.sequence = Get<std::uint64_t>(bytes, 56);
-  s.tail_at = Get<std::uint64_t>(bytes, 64);
-  s.tail_sequence = Get<std::uint64_t>(bytes, 72);
-  s.tail_epoch = Get<std::uint64_t>(bytes, 80);
-  const auto journal = Get<std::uint64_t>(bytes, 32);
-  const auto blocks = Get<std::uint64_t>(bytes, 24);
-  const auto super_at = Get<std::uint64_t>(bytes, 40);
-  // What it says of the layout must be what this size gives: nothing is read or written on its word alone.
-  const auto fits = Fit(size, journal);
-  if (Get<std::uint32_t>(bytes, 12) != kBlock || !fits || fits->blocks != blocks ||
-      fits->super_at != super_at || fits->journal_size != journal || s.tail_at >= journal ||
-      s.tail_at % kSector != 0 || s.tail_sequence == 0) {
-    read.state = SuperState::kForeign;
-    read.what = "the superblock speaks of another layout than an export of " + std::to_string(size) +
-                " bytes has: the export was resized or copied";
-    return read;
+namespace {
+
+// `bytes` have a superblock's magic, checksum and version. Nothing if its geometry is not the one that an
+// export of this size has: nothing is read or written by stored offsets alone.
+std::optional<Superblock> DecodeFields(std::string_view bytes, std::uint64_t size) {
+  namespace field = superblock_field;
+  Superblock superblock;
+  superblock.version = Get<std::uint16_t>(bytes, field::kVersion);
+  superblock.export_id = Get<std::uint64_t>(bytes, field::kExportId);
+  superblock.epoch = Get<std::uint64_t>(bytes, field::kEpoch);
+  superblock.sequence = Get<std::uint64_t>(bytes, field::kSequence);
+  superblock.tail_offset = Get<std::uint64_t>(bytes, field::kTailOffset);
+  superblock.tail_sequence = Get<std::uint64_t>(bytes, field::kTailSequence);
+  superblock.tail_epoch = Get<std::uint64_t>(bytes, field::kTailEpoch);
+  const auto journal = Get<std::uint64_t>(bytes, field::kJournalSize);
+  const auto geometry = FitGeometry(size, journal);
+  const bool matches = geometry && Get<std::uint32_t>(bytes, field::kBlockBytes) == kBlockBytes &&
+                       geometry->blocks == Get<std::uint64_t>(bytes, field::kBlocks) &&
+                       geometry->superblock_offset == Get<std::uint64_t>(bytes, field::kSuperblockOffset) &&
+                       geometry->journal_size == journal;
+  if (!matches || superblock.tail_offset >= journal || superblock.tail_offset % kSectorBytes != 0 ||
+      superblock.tail_sequence == 0) {
+    return std::nullopt;
   }
-  s.geometry = *fits;
-  read.state = SuperState::kWhole;
-  return read;
+  superblock.geometry = *geometry;
+  return superblock;
+}
+
+}  // namespace
+
+DecodedSuperblock DecodeSuperblock(std::string_view bytes, std::uint64_t size) {
+  namespace field = superblock_field;
+  if (bytes.size() < kSectorBytes || IsAllZero(bytes.substr(0, kSectorBytes))) {
+    return Rejected(SuperblockState::kMissing, "there is no superblock: the export is not formatted");
+  }
+  if (bytes.substr(0, kSuperblockMagic.size()) != kSuperblockMagic) {
+    return Rejected(SuperblockState::kForeign, "where the superblock should be there is something else");
+  }
+  if (Get<std::uint32_t>(bytes, field::kChecksum) != Crc32c(bytes.substr(0, field::kChecksum))) {
+    return Rejected(SuperblockState::kDamaged, "the superblock's checksum does not fit");
+  }
+  const auto version = Get<std::uint16_t>(bytes, field::kVersion);
+  if (version > kLayoutVersion) {
+    return Rejected(SuperblockState::kNewer, "the superblock is of version " + std::to_string(version) +
+                                                 "; known are versions up to " +
+                                                 std::to_string(kLayoutVersion));
+  }
+  const auto superblock = DecodeFields(bytes, size);
+  if (!superblock) {
+    return Rejected(SuperblockState::kForeign, "the superblock speaks of another layout than an export of " +
+                                                   std::to_string(size) +
+                                                   " bytes has: the export was resized or copied");
+  }
+  return {SuperblockState::kValid, *superblock, ""};
 }
 
-SuperRead ChooseSuper(const SuperRead& a, const SuperRead& b) {
-  // A newer version beside anything else may be the one that holds: it is not touched.
-  if (a.state == SuperState::kNewer) {
+DecodedSuperblock ChooseSuperblock(const DecodedSuperblock& a, const DecodedSuperblock& b) {
+  // A newer version may be the one that holds, whatever stands beside it: the export is not touched.
+  if (a.state == SuperblockState::kNewer) {
     return a;
   }
-  if (b.state == SuperState::kNewer) {
+  if (b.state == SuperblockState::kNewer) {
     return b;
   }
-  const bool whole_a = a.state == SuperState::kWhole;
-  const bool whole_b = b.state == SuperState::kWhole;
-  if (whole_a && whole_b) {
-    return a.super.sequence >= b.super.sequence ? a : b;
+  const bool is_a_valid = a.state == SuperblockState::kValid;
+  const bool is_b_valid = b.state == SuperblockState::kValid;
+  if (is_a_valid && is_b_valid) {
+    return a.superblock.sequence >= b.superblock.sequence ? a : b;
   }
-  if (whole_a) {
+  if (is_a_valid) {
     return a;
   }
-  if (whole_b) {
+  if (is_b_valid) {
     return b;
   }
-  return a.state == SuperState::kNone ? b : a;
+  return a.state == SuperblockState::kMissing ? b : a;
 }
 
+// ---- tags ----
+
 std::uint32_t DataSum(std::string_view block) { return Crc32c(block); }
 
 std::uint32_t TagSum(std::uint32_t data_sum, std::uint64_t export_id, std::uint64_t block,
                      std::uint32_t generation) {
   std::array<char, 20> salt{};
-  Put(&salt, 0, export_id);
-  Put(&salt, 8, block);
-  Put(&salt, 16, generation);
+  StoreLittleEndian(export_id, salt.data());
+  StoreLittleEndian(block, salt.data() + 8);
+  StoreLittleEndian(generation, salt.data() + 16);
   return Crc32c({salt.data(), salt.size()}, data_sum);
 }
 
-std::string Encode(const TagBlock& block, std::uint64_t export_id) {
-  std::string out(kBlock, '\0');
+// The checksum covers all tags: a tag block is eight sectors and may be torn.
+std::string Encode(const TagBlock& tag_block, std::uint64_t export_id) {
+  std::string out(kBlockBytes, '\0');
   out.replace(0, kTagMagic.size(), kTagMagic);
-  Put(&out, 8, export_id);
-  Put(&out, 16, block.index);
-  Put(&out, 24, block.version);
+  Put(&out, tag_field::kExportId, export_id);
+  Put(&out, tag_field::kIndex, tag_block.index);
+  Put(&out, tag_field::kVersion, tag_block.version);
   for (std::size_t i = 0; i < kTagsPerBlock; ++i) {
-    const std::size_t at = kTagHead + i * kTagBytes;
-    Put(&out, at, block.tags[i].generation);
-    Put(&out, at + 4, block.tags[i].sum);
-    Put(&out, at + 8, block.tags[i].previous);
+    const std::size_t at = kTagHeaderBytes + i * kTagBytes;
+    Put(&out, at, tag_block.tags[i].generation);
+    Put(&out, at + 4, tag_block.tags[i].sum);
+    Put(&out, at + 8, tag_block.tags[i].previous_sum);
   }
-  // In the head, and over all the rest: a tag block is eight sectors and may be torn.
-  Put(&out, 32, Crc32c(std::string_view(out).substr(kTagHead), Crc32c(std::string_view(out).substr(0, 32))));
+  Put(&out, tag_field::kChecksum, TagBlockChecksum(out));
   return out;
 }
 
-std::optional<TagBlock> DecodeTags(std::string_view bytes, std::uint64_t export_id, std::uint64_t index) {
-  TagBlock block;
-  block.index = index;
-  if (bytes.size() < kBlock) {
+std::optional<TagBlock> DecodeTagBlock(std::string_view bytes, std::uint64_t export_id, std::uint64_t index) {
+  TagBlock tag_block;
+  tag_block.index = index;
+  if (bytes.size() < kBlockBytes) {
     return std::nullopt;
   }
-  bytes = bytes.substr(0, kBlock);
-  if (AllZero(bytes)) {
-    return block;
-  }
-  if (bytes.substr(0, kTagMagic.size()) != kTagMagic || Get<std::uint64_t>(bytes, 8) != export_id ||
-      Get<std::uint64_t>(bytes, 16) != index) {
-    return std::nullopt;
+  bytes = bytes.substr(0, kBlockBytes);
+  if (IsAllZero(bytes)) {
+    return tag_block;
   }
-  if (Get<std::uint32_t>(bytes, 32) != Crc32c(bytes.substr(kTagHead), Crc32c(bytes.substr(0, 32)))) {
+  if (bytes.substr(0, kTagMagic.size()) != kTagMagic ||
+      Get<std::uint64_t>(bytes, tag_field::kExportId) != export_id ||
+      Get<std::uint64_t>(bytes, tag_field::kIndex) != index ||
+      Get<std::uint32_t>(bytes, tag_field::kChecksum) != TagBlockChecksum(bytes)) {
     return std::nullopt;
   }
-  block.version = Get<std::uint64_t>(bytes, 24);
+  tag_block.version = Get<std::uint64_t>(bytes, tag_field::kVersion);
   for (std::size_t i = 0; i < kTagsPerBlock; ++i) {
-    const std::size_t at = kTagHead + i * kTagBytes;
-    block.tags[i] = {Get<std::uint32_t>(bytes, at), Get<std::uint32_t>(bytes, at + 4),
-                     Get<std::uint32_t>(bytes, at + 8)};
+    const std::size_t at = kTagHeaderBytes + i * kTagBytes;
+    tag_block.tags[i] = {Get<std::uint32_t>(bytes, at), Get<std::uint32_t>(bytes, at + 4),
+                         Get<std::uint32_t>(bytes, at + 8)};
   }
-  return block;
+  return tag_block;
 }
 
+// ---- journal records ----
+
 std::uint32_t RecordSize(std::size_t blocks, bool has_data) {
-  return static_cast<std::uint32_t>(HeadSize(blocks) + (has_data ? blocks * kBlock : 0));
+  return static_cast<std::uint32_t>(RecordHeaderSize(blocks) + (has_data ? blocks * kBlockBytes : 0));
 }
 
-std::string Encode(const RecordHead& head, std::string_view data, std::uint64_t export_id) {
-  const std::size_t size = HeadSize(head.blocks.size());
-  std::string out(size, '\0');
+std::string Encode(const RecordHeader& header, std::string_view data, std::uint64_t export_id) {
+  namespace field = record_field;
+  std::string out(RecordHeaderSize(header.blocks.size()), '\0');
   out.replace(0, kRecordMagic.size(), kRecordMagic);
-  Put(&out, 8, export_id);
-  Put(&out, 16, head.sequence);
-  Put(&out, 24, head.epoch);
-  Put(&out, 32, head.durable);
-  Put(&out, 40, head.first);
-  Put(&out, 48, head.size);
-  Put(&out, 52, static_cast<std::uint16_t>(head.blocks.size()));
-  Put(&out, 54, static_cast<std::uint16_t>(head.has_data));
-  Put(&out, 60, head.before_count);
-  Put(&out, 64, head.before_first);
-  for (std::size_t i = 0; i < head.blocks.size(); ++i) {
-    Put(&out, kRecordFixed + i * kRecordEach, head.blocks[i].generation);
-    Put(&out, kRecordFixed + i * kRecordEach + 4, head.blocks[i].sum);
-  }
-  // The sum covers the head without itself; it stands at 56.
-  Put(&out, 56, Crc32c(std::string_view(out).substr(60), Crc32c(std::string_view(out).substr(0, 56))));
+  Put(&out, field::kExportId, export_id);
+  Put(&out, field::kSequence, header.sequence);
+  Put(&out, field::kEpoch, header.epoch);
+  Put(&out, field::kDurableSequence, header.durable_sequence);
+  Put(&out, field::kFirstBlock, header.first_block);
+  Put(&out, field::kSize, header.size);
+  Put(&out, field::kBlockCount, static_cast<std::uint16_t>(header.blocks.size()));
+  Put(&out, field::kHasData, static_cast<std::uint16_t>(header.has_data));
+  Put(&out, field::kPreviousBlockCount, header.previous_block_count);
+  Put(&out, field::kPreviousFirstBlock, header.previous_first_block);
+  for (std::size_t i = 0; i < header.blocks.size(); ++i) {
+    const std::size_t at = field::kBlocks + i * field::kBytesPerBlock;
+    Put(&out, at, header.blocks[i].generation);
+    Put(&out, at + 4, header.blocks[i].sum);
+  }
+  Put(&out, field::kChecksum, RecordChecksum(out));
   out.append(data);
   return out;
 }
 
-std::optional<RecordHead> DecodeHead(std::string_view bytes, std::uint64_t export_id) {
-  if (bytes.size() < kSector || bytes.substr(0, kRecordMagic.size()) != kRecordMagic) {
-    return std::nullopt;
-  }
-  if (Get<std::uint64_t>(bytes, 8) != export_id) {
-    return std::nullopt;
+namespace {
+
+// `bytes` begin with a valid header.
+RecordHeader DecodeHeaderFields(std::string_view bytes) {
+  namespace field = record_field;
+  RecordHeader header;
+  header.sequence = Get<std::uint64_t>(bytes, field::kSequence);
+  header.epoch = Get<std::uint64_t>(bytes, field::kEpoch);
+  header.durable_sequence = Get<std::uint64_t>(bytes, field::kDurableSequence);
+  header.first_block = Get<std::uint64_t>(bytes, field::kFirstBlock);
+  header.size = Get<std::uint32_t>(bytes, field::kSize);
+  header.has_data = Get<std::uint16_t>(bytes, field::kHasData) != 0;
+  header.previous_block_count = Get<std::uint16_t>(bytes, field::kPreviousBlockCount);
+  header.previous_first_block = Get<std::uint64_t>(bytes, field::kPreviousFirstBlock);
+  const std::size_t count = Get<std::uint16_t>(bytes, field::kBlockCount);
+  for (std::size_t i = 0; i < count; ++i) {
+    const std::size_t at = field::kBlocks + i * field::kBytesPerBlock;
+    header.blocks.push_back({Get<std::uint32_t>(bytes, at), Get<std::uint32_t>(bytes, at + 4)});
   }
-  const std::size_t count = Get<std::uint16_t>(bytes, 52);
-  const std::size_t size = HeadSize(count);
-  if (count > kMostRecordBlocks || bytes.size() < size) {
+  return header;
+}
+
+}  // namespace
+
+std::optional<RecordHeader> DecodeRecordHeader(std::string_view bytes, std::uint64_t export_id) {
+  namespace field = record_field;
+  if (bytes.size() < kSectorBytes || bytes.substr(0, kRecordMagic.size()) != kRecordMagic ||
+      Get<std::uint64_t>(bytes, field::kExportId) != export_id) {
     return std::nullopt;
   }
-  if (Get<std::uint32_t>(bytes, 56) != Crc32c(bytes.substr(60, size - 60), Crc32c(bytes.substr(0, 56)))) {
+  const std::size_t count = Get<std::uint16_t>(bytes, field::kBlockCount);
+  const std::size_t header_size = RecordHeaderSize(count);
+  if (count > kMaxRecordBlocks || bytes.size() < header_size ||
+      Get<std::uint32_t>(bytes, field::kChecksum) != RecordChecksum(bytes.substr(0, header_size))) {
     return std::nullopt;
   }
-  RecordHead head;
-  head.sequence = Get<std::uint64_t>(bytes, 16);
-  head.epoch = Get<std::uint64_t>(bytes, 24);
-  head.durable = Get<std::uint64_t>(bytes, 32);
-  head.first = Get<std::uint64_t>(bytes, 40);
-  head.size = Get<std::uint32_t>(bytes, 48);
-  head.has_data = Get<std::uint16_t>(bytes, 54) != 0;
-  head.before_count = Get<std::uint16_t>(bytes, 60);
-  head.before_first = Get<std::uint64_t>(bytes, 64);
-  for (std::size_t i = 0; i < count; ++i) {
-    head.blocks.push_back({Get<std::uint32_t>(bytes, kRecordFixed + i * kRecordEach),
-                           Get<std::uint32_t>(bytes, kRecordFixed + i * kRecordEach + 4)});
-  }
-  // Records that only fill may be of any size; the others have the one that their blocks give.
-  const bool size_fits = count == 0 ? head.size >= kSector && head.size % kSector == 0
-                                    : head.size == RecordSize(count, head.has_data);
-  if (!size_fits) {
+  RecordHeader header = DecodeHeaderFields(bytes);
+  // Records without blocks may have any size; the size of the others follows from their blocks.
+  const bool has_valid_size = count == 0 ? header.size >= kSectorBytes && header.size % kSectorBytes == 0
+                                         : header.size == RecordSize(count, header.has_data);
+  if (!has_valid_size) {
     return std::nullopt;
   }
-  return head;
+  return header;
 }
 
-std::string_view DataOf(const RecordHead& head, std::string_view bytes, std::size_t index) {
-  return bytes.substr(HeadSize(head.blocks.size()) + index * kBlock, kBlock);
+std::string_view RecordBlockData(const RecordHeader& header, std::string_view bytes, std::size_t index) {
+  return bytes.substr(RecordHeaderSize(header.blocks.size()) + index * kBlockBytes, kBlockBytes);
 }
 
-bool DataFits(const RecordHead& head, std::string_view bytes, std::uint64_t export_id) {
-  if (head.blocks.empty()) {
+bool RecordDataMatches(const RecordHeader& header, std::string_view bytes, std::uint64_t export_id) {
+  if (header.blocks.empty()) {
     return true;
   }
-  if (bytes.size() < head.size) {
+  if (bytes.size() < header.size) {
     return false;
   }
-  if (!head.has_data) {
+  if (!header.has_data) {
     return true;
   }
-  for (std::size_t i = 0; i < head.blocks.size(); ++i) {
-    const RecordBlock& b = head.blocks[i];
-    if (TagSum(DataSum(DataOf(head, bytes, i)), export_id, head.first + i, b.generation) != b.sum) {
+  for (std::size_t i = 0; i < header.blocks.size(); ++i) {
+    const RecordBlock& block = header.blocks[i];
+    const std::uint32_t data_sum = DataSum(RecordBlockData(header, bytes, i));
+    if (TagSum(data_sum, export_id, header.first_block + i, block.generation) != block.sum) {
       return false;
     }
   }
--- a/src/integrity/layout.h
+++ b/src/integrity/layout.h
@@ -1,12 +1,12 @@
-// What a checksummed export looks like at its box: blocks of data first, and behind them a reserved region.
+// The stored format of a checksummed export: blocks of data first, and behind them a reserved region.
 //
 //   | data: N blocks | tags: 2 slots a tag block | journal: a ring of 512-byte sectors | superblock A | B |
 //
-// A tag is the CRC32C of a block's data, the export's id, the block's number and its generation, so that
-// flipped bits show, and so do blocks that were lost, put elsewhere or are of another time.
-// docs/design/integrity.md weighs this against interleaved tags.
+// A tag is the CRC32C of a block's data, the export's id, the block's number and its generation, so that it
+// detects flipped bits as well as lost, misdirected and outdated writes. docs/design/integrity.md weighs this
+// against interleaved tags.
 //
-// Only bytes and numbers: no I/O. All integers are little-endian.
+// Encoding and decoding only: no I/O, no state, safe on any thread. All integers are little-endian.
 #ifndef WALNUTSPUR_INTEGRITY_LAYOUT_H_
 #define WALNUTSPUR_INTEGRITY_LAYOUT_H_
 
@@ -19,111 +19,134 @@
 
 namespace walnutspur::integrity {
 
-constexpr std::uint32_t kBlock = 4096;   // bytes that one tag covers
-constexpr std::uint32_t kSector = 512;   // bytes that a box writes whole or not at all
-constexpr std::uint16_t kVersion = 1;    // of the layout; a newer one is refused untouched
-constexpr std::uint32_t kTagBytes = 12;  // generation, tag, the tag before it
-constexpr std::uint32_t kTagHead = 64;
-constexpr std::uint32_t kTagsPerBlock = (kBlock - kTagHead) / kTagBytes;  // 336
-constexpr std::uint64_t kLeastJournal = 64 << 10;  // bytes; a record takes half of it at the most
-constexpr std::uint64_t kUsualJournal = 4 << 20;
-constexpr std::uint32_t kMostRecordBlocks = 320;  // a command of 1 MiB and its ragged ends
-
-// Where things lie; bytes from the start of the export at the box.
+constexpr std::uint32_t kBlockBytes = 4096;    // that one tag covers
+constexpr std::uint32_t kSectorBytes = 512;    // that a target writes atomically
+constexpr std::uint16_t kLayoutVersion = 1;    // exports of a newer one are rejected and not changed
+constexpr std::uint32_t kTagBytes = 12;        // generation, sum, previous sum
+constexpr std::uint32_t kTagHeaderBytes = 64;  // of a tag block
+constexpr std::uint32_t kTagsPerBlock = (kBlockBytes - kTagHeaderBytes) / kTagBytes;  // 336
+constexpr std::uint64_t kTagSlotsBytes = std::uint64_t{2} * kBlockBytes;              // of a tag block
+constexpr std::uint64_t kSuperblockCopies = 2;        // kBlockBytes each, written in turn
+constexpr std::uint64_t kMinJournalBytes = 64 << 10;  // a record takes at most half of the journal
+constexpr std::uint64_t kDefaultJournalBytes = 4 << 20;
+// Of one journal record: a command of 1 MiB and the blocks that it covers in part.
+constexpr std::uint32_t kMaxRecordBlocks = 320;
+
+// Where the regions lie, in bytes from the start of the export at the target.
 struct Geometry {
   std::uint64_t blocks = 0;      // of data
-  std::uint64_t tag_blocks = 0;  // each has two slots, side by side
-  std::uint64_t tags_at = 0, journal_at = 0, journal_size = 0, super_at = 0;
+  std::uint64_t tag_blocks = 0;  // each has two adjoining slots
+  std::uint64_t tags_offset = 0;
+  std::uint64_t journal_offset = 0;
+  std::uint64_t journal_size = 0;
+  std::uint64_t superblock_offset = 0;
 
-  std::uint64_t data_size() const { return blocks * kBlock; }  // as clients see it
-  std::uint64_t SlotAt(std::uint64_t tag_block, int slot) const {
-    return tags_at + (tag_block * 2 + static_cast<std::uint64_t>(slot)) * kBlock;
+  std::uint64_t data_size() const { return blocks * kBlockBytes; }  // bytes, as clients see it
+  std::uint64_t SlotOffset(std::uint64_t tag_block, int slot) const {
+    return tags_offset + (tag_block * 2 + static_cast<std::uint64_t>(slot)) * kBlockBytes;
   }
 };
 
-// The largest data region that fits into `size` bytes with a journal of `journal` bytes; nothing if not even
-// one block does.
-std::optional<Geometry> Fit(std::uint64_t size, std::uint64_t journal);
+// The geometry with the most data blocks that fits into `size` bytes with a journal of `journal` bytes;
+// nothing if not even one block fits.
+std::optional<Geometry> FitGeometry(std::uint64_t size, std::uint64_t journal);
 
 struct Superblock {
-  std::uint16_t version = kVersion;
-  std::uint64_t export_id = 0;  // drawn at format; in every tag
+  std::uint16_t version = kLayoutVersion;
+  std::uint64_t export_id = 0;  // chosen by chance at format; part of every tag
   Geometry geometry;
-  std::uint64_t epoch = 0;     // how often a writer has taken the export; the one that raised it last owns it
-  std::uint64_t sequence = 0;  // of this superblock: of two copies the higher one holds
-  std::uint64_t tail_at = 0;   // in the journal: where replay begins
-  std::uint64_t tail_sequence = 1;  // and the record that stands there, if any does
-  // Records from there on are of this epoch or a later one. Guards against a record that an earlier replay
-  // gave up and that happens to stand, with the very number that is due, where the journal goes on.
+  std::uint64_t epoch = 0;          // how often a writer has attached; the last one owns the export
+  std::uint64_t sequence = 0;       // of this superblock: of two copies the higher one is valid
+  std::uint64_t tail_offset = 0;    // where a replay begins, bytes from the start of the journal
+  std::uint64_t tail_sequence = 1;  // of the record there, if there is any
+  // The least epoch of the records from the tail on. Rules out a record that an earlier replay had discarded
+  // and that happens to have the sequence number that is due.
   std::uint64_t tail_epoch = 0;
 };
 
-enum class SuperState { kWhole, kNone, kDamaged, kNewer, kForeign };
-struct SuperRead {
-  SuperState state = SuperState::kNone;
-  Superblock super;
-  std::string what;  // one line, if it is not whole
+enum class SuperblockState { kValid, kMissing, kDamaged, kNewer, kForeign };
+
+struct DecodedSuperblock {
+  SuperblockState state = SuperblockState::kMissing;
+  Superblock superblock;  // if it is valid
+  std::string error;      // one line otherwise
 };
-std::string Encode(const Superblock& super);  // kBlock bytes
-// `size` is that of the export: a superblock that speaks of more than there is does not hold.
-SuperRead DecodeSuper(std::string_view bytes, std::uint64_t size);
-// Of two copies the one that holds. A damaged copy beside a whole one is an update that was cut off.
-SuperRead ChooseSuper(const SuperRead& a, const SuperRead& b);
 
+// Returns kBlockBytes bytes.
+std::string Encode(const Superblock& superblock);
+// `size` is that of the export: a superblock with another geometry than this size gives is foreign.
+DecodedSuperblock DecodeSuperblock(std::string_view bytes, std::uint64_t size);
+// Of two copies the one that holds. A damaged copy beside a valid one is an interrupted update.
+DecodedSuperblock ChooseSuperblock(const DecodedSuperblock& a, const DecodedSuperblock& b);
+
+// The checksum of one block.
 struct Tag {
-  std::uint32_t generation = 0;  // 0: never written, reads as zeros
-  std::uint32_t sum = 0;
-  std::uint32_t previous = 0;  // the sum of the generation before: data that fits it is old, not random
+  std::uint32_t generation = 0;    // 0: never written, reads as zeros
+  std::uint32_t sum = 0;           // TagSum of the content
+  std::uint32_t previous_sum = 0;  // of the generation before, to recognize outdated content; 0: unknown
   bool operator==(const Tag&) const = default;
 };
-constexpr std::uint32_t kHole = 1u << 31;  // in a generation: trimmed, reads as zeros
-constexpr std::uint32_t kUnknown =
-    kHole - 1;  // a generation: the tag is lost, and what the block holds cannot be told
-inline std::uint32_t Next(std::uint32_t generation) {
-  const std::uint32_t plain = generation & ~kHole;
-  return plain >= kUnknown - 1 ? 1 : plain + 1;
+
+// A flag in a generation: the block was trimmed and reads as zeros.
+constexpr std::uint32_t kHoleFlag = 1u << 31;
+// The generation of a block whose tag is lost, so that its content cannot be verified.
+constexpr std::uint32_t kUnknownGeneration = kHoleFlag - 1;
+
+// The generation of the next content of a block; it wraps around to 1.
+inline std::uint32_t NextGeneration(std::uint32_t generation) {
+  const std::uint32_t plain = generation & ~kHoleFlag;
+  return plain >= kUnknownGeneration - 1 ? 1 : plain + 1;
 }
-inline bool IsHole(const Tag& tag) { return tag.generation == 0 || (tag.generation & kHole) != 0; }
+inline bool IsHole(const Tag& tag) { return tag.generation == 0 || (tag.generation & kHoleFlag) != 0; }
 
-// The sum of a block's data, from which the tag of any block and generation follows. So what was meant for
-// another block can be told from what is damaged without keeping data.
+// The checksum of a block's data, from which TagSum derives the sum of any block and generation. So content
+// that belongs to another block is recognized without its data.
 std::uint32_t DataSum(std::string_view block);
 std::uint32_t TagSum(std::uint32_t data_sum, std::uint64_t export_id, std::uint64_t block,
                      std::uint32_t generation);
 
+// The tags of adjoining blocks.
 struct TagBlock {
   std::uint64_t index = 0;
   std::uint64_t version = 0;  // raised with each write; of two slots the higher one holds
   std::vector<Tag> tags = std::vector<Tag>(kTagsPerBlock);
 };
-std::string Encode(const TagBlock& block, std::uint64_t export_id);
-// Nothing if it is damaged, of another export or of another place. All zeros is a tag block never written.
-std::optional<TagBlock> DecodeTags(std::string_view bytes, std::uint64_t export_id, std::uint64_t index);
+std::string Encode(const TagBlock& tag_block, std::uint64_t export_id);
+// Nothing if it is damaged, of another export or has another index. Zeros are a tag block never written.
+std::optional<TagBlock> DecodeTagBlock(std::string_view bytes, std::uint64_t export_id, std::uint64_t index);
 
-// A record of the journal: the new content of adjoining blocks, whole or not at all.
+// What a journal record says of one block.
 struct RecordBlock {
-  std::uint32_t generation = 0, sum = 0;
+  std::uint32_t generation = 0;
+  std::uint32_t sum = 0;  // TagSum of the new content
 };
-struct RecordHead {
-  std::uint64_t sequence = 0;  // 1, 2, 3, ... over the life of the export
+
+// The header of a journal record, which holds the new content of adjoining blocks. Its data follows it.
+struct RecordHeader {
+  std::uint64_t sequence = 0;  // 1, 2, 3, ... from the format on
   std::uint64_t epoch = 0;
-  std::uint64_t durable = 0;  // a flush had covered all records up to this one when this one was written
-  std::uint64_t first = 0;    // block; of a void record 0
-  std::uint32_t size = 0;     // bytes of the whole record
-  bool has_data = true;       // false: the blocks become holes, or it only fills the ring's end
-  std::uint64_t before_first =
-      0;  // what the record before this one changes: told twice, so that damage to its
-  std::uint16_t before_count = 0;   // head leaves the blocks known that have lost their newest content
-  std::vector<RecordBlock> blocks;  // empty: it only fills
+  std::uint64_t durable_sequence = 0;  // all records up to this one were durable when this one was written
+  std::uint64_t first_block = 0;
+  std::uint32_t size = 0;  // bytes of the whole record
+  bool has_data = true;    // false: the blocks become holes
+  // The blocks of the record before this one. Stored twice, so that they are known even if that record's
+  // header is damaged.
+  std::uint64_t previous_first_block = 0;
+  std::uint16_t previous_block_count = 0;
+  std::vector<RecordBlock> blocks;  // empty: a filler or a void record
 };
+
+// The bytes of a record.
 std::uint32_t RecordSize(std::size_t blocks, bool has_data);
-// `data` has a block's bytes for each of the blocks, or none at all.
-std::string Encode(const RecordHead& head, std::string_view data, std::uint64_t export_id);
-// The head of a record, if `bytes` begins with a whole one of this export. Its data is another matter.
-std::optional<RecordHead> DecodeHead(std::string_view bytes, std::uint64_t export_id);
-// Whether the data of a record is what its head says; `bytes` is the whole record.
-bool DataFits(const RecordHead& head, std::string_view bytes, std::uint64_t export_id);
-std::string_view DataOf(const RecordHead& head, std::string_view bytes, std::size_t index);
+// `data` has the bytes of each of the blocks, or none at all.
+std::string Encode(const RecordHeader& header, std::string_view data, std::uint64_t export_id);
+// The header at the start of `bytes`; nothing if there is no valid one of this export. Says nothing of the
+// record's data.
+std::optional<RecordHeader> DecodeRecordHeader(std::string_view bytes, std::uint64_t export_id);
+// Whether the data of a record matches its header; `bytes` begin with the header.
+bool RecordDataMatches(const RecordHeader& header, std::string_view bytes, std::uint64_t export_id);
+// The data of one of the record's blocks.
+std::string_view RecordBlockData(const RecordHeader& header, std::string_view bytes, std::size_t index);
 
 }  // namespace walnutspur::integrity
 
--- /dev/null
+++ b/src/integrity/pending_command.h
@@ -0,0 +1,64 @@
+// One command under way in a volume: the blocks it covers, what it still waits for, and what has been read
+// for it. Owned by CommandExecutor; used on the thread of the volume's owner.
+#ifndef WALNUTSPUR_INTEGRITY_PENDING_COMMAND_H_
+#define WALNUTSPUR_INTEGRITY_PENDING_COMMAND_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <string_view>
+
+#include "integrity/block_locks.h"
+#include "integrity/layout.h"
+#include "integrity/slice.h"
+#include "integrity/volume_io.h"
+
+namespace walnutspur::integrity {
+
+struct PendingCommand {
+  enum class Phase {
+    kWaitingForLock,
+    kLoading,  // tags and data are being read
+    kWaitingForSpace,
+    kJournaling,
+    kFlushing
+  };
+
+  explicit PendingCommand(Command submitted);
+
+  bool is_read() const { return command.kind == Command::Kind::kRead; }
+  bool is_write() const { return command.kind == Command::Kind::kWrite; }
+  // Whether it changes blocks, and so needs locks on them and a journal record.
+  bool changes_blocks() const { return is_write() || command.kind == Command::Kind::kTrim; }
+  bool is_loaded() const { return reads_in_flight == 0 && missing_tag_blocks.empty(); }
+
+  // Whether the command depends on the present content of the block: a read does, and a write that replaces
+  // a part of it.
+  bool NeedsContentOf(std::uint64_t block) const;
+  // The block as it was read; nothing if it has not been.
+  std::optional<std::string_view> ContentOf(std::uint64_t block) const;
+  // The content that the block has after the write.
+  Slice MergedContentOf(std::uint64_t block) const;
+  void TakeData(std::uint64_t offset, std::string data);
+  // Drops what has been read.
+  void ClearContent();
+
+  Command command;
+  BlockRange range;
+  Phase phase = Phase::kLoading;
+  std::set<std::uint64_t> missing_tag_blocks;     // being read
+  std::set<std::uint64_t> unreadable_tag_blocks;  // read, and not certain yet
+  std::string contiguous_content;                 // of all blocks, if one read brought them
+  std::map<std::uint64_t, Slice> block_content;   // by block; takes precedence over contiguous_content
+  std::size_t reads_in_flight = 0;                // of data
+  std::uint64_t in_place_revision = 0;            // when the data was requested
+  bool abandoned = false;
+  bool io_failed = false;
+};
+
+}  // namespace walnutspur::integrity
+
+#endif  // WALNUTSPUR_INTEGRITY_PENDING_COMMAND_H_
--- a/src/integrity/scrubber.cpp
+++ b/src/integrity/scrubber.cpp
@@ -5,7 +5,7 @@
 namespace walnutspur::integrity {
 namespace {
 
-constexpr std::size_t kMostRechecks = 1024;  // beyond, the round itself comes to them
+constexpr std::size_t kMaxRechecks = 1024;  // the round itself reads those beyond
 
 }  // namespace
 
@@ -25,21 +25,21 @@
     rechecks_.pop_front();
     return Range{block, 1, true};
   }
-  if (!again_.empty()) {
-    const std::uint64_t chunk = again_.front();
-    again_.pop_front();
-    under_way_.insert(chunk);
+  if (!retries_.empty()) {
+    const std::uint64_t chunk = retries_.front();
+    retries_.pop_front();
+    in_flight_.insert(chunk);
     return Chunk(chunk);
   }
   if (next_ >= chunks_) {
-    // A round ends with its last answer: the next one must not overtake it.
-    if (!under_way_.empty() || chunks_ == 0) {
+    // The next round must not overtake reads of this one.
+    if (!in_flight_.empty() || chunks_ == 0) {
       return std::nullopt;
     }
     next_ = 0;
     ++rounds_;
   }
-  under_way_.insert(next_);
+  in_flight_.insert(next_);
   return Chunk(next_++);
 }
 
@@ -48,19 +48,19 @@
     rechecking_.erase(range.first);
     return 0;
   }
-  return static_cast<int>(under_way_.erase(range.first / chunk_));
+  return static_cast<int>(in_flight_.erase(range.first / chunk_));
 }
 
 void Scrubber::Failed(const Range& range) {
   if (range.recheck) {
     rechecks_.push_back(range.first);
-  } else if (under_way_.erase(range.first / chunk_) > 0) {
-    again_.push_back(range.first / chunk_);
+  } else if (in_flight_.erase(range.first / chunk_) > 0) {
+    retries_.push_back(range.first / chunk_);
   }
 }
 
 void Scrubber::Recheck(std::uint64_t block) {
-  if (block >= blocks_ || rechecking_.size() >= kMostRechecks || !rechecking_.insert(block).second) {
+  if (block >= blocks_ || rechecking_.size() >= kMaxRechecks || !rechecking_.insert(block).second) {
     return;
   }
   rechecks_.push_back(block);
@@ -68,10 +68,10 @@
 
 std::uint64_t Scrubber::position() const {
   std::uint64_t least = next_;
-  if (!under_way_.empty()) {
-    least = std::min(least, *under_way_.begin());
+  if (!in_flight_.empty()) {
+    least = std::min(least, *in_flight_.begin());
   }
-  for (const std::uint64_t chunk : again_) {
+  for (const std::uint64_t chunk : retries_) {
     least = std::min(least, chunk);
   }
   return least;
--- a/src/integrity/scrubber.h
+++ b/src/integrity/scrubber.h
@@ -1,5 +1,7 @@
-// What a scrub reads next: blocks that are under suspicion first, then all of the export in order, round
-// after round. No I/O and no clock; when it may read is background/budget.h's to say.
+// The order in which a scrub reads one export: blocks suspected of corruption first, then all chunks of the
+// export in order, round after round. No I/O and no clock; background/budget.h decides when it may read.
+//
+// Owned by checksummed::Scrub; used on its thread only.
 #ifndef WALNUTSPUR_INTEGRITY_SCRUBBER_H_
 #define WALNUTSPUR_INTEGRITY_SCRUBBER_H_
 
@@ -12,40 +14,45 @@
 
 class Scrubber {
  public:
+  // Adjoining blocks that are read together.
   struct Range {
-    std::uint64_t first = 0, count = 0;  // blocks
-    bool recheck = false;                // of a single block under suspicion
+    std::uint64_t first = 0;
+    std::uint64_t count = 0;
+    bool recheck = false;  // of a single block suspected of corruption
     auto operator<=>(const Range&) const = default;
   };
 
   // Reads `chunk` blocks at a time, from chunk `position` on.
   Scrubber(std::uint64_t blocks, std::uint64_t chunk, std::uint64_t position = 0);
 
-  // The next range; nothing while all that is left of the round is under way.
+  // The next range; nothing while all that is left of the round is in flight.
   std::optional<Range> Next();
-  // It was read, whatever was found. How many chunks of the round are done by that: 0 or 1.
+  // A range was read, whatever was found. Returns how many chunks of the round that completes: 0 or 1.
   int Done(const Range& range);
-  // It could not be read: it goes again, ahead of the rest.
+  // A range could not be read: it is retried ahead of the others.
   void Failed(const Range& range);
-  // A block that must be read again soon: a mismatch has been met on it and no verdict has fallen.
+  // A block that should be read again soon: it did not match and no fault has been attributed yet.
   void Recheck(std::uint64_t block);
 
+  // Chunks of a round.
   std::uint64_t total() const { return chunks_; }
-  // The chunk from which a later start must go on so that none is left out.
+  // The chunk from which a later process must continue so that none is left out.
   std::uint64_t position() const;
-  std::uint64_t rounds() const { return rounds_; }
-  std::size_t waiting() const { return rechecks_.size() + again_.size(); }
+  std::uint64_t rounds() const { return rounds_; }                            // that are complete
+  std::size_t waiting() const { return rechecks_.size() + retries_.size(); }  // ranges ahead of the round
 
  private:
   Range Chunk(std::uint64_t number) const;
 
-  std::uint64_t blocks_, chunk_, chunks_;
-  std::uint64_t next_ = 0;
+  std::uint64_t blocks_;
+  std::uint64_t chunk_;     // blocks of one chunk; the last one may have fewer
+  std::uint64_t chunks_;    // of the export
+  std::uint64_t next_ = 0;  // chunk
   std::uint64_t rounds_ = 0;
-  std::set<std::uint64_t> under_way_;  // chunks
-  std::deque<std::uint64_t> again_;    // chunks that could not be read
-  std::deque<std::uint64_t> rechecks_;
-  std::set<std::uint64_t> rechecking_;  // in the queue or under way
+  std::set<std::uint64_t> in_flight_;   // chunks
+  std::deque<std::uint64_t> retries_;   // chunks that could not be read
+  std::deque<std::uint64_t> rechecks_;  // blocks
+  std::set<std::uint64_t> rechecking_;  // queued or in flight
 };
 
 }  // namespace walnutspur::integrity
--- a/src/integrity/slice.h
+++ b/src/integrity/slice.h
@@ -1,5 +1,6 @@
-// Bytes that several owners hold without a copy: a part of a string that lives as long as anybody needs it.
-// A write's data goes by one buffer from the client into the journal and from there into its place.
+// Bytes that several owners share without a copy: a part of a string that lives as long as any of them. The
+// data of a write stays in one buffer from the client's request through the journal to its place. Immutable,
+// so that it may be read on any thread.
 #ifndef WALNUTSPUR_INTEGRITY_SLICE_H_
 #define WALNUTSPUR_INTEGRITY_SLICE_H_
 
@@ -7,27 +8,41 @@
 #include <string>
 #include <string_view>
 #include <utility>
+#include <vector>
 
 namespace walnutspur::integrity {
 
 struct Slice {
-  std::shared_ptr<const void> owner;  // of the bytes; null: there are none
+  std::shared_ptr<const void> owner;  // of the bytes; null: an empty slice
   std::string_view bytes;
 
   explicit operator bool() const { return owner != nullptr; }
   Slice Part(std::size_t from, std::size_t length) const { return {owner, bytes.substr(from, length)}; }
-  // Whether the other's bytes follow in memory, so that both are one part of the same string.
+  // Whether these bytes follow the other's in memory, in the same string.
   bool Continues(const Slice& before) const {
     return owner == before.owner && before.bytes.data() + before.bytes.size() == bytes.data();
   }
+  // Appends a slice that continues this one.
+  void ExtendBy(const Slice& next) { bytes = {bytes.data(), bytes.size() + next.bytes.size()}; }
 };
 
+// A slice of a string of its own.
 inline Slice Own(std::string text) {
   auto owner = std::make_shared<const std::string>(std::move(text));
   const std::string_view bytes(*owner);
   return {std::move(owner), bytes};
 }
 
+// Appends a slice to the parts of a write, joined with the last part if it continues that one, as the blocks
+// of one write mostly do.
+inline void AppendSlice(std::vector<Slice>* parts, const Slice& slice) {
+  if (!parts->empty() && slice.Continues(parts->back())) {
+    parts->back().ExtendBy(slice);
+    return;
+  }
+  parts->push_back(slice);
+}
+
 }  // namespace walnutspur::integrity
 
 #endif  // WALNUTSPUR_INTEGRITY_SLICE_H_
--- /dev/null
+++ b/src/integrity/tag_cache.h
@@ -0,0 +1,77 @@
+// Tag blocks of one volume in memory, least recently used evicted first, and what is needed to trust a tag
+// block that is read: the newest version seen of each and slots that could not be read.
+//
+// Owned by VolumeState; used on the thread of the volume's owner.
+#ifndef WALNUTSPUR_INTEGRITY_TAG_CACHE_H_
+#define WALNUTSPUR_INTEGRITY_TAG_CACHE_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <list>
+#include <map>
+#include <optional>
+#include <set>
+#include <string_view>
+#include <unordered_map>
+
+#include "integrity/layout.h"
+
+namespace walnutspur::integrity {
+
+// The tag block that holds a data block's tag, and the tag's position in it.
+inline std::uint64_t TagBlockOf(std::uint64_t block) { return block / kTagsPerBlock; }
+inline std::size_t TagPositionOf(std::uint64_t block) { return block % kTagsPerBlock; }
+
+class TagCache {
+ public:
+  // `max_tag_blocks` bounds the cache; pinned tag blocks may exceed it.
+  explicit TagCache(std::size_t max_tag_blocks) : max_tag_blocks_(max_tag_blocks) {}
+
+  // The tag block, now the most recently used; null if it is not cached.
+  const TagBlock* Find(std::uint64_t index);
+  // The tag of a block in place; its tag block must be cached.
+  const Tag& TagOf(std::uint64_t block) const;
+  void Insert(TagBlock tag_block);
+
+  // Takes both slots of a tag block as they were read and caches the one that is valid. False: a slot that
+  // is newer may have been damaged in transit, and both must be read again. A tag block of which both slots
+  // are certainly damaged is cached with all its tags unknown.
+  bool InsertFromSlots(std::uint64_t index, std::string_view slots, std::uint64_t export_id);
+
+  // Pinned tag blocks are not evicted.
+  void Pin(std::uint64_t index) { pinned_.insert(index); }
+  void UnpinAll() { pinned_.clear(); }
+  // Evicts down to the bound; needed after UnpinAll only.
+  void Evict();
+
+  // The block, other than `block`, whose cached tag matches the content with this sum.
+  std::optional<std::uint64_t> FindOwner(std::uint32_t data_sum, std::uint64_t block,
+                                         std::uint64_t export_id) const;
+  std::size_t unreadable_slots() const { return unreadable_.size(); }
+
+ private:
+  struct CachedTagBlock {
+    TagBlock tags;
+    std::list<std::uint64_t>::iterator usage;
+  };
+  // Consecutive equal readings of a tag block with an unreadable slot.
+  struct UnreadableSlots {
+    std::uint32_t sum = 0;
+    int readings = 0;
+  };
+
+  bool IsConfirmedDamage(std::uint64_t index, std::string_view slots);
+  bool IsStale(const TagBlock& tag_block) const;
+  void InsertUnknown(std::uint64_t index);
+
+  std::size_t max_tag_blocks_;
+  std::unordered_map<std::uint64_t, CachedTagBlock> cached_;  // by index
+  std::list<std::uint64_t> usage_;                            // most recently used first
+  std::unordered_map<std::uint64_t, std::uint64_t> newest_versions_;
+  std::map<std::uint64_t, UnreadableSlots> unreadable_;
+  std::set<std::uint64_t> pinned_;
+};
+
+}  // namespace walnutspur::integrity
+
+#endif  // WALNUTSPUR_INTEGRITY_TAG_CACHE_H_
--- /dev/null
+++ b/src/integrity/volume_io.h
@@ -0,0 +1,91 @@
+// The vocabulary between a Volume and its owner: commands of clients, storage requests that the volume
+// issues, and results of commands. Plain data without a thread of its own.
+#ifndef WALNUTSPUR_INTEGRITY_VOLUME_IO_H_
+#define WALNUTSPUR_INTEGRITY_VOLUME_IO_H_
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "integrity/slice.h"
+
+namespace walnutspur::integrity {
+
+using CommandId = std::uint64_t;  // clients' commands count from 1
+using IoId = std::uint64_t;
+
+// Stands for the volume's own work where a command is expected.
+constexpr CommandId kVolumeCommand = 0;
+
+enum class IoKind { kRead, kWrite, kFlush };
+
+// Which part of the volume a storage request serves; selects the handler of its completion.
+enum class IoPurpose { kSuperblock, kJournal, kTags, kData, kApply, kBarrier };
+
+// A request to the storage server.
+struct IoRequest {
+  IoId id = 0;
+  IoKind kind = IoKind::kRead;
+  IoPurpose purpose = IoPurpose::kData;
+  CommandId command = kVolumeCommand;
+  std::uint64_t offset = 0;  // bytes from the start of the export
+  std::uint32_t length = 0;  // bytes
+  std::string data;          // of a write: its first bytes,
+  std::vector<Slice> tail;   // followed by these
+  bool fua = false;          // must be durable when it completes
+
+  // All bytes of a write: `data` and `tail`.
+  std::string AllBytes() const;
+};
+
+enum class IoStatus {
+  kCompleted,
+  kNotExecuted,  // the target has received nothing of it that it could execute
+  kFailed        // it may have been executed, or may be executed later
+};
+
+// A command of a client.
+struct Command {
+  enum class Kind { kRead, kWrite, kTrim, kFlush };
+  CommandId id = 0;
+  Kind kind = Kind::kRead;
+  std::uint64_t offset = 0;  // bytes from the start of the volume
+  std::uint32_t length = 0;  // bytes
+  Slice data;                // of a write
+  bool fua = false;          // a write must be durable when it completes
+};
+
+// What the content of a block that does not match its tag looks like.
+enum class MismatchKind {
+  kUnrecognized,     // matches nothing that is known
+  kPreviousContent,  // the content before the last write: a lost write or a stale read
+  kOtherBlock,       // the content of another block: a misdirected write
+  kTagsUnreadable,   // its tags cannot be read, so its content cannot be verified
+  kRecordDamaged     // its newest content was in a journal record that is damaged
+};
+
+struct CorruptBlock {
+  std::uint64_t block = 0;
+  MismatchKind mismatch = MismatchKind::kUnrecognized;
+  std::uint32_t data_sum = 0;     // DataSum of what was read
+  std::uint64_t owner_block = 0;  // kOtherBlock: the block whose content was read
+  bool operator==(const CorruptBlock&) const = default;
+};
+
+struct CommandResult {
+  enum class Status {
+    kCompleted,
+    kRejected,  // no part of it has been executed
+    kFailed,    // a write may have been executed
+    // A read met corrupt blocks; a write would have had to preserve part of one, and was not executed.
+    kCorrupted
+  };
+  CommandId id = 0;
+  Status status = Status::kCompleted;
+  std::string data;  // of a read; corrupt blocks are zeros in it and must not be passed on
+  std::vector<CorruptBlock> corrupt_blocks;
+};
+
+}  // namespace walnutspur::integrity
+
+#endif  // WALNUTSPUR_INTEGRITY_VOLUME_IO_H_
--- a/src/nbd/config.cpp
+++ b/src/nbd/config.cpp
@@ -155,11 +155,11 @@
     if (v.checksummed) {
       v.raw_bytes = v.front.size;
       v.journal_bytes = static_cast<std::uint64_t>(t.Integer("journal"));
-      const auto geometry = integrity::Fit(v.raw_bytes, v.journal_bytes);
+      const auto geometry = integrity::FitGeometry(v.raw_bytes, v.journal_bytes);
       if (!geometry) {
-        throw std::runtime_error("export '" + v.front.name +
-                                 "' is smaller than its tags and journal; allowed are " +
-                                 std::to_string(v.journal_bytes + 16 * integrity::kBlock) + " bytes or more");
+        throw std::runtime_error(
+            "export '" + v.front.name + "' is smaller than its tags and journal; allowed are " +
+            std::to_string(v.journal_bytes + 16 * integrity::kBlockBytes) + " bytes or more");
       }
       v.front.size = geometry->data_size();
     }
--- a/tests/fuzz/integrity_fuzz.cpp
+++ b/tests/fuzz/integrity_fuzz.cpp
@@ -6,11 +6,12 @@
 #include <string>
 #include <string_view>
 
+#include "integrity/corruption_log.h"
 #include "integrity/crc32c.h"
 #include "integrity/cursor.h"
 #include "integrity/digest.h"
 #include "integrity/layout.h"
-#include "integrity/ledger.h"
+#include "integrity/structured_field.h"
 
 using namespace walnutspur::integrity;
 
@@ -18,7 +19,9 @@
 
 // Aborts, which the fuzzer reports, unless the invariant holds.
 void Require(bool holds) {
-  if (!holds) std::abort();
+  if (!holds) {
+    std::abort();
+  }
 }
 
 constexpr std::uint64_t kExport = 42;
@@ -27,9 +30,12 @@
 void CheckDigests(std::string_view text) {
   const auto members = ReadDictionary(text);
   const Match match = Verify(text, "content");
-  if (!members) Require(match == Match::kNone && !Wanted(text));
-  // A valid digest ahead of other well-formed members counts, unless they name the same algorithm again.
-  if (members && !members->empty() && text.find("crc32c") == text.npos && match != Match::kDifferent) {
+  if (!members) {
+    Require(match == Match::kNone && !Wanted(text));
+  }
+  // A valid digest ahead of other well-formed members counts, unless they name the same algorithm copy.
+  if (members && !members->empty() && text.find("crc32c") == std::string_view::npos &&
+      match != Match::kDifferent) {
     std::string both = DigestField(Algorithm::kCrc32c, "content") + ", ";
     both += text.substr(text.find_first_not_of(' '));
     Require(Verify(both, "content") == Match::kGood);
@@ -37,35 +43,39 @@
 }
 
 void CheckSuperblock(std::string_view bytes) {
-  std::string block(bytes.substr(0, kBlock));
-  block.resize(kBlock, '\0');
-  const SuperRead read = DecodeSuper(block, kSize);
-  if (read.state == SuperState::kWhole)
-    Require(Encode(read.super).substr(0, kSector) == block.substr(0, kSector));
+  std::string block(bytes.substr(0, kBlockBytes));
+  block.resize(kBlockBytes, '\0');
+  const DecodedSuperblock decoded = DecodeSuperblock(block, kSize);
+  if (decoded.state == SuperblockState::kValid) {
+    Require(Encode(decoded.superblock).substr(0, kSectorBytes) == block.substr(0, kSectorBytes));
+  }
 }
 
 void CheckTags(std::string_view bytes) {
-  const auto block = DecodeTags(bytes, kExport, 1);
-  if (block && block->version > 0)
-    Require(DecodeTags(Encode(*block, kExport), kExport, 1)->tags == block->tags);
+  const auto tag_block = DecodeTagBlock(bytes, kExport, 1);
+  if (tag_block && tag_block->version > 0) {
+    Require(DecodeTagBlock(Encode(*tag_block, kExport), kExport, 1)->tags == tag_block->tags);
+  }
 }
 
 void CheckRecords(std::string_view bytes) {
-  const auto head = DecodeHead(bytes, kExport);
-  if (!head) return;
-  Require(head->blocks.size() <= kMostRecordBlocks);
-  DataFits(*head, bytes, kExport);
+  const auto header = DecodeRecordHeader(bytes, kExport);
+  if (!header) {
+    return;
+  }
+  Require(header->blocks.size() <= kMaxRecordBlocks);
+  RecordDataMatches(*header, bytes, kExport);
 }
 
-void CheckLedger(std::string_view bytes) {
-  Ledger ledger(16);
+void CheckCorruptionLog(std::string_view bytes) {
+  CorruptionLog log(16);
   std::string what;
-  if (!ledger.Decode(bytes, &what)) {
-    Require(!what.empty() && what.find('\n') == what.npos && ledger.entries().empty());
+  if (!log.Decode(bytes, &what)) {
+    Require(!what.empty() && what.find('\n') == what.npos && log.entries().empty());
     return;
   }
-  Ledger again(16);
-  Require(again.Decode(ledger.Encode(), &what) && again.entries() == ledger.entries());
+  CorruptionLog copy(16);
+  Require(copy.Decode(log.Encode(), &what) && copy.entries() == log.entries());
 }
 
 // Adds a valid checksum so that the fuzzer reaches the code behind it.
@@ -75,13 +85,17 @@
   text += "sum " + std::to_string(Crc32c(text)) + "\n";
   const auto cursors = DecodeCursors(text, &what);
   Require(cursors || !what.empty());
-  if (cursors) Require(DecodeCursors(Encode(*cursors), &what) == cursors);
+  if (cursors) {
+    Require(DecodeCursors(Encode(*cursors), &what) == cursors);
+  }
 }
 
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  if (size == 0) return 0;
+  if (size == 0) {
+    return 0;
+  }
   const std::string_view bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
   switch (data[0] % 5) {
     case 0:
@@ -97,7 +111,7 @@
       CheckRecords(bytes);
       break;
     case 4:
-      CheckLedger(bytes);
+      CheckCorruptionLog(bytes);
       CheckCursors(bytes);
       break;
   }
--- a/tests/integrity/damage_test.cpp
+++ b/tests/integrity/damage_test.cpp
@@ -2,8 +2,9 @@
 #include <doctest/doctest.h>
 
 #include "driver.h"
-#include "integrity/blame.h"
-#include "integrity/ledger.h"
+#include "integrity/corruption_log.h"
+#include "integrity/fault_attribution.h"
+#include "integrity/path_health.h"
 
 namespace walnutspur::test {
 namespace {
@@ -13,7 +14,7 @@
 using Kind = Command::Kind;
 
 constexpr std::uint64_t kBlocks = 64;
-constexpr std::uint64_t kSize = (kBlocks + 2 + 2) * kBlock + (128 << 10);
+constexpr std::uint64_t kSize = (kBlocks + 2 + 2) * kBlockBytes + (128 << 10);
 
 struct World {
   World(std::uint64_t seed, int paths_count) : driver(kSize, seed), paths(paths_count), count(paths_count) {
@@ -27,9 +28,10 @@
     driver.disk().KeepHistory();
   }
   void Write(std::uint64_t block) {
-    std::string data(kBlock, '\0');
+    std::string data(kBlockBytes, '\0');
     for (char& c : data) c = static_cast<char>(driver.disk().Draw(256));
-    REQUIRE(driver.Do(Kind::kWrite, block * kBlock, kBlock, data).status == Result::Status::kDone);
+    REQUIRE(driver.Do(Kind::kWrite, block * kBlockBytes, kBlockBytes, data).status ==
+            CommandResult::Status::kCompleted);
     content[block] = data;
   }
   void Checkpoint() {
@@ -38,28 +40,28 @@
     REQUIRE_FALSE(driver.volume().dirty());
   }
   // Reads until a verdict falls, on other paths where there are some; never more often than `most`.
-  std::optional<Verdict> Read(std::uint64_t block, int most = 6) {
+  std::optional<FaultAttribution> Read(std::uint64_t block, int most = 6) {
     std::set<int> avoid;
     for (int i = 0; i < most; ++i) {
       path = paths.Choose(now += 1000, avoid);
-      const Result r = driver.Do(Kind::kRead, block * kBlock, kBlock);
+      const CommandResult r = driver.Do(Kind::kRead, block * kBlockBytes, kBlockBytes);
       Reading reading;
       reading.path = path;
-      reading.good = r.status == Result::Status::kDone;
+      reading.good = r.status == CommandResult::Status::kCompleted;
       if (reading.good) {
         CHECK(r.data == content[block]);  // the one thing that counts
       } else {
-        REQUIRE(r.bad.size() == 1);
-        CHECK(r.data == std::string(kBlock, '\0'));
-        reading.looks = r.bad[0].looks;
-        reading.found = r.bad[0].found;
-        reading.belongs_to = r.bad[0].belongs_to;
+        REQUIRE(r.corrupt_blocks.size() == 1);
+        CHECK(r.data == std::string(kBlockBytes, '\0'));
+        reading.mismatch = r.corrupt_blocks[0].mismatch;
+        reading.data_sum = r.corrupt_blocks[0].data_sum;
+        reading.owner_block = r.corrupt_blocks[0].owner_block;
         avoid.insert(path);
       }
-      const Place place{"box", "export", block};
-      if (const auto verdict = cases.Note(place, count, reading, now)) {
-        ledger.Note(place, *verdict, now);
-        if (verdict->fault == Fault::kPath) paths.Bad(verdict->path, now);
+      const BlockLocation place{"box", "export", block};
+      if (const auto verdict = cases.AddReading(place, count, reading, now)) {
+        ledger.Record(place, *verdict, now);
+        if (verdict->fault == Fault::kPath) paths.RecordFault(verdict->path, now);
         return verdict;
       }
       if (reading.good) return std::nullopt;
@@ -68,11 +70,11 @@
   }
 
   Driver driver;
-  Paths paths;
+  PathHealth paths;
   int count = 1;
   int path = 0;
-  Cases cases;
-  Ledger ledger;
+  CorruptionInvestigations cases;
+  CorruptionLog ledger;
   Time now = 0;
   std::map<std::uint64_t, std::string> content;
 };
@@ -88,27 +90,27 @@
   int hit = 0;
   const bool at_write = damage == Damage::kLost || damage == Damage::kAstray || damage == Damage::kTorn;
   if (at_write) {
-    w.driver.on_io = [&](const Io& io, std::string*, bool* ran) {
-      if (io.purpose != IoFor::kApply || io.offset != block * kBlock) return IoEnd::kDone;
+    w.driver.on_io = [&](const IoRequest& io, std::string*, bool* ran) {
+      if (io.purpose != IoPurpose::kApply || io.offset != block * kBlockBytes) return IoStatus::kCompleted;
       ++hit;
       *ran = false;  // and yet it says that it is done
-      if (damage == Damage::kAstray) w.driver.disk().Write(other * kBlock, io.All(), false);
+      if (damage == Damage::kAstray) w.driver.disk().Write(other * kBlockBytes, io.AllBytes(), false);
       if (damage == Damage::kTorn) {
         const auto sectors = 1 + w.driver.disk().Draw(7);
-        w.driver.disk().Write(io.offset, io.All().substr(0, sectors * kSector), false);
+        w.driver.disk().Write(io.offset, io.AllBytes().substr(0, sectors * kSectorBytes), false);
       }
-      return IoEnd::kDone;
+      return IoStatus::kCompleted;
     };
     w.Write(block);
     w.Checkpoint();
     w.driver.on_io = nullptr;
   } else if (damage == Damage::kFlipRest) {
-    w.driver.disk().Flip(block * kBlock, kBlock, 1 + static_cast<int>(w.driver.disk().Draw(9)));
+    w.driver.disk().Flip(block * kBlockBytes, kBlockBytes, 1 + static_cast<int>(w.driver.disk().Draw(9)));
     ++hit;
   } else {
     if (damage == Damage::kStale) w.Write(block), w.Checkpoint();
-    w.driver.on_io = [&](const Io& io, std::string* data, bool*) {
-      if (io.purpose != IoFor::kData) return IoEnd::kDone;
+    w.driver.on_io = [&](const IoRequest& io, std::string* data, bool*) {
+      if (io.purpose != IoPurpose::kData) return IoStatus::kCompleted;
       if (damage == Damage::kStale && hit == 0) {
         *data = w.driver.disk().Before(io.offset, io.length);
         ++hit;
@@ -118,10 +120,10 @@
         lab::FlipBits(data, 3, &w.driver.disk().random());
         ++hit;
       }
-      return IoEnd::kDone;
+      return IoStatus::kCompleted;
     };
   }
-  std::optional<Verdict> verdict;
+  std::optional<FaultAttribution> verdict;
   for (int i = 0; i < 4 && !verdict; ++i) verdict = w.Read(block);  // a good path may be taken first
   REQUIRE(hit > 0);
   REQUIRE(verdict);
@@ -132,20 +134,20 @@
       break;
     case Damage::kFlipRest:
     case Damage::kTorn:
-      CHECK(verdict->fault == Fault::kRest);
+      CHECK(verdict->fault == Fault::kAtRest);
       break;
     case Damage::kStale:
-      CHECK(verdict->fault == Fault::kStale);
+      CHECK(verdict->fault == Fault::kStaleRead);
       break;
     case Damage::kLost:
-      CHECK(verdict->fault == Fault::kLost);
+      CHECK(verdict->fault == Fault::kLostWrite);
       break;
     case Damage::kAstray: {
       const auto there = w.Read(other);
       REQUIRE(there);
-      CHECK(there->fault == Fault::kAstray);
-      CHECK(there->belongs_to == block);
-      CHECK(w.ledger.Find({"box", "export", block})->fault == Fault::kAstray);  // both ends
+      CHECK(there->fault == Fault::kMisdirectedWrite);
+      CHECK(there->owner_block == block);
+      CHECK(w.ledger.Find({"box", "export", block})->fault == Fault::kMisdirectedWrite);  // both ends
       break;
     }
   }
@@ -169,11 +171,11 @@
 
 TEST_CASE("answers that differ each time are the box's memory, unless another path is good") {
   World w(3, 2);
-  w.driver.on_io = [&](const Io& io, std::string* data, bool*) {
-    if (io.purpose != IoFor::kData) return IoEnd::kDone;
+  w.driver.on_io = [&](const IoRequest& io, std::string* data, bool*) {
+    if (io.purpose != IoPurpose::kData) return IoStatus::kCompleted;
     *data = w.driver.disk().Read(io.offset, io.length);
     lab::FlipBits(data, 5, &w.driver.disk().random());
-    return IoEnd::kDone;
+    return IoStatus::kCompleted;
   };
   const auto verdict = w.Read(7);
   REQUIRE(verdict);
@@ -182,36 +184,36 @@
 
 TEST_CASE("a write over part of a damaged block is not carried out: it would make the damage look whole") {
   World w(4, 1);
-  w.driver.disk().Flip(9 * kBlock, kBlock, 2);
-  const Result r = w.driver.Do(Kind::kWrite, 9 * kBlock + 10, 100, std::string(100, 'x'));
-  CHECK(r.status == Result::Status::kDamaged);
-  CHECK(w.driver.Do(Kind::kRead, 9 * kBlock, kBlock).status == Result::Status::kDamaged);
+  w.driver.disk().Flip(9 * kBlockBytes, kBlockBytes, 2);
+  const CommandResult r = w.driver.Do(Kind::kWrite, 9 * kBlockBytes + 10, 100, std::string(100, 'x'));
+  CHECK(r.status == CommandResult::Status::kCorrupted);
+  CHECK(w.driver.Do(Kind::kRead, 9 * kBlockBytes, kBlockBytes).status == CommandResult::Status::kCorrupted);
   // The neighbours of a damaged block can be read, and it is named.
-  const Result wide = w.driver.Do(Kind::kRead, 8 * kBlock, 3 * kBlock);
-  REQUIRE(wide.bad.size() == 1);
-  CHECK(wide.bad[0].block == 9);
-  CHECK(wide.data.substr(0, kBlock) == w.content[8]);
-  CHECK(wide.data.substr(2 * kBlock) == w.content[10]);
+  const CommandResult wide = w.driver.Do(Kind::kRead, 8 * kBlockBytes, 3 * kBlockBytes);
+  REQUIRE(wide.corrupt_blocks.size() == 1);
+  CHECK(wide.corrupt_blocks[0].block == 9);
+  CHECK(wide.data.substr(0, kBlockBytes) == w.content[8]);
+  CHECK(wide.data.substr(2 * kBlockBytes) == w.content[10]);
 }
 
 // Restarted, a volume must find damaged tags and records out without anything in memory.
 TEST_CASE("damaged tags: one slot leaves the other, both leave nothing that could be handed on") {
   for (const bool both : {false, true}) {
     World w(5, 1);
-    const std::uint64_t at = w.driver.volume().super().geometry.SlotAt(0, 0);
-    const std::uint64_t newer = at + w.driver.volume().checkpoints() % 2 * kBlock;
+    const std::uint64_t at = w.driver.volume().superblock().geometry.SlotOffset(0, 0);
+    const std::uint64_t newer = at + w.driver.volume().checkpoints() % 2 * kBlockBytes;
     w.driver.disk().Flush();
     w.driver.Kill(false);
-    w.driver.disk().Flip(both ? at : newer == at ? at + kBlock : at, kBlock, 4);
-    if (both) w.driver.disk().Flip(at + kBlock, kBlock, 4);
+    w.driver.disk().Flip(both ? at : newer == at ? at + kBlockBytes : at, kBlockBytes, 4);
+    if (both) w.driver.disk().Flip(at + kBlockBytes, kBlockBytes, 4);
     w.driver.Start();
     w.driver.Settle();
     int good = 0, bad = 0;
     for (int round = 0; round < 4; ++round) {
       for (std::uint64_t block = 0; block < kBlocks; ++block) {
-        const Result r = w.driver.Do(Kind::kRead, block * kBlock, kBlock);
-        if (r.status == Result::Status::kDone) CHECK(r.data == w.content[block]);
-        (r.status == Result::Status::kDone ? good : bad) += 1;
+        const CommandResult r = w.driver.Do(Kind::kRead, block * kBlockBytes, kBlockBytes);
+        if (r.status == CommandResult::Status::kCompleted) CHECK(r.data == w.content[block]);
+        (r.status == CommandResult::Status::kCompleted ? good : bad) += 1;
       }
     }
     CHECK((both ? good == 0 : good > 0));
@@ -229,16 +231,16 @@
     w.driver.Start();
     w.driver.Settle();
     int hits = 0;
-    w.driver.on_io = [&](const Io& io, std::string* data, bool*) {
-      if (io.purpose != IoFor::kTags || hits++ > 0) return IoEnd::kDone;
+    w.driver.on_io = [&](const IoRequest& io, std::string* data, bool*) {
+      if (io.purpose != IoPurpose::kTags || hits++ > 0) return IoStatus::kCompleted;
       *data = w.driver.disk().Read(io.offset, io.length);
-      (*data)[static_cast<std::size_t>(slot) * kBlock + 700] ^= 4;
-      return IoEnd::kDone;
+      (*data)[static_cast<std::size_t>(slot) * kBlockBytes + 700] ^= 4;
+      return IoStatus::kCompleted;
     };
-    w.driver.Do(Kind::kRead, 0, kBlock);
+    w.driver.Do(Kind::kRead, 0, kBlockBytes);
     REQUIRE(hits > 0);
     for (std::uint64_t block = 0; block < kBlocks; ++block)
-      CHECK(w.driver.Do(Kind::kRead, block * kBlock, kBlock).data == w.content[block]);
+      CHECK(w.driver.Do(Kind::kRead, block * kBlockBytes, kBlockBytes).data == w.content[block]);
   }
 }
 
@@ -246,9 +248,9 @@
   for (const bool head : {false, true}) {
     World w(6, 1);
     const std::uint64_t start =
-        w.driver.volume().super().geometry.journal_at + w.driver.volume().super().tail_at;
+        w.driver.volume().superblock().geometry.journal_offset + w.driver.volume().superblock().tail_offset;
     w.Write(10);
-    REQUIRE(w.driver.Do(Kind::kFlush, 0, 0).status == Result::Status::kDone);
+    REQUIRE(w.driver.Do(Kind::kFlush, 0, 0).status == CommandResult::Status::kCompleted);
     w.Write(11);
     w.driver.Kill(false);
     // The record begins at the tail unless the ring's end had to be filled first.
@@ -256,17 +258,18 @@
     w.driver.Start();
     w.driver.Settle();
     REQUIRE(w.driver.volume().state() == Volume::State::kReady);
-    const Result lost = w.driver.Do(Kind::kRead, 10 * kBlock, kBlock);
-    REQUIRE(lost.status == Result::Status::kDamaged);
-    CHECK(w.driver.Do(Kind::kRead, 11 * kBlock, kBlock).data == w.content[11]);
-    CHECK(w.driver.Do(Kind::kRead, 12 * kBlock, kBlock).data == w.content[12]);
+    const CommandResult lost = w.driver.Do(Kind::kRead, 10 * kBlockBytes, kBlockBytes);
+    REQUIRE(lost.status == CommandResult::Status::kCorrupted);
+    CHECK(w.driver.Do(Kind::kRead, 11 * kBlockBytes, kBlockBytes).data == w.content[11]);
+    CHECK(w.driver.Do(Kind::kRead, 12 * kBlockBytes, kBlockBytes).data == w.content[12]);
     w.Checkpoint();  // and not after the journal has moved on either
     w.driver.Kill(false);
     w.driver.Start();
     w.driver.Settle();
-    CHECK(w.driver.Do(Kind::kRead, 10 * kBlock, kBlock).status == Result::Status::kDamaged);
+    CHECK(w.driver.Do(Kind::kRead, 10 * kBlockBytes, kBlockBytes).status ==
+          CommandResult::Status::kCorrupted);
     w.Write(10);
-    CHECK(w.driver.Do(Kind::kRead, 10 * kBlock, kBlock).data == w.content[10]);
+    CHECK(w.driver.Do(Kind::kRead, 10 * kBlockBytes, kBlockBytes).data == w.content[10]);
   }
 }
 
@@ -275,12 +278,12 @@
     CAPTURE(what);
     Driver driver(kSize, 1);
     if (std::string(what) != "nothing") driver.Format(128 << 10);
-    const std::uint64_t at = (kSize / kBlock - 2) * kBlock;
-    if (std::string(what) == "foreign") driver.disk().Write(at, std::string(2 * kBlock, 'x'), true);
+    const std::uint64_t at = (kSize / kBlockBytes - 2) * kBlockBytes;
+    if (std::string(what) == "foreign") driver.disk().Write(at, std::string(2 * kBlockBytes, 'x'), true);
     if (std::string(what) == "damaged") driver.disk().Flip(at + 100, 300, 2);
     if (std::string(what) == "newer") {
-      Superblock super = DecodeSuper(driver.disk().Read(at, kBlock), kSize).super;
-      super.version = kVersion + 1;
+      Superblock super = DecodeSuperblock(driver.disk().Read(at, kBlockBytes), kSize).superblock;
+      super.version = kLayoutVersion + 1;
       driver.disk().Write(at, Encode(super), true);
     }
     const std::string before = driver.disk().Read(0, kSize);
@@ -288,9 +291,9 @@
     driver.Submit(Kind::kWrite, 0, 4, "data");
     driver.Settle();
     CHECK(driver.volume().state() == Volume::State::kBroken);
-    CHECK_FALSE(driver.volume().why().empty());
-    CHECK(driver.volume().why().find('\n') == std::string::npos);
-    CHECK(driver.results.at(1).status == Result::Status::kRefused);
+    CHECK_FALSE(driver.volume().error().empty());
+    CHECK(driver.volume().error().find('\n') == std::string::npos);
+    CHECK(driver.results.at(1).status == CommandResult::Status::kRejected);
     CHECK(driver.disk().Read(0, kSize) == before);
   }
 }
--- a/tests/integrity/driver.cpp
+++ b/tests/integrity/driver.cpp
@@ -12,7 +12,7 @@
 }
 
 void Driver::Format(std::uint64_t journal) {
-  for (const Io& io : FormatPlan(disk_.size(), journal, 0x5eed5eed)) {
+  for (const IoRequest& io : FormatPlan(disk_.size(), journal, 0x5eed5eed)) {
     if (io.kind == IoKind::kFlush) disk_.Flush();
     if (io.kind == IoKind::kWrite) disk_.Write(io.offset, io.data, io.fua);
   }
@@ -25,11 +25,11 @@
 }
 
 void Driver::Take() {
-  for (Io& io : volume_->TakeIo()) {
+  for (IoRequest& io : volume_->TakeIoRequests()) {
     if (io.kind == IoKind::kFlush) marks_[io.id] = disk_.Mark();
     waiting_.push_back(std::move(io));
   }
-  for (Result& result : volume_->TakeResults()) {
+  for (CommandResult& result : volume_->TakeResults()) {
     if (on_result) on_result(result);
     results[result.id] = std::move(result);
   }
@@ -40,19 +40,19 @@
   if (waiting_.empty()) return false;
   // Any order is legal.
   const std::size_t index = disk_.Draw(waiting_.size());
-  const Io io = std::move(waiting_[index]);
+  const IoRequest io = std::move(waiting_[index]);
   waiting_.erase(waiting_.begin() + static_cast<std::ptrdiff_t>(index));
   std::string data;
-  IoEnd end = IoEnd::kDone;
+  IoStatus end = IoStatus::kCompleted;
   bool ran = true;
   if (on_io) end = on_io(io, &data, &ran);
   if (ran) {
     if (io.kind == IoKind::kRead && data.empty()) data = disk_.Read(io.offset, io.length);
-    if (io.kind == IoKind::kWrite) disk_.Write(io.offset, io.All(), io.fua);
+    if (io.kind == IoKind::kWrite) disk_.Write(io.offset, io.AllBytes(), io.fua);
     if (io.kind == IoKind::kFlush) disk_.Flush(marks_.at(io.id));
   }
   marks_.erase(io.id);
-  volume_->Ended(io.id, end, end == IoEnd::kDone ? std::move(data) : "");
+  volume_->OnIoCompleted(io.id, end, end == IoStatus::kCompleted ? std::move(data) : "");
   Take();
   return true;
 }
@@ -64,11 +64,11 @@
 
 void Driver::Kill(bool power) {
   Take();
-  for (const Io& io : waiting_) {
+  for (const IoRequest& io : waiting_) {
     if (io.kind != IoKind::kWrite) continue;
     const auto fate = disk_.Draw(3);  // lost, carried out, or cut off
-    if (fate == 1) disk_.Write(io.offset, io.All(), false);
-    if (fate == 2 && power) disk_.CrashInside(io.offset, io.All());
+    if (fate == 1) disk_.Write(io.offset, io.AllBytes(), false);
+    if (fate == 2 && power) disk_.CrashInside(io.offset, io.AllBytes());
   }
   waiting_.clear();
   marks_.clear();
@@ -90,8 +90,8 @@
   return command.id;
 }
 
-Result Driver::Do(Command::Kind kind, std::uint64_t offset, std::uint32_t length, std::string data,
-                  bool fua) {
+CommandResult Driver::Do(Command::Kind kind, std::uint64_t offset, std::uint32_t length, std::string data,
+                         bool fua) {
   const CommandId id = Submit(kind, offset, length, std::move(data), fua);
   Settle();
   return results.at(id);
