--- a/tests/integrity/driver.h
+++ b/tests/integrity/driver.h
@@ -31,15 +31,15 @@
   integrity::CommandId Submit(integrity::Command::Kind kind, std::uint64_t offset, std::uint32_t length,
                               std::string data = "", bool fua = false);
   // Submits and settles.
-  integrity::Result Do(integrity::Command::Kind kind, std::uint64_t offset, std::uint32_t length,
-                       std::string data = "", bool fua = false);
+  integrity::CommandResult Do(integrity::Command::Kind kind, std::uint64_t offset, std::uint32_t length,
+                              std::string data = "", bool fua = false);
 
   integrity::Volume& volume() { return *volume_; }
   lab::Disk& disk() { return disk_; }
-  std::map<integrity::CommandId, integrity::Result> results;  // in arrival order of ids
-  std::function<void(const integrity::Result&)> on_result;
+  std::map<integrity::CommandId, integrity::CommandResult> results;  // in arrival order of ids
+  std::function<void(const integrity::CommandResult&)> on_result;
   // May change what an Io brings, or how it ends; it has been carried out if `ran`.
-  std::function<integrity::IoEnd(const integrity::Io&, std::string* data, bool* ran)> on_io;
+  std::function<integrity::IoStatus(const integrity::IoRequest&, std::string* data, bool* ran)> on_io;
   std::size_t waiting() const { return waiting_.size(); }
 
  private:
@@ -48,7 +48,7 @@
   lab::Disk disk_;
   integrity::VolumeOptions options_;
   std::unique_ptr<integrity::Volume> volume_;
-  std::vector<integrity::Io> waiting_;
+  std::vector<integrity::IoRequest> waiting_;
   std::map<integrity::IoId, std::uint64_t> marks_;  // what each flush must cover, and no more
   integrity::CommandId next_ = 1;
 };
--- a/tests/integrity/layout_test.cpp
+++ b/tests/integrity/layout_test.cpp
@@ -10,28 +10,29 @@
 namespace {
 
 TEST_CASE("the regions of any size fit, adjoin and cover every block") {
-  CHECK_FALSE(Fit(kLeastJournal + 2 * kBlock, kLeastJournal));
-  CHECK_FALSE(Fit(0, kLeastJournal));
+  CHECK_FALSE(FitGeometry(kMinJournalBytes + 2 * kBlockBytes, kMinJournalBytes));
+  CHECK_FALSE(FitGeometry(0, kMinJournalBytes));
   for (std::uint64_t blocks = 3; blocks < 3000; blocks += 7) {
-    const std::uint64_t size = kLeastJournal + (2 + blocks) * kBlock + 77;
-    const auto g = Fit(size, kLeastJournal);
+    const std::uint64_t size = kMinJournalBytes + (2 + blocks) * kBlockBytes + 77;
+    const auto g = FitGeometry(size, kMinJournalBytes);
     REQUIRE(g);
     CHECK(g->tag_blocks * kTagsPerBlock >= g->blocks);
-    CHECK(g->tags_at == g->blocks * kBlock);
-    CHECK(g->journal_at == g->tags_at + 2 * g->tag_blocks * kBlock);
-    CHECK(g->journal_at + g->journal_size <= g->super_at);
-    CHECK(g->super_at + 2 * kBlock <= size);
-    CHECK(g->super_at - g->journal_at - g->journal_size < 3 * kBlock);  // nothing to speak of is wasted
+    CHECK(g->tags_offset == g->blocks * kBlockBytes);
+    CHECK(g->journal_offset == g->tags_offset + 2 * g->tag_blocks * kBlockBytes);
+    CHECK(g->journal_offset + g->journal_size <= g->superblock_offset);
+    CHECK(g->superblock_offset + 2 * kBlockBytes <= size);
+    CHECK(g->superblock_offset - g->journal_offset - g->journal_size <
+          3 * kBlockBytes);  // nothing to speak of is wasted
   }
 }
 
 Superblock Sample(std::uint64_t size) {
   Superblock s;
   s.export_id = 77;
-  s.geometry = *Fit(size, kLeastJournal);
+  s.geometry = *FitGeometry(size, kMinJournalBytes);
   s.epoch = 3;
   s.sequence = 9;
-  s.tail_at = 1024;
+  s.tail_offset = 1024;
   s.tail_sequence = 12;
   return s;
 }
@@ -39,40 +40,40 @@
 TEST_CASE("a superblock is read back; damaged, newer, foreign and resized ones are told apart") {
   const std::uint64_t size = 1 << 20;
   const std::string good = Encode(Sample(size));
-  const SuperRead read = DecodeSuper(good, size);
-  REQUIRE(read.state == SuperState::kWhole);
-  CHECK(read.super.epoch == 3);
-  CHECK(read.super.tail_sequence == 12);
-  for (std::size_t bit = 0; bit < kSector * 8; ++bit) {
+  const DecodedSuperblock read = DecodeSuperblock(good, size);
+  REQUIRE(read.state == SuperblockState::kValid);
+  CHECK(read.superblock.epoch == 3);
+  CHECK(read.superblock.tail_sequence == 12);
+  for (std::size_t bit = 0; bit < kSectorBytes * 8; ++bit) {
     std::string bad = good;
     bad[bit / 8] ^= static_cast<char>(1 << bit % 8);
-    const auto state = DecodeSuper(bad, size).state;
-    CHECK(state != SuperState::kWhole);
+    const auto state = DecodeSuperblock(bad, size).state;
+    CHECK(state != SuperblockState::kValid);
   }
-  CHECK(DecodeSuper(std::string(kBlock, '\0'), size).state == SuperState::kNone);
-  CHECK(DecodeSuper("", size).state == SuperState::kNone);
-  CHECK(DecodeSuper(std::string(kBlock, 'x'), size).state == SuperState::kForeign);
-  CHECK(DecodeSuper(good, size * 2).state == SuperState::kForeign);
-  CHECK(DecodeSuper(good, size - 8 * kBlock).state == SuperState::kForeign);
+  CHECK(DecodeSuperblock(std::string(kBlockBytes, '\0'), size).state == SuperblockState::kMissing);
+  CHECK(DecodeSuperblock("", size).state == SuperblockState::kMissing);
+  CHECK(DecodeSuperblock(std::string(kBlockBytes, 'x'), size).state == SuperblockState::kForeign);
+  CHECK(DecodeSuperblock(good, size * 2).state == SuperblockState::kForeign);
+  CHECK(DecodeSuperblock(good, size - 8 * kBlockBytes).state == SuperblockState::kForeign);
   Superblock newer = Sample(size);
-  newer.version = kVersion + 1;
-  const SuperRead later = DecodeSuper(Encode(newer), size);
-  CHECK(later.state == SuperState::kNewer);
-  CHECK(later.what.find("version 2") != std::string::npos);
+  newer.version = kLayoutVersion + 1;
+  const DecodedSuperblock later = DecodeSuperblock(Encode(newer), size);
+  CHECK(later.state == SuperblockState::kNewer);
+  CHECK(later.error.find("version 2") != std::string::npos);
 }
 
 TEST_CASE("of two superblocks the later whole one holds, and a newer version is never passed over") {
   const std::uint64_t size = 1 << 20;
   Superblock old = Sample(size), young = Sample(size), newer = Sample(size);
   young.sequence = 10;
-  newer.version = kVersion + 1;
-  const auto a = DecodeSuper(Encode(old), size), b = DecodeSuper(Encode(young), size);
-  const auto c = DecodeSuper(Encode(newer), size), none = DecodeSuper("", size);
-  CHECK(ChooseSuper(a, b).super.sequence == 10);
-  CHECK(ChooseSuper(b, a).super.sequence == 10);
-  CHECK(ChooseSuper(a, none).state == SuperState::kWhole);
-  CHECK(ChooseSuper(none, none).state == SuperState::kNone);
-  CHECK(ChooseSuper(a, c).state == SuperState::kNewer);
+  newer.version = kLayoutVersion + 1;
+  const auto a = DecodeSuperblock(Encode(old), size), b = DecodeSuperblock(Encode(young), size);
+  const auto c = DecodeSuperblock(Encode(newer), size), none = DecodeSuperblock("", size);
+  CHECK(ChooseSuperblock(a, b).superblock.sequence == 10);
+  CHECK(ChooseSuperblock(b, a).superblock.sequence == 10);
+  CHECK(ChooseSuperblock(a, none).state == SuperblockState::kValid);
+  CHECK(ChooseSuperblock(none, none).state == SuperblockState::kMissing);
+  CHECK(ChooseSuperblock(a, c).state == SuperblockState::kNewer);
 }
 
 TEST_CASE("tag blocks and records: each flipped bit, and each other place, is told") {
@@ -81,38 +82,40 @@
   tags.version = 8;
   tags.tags[3] = {4, 5, 6};
   const std::string good = Encode(tags, 77);
-  REQUIRE(DecodeTags(good, 77, 5));
-  CHECK(DecodeTags(good, 77, 5)->tags[3] == Tag{4, 5, 6});
-  CHECK_FALSE(DecodeTags(good, 77, 6));
-  CHECK_FALSE(DecodeTags(good, 78, 5));
-  CHECK(DecodeTags(std::string(kBlock, '\0'), 77, 5)->version == 0);
-  const std::string data(2 * kBlock, 'd');
-  RecordHead head;
+  REQUIRE(DecodeTagBlock(good, 77, 5));
+  CHECK(DecodeTagBlock(good, 77, 5)->tags[3] == Tag{4, 5, 6});
+  CHECK_FALSE(DecodeTagBlock(good, 77, 6));
+  CHECK_FALSE(DecodeTagBlock(good, 78, 5));
+  CHECK(DecodeTagBlock(std::string(kBlockBytes, '\0'), 77, 5)->version == 0);
+  const std::string data(2 * kBlockBytes, 'd');
+  RecordHeader head;
   head.sequence = 4;
-  head.first = 11;
+  head.first_block = 11;
   head.size = RecordSize(2, true);
   for (std::uint64_t i = 0; i < 2; ++i)
-    head.blocks.push_back({1, TagSum(DataSum(data.substr(0, kBlock)), 77, 11 + i, 1)});
+    head.blocks.push_back({1, TagSum(DataSum(data.substr(0, kBlockBytes)), 77, 11 + i, 1)});
   const std::string record = Encode(head, data, 77);
-  REQUIRE(DecodeHead(record, 77));
-  CHECK(DataFits(*DecodeHead(record, 77), record, 77));
-  CHECK_FALSE(DecodeHead(record, 78));
+  REQUIRE(DecodeRecordHeader(record, 77));
+  CHECK(RecordDataMatches(*DecodeRecordHeader(record, 77), record, 77));
+  CHECK_FALSE(DecodeRecordHeader(record, 78));
   int told = 0, bits = 0;
   for (std::size_t bit = 0; bit < record.size() * 8; bit += 13, ++bits) {
     std::string bad = record;
     bad[bit / 8] ^= static_cast<char>(1 << bit % 8);
-    const auto read = DecodeHead(bad, 77);
-    told += !read || !DataFits(*read, bad, 77);
+    const auto read = DecodeRecordHeader(bad, 77);
+    told += !read || !RecordDataMatches(*read, bad, 77);
     std::string bad_tags = good;
-    bad_tags[bit / 8 % kBlock] ^= static_cast<char>(1 << bit % 8);
-    if (bit / 8 % kBlock < 36 || bit / 8 % kBlock >= kTagHead) CHECK_FALSE(DecodeTags(bad_tags, 77, 5));
+    bad_tags[bit / 8 % kBlockBytes] ^= static_cast<char>(1 << bit % 8);
+    if (bit / 8 % kBlockBytes < 36 || bit / 8 % kBlockBytes >= kTagHeaderBytes)
+      CHECK_FALSE(DecodeTagBlock(bad_tags, 77, 5));
   }
   CHECK(told == bits);
-  CHECK_FALSE(DataFits(*DecodeHead(record, 77), std::string_view(record).substr(0, 5000), 77));
+  CHECK_FALSE(
+      RecordDataMatches(*DecodeRecordHeader(record, 77), std::string_view(record).substr(0, 5000), 77));
 }
 
 TEST_CASE("an export that is too small is said so") {
-  CHECK_THROWS_WITH(FormatPlan(kBlock, kLeastJournal, 1), doctest::Contains("no room for tags"));
+  CHECK_THROWS_WITH(FormatPlan(kBlockBytes, kMinJournalBytes, 1), doctest::Contains("no room for tags"));
 }
 
 }  // namespace
--- a/tests/integrity/stored_data_test.cpp
+++ b/tests/integrity/stored_data_test.cpp
@@ -8,15 +8,15 @@
 #include <string>
 
 #include "driver.h"
+#include "integrity/corruption_log.h"
 #include "integrity/cursor.h"
-#include "integrity/ledger.h"
 
 namespace walnutspur::test {
 namespace {
 
 using namespace integrity;
 using Kind = Command::Kind;
-using Status = Result::Status;
+using Status = CommandResult::Status;
 
 std::string ReadStored(const std::string& name) {
   std::ifstream file(std::string(WALNUTSPUR_ROOT) + "/tests/integrity/stored/" + name, std::ios::binary);
@@ -26,33 +26,33 @@
 
 TEST_CASE("a checksummed export that version 0.2.0 left with an unapplied journal is read in full") {
   const std::string image = ReadStored("export.img");
-  REQUIRE(image.size() == 12 * kBlock + (64 << 10));
+  REQUIRE(image.size() == 12 * kBlockBytes + (64 << 10));
   Driver driver(image.size(), 1);
   driver.disk().Write(0, image, true);
   driver.Start();
   driver.Settle();
   REQUIRE(driver.volume().state() == Volume::State::kReady);
-  REQUIRE(driver.volume().size() == 8 * kBlock);
+  REQUIRE(driver.volume().size() == 8 * kBlockBytes);
 
-  std::string second(kBlock, 'a');
+  std::string second(kBlockBytes, 'a');
   second.replace(100, 50, std::string(50, 'd'));  // a partial write that stands in the journal alone
-  const std::string expected[] = {std::string(kBlock, 'a'),
+  const std::string expected[] = {std::string(kBlockBytes, 'a'),
                                   second,
-                                  std::string(kBlock, '\0'),  // trimmed in the journal
-                                  "",                         // damaged
-                                  std::string(kBlock, 'e'),
-                                  std::string(kBlock, '\0'),
-                                  std::string(kBlock, '\0'),
-                                  std::string(kBlock, '\0')};
+                                  std::string(kBlockBytes, '\0'),  // trimmed in the journal
+                                  "",                              // damaged
+                                  std::string(kBlockBytes, 'e'),
+                                  std::string(kBlockBytes, '\0'),
+                                  std::string(kBlockBytes, '\0'),
+                                  std::string(kBlockBytes, '\0')};
   for (std::uint64_t block = 0; block < 8; ++block) {
     CAPTURE(block);
-    const Result result = driver.Do(Kind::kRead, block * kBlock, kBlock);
+    const CommandResult result = driver.Do(Kind::kRead, block * kBlockBytes, kBlockBytes);
     if (block == 3) {
-      CHECK(result.status == Status::kDamaged);
-      REQUIRE(result.bad.size() == 1);
-      CHECK(result.bad[0].block == block);
+      CHECK(result.status == Status::kCorrupted);
+      REQUIRE(result.corrupt_blocks.size() == 1);
+      CHECK(result.corrupt_blocks[0].block == block);
     } else {
-      CHECK(result.status == Status::kDone);
+      CHECK(result.status == Status::kCompleted);
       CHECK(result.data == expected[block]);
     }
   }
@@ -61,28 +61,31 @@
   driver.Start();
   driver.Settle();
   REQUIRE(driver.volume().state() == Volume::State::kReady);
-  CHECK(driver.Do(Kind::kRead, kBlock, kBlock).data == second);
-  CHECK(driver.Do(Kind::kRead, 2 * kBlock, kBlock).data == std::string(kBlock, '\0'));
-  CHECK(driver.Do(Kind::kRead, 3 * kBlock, kBlock).status == Status::kDamaged);
-  CHECK(driver.Do(Kind::kRead, 4 * kBlock, kBlock).data == std::string(kBlock, 'e'));
+  CHECK(driver.Do(Kind::kRead, kBlockBytes, kBlockBytes).data == second);
+  CHECK(driver.Do(Kind::kRead, 2 * kBlockBytes, kBlockBytes).data == std::string(kBlockBytes, '\0'));
+  CHECK(driver.Do(Kind::kRead, 3 * kBlockBytes, kBlockBytes).status == Status::kCorrupted);
+  CHECK(driver.Do(Kind::kRead, 4 * kBlockBytes, kBlockBytes).data == std::string(kBlockBytes, 'e'));
 }
 
 TEST_CASE("a damage ledger that version 0.2.0 wrote is read, and written again as it was") {
   const std::string bytes = ReadStored("damage.ledger");
-  Ledger ledger;
+  CorruptionLog ledger;
   std::string error;
   REQUIRE_MESSAGE(ledger.Decode(bytes, &error), error);
   REQUIRE(ledger.entries().size() == 3);
-  const Entry* at_rest = ledger.Find({"target-1", "disk", 3});
+  const CorruptionEntry* at_rest = ledger.Find({"target-1", "disk", 3});
   REQUIRE(at_rest);
-  CHECK(*at_rest == Entry{Fault::kRest, false, 1'700'000'000'000'000, 1'700'000'000'000'000, 1, -1, 0});
-  const Entry* on_path = ledger.Find({"target-1", "disk", 9});
+  CHECK(*at_rest ==
+        CorruptionEntry{Fault::kAtRest, false, 1'700'000'000'000'000, 1'700'000'000'000'000, 1, -1, 0});
+  const CorruptionEntry* on_path = ledger.Find({"target-1", "disk", 9});
   REQUIRE(on_path);
-  CHECK(*on_path == Entry{Fault::kPath, true, 1'700'000'001'000'000, 1'700'000'001'000'000, 1, 1, 0});
-  const Entry* rewritten = ledger.Find({"target-2", "other", 4});
+  CHECK(*on_path ==
+        CorruptionEntry{Fault::kPath, true, 1'700'000'001'000'000, 1'700'000'001'000'000, 1, 1, 0});
+  const CorruptionEntry* rewritten = ledger.Find({"target-2", "other", 4});
   REQUIRE(rewritten);
-  CHECK(*rewritten == Entry{Fault::kLost, true, 1'700'000'002'000'000, 1'700'000'003'000'000, 1, -1, 0});
-  CHECK(ledger.bad() == 1);
+  CHECK(*rewritten ==
+        CorruptionEntry{Fault::kLostWrite, true, 1'700'000'002'000'000, 1'700'000'003'000'000, 1, -1, 0});
+  CHECK(ledger.damaged_count() == 1);
   CHECK(ledger.Encode() == bytes);
 }
 
--- a/tests/integrity/volume_test.cpp
+++ b/tests/integrity/volume_test.cpp
@@ -12,10 +12,10 @@
 
 using namespace integrity;
 using Kind = Command::Kind;
-using Status = Result::Status;
+using Status = CommandResult::Status;
 
 constexpr std::uint64_t kSize =
-    (24 + 2 + 2) * kBlock + (96 << 10);  // 24 blocks, one tag block, a small journal
+    (24 + 2 + 2) * kBlockBytes + (96 << 10);  // 24 blocks, one tag block, a small journal
 constexpr std::uint64_t kJournal = 96 << 10;
 
 // SEED=first and SEEDS=how many widen a run by hand.
@@ -33,7 +33,7 @@
     enum { kOpen, kAcked, kFailed, kRefused } status = kOpen;
     bool durable = false;
   };
-  std::set<std::string> before{std::string(kBlock, '\0')};
+  std::set<std::string> before{std::string(kBlockBytes, '\0')};
   std::vector<Write> chain;
 
   static std::string Apply(std::string content, const Write& w) {
@@ -61,21 +61,21 @@
 struct World {
   explicit World(std::uint64_t seed) : driver(kSize, seed, Options()) {
     driver.Format(kJournal);
-    driver.on_result = [this](const Result& r) { OnResult(r); };
+    driver.on_result = [this](const CommandResult& r) { OnResult(r); };
   }
   static VolumeOptions Options() {
     VolumeOptions options;
-    options.most_tag_blocks = 1;
+    options.max_cached_tag_blocks = 1;
     return options;
   }
 
   std::uint64_t Draw(std::uint64_t bound) { return driver.disk().Draw(bound); }
 
   void Write() {
-    const std::uint64_t size = blocks.size() * kBlock;
+    const std::uint64_t size = blocks.size() * kBlockBytes;
     const bool aligned = Draw(2) == 0;
-    std::uint64_t offset = Draw(size - 1), length = 1 + Draw(3 * kBlock);
-    if (aligned) offset = offset / kBlock * kBlock, length = (1 + Draw(3)) * kBlock;
+    std::uint64_t offset = Draw(size - 1), length = 1 + Draw(3 * kBlockBytes);
+    if (aligned) offset = offset / kBlockBytes * kBlockBytes, length = (1 + Draw(3)) * kBlockBytes;
     length = std::min(length, size - offset);
     std::string data(length, '\0');
     for (char& c : data) c = static_cast<char>('a' + Draw(26));
@@ -87,9 +87,9 @@
   }
   void Trim() {
     const std::uint64_t first = Draw(blocks.size()), count = 1 + Draw(2);
-    const std::uint64_t length = std::min(count, blocks.size() - first) * kBlock;
-    const CommandId id = driver.Submit(Kind::kTrim, first * kBlock, static_cast<std::uint32_t>(length));
-    Note(id, first * kBlock, std::string(length, '\0'));
+    const std::uint64_t length = std::min(count, blocks.size() - first) * kBlockBytes;
+    const CommandId id = driver.Submit(Kind::kTrim, first * kBlockBytes, static_cast<std::uint32_t>(length));
+    Note(id, first * kBlockBytes, std::string(length, '\0'));
   }
   void Read() {
     const std::uint64_t block = Draw(blocks.size());
@@ -97,7 +97,7 @@
     for (std::size_t i = 0; i < blocks[block].chain.size(); ++i) {
       if (blocks[block].chain[i].status == Oracle::Write::kAcked) acked = i + 1;
     }
-    const CommandId id = driver.Submit(Kind::kRead, block * kBlock, kBlock);
+    const CommandId id = driver.Submit(Kind::kRead, block * kBlockBytes, kBlockBytes);
     reads[id] = {block, acked};
     if (early.contains(id)) OnResult(early.at(id));
   }
@@ -110,13 +110,13 @@
 
   void Note(CommandId id, std::uint64_t offset, const std::string& data) {
     for (std::uint64_t at = 0; at < data.size();) {
-      const std::uint64_t from = (offset + at) % kBlock;
-      const std::uint64_t part = std::min<std::uint64_t>(kBlock - from, data.size() - at);
+      const std::uint64_t from = (offset + at) % kBlockBytes;
+      const std::uint64_t part = std::min<std::uint64_t>(kBlockBytes - from, data.size() - at);
       Oracle::Write w;
       w.id = id;
       w.from = static_cast<std::uint32_t>(from);
       w.data = data.substr(at, part);
-      blocks[(offset + at) / kBlock].chain.push_back(w);
+      blocks[(offset + at) / kBlockBytes].chain.push_back(w);
       at += part;
     }
     writes.insert(id);
@@ -127,23 +127,23 @@
     for (Oracle& block : blocks) {
       for (Oracle::Write& w : block.chain) {
         if (w.id != id) continue;
-        w.status = status == Status::kDone     ? Oracle::Write::kAcked
-                   : status == Status::kFailed ? Oracle::Write::kFailed
-                                               : Oracle::Write::kRefused;
-        w.durable = w.durable || (status == Status::kDone && fuas.contains(id));
+        w.status = status == Status::kCompleted ? Oracle::Write::kAcked
+                   : status == Status::kFailed  ? Oracle::Write::kFailed
+                                                : Oracle::Write::kRefused;
+        w.durable = w.durable || (status == Status::kCompleted && fuas.contains(id));
       }
     }
-    if (status == Status::kDone) done[id] = true;
+    if (status == Status::kCompleted) done[id] = true;
   }
-  void OnResult(const Result& r) {
-    CHECK(r.status != Status::kDamaged);  // nothing is damaged here: that would be a false alarm
+  void OnResult(const CommandResult& r) {
+    CHECK(r.status != Status::kCorrupted);  // nothing is damaged here: that would be a false alarm
     if (writes.contains(r.id)) Mark(r.id, r.status);
-    if (const auto at = flushes.find(r.id); at != flushes.end() && r.status == Status::kDone) {
+    if (const auto at = flushes.find(r.id); at != flushes.end() && r.status == Status::kCompleted) {
       for (Oracle& block : blocks) {
         for (Oracle::Write& w : block.chain) w.durable = w.durable || at->second.contains(w.id);
       }
     }
-    if (const auto at = reads.find(r.id); at != reads.end() && r.status == Status::kDone) {
+    if (const auto at = reads.find(r.id); at != reads.end() && r.status == Status::kCompleted) {
       const auto [block, acked] = at->second;
       CHECK_MESSAGE(blocks[block].States(true, acked).contains(r.data), "block ", block,
                     " reads what it never was");
@@ -159,10 +159,10 @@
     driver.Start();
     driver.on_io = nullptr;
     driver.Settle();
-    REQUIRE_MESSAGE(driver.volume().state() == Volume::State::kReady, driver.volume().why());
+    REQUIRE_MESSAGE(driver.volume().state() == Volume::State::kReady, driver.volume().error());
     for (std::size_t i = 0; i < blocks.size(); ++i) {
-      const Result r = driver.Do(Kind::kRead, i * kBlock, kBlock);
-      REQUIRE(r.status == Status::kDone);
+      const CommandResult r = driver.Do(Kind::kRead, i * kBlockBytes, kBlockBytes);
+      REQUIRE(r.status == Status::kCompleted);
       const auto states = blocks[i].States(false);
       CHECK_MESSAGE(states.contains(r.data), "block ", i, " holds what it may not hold after a crash");
       ++checked;
@@ -183,7 +183,7 @@
   std::map<CommandId, bool> done;
   std::map<CommandId, std::set<CommandId>> flushes;
   std::map<CommandId, std::pair<std::uint64_t, std::size_t>> reads;
-  std::map<CommandId, Result> early;
+  std::map<CommandId, CommandResult> early;
   int checked = 0;
 };
 
@@ -200,11 +200,11 @@
     for (int life = 0; life < 8; ++life) {
       // Some boxes fail writes, having done them or not.
       if (life % 2 == 1) {
-        world.driver.on_io = [&world](const Io& io, std::string*, bool* ran) {
-          if (io.kind == IoKind::kRead || io.purpose == IoFor::kSuper || world.Draw(20) != 0)
-            return IoEnd::kDone;
+        world.driver.on_io = [&world](const IoRequest& io, std::string*, bool* ran) {
+          if (io.kind == IoKind::kRead || io.purpose == IoPurpose::kSuperblock || world.Draw(20) != 0)
+            return IoStatus::kCompleted;
           *ran = world.Draw(2) == 0;
-          return *ran || world.Draw(2) == 0 ? IoEnd::kFailed : IoEnd::kNeverRan;
+          return *ran || world.Draw(2) == 0 ? IoStatus::kFailed : IoStatus::kNotExecuted;
         };
       }
       const auto steps = 20 + world.Draw(600);
@@ -235,15 +235,15 @@
   driver.Start();
   driver.Settle();
   for (int i = 0; i < 500; ++i) {
-    driver.Submit(Kind::kWrite, driver.disk().Draw(20) * kBlock + 100, 5000, std::string(5000, 'x'));
-    driver.Submit(Kind::kRead, driver.disk().Draw(20) * kBlock, 9000);
+    driver.Submit(Kind::kWrite, driver.disk().Draw(20) * kBlockBytes + 100, 5000, std::string(5000, 'x'));
+    driver.Submit(Kind::kRead, driver.disk().Draw(20) * kBlockBytes, 9000);
     if (i % 7 == 0) driver.volume().Abandon(driver.Submit(Kind::kRead, 0, 4096));
     if (i % 3 == 0) driver.Settle();
   }
   driver.Settle();
   driver.volume().Checkpoint();
   driver.Settle();
-  CHECK(driver.volume().remembered() == 0);
+  CHECK(driver.volume().tracked_entries() == 0);
   CHECK_FALSE(driver.volume().dirty());
 }
 
--- a/tests/net/checksummed_export_test.cpp
+++ b/tests/net/checksummed_export_test.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 using integrity::Fault;
-using integrity::kBlock;
+using integrity::kBlockBytes;
 using lab::Damage;
 
 constexpr std::uint64_t kSize = 16 << 20;
@@ -42,7 +42,7 @@
                          std::uint16_t flags = lab::BoxOptions().flags)
       : server_is_suitable(flags == lab::BoxOptions().flags), server(Options(paths, seed, flags)) {
     server.WithDisk([](lab::Disk& disk) {
-      for (const auto& io : integrity::FormatPlan(kSize, integrity::kUsualJournal, 42)) {
+      for (const auto& io : integrity::FormatPlan(kSize, integrity::kDefaultJournalBytes, 42)) {
         if (io.kind == integrity::IoKind::kWrite) disk.Write(io.offset, io.data, true);
       }
     });
@@ -61,7 +61,7 @@
         std::to_string(kSize) + "\n";
     options.nbd = folder.Put("nbd.toml", text);
     options.folder = folder.path();
-    options.scrub.on = scrub;
+    options.scrub.enabled = scrub;
     options.scrub.job.requests_a_second = 400;
     options.scrub.job.bytes_a_second = 1e9;
     options.scrub.job.floor_a_second = 50;
@@ -123,9 +123,9 @@
     return RetryRejected([&] { return client->Read(offset, length); });
   }
   void Write(std::uint64_t block, std::size_t blocks = 1) {
-    const std::string data = RandomData(server, blocks * kBlock);
-    REQUIRE(Put(block * kBlock, data).error == nbd::kOk);
-    content.replace(block * kBlock, data.size(), data);
+    const std::string data = RandomData(server, blocks * kBlockBytes);
+    REQUIRE(Put(block * kBlockBytes, data).error == nbd::kOk);
+    content.replace(block * kBlockBytes, data.size(), data);
   }
   // Waits until checkpoints have written all data to its place and the storage server is idle.
   void WaitForCheckpoint() {
@@ -138,13 +138,14 @@
   }
   // Reads the block until the corruption log has an entry for it; data that is served must be what was
   // written.
-  std::optional<integrity::Entry> FindCorruption(std::uint64_t block) {
+  std::optional<integrity::CorruptionEntry> FindCorruption(std::uint64_t block) {
     for (int i = 0; i < 14; ++i) {
-      const nbd::Reply reply = client->Read(block * kBlock, kBlock);
-      if (reply.error == nbd::kOk) CHECK(nbd::DataOf(reply) == content.substr(block * kBlock, kBlock));
-      integrity::Ledger ledger;
+      const nbd::Reply reply = client->Read(block * kBlockBytes, kBlockBytes);
+      if (reply.error == nbd::kOk)
+        CHECK(nbd::DataOf(reply) == content.substr(block * kBlockBytes, kBlockBytes));
+      integrity::CorruptionLog ledger;
       std::string what;
-      integrity::LedgerFile(folder.path()).Load(&ledger, &what);
+      integrity::CorruptionLogFile(folder.path()).Load(&ledger, &what);
       if (const auto* entry = ledger.Find({"a", "disk", block})) return *entry;
       if (i > 2) poll(nullptr, 0, 300);
     }
@@ -183,7 +184,8 @@
   fixture.StopInitiator();  // with one record in the journal
   fixture.StartInitiator();
   all();
-  CHECK(fixture.client->size() == integrity::Fit(kSize, integrity::kUsualJournal)->data_size());
+  CHECK(fixture.client->size() ==
+        integrity::FitGeometry(kSize, integrity::kDefaultJournalBytes)->data_size());
 }
 
 TEST_CASE(
@@ -195,36 +197,37 @@
     fixture.WaitForCheckpoint();
     fixture.Write(0, 16);  // a second generation, so that there is stale content
     fixture.WaitForCheckpoint();
-    lab::Fault lost_write{Damage::kLost, -1, 2 * kBlock, 3 * kBlock};
-    lab::Fault astray{Damage::kAstray, -1, 5 * kBlock, 6 * kBlock, 9 * kBlock};
-    lab::Fault torn{Damage::kTorn, -1, 12 * kBlock, 13 * kBlock};
+    lab::Fault lost_write{Damage::kLost, -1, 2 * kBlockBytes, 3 * kBlockBytes};
+    lab::Fault astray{Damage::kAstray, -1, 5 * kBlockBytes, 6 * kBlockBytes, 9 * kBlockBytes};
+    lab::Fault torn{Damage::kTorn, -1, 12 * kBlockBytes, 13 * kBlockBytes};
     for (const auto& fault : {lost_write, astray, torn}) fixture.server.Add(fault);
     fixture.Write(2);
     fixture.Write(5);
     fixture.Write(12);
     fixture.WaitForCheckpoint();
     REQUIRE(fixture.server.struck(Damage::kAstray) == 1);
-    fixture.server.Add({Damage::kFlipRest, -1, 14 * kBlock, 15 * kBlock});
-    CHECK(fixture.FindCorruption(2)->fault == Fault::kLost);
-    CHECK(fixture.FindCorruption(12)->fault == Fault::kRest);
-    CHECK(fixture.FindCorruption(14)->fault == Fault::kRest);
-    CHECK(fixture.FindCorruption(5)->fault == Fault::kLost);
-    CHECK(fixture.FindCorruption(9)->fault == Fault::kAstray);
-    CHECK(fixture.FindCorruption(5)->fault == Fault::kAstray);  // now that the misplaced block is known
-    fixture.server.Add({Damage::kStale, -1, 7 * kBlock, 8 * kBlock});
-    CHECK(fixture.FindCorruption(7)->fault == Fault::kStale);
-    fixture.server.Add({Damage::kFlipPath, 0, 1 * kBlock, 2 * kBlock, 0, paths == 1 ? 1 : -1});
+    fixture.server.Add({Damage::kFlipRest, -1, 14 * kBlockBytes, 15 * kBlockBytes});
+    CHECK(fixture.FindCorruption(2)->fault == Fault::kLostWrite);
+    CHECK(fixture.FindCorruption(12)->fault == Fault::kAtRest);
+    CHECK(fixture.FindCorruption(14)->fault == Fault::kAtRest);
+    CHECK(fixture.FindCorruption(5)->fault == Fault::kLostWrite);
+    CHECK(fixture.FindCorruption(9)->fault == Fault::kMisdirectedWrite);
+    CHECK(fixture.FindCorruption(5)->fault ==
+          Fault::kMisdirectedWrite);  // now that the misplaced block is known
+    fixture.server.Add({Damage::kStale, -1, 7 * kBlockBytes, 8 * kBlockBytes});
+    CHECK(fixture.FindCorruption(7)->fault == Fault::kStaleRead);
+    fixture.server.Add({Damage::kFlipPath, 0, 1 * kBlockBytes, 2 * kBlockBytes, 0, paths == 1 ? 1 : -1});
     CHECK(fixture.FindCorruption(1)->fault == (paths == 1 ? Fault::kMemory : Fault::kPath));
     fixture.server.ClearFaults();
     // A read of all blocks returns the intact pieces and the offsets of the corrupted blocks.
-    const nbd::Reply wide = fixture.Get(0, 16 * kBlock);
+    const nbd::Reply wide = fixture.Get(0, 16 * kBlockBytes);
     CHECK(wide.error == nbd::kIo);
-    CHECK(wide.bad ==
-          std::vector<std::uint64_t>{2 * kBlock, 5 * kBlock, 9 * kBlock, 12 * kBlock, 14 * kBlock});
+    CHECK(wide.bad == std::vector<std::uint64_t>{2 * kBlockBytes, 5 * kBlockBytes, 9 * kBlockBytes,
+                                                 12 * kBlockBytes, 14 * kBlockBytes});
     for (const nbd::Piece& piece : wide.partial)
       CHECK(piece.data == fixture.content.substr(piece.offset, piece.data.size()));
     for (const std::uint64_t block : {2, 5, 9, 12, 14}) fixture.Write(block);
-    CHECK(fixture.Get(0, 16 * kBlock).error == nbd::kOk);
+    CHECK(fixture.Get(0, 16 * kBlockBytes).error == nbd::kOk);
   }
 }
 
@@ -239,27 +242,27 @@
   }
   const std::uint64_t commands_before = fixture.server.commands();
   poll(nullptr, 0, 1300);  // a checkpoint would be due
-  CHECK(fixture.client->Write(0, std::string(kBlock, 'x')).error ==
+  CHECK(fixture.client->Write(0, std::string(kBlockBytes, 'x')).error ==
         nbd::kNoMemory);  // rejected: it never ran
   CHECK(fixture.server.commands() == commands_before);
   fixture.ListTarget("SERVING");
   for (int i = 0; i < 200 && fixture.client->Read(0, 512).error != nbd::kOk; ++i) poll(nullptr, 0, 5);
-  CHECK(nbd::DataOf(fixture.Get(0, 8 * kBlock)) == fixture.content.substr(0, 8 * kBlock));
+  CHECK(nbd::DataOf(fixture.Get(0, 8 * kBlockBytes)) == fixture.content.substr(0, 8 * kBlockBytes));
 }
 
 TEST_CASE("the scrub detects corruption that no client reads") {
   ExportFixture fixture(1, true);
   fixture.Write(0, 16);
   fixture.WaitForCheckpoint();
-  fixture.server.Add({Damage::kFlipRest, -1, 11 * kBlock, 12 * kBlock});
-  integrity::Ledger ledger;
+  fixture.server.Add({Damage::kFlipRest, -1, 11 * kBlockBytes, 12 * kBlockBytes});
+  integrity::CorruptionLog ledger;
   std::string what;
-  for (int i = 0; i < 100 && !ledger.IsBad({"a", "disk", 11}); ++i) {
+  for (int i = 0; i < 100 && !ledger.IsDamaged({"a", "disk", 11}); ++i) {
     poll(nullptr, 0, 100);
-    integrity::LedgerFile(fixture.folder.path()).Load(&ledger, &what);
+    integrity::CorruptionLogFile(fixture.folder.path()).Load(&ledger, &what);
   }
-  REQUIRE(ledger.IsBad({"a", "disk", 11}));
-  CHECK(ledger.Find({"a", "disk", 11})->fault == Fault::kRest);
+  REQUIRE(ledger.IsDamaged({"a", "disk", 11}));
+  CHECK(ledger.Find({"a", "disk", 11})->fault == Fault::kAtRest);
   CHECK(ledger.entries().size() == 1);
 }
 
@@ -267,7 +270,8 @@
   for (const std::uint16_t lacks : {nbd::kSendFlush, std::uint16_t(nbd::kSendFua | nbd::kCanMultiConn)}) {
     ExportFixture fixture(1, false, 1, static_cast<std::uint16_t>(lab::BoxOptions().flags & ~lacks));
     const std::string before = fixture.server.WithDisk([](lab::Disk& disk) { return disk.Read(0, kSize); });
-    for (int i = 0; i < 2; ++i) CHECK(fixture.client->Write(0, std::string(kBlock, 'x')).error != nbd::kOk);
+    for (int i = 0; i < 2; ++i)
+      CHECK(fixture.client->Write(0, std::string(kBlockBytes, 'x')).error != nbd::kOk);
     CHECK(fixture.server.WithDisk([](lab::Disk& disk) { return disk.Read(0, kSize); }) == before);
   }
 }
@@ -334,14 +338,15 @@
   ExportFixture fixture(1);
   fixture.StopInitiator();
   fixture.server.WithDisk(
-      [](lab::Disk& disk) { disk.Write(kSize - 2 * kBlock, std::string(2 * kBlock, 'x'), true); });
+      [](lab::Disk& disk) { disk.Write(kSize - 2 * kBlockBytes, std::string(2 * kBlockBytes, 'x'), true); });
   const std::string before = fixture.server.WithDisk([](lab::Disk& disk) { return disk.Read(0, kSize); });
   auto json = BasicConfig();
   json["discovery"] = "127.0.0.1:" + std::to_string(fixture.discovery.port());
   fixture.initiator = std::make_unique<app::Initiator>(app::ParseConfig(json), fixture.options);
   fixture.thread = std::thread([&] { fixture.initiator->Run(); });
   fixture.client = fixture.Connect();
-  for (int i = 0; i < 5; ++i) CHECK(fixture.client->Write(0, std::string(kBlock, 'x')).error != nbd::kOk);
+  for (int i = 0; i < 5; ++i)
+    CHECK(fixture.client->Write(0, std::string(kBlockBytes, 'x')).error != nbd::kOk);
   CHECK(fixture.server.WithDisk([](lab::Disk& disk) { return disk.Read(0, kSize); }) == before);
 }
 
