--- a/src/app/initiator.cpp
+++ b/src/app/initiator.cpp
@@ -11,7 +11,7 @@
 #include "app/errors.h"
 #include "app/scrub_setup.h"
 #include "core/clock.h"
-#include "integrity/blame.h"
+#include "integrity/fault_attribution.h"
 #include "integrity/layout.h"
 #include "log/log.h"
 
@@ -104,13 +104,13 @@
 // A target has one path by HTTP, and an object is corrupted or not as a whole: it counts as block 0.
 void Initiator::OnObjectRead(const TargetId& target, const std::string& uri, bool good,
                              const std::string& body) {
-  if (good && corruption_->calm()) {
+  if (good && corruption_->has_no_known_corruption()) {
     return;
   }
   integrity::Reading reading;
   reading.good = good;
-  reading.found = integrity::DataSum(body);
-  corruption_->Note({target, uri, 0}, 1, reading, core::Now());
+  reading.data_sum = integrity::DataSum(body);
+  corruption_->AddReading({target, uri, 0}, 1, reading, core::Now());
 }
 
 void Initiator::OpenNbd(const Options& options) {
@@ -129,7 +129,7 @@
     return;
   }
   RetainFreedMemory();
-  if (options.scrub.on) {
+  if (options.scrub.enabled) {
     StartScrub(options.scrub);
   }
 }
--- a/src/app/integrity_tool.cpp
+++ b/src/app/integrity_tool.cpp
@@ -11,17 +11,18 @@
 
 #include "app/control.h"
 #include "app/errors.h"
+#include "integrity/corruption_log_file.h"
+#include "integrity/format.h"
 #include "integrity/layout.h"
-#include "integrity/ledger.h"
 #include "nbd/blocking_client.h"
 
 namespace walnutspur::app {
 namespace {
 
-using integrity::kBlock;
+using integrity::DecodedSuperblock;
+using integrity::kBlockBytes;
 using integrity::Superblock;
-using integrity::SuperRead;
-using integrity::SuperState;
+using integrity::SuperblockState;
 
 constexpr std::uint32_t kReadBytes = 256 << 10;  // of one read or write
 constexpr std::uint64_t kTagBlockSlots = 2;      // copies of a tag block, written in turn
@@ -44,25 +45,25 @@
   return data;
 }
 
-SuperRead ReadSuperblock(nbd::BlockingClient& client) {
-  const std::uint64_t blocks = client.size() / kBlock;
+DecodedSuperblock ReadSuperblock(nbd::BlockingClient& client) {
+  const std::uint64_t blocks = client.size() / kBlockBytes;
   if (blocks <= kSuperblockCopies) {
     throw IntegrityToolError("the export is smaller than its reserved region");
   }
   const std::string data =
-      ReadRange(client, (blocks - kSuperblockCopies) * kBlock, kSuperblockCopies * kBlock);
+      ReadRange(client, (blocks - kSuperblockCopies) * kBlockBytes, kSuperblockCopies * kBlockBytes);
   const std::string_view copies = data;
-  return ChooseSuper(integrity::DecodeSuper(copies.substr(0, kBlock), client.size()),
-                     integrity::DecodeSuper(copies.substr(kBlock), client.size()));
+  return ChooseSuperblock(integrity::DecodeSuperblock(copies.substr(0, kBlockBytes), client.size()),
+                          integrity::DecodeSuperblock(copies.substr(kBlockBytes), client.size()));
 }
 
 // The superblock of a formatted export; throws if it is not formatted.
 Superblock RequireSuperblock(nbd::BlockingClient& client) {
-  const SuperRead read = ReadSuperblock(client);
-  if (read.state != SuperState::kWhole) {
-    throw IntegrityToolError(read.what);
+  const DecodedSuperblock read = ReadSuperblock(client);
+  if (read.state != SuperblockState::kValid) {
+    throw IntegrityToolError(read.error);
   }
-  return read.super;
+  return read.superblock;
 }
 
 std::string FormatTime(std::int64_t us) {
@@ -76,21 +77,21 @@
 
 // The blocks whose newest content is in the journal: their place may hold any older content.
 std::set<std::uint64_t> BlocksInJournal(nbd::BlockingClient& client, const Superblock& super) {
-  const std::string data = ReadRange(client, super.geometry.journal_at, super.geometry.journal_size);
+  const std::string data = ReadRange(client, super.geometry.journal_offset, super.geometry.journal_size);
   const std::string_view journal = data;
   std::set<std::uint64_t> blocks;
-  std::uint64_t position = super.tail_at;
+  std::uint64_t position = super.tail_offset;
   std::uint64_t sequence = super.tail_sequence;
   std::uint64_t used = 0;
   while (used < journal.size()) {
     const std::string_view record = journal.substr(position);
-    const auto head = integrity::DecodeHead(record, super.export_id);
+    const auto head = integrity::DecodeRecordHeader(record, super.export_id);
     if (!head || head->sequence != sequence || head->epoch < super.tail_epoch || head->size > record.size() ||
-        !DataFits(*head, record, super.export_id)) {
+        !RecordDataMatches(*head, record, super.export_id)) {
       break;
     }
     for (std::size_t i = 0; i < head->blocks.size(); ++i) {
-      blocks.insert(head->first + i);
+      blocks.insert(head->first_block + i);
     }
     used += head->size;
     position = (position + head->size) % journal.size();
@@ -100,22 +101,22 @@
 }
 
 // Throws unless the export may be formatted.
-void CheckFormattable(const SuperRead& existing, bool force) {
-  if (existing.state == SuperState::kNewer) {
-    throw IntegrityToolError(existing.what);
+void CheckFormattable(const DecodedSuperblock& existing, bool force) {
+  if (existing.state == SuperblockState::kNewer) {
+    throw IntegrityToolError(existing.error);
   }
-  if (existing.state == SuperState::kNone || force) {
+  if (existing.state == SuperblockState::kMissing || force) {
     return;
   }
-  if (existing.state == SuperState::kWhole) {
+  if (existing.state == SuperblockState::kValid) {
     throw IntegrityToolError(
         "the export is formatted already; --force formats it anew, and all data is lost");
   }
-  throw IntegrityToolError(existing.what + "; --force formats it nevertheless");
+  throw IntegrityToolError(existing.error + "; --force formats it nevertheless");
 }
 
 // Performs one step of formatting. Returns whether it has succeeded.
-bool Perform(nbd::BlockingClient& client, const integrity::Io& step) {
+bool Perform(nbd::BlockingClient& client, const integrity::IoRequest& step) {
   const nbd::Reply reply =
       step.kind == integrity::IoKind::kFlush ? client.Flush() : client.Write(step.offset, step.data);
   if (reply.error != nbd::kOk) {
@@ -149,10 +150,11 @@
  private:
   // The newer intact slot of a tag block, if there is one.
   std::optional<integrity::TagBlock> ReadTags(std::uint64_t index) {
-    const std::string data = ReadRange(client_, super_.geometry.SlotAt(index, 0), kTagBlockSlots * kBlock);
+    const std::string data =
+        ReadRange(client_, super_.geometry.SlotOffset(index, 0), kTagBlockSlots * kBlockBytes);
     const std::string_view slots = data;
-    auto first = integrity::DecodeTags(slots.substr(0, kBlock), super_.export_id, index);
-    auto second = integrity::DecodeTags(slots.substr(kBlock), super_.export_id, index);
+    auto first = integrity::DecodeTagBlock(slots.substr(0, kBlockBytes), super_.export_id, index);
+    auto second = integrity::DecodeTagBlock(slots.substr(kBlockBytes), super_.export_id, index);
     if (!first || !second) {
       std::fprintf(out_, "tag block %" PRIu64 ": a slot is damaged\n", index);
     }
@@ -169,15 +171,15 @@
       bad_ += count;
       return;
     }
-    const std::string content = ReadRange(client_, first * kBlock, count * kBlock);
+    const std::string content = ReadRange(client_, first * kBlockBytes, count * kBlockBytes);
     const std::string_view data = content;
     for (std::uint64_t i = 0; i < count; ++i) {
-      VerifyBlock(first + i, tags->tags[i], data.substr(i * kBlock, kBlock));
+      VerifyBlock(first + i, tags->tags[i], data.substr(i * kBlockBytes, kBlockBytes));
     }
   }
 
   void VerifyBlock(std::uint64_t block, const integrity::Tag& tag, std::string_view data) {
-    const bool known = tag.generation != integrity::kUnknown;
+    const bool known = tag.generation != integrity::kUnknownGeneration;
     if (in_journal_.contains(block) || (IsHole(tag) && known)) {
       ++skipped_;
       return;
@@ -200,28 +202,29 @@
   std::uint64_t bad_ = 0;
 };
 
-void PrintEntry(const integrity::Place& place, const integrity::Entry& entry, std::FILE* out) {
-  std::fprintf(out, "%s %s block %" PRIu64 " %s%s first %s last %s times %u", place.box.c_str(),
-               place.remote.c_str(), place.block, NameOf(entry.fault), entry.mended ? " mended" : "",
-               FormatTime(entry.first).c_str(), FormatTime(entry.last).c_str(), entry.times);
+void PrintEntry(const integrity::BlockLocation& place, const integrity::CorruptionEntry& entry,
+                std::FILE* out) {
+  std::fprintf(out, "%s %s block %" PRIu64 " %s%s first %s last %s times %u", place.target.c_str(),
+               place.remote.c_str(), place.block, NameOf(entry.fault), entry.repaired ? " mended" : "",
+               FormatTime(entry.first_seen).c_str(), FormatTime(entry.last_seen).c_str(), entry.times);
   if (entry.path >= 0) {
     std::fprintf(out, " path %d", entry.path);
   }
-  if (entry.fault == integrity::Fault::kAstray) {
-    std::fprintf(out, " of %" PRIu64, entry.belongs_to);
+  if (entry.fault == integrity::Fault::kMisdirectedWrite) {
+    std::fprintf(out, " of %" PRIu64, entry.owner_block);
   }
   std::fprintf(out, "\n");
 }
 
-void LoadLedger(const std::string& folder, integrity::Ledger* ledger) {
+void LoadLedger(const std::string& folder, integrity::CorruptionLog* ledger) {
   std::string what;
-  integrity::LedgerFile file(folder);
+  integrity::CorruptionLogFile file(folder);
   switch (file.Load(ledger, &what)) {
-    case integrity::LedgerFile::Found::kNone:
+    case integrity::CorruptionLogFile::LoadResult::kMissing:
       throw IntegrityToolError("there is no " + file.path());
-    case integrity::LedgerFile::Found::kRefused:
+    case integrity::CorruptionLogFile::LoadResult::kRejected:
       throw IntegrityToolError(what);
-    case integrity::LedgerFile::Found::kRead:
+    case integrity::CorruptionLogFile::LoadResult::kLoaded:
       break;
   }
 }
@@ -233,7 +236,8 @@
   CheckFormattable(ReadSuperblock(client), options.force);
   std::random_device device;
   const std::uint64_t id = static_cast<std::uint64_t>(device()) << kRandomBits | device();
-  for (const integrity::Io& step : integrity::FormatPlan(client.size(), options.journal, id, kReadBytes)) {
+  for (const integrity::IoRequest& step :
+       integrity::FormatPlan(client.size(), options.journal, id, kReadBytes)) {
     if (!Perform(client, step)) {
       throw IntegrityToolError("the box did not write at " + std::to_string(step.offset) +
                                ": nothing is formatted");
@@ -254,7 +258,7 @@
                "id %016" PRIx64 "\nversion %d\nblocks %" PRIu64 "\njournal %" PRIu64 "\nepoch %" PRIu64
                "\ntail %" PRIu64 " at %" PRIu64 "\n",
                super.export_id, super.version, super.geometry.blocks, super.geometry.journal_size,
-               super.epoch, super.tail_sequence, super.tail_at);
+               super.epoch, super.tail_sequence, super.tail_offset);
   return 0;
 }
 
@@ -281,14 +285,14 @@
 }
 
 int ShowLedger(const IntegrityOptions& options, std::FILE* out) {
-  integrity::Ledger ledger;
+  integrity::CorruptionLog ledger;
   LoadLedger(options.folder, &ledger);
   for (const auto& [place, entry] : ledger.entries()) {
     PrintEntry(place, entry, out);
   }
-  std::fprintf(out, "%zu damaged, %zu in all, %" PRIu64 " dropped\n", ledger.bad(), ledger.entries().size(),
-               ledger.dropped());
-  return ledger.bad() == 0 ? 0 : 1;
+  std::fprintf(out, "%zu damaged, %zu in all, %" PRIu64 " dropped\n", ledger.damaged_count(),
+               ledger.entries().size(), ledger.dropped());
+  return ledger.damaged_count() == 0 ? 0 : 1;
 }
 
 }  // namespace walnutspur::app
--- a/src/app/operator_commands.cpp
+++ b/src/app/operator_commands.cpp
@@ -63,7 +63,7 @@
     if (!volume.checksummed || volume.front.name != export_name) {
       continue;
     }
-    const std::uint64_t blocks = volume.front.size / integrity::kBlock;
+    const std::uint64_t blocks = volume.front.size / integrity::kBlockBytes;
     if (!number || *number >= blocks) {
       return "error: " + block + " is no block of the export; allowed are 0 to " +
              std::to_string(blocks - 1) + "\n";
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -37,7 +37,7 @@
 
 checksummed::ScrubOptions ReadScrub(const config::Table& root) {
   checksummed::ScrubOptions options;
-  options.on = root.Bool("scrub.on");
+  options.enabled = root.Bool("scrub.on");
   options.job.bytes_a_second = root.Number("scrub.bytes");
   options.job.requests_a_second = root.Number("scrub.requests");
   options.job.in_flight = static_cast<int>(root.Integer("scrub.in_flight"));
--- /dev/null
+++ b/src/integrity/corruption_log.h
@@ -0,0 +1,68 @@
+// The corruption log: which blocks are corrupt, since when, and which component was at fault. State only;
+// corruption_log_file.h stores it.
+//
+// Owned by checksummed::CorruptionTracker; used on its thread only.
+#ifndef WALNUTSPUR_INTEGRITY_CORRUPTION_LOG_H_
+#define WALNUTSPUR_INTEGRITY_CORRUPTION_LOG_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <string>
+#include <string_view>
+
+#include "integrity/fault_attribution.h"
+
+namespace walnutspur::integrity {
+
+struct CorruptionEntry {
+  Fault fault = Fault::kAtRest;
+  bool repaired = false;          // written again since, or read without a mismatch
+  std::int64_t first_seen = 0;    // microseconds of Unix time
+  std::int64_t last_seen = 0;     // microseconds of Unix time
+  std::uint32_t times = 0;        // attributions
+  int path = -1;                  // kPath: the path at fault
+  std::uint64_t owner_block = 0;  // kMisdirectedWrite: the block whose content was read
+  bool operator==(const CorruptionEntry&) const = default;
+};
+
+class CorruptionLog {
+ public:
+  // `max_entries` bounds the log; beyond, repaired entries go first, then those not seen for the longest
+  // time.
+  explicit CorruptionLog(std::size_t max_entries = 65536) : max_entries_(max_entries) {}
+
+  // Adds an attribution. A misdirected write shows at both of its ends: at the block that holds another one's
+  // content, and at that other block, whose write looks lost. Once both are known, both are misdirected.
+  void Record(const BlockLocation& location, const FaultAttribution& attribution, std::int64_t now);
+  // The block was read without a mismatch, or written again.
+  void MarkRepaired(const BlockLocation& location, std::int64_t now);
+
+  const CorruptionEntry* Find(const BlockLocation& location) const;
+  // Corrupt at rest and not repaired: only the scrub needs to read it again.
+  bool IsDamaged(const BlockLocation& location) const;
+  const std::map<BlockLocation, CorruptionEntry>& entries() const { return entries_; }
+  std::size_t damaged_count() const;                  // entries that are not repaired
+  std::uint64_t dropped() const { return dropped_; }  // entries that exceeded the bound
+  bool changed() const { return changed_; }           // since the last Encode
+
+  // The log as bytes, versioned and checksummed.
+  std::string Encode();
+  // Replaces the log by what Encode returned. False, and nothing changes, if the bytes are truncated, damaged
+  // or of a newer version; `what` is then one line.
+  bool Decode(std::string_view bytes, std::string* what);
+
+ private:
+  void MakeRoom();
+  void LinkMisdirectedWrite(const BlockLocation& location, const FaultAttribution& attribution);
+  void LinkLostWrite(const BlockLocation& location);
+
+  std::size_t max_entries_;
+  std::map<BlockLocation, CorruptionEntry> entries_;
+  std::uint64_t dropped_ = 0;
+  bool changed_ = false;
+};
+
+}  // namespace walnutspur::integrity
+
+#endif  // WALNUTSPUR_INTEGRITY_CORRUPTION_LOG_H_
--- a/src/nbd/config.cpp
+++ b/src/nbd/config.cpp
@@ -63,9 +63,9 @@
 void ReserveChecksumRegion(const config::Table& table, Volume* volume) {
   volume->raw_bytes = volume->front.size;
   volume->journal_bytes = static_cast<std::uint64_t>(table.Integer("journal"));
-  const auto geometry = integrity::Fit(volume->raw_bytes, volume->journal_bytes);
+  const auto geometry = integrity::FitGeometry(volume->raw_bytes, volume->journal_bytes);
   if (!geometry) {
-    const std::uint64_t least = volume->journal_bytes + kMinDataBlocks * integrity::kBlock;
+    const std::uint64_t least = volume->journal_bytes + kMinDataBlocks * integrity::kBlockBytes;
     throw ConfigError("export '" + volume->front.name +
                       "' is smaller than its tags and journal; allowed are " + std::to_string(least) +
                       " bytes or more");
