--- a/bench/lab.cpp
+++ b/bench/lab.cpp
@@ -14,9 +14,10 @@
 #include <string>
 
 #include "lab/experiment.h"
-#include "lab/sim/checker.h"
+#include "lab/experiment_file.h"
 #include "lab/sim/explore.h"
-#include "lab/sim/world.h"
+#include "lab/sim/invariant_checker.h"
+#include "lab/sim/simulation.h"
 
 namespace {
 
@@ -51,28 +52,28 @@
   Experiment e = ParseExperiment("[boxes]\nunit_ms = " + std::to_string(unit_ms) + "\n", "bench");
   e.seed = g_seed;
   e.initiators = initiators;
-  e.boxes = boxes;
+  e.servers = boxes;
   e.tenants[0].volumes = 4 * boxes;
-  e.length = static_cast<Time>(seconds * 1e6);
+  e.duration = static_cast<Time>(seconds * 1e6);
   return e;
 }
 
 struct Cost {
   double seconds = 0, a_request = 0;
-  Outcomes outcomes;
+  SimulationResults outcomes;
   bool clean = false;
 };
 Cost Measure(const Experiment& e) {
   const auto from = std::chrono::steady_clock::now();
   Cost cost;
-  Checked run = RunChecked(e);
+  CheckedRun run = RunChecked(e);
   cost.seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count();
-  cost.outcomes = std::move(run.outcomes);
-  cost.clean = run.breaches.empty();
+  cost.outcomes = std::move(run.results);
+  cost.clean = run.violations.empty();
   cost.a_request =
       1e6 * cost.seconds / static_cast<double>(std::max<std::uint64_t>(1, cost.outcomes.requests));
-  for (const Breach& breach : run.breaches)
-    std::printf("     broken %s: %s\n", breach.rule.c_str(), breach.what.c_str());
+  for (const Violation& breach : run.violations)
+    std::printf("     broken %s: %s\n", breach.rule.c_str(), breach.description.c_str());
   return cost;
 }
 
@@ -104,14 +105,14 @@
       "length_s = 8.0\n[fleet]\ninitiators = 8\n[boxes]\ncount = 10\nunit_ms = 16.0\n", "bench");
   const std::uint64_t wanted = g_short ? 200 : 5000;
   std::uint64_t worlds = 0, failing = 0, requests = 0;
-  Explore(base, g_seed * 100'000, g_seed * 100'000 + wanted - 1, 4, false, [&](const Checked& run) {
+  Explore(base, g_seed * 100'000, g_seed * 100'000 + wanted - 1, 4, false, [&](const CheckedRun& run) {
     ++worlds;
-    requests += run.outcomes.requests;
-    if (run.breaches.empty()) return;
+    requests += run.results.requests;
+    if (run.violations.empty()) return;
     ++failing;
     if (failing <= 5)
-      std::printf("     seed %llu broke %s: %s\n", (unsigned long long)run.seed, run.breaches[0].rule.c_str(),
-                  run.breaches[0].what.c_str());
+      std::printf("     seed %llu broke %s: %s\n", (unsigned long long)run.seed, run.violations[0].rule.c_str(),
+                  run.violations[0].description.c_str());
   });
   Claim("5 drawn worlds keep the rules", failing == 0,
         Text("%.0f of %.0f broke one, %.0f requests", static_cast<double>(failing),
@@ -127,12 +128,12 @@
     const int seeds = g_short ? 2 : 6;
     for (int i = 0; i < seeds; ++i) {
       Experiment e = Fleet(5, 20, g_short ? 10 : 30, 20);
-      e.load = 1.2;
+      e.load_factor = 1.2;
       e.seed = g_seed * 10 + static_cast<std::uint64_t>(i);
-      e.faults = {{Trouble::kSlow, 2'000'000, 6'000'000, 0, 4, 0.2, 0},
-                  {Trouble::kFreeze, 4'000'000, 1'500'000, 6, 2, 0, 0}};
+      e.faults = {{FaultKind::kSlow, 2'000'000, 6'000'000, 0, 4, 0.2, 0},
+                  {FaultKind::kFreeze, 4'000'000, 1'500'000, 6, 2, 0, 0}};
       change(&e);
-      sum += RunChecked(e).outcomes.service();
+      sum += RunChecked(e).results.service();
     }
     return sum / seeds;
   };
@@ -146,15 +147,15 @@
   compare("everything at once is worse", false, [](Experiment* e) { e->policy = "at-once"; });
   compare("even buckets without the loop are worse", false, [](Experiment* e) { e->policy = "buckets"; });
   const auto broken = [](Experiment* e, int tries) {
-    e->load = 0.6;
-    e->loss = 0.05;
-    e->try_limit = tries;
+    e->load_factor = 0.6;
+    e->loss_probability = 0.05;
+    e->max_attempts = tries;
   };
   const double three = service([&](Experiment* e) { broken(e, 3); });
   const double one = service([&](Experiment* e) { broken(e, 1); });
   Claim("6 where connections break, one attempt is worse than three", one < three,
         Text("%.4f, with three %.4f", one, three));
-  compare("less load is better", true, [](Experiment* e) { e->load = 0.8; });
+  compare("less load is better", true, [](Experiment* e) { e->load_factor = 0.8; });
 }
 
 // ---- 7. service against the fleet's size ----
@@ -166,16 +167,16 @@
     for (const int initiators : {5, 30, 100, 300, 1000}) {
       if (g_short && initiators > 100) break;
       Experiment e = Fleet(initiators, 60, g_short ? 10 : 20, 20);
-      e.load = 0.85;
+      e.load_factor = 0.85;
       e.tenants.resize(2);
       e.tenants[0].volumes = 200;
       e.tenants[1].name = "bulk";
       e.tenants[1].volumes = 40;
       e.tenants[1].weight = 0.3;
       change(&e);
-      const Outcomes o = RunChecked(e).outcomes;
+      const SimulationResults o = RunChecked(e).results;
       figures += (figures.empty() ? "" : ", ") + std::to_string(initiators) + ": " +
-                 Text("%.4f (worst 10 s %.4f)", o.service(), o.worst(10));
+                 Text("%.4f (worst 10 s %.4f)", o.service(), o.worst_service(10));
       if (first == 0) first = o.service();
       last = o.service();
     }
@@ -184,13 +185,13 @@
   };
   curve("calm", [](Experiment*) {});
   curve("a release of 36 of 60 boxes", [](Experiment* e) {
-    e->faults = {{Trouble::kReplace, 2'000'000, 2'000'000, 0, 36, 0, 100'000}};
+    e->faults = {{FaultKind::kReplace, 2'000'000, 2'000'000, 0, 36, 0, 100'000}};
   });
   curve("all boxes start anew within 3 s", [](Experiment* e) {
-    e->faults = {{Trouble::kRestart, 2'000'000, 1'000'000, 0, 60, 0, 50'000}};
+    e->faults = {{FaultKind::kRestart, 2'000'000, 1'000'000, 0, 60, 0, 50'000}};
   });
   curve("a plan asks six times as much", [](Experiment* e) {
-    e->faults = {{Trouble::kSurge, 2'000'000, 6'000'000, 1, 1, 6, 0}};
+    e->faults = {{FaultKind::kSurge, 2'000'000, 6'000'000, 1, 1, 6, 0}};
   });
 }
 
--- a/src/lab/random.h
+++ b/src/lab/random.h
@@ -1,5 +1,6 @@
 // Random numbers of an experiment: one seed, and a stream of its own for each purpose, so that more draws for
-// one purpose change no other. A run repeats from its seed alone.
+// one purpose do not change those for another. A run repeats from its seed alone. Owned by the model that
+// draws; used on its thread.
 #ifndef WALNUTSPUR_LAB_RANDOM_H_
 #define WALNUTSPUR_LAB_RANDOM_H_
 
@@ -10,22 +11,29 @@
 
 namespace walnutspur::lab {
 
+// One stream of random numbers.
 class Random {
  public:
-  // The stream is chosen by its name (FNV-1a) and a number.
+  // The stream is chosen by its name and a number.
   Random(std::uint64_t seed, std::string_view name, std::uint64_t number = 0)
       : pcg_(seed, Hash(name) ^ (number * 0x9e3779b97f4a7c15ull)) {}
 
+  // Uniform in [0, bound); 0 without a draw if `bound` is at most 1.
   std::uint64_t Below(std::uint64_t bound) { return bound <= 1 ? 0 : pcg_(bound); }
-  double Part() { return static_cast<double>(pcg_() >> 11) * 0x1.0p-53; }  // [0, 1)
+  // Uniform in [0, 1).
+  double Part() { return static_cast<double>(pcg_() >> 11) * 0x1.0p-53; }
+  // True with probability `part`.
   bool Chance(double part) { return Part() < part; }
+  // Uniform in [least, most).
   double Between(double least, double most) { return least + (most - least) * Part(); }
+  // Exponentially distributed.
   double Exponential(double mean) { return -mean * std::log1p(-Part()); }
 
+  // FNV-1a.
   static std::uint64_t Hash(std::string_view name) {
     std::uint64_t hash = 0xcbf29ce484222325ull;
-    for (const char c : name) {
-      hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ull;
+    for (const char byte : name) {
+      hash = (hash ^ static_cast<unsigned char>(byte)) * 0x100000001b3ull;
     }
     return hash;
   }
--- a/src/lab/sim/explore.cpp
+++ b/src/lab/sim/explore.cpp
@@ -6,98 +6,157 @@
 #include <thread>
 #include <utility>
 
+#include "lab/experiment_file.h"
 #include "lab/random.h"
 
 namespace walnutspur::lab {
+namespace {
 
-Experiment Draw(const Experiment& base, std::uint64_t seed) {
-  Experiment e = base;
+constexpr std::uint64_t kFaultCountBound = 5;  // fewer faults than this are drawn
+constexpr Time kMinProcessFault = 1'500'000;   // so that a drain outlives its grace, us
+constexpr Time kPauseInterval = 5'000'000;     // us
+
+std::uint64_t Unsigned(int value) { return static_cast<std::uint64_t>(value); }
+
+// Draws a fault of the experiment; the order of the draws is part of what a seed means.
+FaultPlan DrawFault(const Experiment& experiment, Random* random) {
+  FaultPlan fault;
+  fault.kind = kFaultKinds[random->Below(kFaultKinds.size())];
+  fault.start = static_cast<Time>(random->Part() * static_cast<double>(experiment.duration) * 0.8);
+  fault.duration = static_cast<Time>(random->Between(0.1e6, 5e6));
+  const int targets = FaultTargetCount(experiment, fault.kind);
+  const bool single = fault.kind == FaultKind::kPartition || fault.kind == FaultKind::kSurge;
+  fault.first = static_cast<int>(random->Below(Unsigned(targets)));
+  fault.count = single ? 1 : 1 + static_cast<int>(random->Below(Unsigned(targets - fault.first)));
+  fault.factor = fault.kind == FaultKind::kSurge ? random->Between(2, 8) : random->Between(0.05, 0.9);
+  fault.stagger = random->Chance(0.5) ? 0 : static_cast<Time>(random->Between(0, 1e6));
+  if (EndsProcess(fault.kind)) {
+    fault.duration = std::max(fault.duration, kMinProcessFault);
+  }
+  return fault;
+}
+
+// Marks the servers of a fault as ended; returns whether one of them was before.
+bool MarkEnded(const FaultPlan& fault, std::vector<bool>* ended) {
+  bool repeated = false;
+  for (int server = fault.first; server < fault.first + fault.count; ++server) {
+    const auto index = static_cast<std::size_t>(server);
+    repeated = repeated || (*ended)[index];
+    (*ended)[index] = true;
+  }
+  return repeated;
+}
+
+std::vector<FaultPlan> DrawFaults(const Experiment& experiment, Random* random) {
+  std::vector<FaultPlan> faults;
+  const std::uint64_t count = random->Below(kFaultCountBound);
+  std::vector<bool> ended(static_cast<std::size_t>(experiment.servers), false);
+  for (std::uint64_t i = 0; i < count; ++i) {
+    const FaultPlan fault = DrawFault(experiment, random);
+    if (EndsProcess(fault.kind) && MarkEnded(fault, &ended)) {
+      continue;  // a server ends at most once in a drawn experiment
+    }
+    faults.push_back(fault);
+  }
+  return faults;
+}
+
+// Whether the faults still lie within the duration and the servers of an experiment that was made smaller.
+bool FaultsFit(const Experiment& experiment) {
+  return std::all_of(experiment.faults.begin(), experiment.faults.end(), [&](const FaultPlan& fault) {
+    return fault.start < experiment.duration &&
+           (!AffectsServers(fault.kind) || fault.first + fault.count <= experiment.servers);
+  });
+}
+
+// All experiments that are one step smaller, those with most effect first.
+std::vector<Experiment> SmallerExperiments(const Experiment& experiment) {
+  std::vector<Experiment> smaller;
+  for (std::size_t index = 0; index < experiment.faults.size(); ++index) {
+    smaller.push_back(experiment);
+    std::vector<FaultPlan>& faults = smaller.back().faults;
+    faults.erase(faults.begin() + static_cast<std::ptrdiff_t>(index));
+  }
+  const auto add = [&](const std::function<void(Experiment*)>& change) {
+    smaller.push_back(experiment);
+    change(&smaller.back());
+  };
+  add([](Experiment* changed) { changed->duration /= 2; });
+  add([](Experiment* changed) { changed->load_factor /= 2; });
+  add([](Experiment* changed) { changed->initiators = std::max(1, changed->initiators / 2); });
+  add([](Experiment* changed) { changed->servers = std::max(2, changed->servers / 2); });
+  add([](Experiment* changed) { changed->loss_probability = 0; });
+  add([](Experiment* changed) { changed->reorder_probability = 0; });
+  add([](Experiment* changed) { changed->clock_drift = 0; });
+  add([](Experiment* changed) { changed->pause_interval = 0; });
+  return smaller;
+}
+
+bool Violates(const CheckedRun& run, const std::string& rule) {
+  return std::any_of(run.violations.begin(), run.violations.end(),
+                     [&](const Violation& violation) { return violation.rule == rule; });
+}
+
+}  // namespace
+
+// The order of the draws is part of what a seed means.
+Experiment DrawExperiment(const Experiment& base, std::uint64_t seed) {
+  Experiment drawn = base;
   Random random(seed, "worlds");
-  e.seed = seed;
-  e.initiators = 1 + static_cast<int>(random.Below(static_cast<std::uint64_t>(base.initiators)));
-  e.boxes = 2 + static_cast<int>(random.Below(static_cast<std::uint64_t>(std::max(1, base.boxes - 1))));
-  e.load = random.Between(0.2, 1.4);
-  e.delay = static_cast<Time>(random.Between(50, 5000));
-  e.jitter = static_cast<Time>(random.Between(0, 5000));
+  drawn.seed = seed;
+  drawn.initiators = 1 + static_cast<int>(random.Below(Unsigned(base.initiators)));
+  drawn.servers = 2 + static_cast<int>(random.Below(Unsigned(std::max(1, base.servers - 1))));
+  drawn.load_factor = random.Between(0.2, 1.4);
+  drawn.network_delay = static_cast<Time>(random.Between(50, 5000));
+  drawn.network_jitter = static_cast<Time>(random.Between(0, 5000));
   if (random.Chance(0.3)) {
-    e.reorder = random.Between(0, 0.1);
+    drawn.reorder_probability = random.Between(0, 0.1);
   }
   if (random.Chance(0.3)) {
-    e.loss = random.Between(0, 0.02);
+    drawn.loss_probability = random.Between(0, 0.02);
   }
   if (random.Chance(0.3)) {
-    e.drift = random.Between(0, 0.002);
+    drawn.clock_drift = random.Between(0, 0.002);
   }
-  e.list_delay = static_cast<Time>(random.Between(1'000, 400'000));
-  e.list_jitter = static_cast<Time>(random.Between(0, 1'000'000));
+  drawn.discovery_delay = static_cast<Time>(random.Between(1'000, 400'000));
+  drawn.discovery_jitter = static_cast<Time>(random.Between(0, 1'000'000));
   if (random.Chance(0.5)) {
-    e.pause_every = 5'000'000;
-    e.pause = static_cast<Time>(random.Between(10'000, 400'000));
+    drawn.pause_interval = kPauseInterval;
+    drawn.pause_duration = static_cast<Time>(random.Between(10'000, 400'000));
   }
-  e.faults.clear();
-  constexpr Trouble kAll[] = {Trouble::kSlow, Trouble::kFreeze,  Trouble::kErrors,  Trouble::kNeighbour,
-                              Trouble::kCut,  Trouble::kRestart, Trouble::kReplace, Trouble::kSilence,
-                              Trouble::kDeaf, Trouble::kSurge};
-  const auto faults = random.Below(5);
-  std::vector<bool> ends(static_cast<std::size_t>(e.boxes), false);
-  for (std::uint64_t i = 0; i < faults; ++i) {
-    FaultPlan f;
-    f.trouble = kAll[random.Below(std::size(kAll))];
-    f.at = static_cast<Time>(random.Part() * static_cast<double>(e.length) * 0.8);
-    f.lasts = static_cast<Time>(random.Between(0.1e6, 5e6));
-    const int most = f.trouble == Trouble::kCut     ? e.zones
-                     : f.trouble == Trouble::kSurge ? static_cast<int>(e.tenants.size())
-                                                    : e.boxes;
-    f.first = static_cast<int>(random.Below(static_cast<std::uint64_t>(most)));
-    f.count = f.trouble == Trouble::kCut || f.trouble == Trouble::kSurge
-                  ? 1
-                  : 1 + static_cast<int>(random.Below(static_cast<std::uint64_t>(most - f.first)));
-    f.factor = f.trouble == Trouble::kSurge ? random.Between(2, 8) : random.Between(0.05, 0.9);
-    f.apart = random.Chance(0.5) ? 0 : static_cast<Time>(random.Between(0, 1e6));
-    if (f.trouble == Trouble::kRestart || f.trouble == Trouble::kReplace) {
-      f.lasts = std::max<Time>(f.lasts, 1'500'000);  // a drain outlives its grace
-      bool taken = false;
-      for (int b = f.first; b < f.first + f.count; ++b) {
-        taken = taken || ends[static_cast<std::size_t>(b)];
-        ends[static_cast<std::size_t>(b)] = true;
-      }
-      if (taken) {
-        continue;  // a box ends once in a drawn world
-      }
-    }
-    e.faults.push_back(f);
-  }
-  return e;
+  drawn.faults = DrawFaults(drawn, &random);
+  return drawn;
 }
 
-Checked RunChecked(const Experiment& experiment, const Meddling& meddling) {
-  Checked run;
+CheckedRun RunChecked(const Experiment& experiment, const TestHooks& hooks) {
+  CheckedRun run;
   run.seed = experiment.seed;
-  Log log;
-  Checker checker;
-  log.on_entry = [&](const Entry& entry) { checker.Take(entry); };
-  run.outcomes = World(experiment, &log, meddling).Run();
-  run.breaches = checker.breaches();
-  run.sum = log.sum();
+  EventLog log;
+  InvariantChecker checker;
+  log.on_entry = [&](const LogEntry& entry) { checker.Observe(entry); };
+  run.results = Simulation(experiment, &log, hooks).Run();
+  run.violations = checker.violations();
+  run.log_checksum = log.checksum();
   return run;
 }
 
-void Explore(const Experiment& base, std::uint64_t first, std::uint64_t last, int jobs, bool until_breach,
-             const std::function<void(const Checked&)>& each, const Meddling& meddling) {
+void Explore(const Experiment& base, std::uint64_t first, std::uint64_t last, int jobs, bool until_violation,
+             const std::function<void(const CheckedRun&)>& each, const TestHooks& hooks) {
   std::atomic<std::uint64_t> next = first;
   std::atomic<bool> stop = false;
   std::mutex mutex;
   const auto work = [&] {
     for (std::uint64_t seed = next++; seed <= last && !stop; seed = next++) {
-      const Checked run = RunChecked(Draw(base, seed), meddling);
+      const CheckedRun run = RunChecked(DrawExperiment(base, seed), hooks);
       const std::lock_guard lock(mutex);
-      if (until_breach && !run.breaches.empty()) {
+      if (until_violation && !run.violations.empty()) {
         stop = true;
       }
       each(run);
     }
   };
   std::vector<std::thread> threads;
+  threads.reserve(static_cast<std::size_t>(jobs));
   for (int i = 0; i < jobs; ++i) {
     threads.emplace_back(work);
   }
@@ -106,48 +165,21 @@
   }
 }
 
-Experiment Shrink(const Experiment& failing, const std::string& rule, int tries, const Meddling& meddling) {
+Experiment Shrink(const Experiment& failing, const std::string& rule, int max_runs, const TestHooks& hooks) {
   Experiment best = failing;
-  const auto still = [&](const Experiment& smaller) {
-    if (tries-- <= 0) {
-      return false;
-    }
-    const Checked run = RunChecked(smaller, meddling);
-    return std::any_of(run.breaches.begin(), run.breaches.end(),
-                       [&](const Breach& b) { return b.rule == rule; });
-  };
-  const auto fits = [](const Experiment& e) {
-    return std::all_of(e.faults.begin(), e.faults.end(), [&](const FaultPlan& f) {
-      const bool boxes =
-          f.trouble != Trouble::kCut && f.trouble != Trouble::kSurge && f.trouble != Trouble::kDeaf;
-      return f.at < e.length && (!boxes || f.first + f.count <= e.boxes);
-    });
+  int runs_left = max_runs;
+  const auto still_violates = [&](const Experiment& candidate) {
+    return runs_left-- > 0 && Violates(RunChecked(candidate, hooks), rule);
   };
-  for (bool smaller = true; smaller && tries > 0;) {
-    smaller = false;
-    std::vector<Experiment> steps;
-    for (std::size_t i = 0; i < best.faults.size(); ++i) {
-      steps.push_back(best);
-      steps.back().faults.erase(steps.back().faults.begin() + static_cast<std::ptrdiff_t>(i));
-    }
-    const auto step = [&](auto change) {
-      steps.push_back(best);
-      change(&steps.back());
-    };
-    step([](Experiment* e) { e->length /= 2; });
-    step([](Experiment* e) { e->load /= 2; });
-    step([](Experiment* e) { e->initiators = std::max(1, e->initiators / 2); });
-    step([](Experiment* e) { e->boxes = std::max(2, e->boxes / 2); });
-    step([](Experiment* e) { e->loss = 0; });
-    step([](Experiment* e) { e->reorder = 0; });
-    step([](Experiment* e) { e->drift = 0; });
-    step([](Experiment* e) { e->pause_every = 0; });
-    for (Experiment& candidate : steps) {
-      if (Write(candidate) == Write(best) || !fits(candidate) || !still(candidate)) {
+  for (bool progress = true; progress && runs_left > 0;) {
+    progress = false;
+    for (Experiment& candidate : SmallerExperiments(best)) {
+      const bool changed = FormatExperiment(candidate) != FormatExperiment(best);
+      if (!changed || !FaultsFit(candidate) || !still_violates(candidate)) {
         continue;
       }
       best = std::move(candidate);
-      smaller = true;
+      progress = true;
       break;
     }
   }
--- a/src/lab/sim/explore.h
+++ b/src/lab/sim/explore.h
@@ -1,39 +1,43 @@
-// Many drawn worlds on all cores, each checked, and a failing one made small: faults, load, length and fleet
-// are taken away for as long as the same rule still breaks.
+// Runs many randomly drawn experiments on all cores, checks the invariants of each, and shrinks one that
+// violates an invariant: faults, load, duration and fleet are reduced for as long as the same invariant is
+// violated.
 #ifndef WALNUTSPUR_LAB_SIM_EXPLORE_H_
 #define WALNUTSPUR_LAB_SIM_EXPLORE_H_
 
 #include <cstdint>
 #include <functional>
-#include <optional>
 #include <string>
 #include <vector>
 
 #include "lab/experiment.h"
-#include "lab/sim/checker.h"
-#include "lab/sim/world.h"
+#include "lab/sim/invariant_checker.h"
+#include "lab/sim/simulation.h"
 
 namespace walnutspur::lab {
 
-// A world drawn from the seed: sizes, network, discovery and faults are drawn round `base`.
-Experiment Draw(const Experiment& base, std::uint64_t seed);
+// Draws sizes, network, discovery and faults of an experiment from the seed; the rest is as in `base`.
+Experiment DrawExperiment(const Experiment& base, std::uint64_t seed);
 
-struct Checked {
+// A simulated run and the invariants that it violates.
+struct CheckedRun {
   std::uint64_t seed = 0;
-  Outcomes outcomes;
-  std::vector<Breach> breaches;
-  std::uint32_t sum = 0;  // of the log
+  SimulationResults results;
+  std::vector<Violation> violations;
+  std::uint32_t log_checksum = 0;  // CRC32C
 };
-Checked RunChecked(const Experiment& experiment, const Meddling& meddling = {});
 
-// Draws and checks worlds of seeds from `first` to `last`, on `jobs` threads; `each` is called one at a time,
-// in the order of ends. Stops after the first breach if `until_breach`.
-void Explore(const Experiment& base, std::uint64_t first, std::uint64_t last, int jobs, bool until_breach,
-             const std::function<void(const Checked&)>& each, const Meddling& meddling = {});
+// Simulates an experiment and checks its log.
+CheckedRun RunChecked(const Experiment& experiment, const TestHooks& hooks = {});
 
-// The smallest that was found in `tries` tries and that still breaks the rule.
-Experiment Shrink(const Experiment& failing, const std::string& rule, int tries,
-                  const Meddling& meddling = {});
+// Draws and checks the experiments of the seeds from `first` to `last` on `jobs` threads. `each` is called
+// under a lock on one of these threads, in the order in which runs end. Stops after the first violation if
+// `until_violation`.
+void Explore(const Experiment& base, std::uint64_t first, std::uint64_t last, int jobs, bool until_violation,
+             const std::function<void(const CheckedRun&)>& each, const TestHooks& hooks = {});
+
+// The smallest experiment found in at most `max_runs` runs that still violates the invariant `rule`.
+Experiment Shrink(const Experiment& failing, const std::string& rule, int max_runs,
+                  const TestHooks& hooks = {});
 
 }  // namespace walnutspur::lab
 
--- /dev/null
+++ b/src/lab/sim/initiator_fleet.h
@@ -0,0 +1,85 @@
+// The initiators of the simulated cluster: one core::Engine each, with a clock of its own, and the
+// connections and health checks that carry out what the engines decide. Owned by Simulation; used on its one
+// thread.
+#ifndef WALNUTSPUR_LAB_SIM_INITIATOR_FLEET_H_
+#define WALNUTSPUR_LAB_SIM_INITIATOR_FLEET_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+#include <vector>
+
+#include "core/engine.h"
+#include "lab/sim/load_generator.h"
+#include "lab/sim/network_model.h"
+#include "lab/sim/request_table.h"
+#include "lab/sim/simulation_context.h"
+#include "lab/sim/storage_servers.h"
+
+namespace walnutspur::lab {
+
+class InitiatorFleet {
+ public:
+  // Everything passed outlives the fleet.
+  InitiatorFleet(SimulationContext* context, NetworkModel* network, const StorageServers* servers,
+                 LoadGenerator* load, RequestTable* requests);
+
+  // Creates and starts the engines, and gives each the endpoints of all servers.
+  void Start();
+
+  // Takes a request of a client, whose deadline is in virtual time.
+  void Receive(core::RequestReceived request);
+  void Handle(const DeadlinePassed& event);
+  void Handle(const AttemptEnded& event);
+  void Handle(const EngineTimerExpired& event);
+  void Handle(const HealthCheckEnded& event);
+  void Handle(const EndpointNotified& event);
+
+ private:
+  struct Initiator {
+    std::unique_ptr<core::Engine> engine;
+    int zone = 0;
+    double clock_rate = 1;  // local time that passes in a unit of virtual time
+    Time clock_offset = 0;  // local time at virtual time 0, us
+
+    Time LocalTime(Time virtual_time) const {
+      return clock_offset + static_cast<Time>(static_cast<double>(virtual_time) * clock_rate);
+    }
+    Time VirtualDuration(Time local_duration) const {
+      return static_cast<Time>(static_cast<double>(local_duration) / clock_rate);
+    }
+  };
+
+  Initiator& At(int number) { return initiators_[static_cast<std::size_t>(number)]; }
+  void CreateEngines();
+  void PublishAllEndpoints(int number);
+  // Passes an input to the engine and carries out its outputs.
+  void Submit(int number, const core::Input& input);
+  void CarryOut(int number, std::vector<core::Output> outputs);
+
+  // What the engine of initiator `number` wants done, by type of output.
+  void Perform(int number, const core::StartAttempt& attempt);
+  void Perform(int number, const core::AbortAttempt& abort);
+  void Perform(int number, const core::Response& response);
+  void Perform(int number, const core::ArmTimer& timer);
+  void Perform(int number, const core::StartHealthCheck& check);
+  // Every initiator watches here, and an attempt to a drained target is under way already.
+  void Perform(int, const core::DrainTarget&) {}
+  void Perform(int, const core::ActivateTarget&) {}
+  void Perform(int, const core::OpenWatch&) {}
+
+  // Sends an attempt to a server that exists, through the network.
+  void SendToServer(int number, const StorageServer& server, AttemptDelivered delivery);
+  void CountResponse(const RequestState& request, core::ResponseStatus status);
+
+  SimulationContext& context_;
+  NetworkModel& network_;
+  const StorageServers& servers_;
+  LoadGenerator& load_;
+  RequestTable& requests_;
+  std::vector<Initiator> initiators_;
+};
+
+}  // namespace walnutspur::lab
+
+#endif  // WALNUTSPUR_LAB_SIM_INITIATOR_FLEET_H_
--- /dev/null
+++ b/src/lab/sim/load_generator.h
@@ -0,0 +1,70 @@
+// The clients of the fleet: draws when the next request arrives, and its plan, volume, class, size, object
+// and initiator. The draws of a request do not depend on how earlier ones were answered, so that all policies
+// face the same load. Owned by Simulation; used on its one thread.
+#ifndef WALNUTSPUR_LAB_SIM_LOAD_GENERATOR_H_
+#define WALNUTSPUR_LAB_SIM_LOAD_GENERATOR_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <deque>
+#include <string>
+#include <vector>
+
+#include "core/messages.h"
+#include "lab/random.h"
+#include "lab/sim/request_table.h"
+#include "lab/sim/simulation_context.h"
+
+namespace walnutspur::lab {
+
+class LoadGenerator {
+ public:
+  // Creates the volumes of all plans. `context` and `requests` outlive the generator.
+  LoadGenerator(SimulationContext* context, RequestTable* requests);
+
+  // Schedules the first request.
+  void Start();
+  // Draws the request that arrives now, adds it to the table, counts and logs it, and schedules the next one.
+  // The deadline of the result is in virtual time.
+  core::RequestReceived Next();
+  // Remembers an object that a write has placed; later reads of its volume may go to it.
+  void AddPlacedObject(std::size_t volume, const std::string& key, int shard);
+  // Multiplies the request rate of a plan; 1 is its rate without a surge.
+  void SetSurge(std::size_t plan, double multiple);
+
+ private:
+  struct PlacedObject {
+    std::string key;
+    int shard = 0;
+  };
+  struct Volume {
+    std::string name;
+    std::deque<PlacedObject> recent_objects;
+  };
+  struct PlanLoad {
+    std::vector<std::size_t> volumes;
+    std::vector<double> cumulative_popularity;  // of its volumes (Zipf)
+    double surge_multiple = 1;
+  };
+
+  // Sum of the plans' weights with their surges.
+  double SurgedWeight() const;
+  void ScheduleNext(double surged_weight);
+  std::size_t DrawPlan(double surged_weight);
+  std::size_t DrawVolume(const PlanLoad& plan);
+  std::size_t DrawClass();
+  void DrawObject(const ClassPlan& class_plan, const Volume& volume, std::int64_t number,
+                  RequestState* request, RequestArrived* attributes);
+  void Count(const RequestState& request, std::int64_t number, int shard);
+
+  SimulationContext& context_;
+  RequestTable& requests_;
+  Random random_;
+  std::int64_t next_number_ = 1;
+  std::vector<Volume> volumes_;
+  std::vector<PlanLoad> plans_;
+};
+
+}  // namespace walnutspur::lab
+
+#endif  // WALNUTSPUR_LAB_SIM_LOAD_GENERATOR_H_
--- /dev/null
+++ b/src/lab/sim/network_model.cpp
@@ -0,0 +1,40 @@
+#include "lab/sim/network_model.h"
+
+namespace walnutspur::lab {
+namespace {
+
+constexpr double kReorderedDelayMultiple = 10;  // of its drawn delay that a reordered message takes
+constexpr double kNotDeliveredFraction = 0.5;   // of the requests whose connection breaks
+
+}  // namespace
+
+Time NetworkModel::DrawDelay() {
+  double time = static_cast<double>(experiment_.network_delay) +
+                static_cast<double>(experiment_.network_jitter) * random_.Part();
+  if (experiment_.reorder_probability > 0 && random_.Chance(experiment_.reorder_probability)) {
+    time *= kReorderedDelayMultiple;
+  }
+  return static_cast<Time>(time);
+}
+
+Delivery NetworkModel::DrawDelivery() {
+  if (experiment_.loss_probability <= 0 || !random_.Chance(experiment_.loss_probability)) {
+    return Delivery::kDelivered;
+  }
+  return random_.Chance(kNotDeliveredFraction) ? Delivery::kNotDeliveredAndBroken
+                                               : Delivery::kDeliveredAndBroken;
+}
+
+void NetworkModel::SetPartitioned(int zone, bool partitioned) {
+  if (partitioned) {
+    partitioned_zones_.insert(zone);
+  } else {
+    partitioned_zones_.erase(zone);
+  }
+}
+
+bool NetworkModel::IsPartitioned(int zone_a, int zone_b) const {
+  return zone_a != zone_b && (partitioned_zones_.contains(zone_a) || partitioned_zones_.contains(zone_b));
+}
+
+}  // namespace walnutspur::lab
--- /dev/null
+++ b/src/lab/sim/simulation.h
@@ -0,0 +1,42 @@
+// A fleet of initiators, their storage servers and clients in virtual time, on one thread: the real
+// core::Engine and scheduler, surrounded by models of the network, the servers, discovery and the load. The
+// same experiment, seed and build give the same event log to the byte.
+//
+// Modelled: slots, queues and overload, speeds that differ, pauses, slow starts and crashes by overload,
+// delayed and reordered messages, broken connections, partitioned zones, clock drift, discovery delays that
+// differ between initiators, and the faults of the experiment. Not modelled: connections and their cost,
+// caches, writes that are buffered, meters.
+#ifndef WALNUTSPUR_LAB_SIM_SIMULATION_H_
+#define WALNUTSPUR_LAB_SIM_SIMULATION_H_
+
+#include <functional>
+#include <memory>
+
+#include "lab/experiment.h"
+#include "lab/sim/event_log.h"
+#include "lab/sim/results.h"
+#include "lab/sim/test_hooks.h"
+
+namespace walnutspur::lab {
+
+// One run of an experiment. Used on one thread.
+class Simulation {
+ public:
+  // `log` outlives the simulation. Throws ExperimentError if the policy is unknown, from Run.
+  Simulation(const Experiment& experiment, EventLog* log, TestHooks hooks = {});
+  ~Simulation();
+  Simulation(const Simulation&) = delete;
+  Simulation& operator=(const Simulation&) = delete;
+
+  // Runs until the last possible deadline is over; called once. `progress`, if any, is called with the
+  // fraction done, 0 to 1.
+  SimulationResults Run(const std::function<void(double)>& progress = {});
+
+ private:
+  class Impl;
+  std::unique_ptr<Impl> impl_;
+};
+
+}  // namespace walnutspur::lab
+
+#endif  // WALNUTSPUR_LAB_SIM_SIMULATION_H_
--- /dev/null
+++ b/src/lab/sim/test_hooks.h
@@ -0,0 +1,24 @@
+// Hooks by which tests violate an invariant on purpose. Each is optional; none is set outside of tests.
+#ifndef WALNUTSPUR_LAB_SIM_TEST_HOOKS_H_
+#define WALNUTSPUR_LAB_SIM_TEST_HOOKS_H_
+
+#include <functional>
+#include <vector>
+
+#include "core/engine.h"
+#include "lab/sim/event_log.h"
+
+namespace walnutspur::lab {
+
+struct TestHooks {
+  // Called with the outputs of an initiator's engine before they are carried out; may change them.
+  std::function<void(int initiator, Time now, std::vector<core::Output>* outputs)> outputs;
+  // Replaces the decisions of the policy.
+  std::function<core::DecisionFunction(core::DecisionFunction)> decide;
+  // Called with an entry before it is logged; may change it, and drops it by returning false.
+  std::function<bool(LogEntry* entry)> entry;
+};
+
+}  // namespace walnutspur::lab
+
+#endif  // WALNUTSPUR_LAB_SIM_TEST_HOOKS_H_
--- a/tests/lab/sim_test.cpp
+++ b/tests/lab/sim_test.cpp
@@ -7,11 +7,12 @@
 #include <map>
 
 #include "lab/experiment.h"
+#include "lab/experiment_file.h"
 #include "lab/process.h"
-#include "lab/sim/checker.h"
 #include "lab/sim/explore.h"
+#include "lab/sim/invariant_checker.h"
 #include "lab/sim/policies.h"
-#include "lab/sim/world.h"
+#include "lab/sim/simulation.h"
 
 namespace walnutspur::lab {
 namespace {
@@ -28,12 +29,12 @@
 Experiment Base() { return ParseExperiment(kBase, "base"); }
 
 TEST_CASE("the same seed gives the same log to the byte, and another seed another one") {
-  const Experiment e = Draw(Base(), 7);
+  const Experiment e = DrawExperiment(Base(), 7);
   const Folder folder;
   const auto play = [&](const Experiment& experiment, const std::string& name) {
-    Log log(folder.path() + "/" + name);
-    World(experiment, &log).Run();
-    return log.sum();
+    EventLog log(folder.path() + "/" + name);
+    Simulation(experiment, &log).Run();
+    return log.checksum();
   };
   const std::uint32_t first = play(e, "a");
   CHECK(play(e, "b") == first);
@@ -41,16 +42,16 @@
   other.seed = 8;
   CHECK(play(other, "c") != first);
   // What the file says again is what was played.
-  CHECK(play(ParseExperiment(Write(e), "again"), "d") == first);
+  CHECK(play(ParseExperiment(FormatExperiment(e), "again"), "d") == first);
   // The file holds what the checker was told.
   std::ifstream file(folder.path() + "/a");
-  Checker checker;
+  InvariantChecker checker;
   std::uint32_t entries = 0;
   for (std::string line; std::getline(file, line); ++entries) {
     const auto entry = ParseEntry(line);
     REQUIRE(entry);
-    CHECK(Line(*entry) == line + "\n");
-    checker.Take(*entry);
+    CHECK(FormatEntry(*entry) == line + "\n");
+    checker.Observe(*entry);
   }
   CHECK(entries > 1000);
   CHECK(checker.clean());
@@ -63,13 +64,13 @@
   std::map<std::string, std::string> asked;
   for (const char* policy : {"walnutspur", "at-once", "buckets", "least-out"}) {
     e.policy = policy;
-    Log log;
-    log.on_entry = [&](const Entry& entry) {
-      if (entry.what == What::kAsk)
+    EventLog log;
+    log.on_entry = [&](const LogEntry& entry) {
+      if (entry.type == LogEntryType::kRequest)
         asked[policy] += std::to_string(entry.at) + " " + std::to_string(entry.initiator) + " " +
-                         std::to_string(entry.a) + " " + std::to_string(entry.b) + "\n";
+                         std::to_string(entry.value) + " " + std::to_string(entry.detail) + "\n";
     };
-    World(e, &log).Run();
+    Simulation(e, &log).Run();
   }
   CHECK(asked["walnutspur"].size() > 10000);
   for (const auto& [policy, all] : asked) CHECK(all == asked["walnutspur"]);
@@ -82,8 +83,8 @@
       "0.0\nslots = 64\n"
       "[network]\ndelay_ms = 2.0\njitter_ms = 0.0\n[load]\nrate = 50.0\nfresh = 0.0\n",
       "idle");
-  Log log;
-  const Outcomes idle = World(e, &log).Run();
+  EventLog log;
+  const SimulationResults idle = Simulation(e, &log).Run();
   // Units are 0.5 + exponential(0.5): their median is 0.5 + 0.5 ln 2, and work differs evenly by a fifth.
   CHECK(idle.percentile(0.5) == doctest::Approx(4 + 10 * (0.5 + 0.5 * std::log(2.0))).epsilon(0.02));
   CHECK(idle.service() == 1);
@@ -91,16 +92,16 @@
   for (int i = 0; i < 100; ++i) {
     for (const int box : {0, 1}) {
       FaultPlan f;
-      f.trouble = Trouble::kFreeze;
-      f.at = i * 2'000'000 + 500'000;
-      f.lasts = 200'000;
+      f.kind = FaultKind::kFreeze;
+      f.start = i * 2'000'000 + 500'000;
+      f.duration = 200'000;
       f.first = box;
       e.faults.push_back(f);
     }
   }
   e.policy = "at-once";  // the module would call back and try again
-  Log frozen_log;
-  const Outcomes frozen = World(e, &frozen_log).Run();
+  EventLog frozen_log;
+  const SimulationResults frozen = Simulation(e, &frozen_log).Run();
   std::size_t over = 0;
   for (const float ms : frozen.latencies) over += ms > 100;
   // Over 100 ms are those that came in the first half of a freeze, about: 5 % of all.
@@ -110,11 +111,11 @@
 
 TEST_CASE("more than the boxes can do: the module sheds, and what it serves is worth more than at once") {
   Experiment e = Base();
-  e.load = 1.6;
+  e.load_factor = 1.6;
   std::map<std::string, double> service;
   for (const char* policy : {"walnutspur", "at-once"}) {
     e.policy = policy;
-    service[policy] = RunChecked(e).outcomes.service();
+    service[policy] = RunChecked(e).results.service();
   }
   CHECK(service["walnutspur"] > service["at-once"] + 0.05);
 }
@@ -128,7 +129,7 @@
         "[[fault]]\nkind = \"surge\"\nat_s = 2.0\nfor_s = 6.0\nfirst = 1\nfactor = 6.0\n",
         "surge");
     e.initiators = initiators;
-    return RunChecked(e).outcomes.service();
+    return RunChecked(e).results.service();
   };
   CHECK(service(200) > 0.78 * service(5));  // 0.83; and 0.71 where each learns of each box alone
 }
@@ -136,12 +137,12 @@
 TEST_CASE("drawn worlds keep every rule") {
   std::uint64_t requests = 0, faults = 0;
   for (std::uint64_t seed = 1; seed <= 24; ++seed) {
-    const Experiment e = Draw(Base(), seed);
-    const Checked run = RunChecked(e);
-    requests += run.outcomes.requests;
+    const Experiment e = DrawExperiment(Base(), seed);
+    const CheckedRun run = RunChecked(e);
+    requests += run.results.requests;
     faults += e.faults.size();
-    for (const Breach& breach : run.breaches)
-      FAIL_CHECK("seed ", seed, " broke ", breach.rule, ": ", breach.what, " by ", Line(breach.entry));
+    for (const Violation& breach : run.violations)
+      FAIL_CHECK("seed ", seed, " broke ", breach.rule, ": ", breach.description, " by ", FormatEntry(breach.entry));
   }
   CHECK(requests > 20'000);
   CHECK(faults > 24);
@@ -149,24 +150,24 @@
 
 // ---- each rule broken on purpose ----
 
-using Mutant = std::function<Meddling()>;  // made anew for each world: some remember
+using Mutant = std::function<TestHooks()>;  // made anew for each world: some remember
 
-Meddling OnOutputs(std::function<void(int, Time, Outputs*)> call) {
-  Meddling meddling;
+TestHooks OnOutputs(std::function<void(int, Time, Outputs*)> call) {
+  TestHooks meddling;
   meddling.outputs = std::move(call);
   return meddling;
 }
-Meddling OnDecisions(
+TestHooks OnDecisions(
     std::function<std::vector<Action>(const core::DecisionFunction&, const Event&, Time)> call) {
-  Meddling meddling;
+  TestHooks meddling;
   meddling.decide = [call = std::move(call)](core::DecisionFunction decide) -> core::DecisionFunction {
     return
         [decide = std::move(decide), call](const Event& event, Time now) { return call(decide, event, now); };
   };
   return meddling;
 }
-Meddling OnEntries(std::function<bool(Entry*)> call) {
-  Meddling meddling;
+TestHooks OnEntries(std::function<bool(LogEntry*)> call) {
+  TestHooks meddling;
   meddling.entry = std::move(call);
   return meddling;
 }
@@ -295,9 +296,9 @@
        }},
       {"takes cold boxes for warm ones, and sends all at once", "cold",
        [] {
-         Meddling meddling;
+         TestHooks meddling;
          meddling.decide = [](const core::DecisionFunction&) {
-           return MakePolicy("at-once", Base().SettingsOf(), 1);
+           return MakePolicy("at-once", Base().SchedulerSettings(), 1);
          };
          return meddling;
        }},
@@ -326,18 +327,18 @@
        }},
       {"a connector that calls everything unseen", "never-ran",
        [] {
-         return OnEntries([](Entry* entry) {
-           if (entry->what == What::kOutcome) entry->a = static_cast<int>(Outcome::kOverloaded);
+         return OnEntries([](LogEntry* entry) {
+           if (entry->type == LogEntryType::kOutcome) entry->value = static_cast<int>(Outcome::kOverloaded);
            return true;
          });
        }},
       {"a box that runs work off the books", "units",
        [] {
-         return OnEntries([](Entry* entry) { return entry->what != What::kRan || entry->request % 50 != 0; });
+         return OnEntries([](LogEntry* entry) { return entry->type != LogEntryType::kWorkFinished || entry->request % 50 != 0; });
        }},
       {"a clock that is set back", "time",
        [] {
-         return OnEntries([](Entry* entry) {
+         return OnEntries([](LogEntry* entry) {
            if (entry->request % 50 == 7) entry->at -= 1000;
            return true;
          });
@@ -347,21 +348,21 @@
 
 TEST_CASE("each rule that is broken on purpose is seen, by that rule, within 200 worlds") {
   Experiment base = Base();
-  base.list_delay = 1'000'000;
+  base.discovery_delay = 1'000'000;
   for (const Broken& broken : Mutants()) {
     CAPTURE(std::string(broken.name));
     std::uint64_t seed = 1;
     bool caught = false;
     for (; seed <= 200 && !caught; ++seed) {
-      Experiment e = Draw(base, seed);
-      e.boxes = 6;
+      Experiment e = DrawExperiment(base, seed);
+      e.servers = 6;
       // A box is replaced and two start anew under load, whatever else was drawn.
-      e.faults = {{Trouble::kReplace, 500'000, 1'500'000, 1, 1, 0, 0},
-                  {Trouble::kRestart, 300'000, 1'000'000, 3, 2, 0, 100'000},
-                  {Trouble::kErrors, 1'000'000, 2'000'000, 0, 6, 0.5, 0}};
-      if (std::string(broken.rule) == "unlisted") e.list_delay = 100'000;
-      const Checked run = RunChecked(e, broken.make());
-      for (const Breach& breach : run.breaches) caught = caught || breach.rule == broken.rule;
+      e.faults = {{FaultKind::kReplace, 500'000, 1'500'000, 1, 1, 0, 0},
+                  {FaultKind::kRestart, 300'000, 1'000'000, 3, 2, 0, 100'000},
+                  {FaultKind::kErrors, 1'000'000, 2'000'000, 0, 6, 0.5, 0}};
+      if (std::string(broken.rule) == "unlisted") e.discovery_delay = 100'000;
+      const CheckedRun run = RunChecked(e, broken.make());
+      for (const Violation& breach : run.violations) caught = caught || breach.rule == broken.rule;
     }
     CHECK_MESSAGE(caught, std::string(broken.name), " was not seen");
     MESSAGE(std::string(broken.name), ": seen in world ", seed - 1);
@@ -371,18 +372,18 @@
 TEST_CASE("a failing world is made small, and what is left still fails") {
   const auto deaf = Mutants()[4];
   REQUIRE(std::string(deaf.rule) == "drain");
-  Experiment e = Draw(Base(), 3);
-  e.boxes = 6;
-  e.faults = {{Trouble::kSlow, 100'000, 1'000'000, 0, 3, 0.5, 0},
-              {Trouble::kReplace, 500'000, 2'500'000, 1, 2, 0, 0},
-              {Trouble::kFreeze, 2'000'000, 500'000, 2, 1, 0, 0}};
+  Experiment e = DrawExperiment(Base(), 3);
+  e.servers = 6;
+  e.faults = {{FaultKind::kSlow, 100'000, 1'000'000, 0, 3, 0.5, 0},
+              {FaultKind::kReplace, 500'000, 2'500'000, 1, 2, 0, 0},
+              {FaultKind::kFreeze, 2'000'000, 500'000, 2, 1, 0, 0}};
   const Experiment small = Shrink(e, "drain", 100, deaf.make());
   CHECK(small.faults.size() == 1);
-  CHECK(small.faults[0].trouble == Trouble::kReplace);
+  CHECK(small.faults[0].kind == FaultKind::kReplace);
   CHECK(small.initiators <= e.initiators);
-  const Checked again = RunChecked(ParseExperiment(Write(small), "small"), deaf.make());
-  REQUIRE_FALSE(again.breaches.empty());
-  CHECK(again.breaches.front().rule == "drain");
+  const CheckedRun again = RunChecked(ParseExperiment(FormatExperiment(small), "small"), deaf.make());
+  REQUIRE_FALSE(again.violations.empty());
+  CHECK(again.violations.front().rule == "drain");
 }
 
 TEST_CASE("a wrong experiment is told in one line with file and place") {
