--- /dev/null
+++ b/tests/lab/invariant_checker_test.cpp
@@ -0,0 +1,73 @@
+// The checker notices each invariant that is violated on purpose, and a failing experiment is shrunk to its
+// cause.
+#include "lab/sim/invariant_checker.h"
+
+#include <doctest/doctest.h>
+
+#include <algorithm>
+#include <cstdint>
+
+#include "base_experiment.h"
+#include "invariant_mutations.h"
+#include "lab/sim/explore.h"
+
+namespace walnutspur::lab {
+namespace {
+
+constexpr std::uint64_t kMaxSeed = 200;
+
+// Draws an experiment in which a server is replaced and two restart under load, whatever else is drawn.
+Experiment DrawWithFaults(const Experiment& base, std::uint64_t seed) {
+  Experiment experiment = DrawExperiment(base, seed);
+  experiment.servers = 6;
+  experiment.faults = {{FaultKind::kReplace, 500'000, 1'500'000, 1, 1, 0, 0},
+                       {FaultKind::kRestart, 300'000, 1'000'000, 3, 2, 0, 100'000},
+                       {FaultKind::kErrors, 1'000'000, 2'000'000, 0, 6, 0.5, 0}};
+  return experiment;
+}
+
+bool IsNoticed(const Mutation& mutation, const Experiment& experiment) {
+  const CheckedRun run = RunChecked(experiment, mutation.hooks());
+  return std::any_of(run.violations.begin(), run.violations.end(),
+                     [&](const Violation& violation) { return violation.rule == mutation.rule; });
+}
+
+TEST_CASE("each invariant violated on purpose is noticed, by its own rule, within 200 experiments") {
+  Experiment base = BaseExperiment();
+  base.discovery_delay = 1'000'000;
+  for (const Mutation& mutation : Mutations()) {
+    CAPTURE(mutation.name);
+    std::uint64_t seed = 1;
+    bool noticed = false;
+    for (; seed <= kMaxSeed && !noticed; ++seed) {
+      Experiment experiment = DrawWithFaults(base, seed);
+      if (mutation.rule == "unlisted") {
+        experiment.discovery_delay = 100'000;
+      }
+      noticed = IsNoticed(mutation, experiment);
+    }
+    CHECK_MESSAGE(noticed, mutation.name, " was not noticed");
+    MESSAGE(mutation.name, ": noticed in experiment ", seed - 1);
+  }
+}
+
+TEST_CASE("a failing experiment is shrunk, and the result still fails") {
+  const Mutation ignores_drains = Mutations()[4];
+  REQUIRE(ignores_drains.rule == "drain");
+  Experiment experiment = DrawExperiment(BaseExperiment(), 3);
+  experiment.servers = 6;
+  experiment.faults = {{FaultKind::kSlow, 100'000, 1'000'000, 0, 3, 0.5, 0},
+                       {FaultKind::kReplace, 500'000, 2'500'000, 1, 2, 0, 0},
+                       {FaultKind::kFreeze, 2'000'000, 500'000, 2, 1, 0, 0}};
+  const Experiment smallest = Shrink(experiment, "drain", 100, ignores_drains.hooks());
+  CHECK(smallest.faults.size() == 1);
+  CHECK(smallest.faults[0].kind == FaultKind::kReplace);
+  CHECK(smallest.initiators <= experiment.initiators);
+  const CheckedRun again =
+      RunChecked(ParseExperiment(FormatExperiment(smallest), "smallest"), ignores_drains.hooks());
+  REQUIRE_FALSE(again.violations.empty());
+  CHECK(again.violations.front().rule == "drain");
+}
+
+}  // namespace
+}  // namespace walnutspur::lab
--- /dev/null
+++ b/tests/lab/invariant_mutations.h
@@ -0,0 +1,24 @@
+// Mutations of the simulated cluster, each of which violates one invariant on purpose.
+#ifndef WALNUTSPUR_TESTS_LAB_INVARIANT_MUTATIONS_H_
+#define WALNUTSPUR_TESTS_LAB_INVARIANT_MUTATIONS_H_
+
+#include <functional>
+#include <string>
+#include <vector>
+
+#include "lab/sim/test_hooks.h"
+
+namespace walnutspur::lab {
+
+struct Mutation {
+  std::string name;
+  std::string rule;                  // the invariant that it violates
+  std::function<TestHooks()> hooks;  // made anew for each run: some have state
+};
+
+// All mutations.
+std::vector<Mutation> Mutations();
+
+}  // namespace walnutspur::lab
+
+#endif  // WALNUTSPUR_TESTS_LAB_INVARIANT_MUTATIONS_H_
