--- /dev/null
+++ b/src/lab/event_loop_thread.h
@@ -0,0 +1,44 @@
+// An event loop that runs on a thread of its own, for the stand-ins.
+//
+// Created and destroyed by its owner's thread, which also starts and stops it. The owner must free the events
+// and sockets of the loop after Stop and before the loop itself is destroyed.
+#ifndef WALNUTSPUR_LAB_EVENT_LOOP_THREAD_H_
+#define WALNUTSPUR_LAB_EVENT_LOOP_THREAD_H_
+
+#include <stdexcept>
+#include <thread>
+
+#include "loop/loop.h"
+
+namespace walnutspur::lab {
+
+// libevent cannot be used from several threads.
+class EventLoopError : public std::runtime_error {
+ public:
+  using std::runtime_error::runtime_error;
+};
+
+class EventLoopThread {
+ public:
+  // Makes the loop, without running it. Throws EventLoopError.
+  EventLoopThread();
+  ~EventLoopThread();  // stops it
+  EventLoopThread(const EventLoopThread&) = delete;
+  EventLoopThread& operator=(const EventLoopThread&) = delete;
+
+  // Runs the loop until Stop.
+  void Start();
+  // Ends the loop and waits for its thread. The loop's events and sockets stay as they are.
+  void Stop();
+
+  event_base* base() const { return base_.get(); }
+
+ private:
+  loop::EventBasePtr base_;
+  loop::EventHandle stop_;
+  std::thread thread_;
+};
+
+}  // namespace walnutspur::lab
+
+#endif  // WALNUTSPUR_LAB_EVENT_LOOP_THREAD_H_
