--- a/Makefile
+++ b/Makefile
@@ -49,7 +49,7 @@
 PARTS ?=
 bench-integrity:
 	cmake -B $(BUILD) -DCMAKE_BUILD_TYPE=Release
-	cmake --build $(BUILD) -j4 --target walnutspur_main walnutspur_box walnutspur_bench_integrity
+	cmake --build $(BUILD) -j4 --target walnutspur_main walnutspur_storage_server walnutspur_bench_integrity
 	$(BUILD)/walnutspur_bench_integrity $(BUILD)/walnutspur $(PARTS)
 
 # The fleet in virtual time: SEED=N, SHORT=1, PARTS="size worlds signs sizes" are all of it.
--- a/bench/integrity.cpp
+++ b/bench/integrity.cpp
@@ -26,7 +26,7 @@
 #include "integrity/crc32c.h"
 #include "integrity/ledger.h"
 #include "integrity/volume.h"
-#include "lab/box/box.h"
+#include "lab/storage_server/storage_server.h"
 #include "lab/discovery.h"
 #include "lab/process.h"
 #include "loop/address.h"
@@ -66,26 +66,26 @@
   };
 
   explicit World(const Options& wanted) : options(wanted), random(g_seed) {
-    const auto format = [](lab::Disk& disk) {
+    const auto format = [](lab::BlockDevice& disk) {
       for (const auto& io : integrity::FormatPlan(kSize, integrity::kUsualJournal, g_seed)) {
         if (io.kind == integrity::IoKind::kWrite) disk.Write(io.offset, io.data, true);
       }
     };
     int box_http = 0;
     if (options.process) {
-      lab::Disk disk(kSize, g_seed, DiskFile());
+      lab::BlockDevice disk(kSize, g_seed, DiskFile());
       format(disk);
       while (!BeginBox()) box_port = lab::FreePort();
       box_http = box_port + 1;
     } else {
-      lab::BoxOptions b;
+      lab::StorageServerOptions b;
       b.size = kSize;
       b.paths = options.paths;
       b.http = true;
       b.seed = g_seed;
       b.service = options.service;
-      box = std::make_unique<lab::Box>(b);
-      box->WithDisk(format);
+      box = std::make_unique<lab::StorageServer>(b);
+      box->WithDevice(format);
       box->Start();
       box_port = box->port(0);
       box_http = box->http_port();
@@ -209,7 +209,7 @@
   lab::Folder folder;
   std::mutex random_lock;
   pcg64 random;
-  std::unique_ptr<lab::Box> box;  // or, where `process` is set:
+  std::unique_ptr<lab::StorageServer> box;  // or, where `process` is set:
   std::unique_ptr<lab::Process> box_process;
   int box_port = 0;
   lab::Discovery discovery;
@@ -258,14 +258,14 @@
       if (kind != Damage::kLost && kind != Damage::kAstray && kind != Damage::kTorn) continue;
       lab::Fault fault{kind, -1, at * kBlock, (at + 1) * kBlock, (at + 2) * kBlock};
       if (kind == Damage::kAstray) ends.insert(at + 2);
-      w.box->Add(fault);
+      w.box->AddFault(fault);
       const std::string data = w.Random(kBlock);
       Put(*client, at * kBlock, data);
       content.replace(at * kBlock, kBlock, data);
     }
     w.InPlace();
     for (const auto& [at, kind] : damaged) {
-      if (kind == Damage::kFlipRest) w.box->Add({kind, -1, at * kBlock, (at + 1) * kBlock});
+      if (kind == Damage::kFlipRest) w.box->AddFault({kind, -1, at * kBlock, (at + 1) * kBlock});
     }
     // Those that strike a read one after the other: a path that is bad for good would be taken out of use.
     const auto read = [&](std::uint64_t at) {
@@ -276,14 +276,14 @@
     };
     for (const auto& [at, kind] : damaged) {
       if (kind == Damage::kStale || kind == Damage::kFlipPath)
-        w.box->Add({kind, -1, at * kBlock, (at + 1) * kBlock, 0, 1});  // on the path that is taken
+        w.box->AddFault({kind, -1, at * kBlock, (at + 1) * kBlock, 0, 1});  // on the path that is taken
       for (int i = 0; i < 3; ++i) read(at);
     }
     for (const std::uint64_t at : ends) {
       for (int i = 0; i < 3; ++i) read(at);
     }
     std::uint64_t struck = 0;
-    for (const Damage kind : kinds) struck += w.box->struck(kind);
+    for (const Damage kind : kinds) struck += w.box->injections(kind);
     poll(nullptr, 0, 1200);  // the ledger's file
     integrity::Ledger ledger;
     std::string what;
@@ -390,9 +390,9 @@
     ok = put(old);
     const bool at_write = kind == Damage::kLost || kind == Damage::kTorn || kind == Damage::kAstray;
     at_rest[name(key)] = at_write;
-    if (at_write) w.box->Add({kind, -1, 0, 1});
+    if (at_write) w.box->AddFault({kind, -1, 0, 1});
     ok = ok && put(now);
-    if (!at_write) w.box->Add({kind, -1, 0, 1});
+    if (!at_write) w.box->AddFault({kind, -1, 0, 1});
     failed += !ok;
     // Read until one reading can be held against another; what the module asks again is a reading too.
     int code = client.Ask(false, key, "", &answer);
@@ -403,7 +403,7 @@
       delivered += client.Ask(false, key, "", &other) == 200 && other != now;
     }
     std::uint64_t struck = 0;
-    for (const Damage k : kinds) struck += w.box->struck(k);
+    for (const Damage k : kinds) struck += w.box->injections(k);
     caught += struck > struck_before && first;
     struck_before = struck;
   }
@@ -712,7 +712,7 @@
     return 2;
   }
   g_program = argv[1];
-  g_box = g_program + "_box";     // built beside it
+  g_box = g_program + "_storage_server";     // built beside it
   std::signal(SIGPIPE, SIG_IGN);  // what is killed here leaves connections behind
   if (const char* seed = std::getenv("SEED")) g_seed = std::strtoull(seed, nullptr, 10);
   const char* brief = std::getenv("SHORT");
--- /dev/null
+++ b/src/lab/storage_server/fault_plan.h
@@ -0,0 +1,52 @@
+// The faults that a storage server is to inject, and how often each kind has been injected, so that tests can
+// compare every reported corruption with what was really done.
+//
+// Not synchronised: the storage server uses it under its mutex.
+#ifndef WALNUTSPUR_LAB_STORAGE_SERVER_FAULT_PLAN_H_
+#define WALNUTSPUR_LAB_STORAGE_SERVER_FAULT_PLAN_H_
+
+#include <cstdint>
+#include <initializer_list>
+#include <map>
+#include <vector>
+
+#include "lab/storage_server/damage.h"
+
+namespace walnutspur::lab {
+
+inline constexpr int kAnyPath = -1;
+inline constexpr int kWithoutLimit = -1;
+
+// A fault is injected into commands that overlap its range.
+struct Fault {
+  Damage damage = Damage::kFlipPath;
+  int path = kAnyPath;                   // kFlipPath, kStale: the listener whose commands are affected
+  std::uint64_t from = 0;                // the range, in bytes of the device; all objects by HTTP are at 0
+  std::uint64_t to = ~std::uint64_t{0};  // one past its end
+  std::uint64_t elsewhere = 0;           // kAstray: the offset of the misdirected bytes
+  int times = 1;                         // injections that remain, or kWithoutLimit
+};
+
+class FaultPlan {
+ public:
+  void Add(const Fault& fault) { faults_.push_back(fault); }
+  // Forgets the faults that have not been injected yet; the counts stay.
+  void Clear() { faults_.clear(); }
+
+  // The first fault of one of these kinds for a command on `path`, or null. `path` may be kAnyPath. Valid
+  // until the plan is changed.
+  Fault* Match(std::initializer_list<Damage> kinds, int path, std::uint64_t offset, std::uint64_t length);
+  // Counts an injection of a fault that Match has returned.
+  void RecordInjection(Fault& fault);
+  void RecordInjection(Damage damage) { ++injections_[damage]; }
+
+  std::uint64_t injections(Damage damage) const;
+
+ private:
+  std::vector<Fault> faults_;
+  std::map<Damage, std::uint64_t> injections_;
+};
+
+}  // namespace walnutspur::lab
+
+#endif  // WALNUTSPUR_LAB_STORAGE_SERVER_FAULT_PLAN_H_
--- a/tests/integrity/damage_test.cpp
+++ b/tests/integrity/damage_test.cpp
@@ -4,6 +4,7 @@
 #include "driver.h"
 #include "integrity/blame.h"
 #include "integrity/ledger.h"
+#include "lab/storage_server/damage.h"
 
 namespace walnutspur::test {
 namespace {
--- a/tests/integrity/driver.h
+++ b/tests/integrity/driver.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "integrity/volume.h"
-#include "lab/box/disk.h"
+#include "lab/storage_server/block_device.h"
 
 namespace walnutspur::test {
 
@@ -35,7 +35,7 @@
                        std::string data = "", bool fua = false);
 
   integrity::Volume& volume() { return *volume_; }
-  lab::Disk& disk() { return disk_; }
+  lab::BlockDevice& disk() { return disk_; }
   std::map<integrity::CommandId, integrity::Result> results;  // in arrival order of ids
   std::function<void(const integrity::Result&)> on_result;
   // May change what an Io brings, or how it ends; it has been carried out if `ran`.
@@ -45,7 +45,7 @@
  private:
   void Take();
 
-  lab::Disk disk_;
+  lab::BlockDevice disk_;
   integrity::VolumeOptions options_;
   std::unique_ptr<integrity::Volume> volume_;
   std::vector<integrity::Io> waiting_;
--- a/tests/net/checksummed_export_test.cpp
+++ b/tests/net/checksummed_export_test.cpp
@@ -12,7 +12,7 @@
 #include "app/control.h"
 #include "filestore/atomic_file.h"
 #include "integrity/cursor.h"
-#include "lab/box/box.h"
+#include "lab/storage_server/storage_server.h"
 #include "lab/discovery.h"
 #include "lab/process.h"
 #include "nbd/blocking_client.h"
@@ -28,9 +28,9 @@
 constexpr std::uint64_t kSize = 16 << 20;
 
 // Random bytes drawn from the storage server's generator.
-std::string RandomData(lab::Box& server, std::size_t size) {
+std::string RandomData(lab::StorageServer& server, std::size_t size) {
   std::string data(size, '\0');
-  server.WithDisk([&](lab::Disk& disk) {
+  server.WithDevice([&](lab::BlockDevice& disk) {
     for (char& c : data) {
       c = static_cast<char>(disk.Draw(256));
     }
@@ -41,9 +41,9 @@
 // An initiator, its storage server with one export, its discovery and an NBD client.
 struct ExportFixture {
   explicit ExportFixture(int paths, bool scrub = false, std::uint64_t seed = 1,
-                         std::uint16_t flags = lab::BoxOptions().flags)
-      : server_is_suitable(flags == lab::BoxOptions().flags), server(Options(paths, seed, flags)) {
-    server.WithDisk([](lab::Disk& disk) {
+                         std::uint16_t flags = lab::StorageServerOptions().flags)
+      : server_is_suitable(flags == lab::StorageServerOptions().flags), server(Options(paths, seed, flags)) {
+    server.WithDevice([](lab::BlockDevice& disk) {
       for (const auto& io : integrity::FormatPlan(kSize, integrity::kUsualJournal, 42)) {
         if (io.kind == integrity::IoKind::kWrite) {
           disk.Write(io.offset, io.data, true);
@@ -77,8 +77,8 @@
            "remote = \"disk\"\nchecksums = true\nsize = " +
            std::to_string(kSize) + "\n";
   }
-  static lab::BoxOptions Options(int paths, std::uint64_t seed, std::uint16_t flags) {
-    lab::BoxOptions options;
+  static lab::StorageServerOptions Options(int paths, std::uint64_t seed, std::uint16_t flags) {
+    lab::StorageServerOptions options;
     options.size = kSize;
     options.paths = paths;
     options.seed = seed;
@@ -176,7 +176,7 @@
 
   bool server_is_suitable = true;  // whether it has the flags that checksummed exports need
   lab::Folder folder;
-  lab::Box server;
+  lab::StorageServer server;
   lab::Discovery discovery;
   app::Options options;
   std::unique_ptr<app::Initiator> initiator;
@@ -188,7 +188,7 @@
 TEST_CASE("what is written is read, aligned or not, before and after a checkpoint and after a restart") {
   ExportFixture fixture(1);
   for (int i = 0; i < 60; ++i) {
-    const auto offset = fixture.server.WithDisk([](lab::Disk& d) { return d.Draw(1 << 20); });
+    const auto offset = fixture.server.WithDevice([](lab::BlockDevice& d) { return d.Draw(1 << 20); });
     const std::string data = RandomData(fixture.server, 1 + static_cast<std::size_t>(offset % 9000));
     REQUIRE(fixture.Put(offset, data).error == nbd::kOk);
     fixture.content.replace(offset, data.size(), data);
@@ -222,23 +222,23 @@
     lab::Fault astray{Damage::kAstray, -1, 5 * kBlock, 6 * kBlock, 9 * kBlock};
     lab::Fault torn{Damage::kTorn, -1, 12 * kBlock, 13 * kBlock};
     for (const auto& fault : {lost_write, astray, torn}) {
-      fixture.server.Add(fault);
+      fixture.server.AddFault(fault);
     }
     fixture.Write(2);
     fixture.Write(5);
     fixture.Write(12);
     fixture.WaitForCheckpoint();
-    REQUIRE(fixture.server.struck(Damage::kAstray) == 1);
-    fixture.server.Add({Damage::kFlipRest, -1, 14 * kBlock, 15 * kBlock});
+    REQUIRE(fixture.server.injections(Damage::kAstray) == 1);
+    fixture.server.AddFault({Damage::kFlipRest, -1, 14 * kBlock, 15 * kBlock});
     CHECK(fixture.FindCorruption(2)->fault == Fault::kLost);
     CHECK(fixture.FindCorruption(12)->fault == Fault::kRest);
     CHECK(fixture.FindCorruption(14)->fault == Fault::kRest);
     CHECK(fixture.FindCorruption(5)->fault == Fault::kLost);
     CHECK(fixture.FindCorruption(9)->fault == Fault::kAstray);
     CHECK(fixture.FindCorruption(5)->fault == Fault::kAstray);  // now that the misplaced block is known
-    fixture.server.Add({Damage::kStale, -1, 7 * kBlock, 8 * kBlock});
+    fixture.server.AddFault({Damage::kStale, -1, 7 * kBlock, 8 * kBlock});
     CHECK(fixture.FindCorruption(7)->fault == Fault::kStale);
-    fixture.server.Add({Damage::kFlipPath, 0, 1 * kBlock, 2 * kBlock, 0, paths == 1 ? 1 : -1});
+    fixture.server.AddFault({Damage::kFlipPath, 0, 1 * kBlock, 2 * kBlock, 0, paths == 1 ? 1 : -1});
     CHECK(fixture.FindCorruption(1)->fault == (paths == 1 ? Fault::kMemory : Fault::kPath));
     fixture.server.ClearFaults();
     // A read of all blocks returns the intact pieces and the offsets of the corrupted blocks.
@@ -281,7 +281,7 @@
   ExportFixture fixture(1, true);
   fixture.Write(0, 16);
   fixture.WaitForCheckpoint();
-  fixture.server.Add({Damage::kFlipRest, -1, 11 * kBlock, 12 * kBlock});
+  fixture.server.AddFault({Damage::kFlipRest, -1, 11 * kBlock, 12 * kBlock});
   integrity::Ledger ledger;
   std::string what;
   for (int i = 0; i < 100 && !ledger.IsBad({"a", "disk", 11}); ++i) {
@@ -295,12 +295,12 @@
 
 TEST_CASE("a target that cannot order writes gets none, and is distinguished from an unreachable one") {
   for (const std::uint16_t lacks : {nbd::kSendFlush, std::uint16_t(nbd::kSendFua | nbd::kCanMultiConn)}) {
-    ExportFixture fixture(1, false, 1, static_cast<std::uint16_t>(lab::BoxOptions().flags & ~lacks));
-    const std::string before = fixture.server.WithDisk([](lab::Disk& disk) { return disk.Read(0, kSize); });
+    ExportFixture fixture(1, false, 1, static_cast<std::uint16_t>(lab::StorageServerOptions().flags & ~lacks));
+    const std::string before = fixture.server.WithDevice([](lab::BlockDevice& disk) { return disk.Read(0, kSize); });
     for (int i = 0; i < 2; ++i) {
       CHECK(fixture.client->Write(0, std::string(kBlock, 'x')).error != nbd::kOk);
     }
-    CHECK(fixture.server.WithDisk([](lab::Disk& disk) { return disk.Read(0, kSize); }) == before);
+    CHECK(fixture.server.WithDevice([](lab::BlockDevice& disk) { return disk.Read(0, kSize); }) == before);
   }
 }
 
@@ -365,9 +365,9 @@
 TEST_CASE("an unformatted export is rejected, and not a byte of it changes") {
   ExportFixture fixture(1);
   fixture.StopInitiator();
-  fixture.server.WithDisk(
-      [](lab::Disk& disk) { disk.Write(kSize - 2 * kBlock, std::string(2 * kBlock, 'x'), true); });
-  const std::string before = fixture.server.WithDisk([](lab::Disk& disk) { return disk.Read(0, kSize); });
+  fixture.server.WithDevice(
+      [](lab::BlockDevice& disk) { disk.Write(kSize - 2 * kBlock, std::string(2 * kBlock, 'x'), true); });
+  const std::string before = fixture.server.WithDevice([](lab::BlockDevice& disk) { return disk.Read(0, kSize); });
   auto json = BasicConfig();
   json["discovery"] = "127.0.0.1:" + std::to_string(fixture.discovery.port());
   fixture.initiator = std::make_unique<app::Initiator>(app::ParseConfig(json), fixture.options);
@@ -376,7 +376,7 @@
   for (int i = 0; i < 5; ++i) {
     CHECK(fixture.client->Write(0, std::string(kBlock, 'x')).error != nbd::kOk);
   }
-  CHECK(fixture.server.WithDisk([](lab::Disk& disk) { return disk.Read(0, kSize); }) == before);
+  CHECK(fixture.server.WithDevice([](lab::BlockDevice& disk) { return disk.Read(0, kSize); }) == before);
 }
 
 }  // namespace
