--- a/tests/integrity/corruption_test.cpp
+++ b/tests/integrity/corruption_test.cpp
@@ -5,6 +5,7 @@
 #include "integrity/corruption_log.h"
 #include "integrity/fault_attribution.h"
 #include "integrity/path_health.h"
+#include "lab/storage_server/damage.h"
 
 namespace walnutspur::test {
 namespace {
@@ -91,7 +92,7 @@
 // Carries out a write that reports success and is lost, misdirected to `other`, or torn.
 void InjectAtWrite(CorruptionFixture& fixture, Damage damage, std::uint64_t block, std::uint64_t other,
                    int* injected) {
-  lab::Disk& disk = fixture.driver.disk();
+  lab::BlockDevice& disk = fixture.driver.disk();
   fixture.driver.on_io = [&, injected](const IoRequest& io, std::string*, bool* executed) {
     if (io.purpose != IoPurpose::kApply || io.offset != block * kBlockBytes) {
       return IoStatus::kCompleted;
@@ -120,7 +121,7 @@
     fixture.Checkpoint();
   }
   fixture.driver.on_io = [&fixture, damage, injected](const IoRequest& io, std::string* data, bool*) {
-    lab::Disk& disk = fixture.driver.disk();
+    lab::BlockDevice& disk = fixture.driver.disk();
     if (io.purpose != IoPurpose::kData) {
       return IoStatus::kCompleted;
     }
@@ -143,7 +144,7 @@
   if (damage == Damage::kLost || damage == Damage::kAstray || damage == Damage::kTorn) {
     InjectAtWrite(fixture, damage, block, other, injected);
   } else if (damage == Damage::kFlipRest) {
-    lab::Disk& disk = fixture.driver.disk();
+    lab::BlockDevice& disk = fixture.driver.disk();
     disk.Flip(block * kBlockBytes, kBlockBytes, 1 + static_cast<int>(disk.Draw(9)));
     ++*injected;
   } else {
--- a/tests/integrity/driver.h
+++ b/tests/integrity/driver.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "integrity/volume.h"
-#include "lab/box/disk.h"
+#include "lab/storage_server/block_device.h"
 
 namespace walnutspur::test {
 
@@ -35,7 +35,7 @@
                               std::string data = "", bool fua = false);
 
   integrity::Volume& volume() { return *volume_; }
-  lab::Disk& disk() { return disk_; }
+  lab::BlockDevice& disk() { return disk_; }
   std::map<integrity::CommandId, integrity::CommandResult> results;  // in arrival order of ids
   std::function<void(const integrity::CommandResult&)> on_result;
   // May change the data of a read and how a request ends; it is not executed if `executed` is set to false.
@@ -45,7 +45,7 @@
  private:
   void CollectRequests();
 
-  lab::Disk disk_;
+  lab::BlockDevice disk_;
   integrity::VolumeOptions options_;
   std::unique_ptr<integrity::Volume> volume_;
   std::vector<integrity::IoRequest> pending_;
