--- a/bench/integrity.cpp
+++ b/bench/integrity.cpp
@@ -26,9 +26,9 @@
 #include "integrity/corruption_log_file.h"
 #include "integrity/crc32c.h"
 #include "integrity/volume.h"
-#include "lab/storage_server/storage_server.h"
 #include "lab/discovery.h"
 #include "lab/process.h"
+#include "lab/storage_server/storage_server.h"
 #include "loop/address.h"
 #include "nbd/blocking_client.h"
 
@@ -278,7 +278,8 @@
     };
     for (const auto& [at, kind] : damaged) {
       if (kind == Damage::kStale || kind == Damage::kFlipPath)
-        w.box->AddFault({kind, -1, at * kBlockBytes, (at + 1) * kBlockBytes, 0, 1});  // on the path that is taken
+        w.box->AddFault(
+            {kind, -1, at * kBlockBytes, (at + 1) * kBlockBytes, 0, 1});  // on the path that is taken
       for (int i = 0; i < 3; ++i) read(at);
     }
     for (const std::uint64_t at : ends) {
@@ -580,7 +581,8 @@
     due.push_back(at);
   }
   const auto scrubbed = [&] {
-    const json status = json::parse(app::SendControlCommand(app::ControlPath(w.folder.path()), "status"))["scrub"];
+    const json status =
+        json::parse(app::SendControlCommand(app::ControlPath(w.folder.path()), "status"))["scrub"];
     return scrub ? status["requests"].get<double>() - status["failed"].get<double>() : 0.0;
   };
   const double before = scrubbed();
@@ -714,8 +716,8 @@
     return 2;
   }
   g_program = argv[1];
-  g_box = g_program + "_storage_server";     // built beside it
-  std::signal(SIGPIPE, SIG_IGN);  // what is killed here leaves connections behind
+  g_box = g_program + "_storage_server";  // built beside it
+  std::signal(SIGPIPE, SIG_IGN);          // what is killed here leaves connections behind
   if (const char* seed = std::getenv("SEED")) g_seed = std::strtoull(seed, nullptr, 10);
   const char* brief = std::getenv("SHORT");
   g_short = brief && *brief;
--- a/tests/unit/outcome_history_test.cpp
+++ b/tests/unit/outcome_history_test.cpp
@@ -1,8 +1,8 @@
 // Failure probability of targets that an instance seldom uses.
-#include <doctest/doctest.h>
-
 #include "routing/outcome_history.h"
 
+#include <doctest/doctest.h>
+
 namespace walnutspur::routing {
 namespace {
 
