--- a/src/lab/sim/baseline_policy.h
+++ b/src/lab/sim/baseline_policy.h
@@ -15,6 +15,7 @@
 
 namespace walnutspur::lab {
 
+// One baseline policy; answers the events of one engine.
 class BaselinePolicy {
  public:
   enum class Kind {
--- a/src/lab/sim/discovery_model.h
+++ b/src/lab/sim/discovery_model.h
@@ -10,6 +10,7 @@
 
 namespace walnutspur::lab {
 
+// Publishes endpoint states to all initiators.
 class DiscoveryModel {
  public:
   // `context` outlives the model.
--- a/src/lab/sim/fault_schedule.h
+++ b/src/lab/sim/fault_schedule.h
@@ -11,6 +11,7 @@
 
 namespace walnutspur::lab {
 
+// Applies the faults of the experiment.
 class FaultSchedule {
  public:
   // Everything passed outlives the schedule.
--- a/src/lab/sim/initiator_fleet.cpp
+++ b/src/lab/sim/initiator_fleet.cpp
@@ -14,6 +14,8 @@
 constexpr std::uint64_t kClockSpread = 1'000'000;  // by which local times differ at the start, us
 constexpr std::uint64_t kSeedStride = 1'000'003;   // between the seeds of two experiments' first engines
 
+constexpr double kMicrosPerMilli = 1000;
+
 TargetId TargetOf(int server) { return "b" + std::to_string(server); }
 
 int ServerOf(const TargetId& target) { return std::stoi(target.substr(1)); }
@@ -127,7 +129,7 @@
   const Time latency = context_.now() - request.received;
   switch (status) {
     case core::ResponseStatus::kServed:
-      results.latencies.push_back(static_cast<float>(static_cast<double>(latency) / 1000));
+      results.latencies.push_back(static_cast<float>(static_cast<double>(latency) / kMicrosPerMilli));
       ++second.served;
       if (latency <= request_class.latency_objective) {
         second.earned += request_class.priority_weight;
--- a/src/lab/sim/initiator_fleet.h
+++ b/src/lab/sim/initiator_fleet.h
@@ -18,6 +18,7 @@
 
 namespace walnutspur::lab {
 
+// All initiators, by number.
 class InitiatorFleet {
  public:
   // Everything passed outlives the fleet.
--- a/src/lab/sim/invariant_checker.h
+++ b/src/lab/sim/invariant_checker.h
@@ -25,6 +25,7 @@
   std::string description;  // one line
 };
 
+// Reads a log entry by entry.
 class InvariantChecker {
  public:
   // Checks the next entry of the log.
--- a/src/lab/sim/load_generator.cpp
+++ b/src/lab/sim/load_generator.cpp
@@ -9,7 +9,6 @@
 
 constexpr std::size_t kMaxRecentObjects = 64;  // remembered for each volume
 constexpr int kInitiatorsPerVolume = 4;        // that the requests of a volume arrive at
-constexpr double kUnitScale = 1000;            // logged units are thousandths
 constexpr double kMinUnits = 0.1;              // of a request
 constexpr std::uint64_t kObjectDrawBound = std::uint64_t{1} << 40;
 
--- a/src/lab/sim/load_generator.h
+++ b/src/lab/sim/load_generator.h
@@ -17,6 +17,7 @@
 
 namespace walnutspur::lab {
 
+// Draws the requests of all clients.
 class LoadGenerator {
  public:
   // Creates the volumes of all plans. `context` and `requests` outlive the generator.
--- a/src/lab/sim/network_model.h
+++ b/src/lab/sim/network_model.h
@@ -20,6 +20,7 @@
   kNotDeliveredAndBroken,  // the request never reaches the server, the initiator sees a reset
 };
 
+// Draws what happens to messages; its random stream is its own.
 class NetworkModel {
  public:
   // `experiment` outlives the model.
--- a/src/lab/sim/request_table.h
+++ b/src/lab/sim/request_table.h
@@ -35,6 +35,7 @@
   std::vector<AttemptState> attempts;
 };
 
+// The open requests, by number.
 class RequestTable {
  public:
   // Adds a request under its number; the reference holds until it is erased.
--- a/src/lab/sim/simulation_context.h
+++ b/src/lab/sim/simulation_context.h
@@ -20,6 +20,10 @@
 // Virtual time of the first possible request, us. Endpoints are known before it.
 constexpr Time kLoadStart = 1'000'000;
 
+// Work is counted and logged in whole thousandths of a unit.
+constexpr double kUnitScale = 1000;
+
+// The shared state of one run; see above.
 class SimulationContext {
  public:
   // `log` outlives the context.
@@ -36,6 +40,7 @@
   void Schedule(Time at, const EventBody& body);
   // Takes the next event that is due until `end` off the queue and advances the clock to it.
   std::optional<EventBody> TakeNext(Time end);
+  // Advances the clock without an event, to the end of the run.
   void set_now(Time now) { now_ = now; }
 
   // Logs `entry` with the current time.
--- a/src/lab/sim/storage_servers.cpp
+++ b/src/lab/sim/storage_servers.cpp
@@ -15,7 +15,6 @@
 // The work of a request differs by so much from what its units say.
 constexpr double kLeastWork = 0.8;
 constexpr double kMostWork = 1.2;
-constexpr double kUnitScale = 1000;  // logged units are thousandths
 
 }  // namespace
 
--- a/src/lab/sim/storage_servers.h
+++ b/src/lab/sim/storage_servers.h
@@ -51,6 +51,7 @@
   double recent_units = 0;       // sum of `recent`
 };
 
+// All storage servers, by number and by shard.
 class StorageServers {
  public:
   // Everything passed outlives the servers.
--- a/src/lab/sim/test_hooks.h
+++ b/src/lab/sim/test_hooks.h
@@ -10,6 +10,7 @@
 
 namespace walnutspur::lab {
 
+// Optional interventions in a run.
 struct TestHooks {
   // Called with the outputs of an initiator's engine before they are carried out; may change them.
   std::function<void(int initiator, Time now, std::vector<core::Output>* outputs)> outputs;
