--- /dev/null
+++ b/bench/integrity/clean_blocks.cpp
@@ -0,0 +1,97 @@
+// Reads intact blocks beside overlapping writes that are not aligned: none may be reported as corrupt.
+#include <atomic>
+#include <string>
+#include <thread>
+
+#include "parts.h"
+#include "testbed.h"
+
+namespace walnutspur::bench {
+namespace {
+
+constexpr std::uint64_t kBlocks = 512;
+constexpr std::uint32_t kBlocksPerRead = 16;
+constexpr std::uint64_t kMaxWriteBytes = 16000;
+constexpr std::uint64_t kWriteMargin = 20000;  // bytes at the end where no write begins
+constexpr int kReadsInFlight = 8;
+constexpr int kReplyTimeout = 5000;  // ms
+
+// Writes at random places until destroyed, on a thread of its own.
+class BackgroundWriter {
+ public:
+  explicit BackgroundWriter(Testbed* testbed) : testbed_(testbed), thread_([this] { Write(); }) {}
+  ~BackgroundWriter() { Stop(); }
+  BackgroundWriter(const BackgroundWriter&) = delete;
+  BackgroundWriter& operator=(const BackgroundWriter&) = delete;
+
+  void Stop() {
+    stopping_ = true;
+    if (thread_.joinable()) {
+      thread_.join();
+    }
+  }
+  int writes() const { return writes_; }
+
+ private:
+  void Write() {
+    const auto client = testbed_->Connect();
+    while (!stopping_) {
+      const std::uint64_t offset = testbed_->Draw(kBlocks * kBlockBytes - kWriteMargin);
+      const std::string data = testbed_->RandomData(1 + testbed_->Draw(kMaxWriteBytes));
+      if (client->Write(offset, data).error == nbd::kOk) {
+        ++writes_;
+      }
+    }
+  }
+
+  Testbed* testbed_;
+  std::atomic<bool> stopping_ = false;
+  std::atomic<int> writes_ = 0;
+  std::thread thread_;  // the last member: it uses the others
+};
+
+struct ReadCounts {
+  int intact_blocks = 0;
+  int corrupt_blocks = 0;
+  int rejected_reads = 0;
+};
+
+ReadCounts ReadBlocks(Testbed& testbed, int wanted_blocks) {
+  const auto client = testbed.Connect();
+  ReadCounts counts;
+  int in_flight = 0;
+  while (counts.intact_blocks < wanted_blocks) {
+    for (; in_flight < kReadsInFlight; ++in_flight) {
+      nbd::Request request;
+      request.type = nbd::kRead;
+      request.offset = testbed.Draw(kBlocks - kBlocksPerRead) * kBlockBytes;
+      request.length = kBlocksPerRead * kBlockBytes;
+      client->Send(request);
+    }
+    for (const nbd::Reply& reply : client->Take(kReplyTimeout)) {
+      --in_flight;
+      counts.intact_blocks += reply.error == nbd::kOk ? static_cast<int>(kBlocksPerRead) : 0;
+      counts.corrupt_blocks += static_cast<int>(reply.bad.size());
+      counts.rejected_reads += reply.error != nbd::kOk && reply.bad.empty() ? 1 : 0;
+    }
+  }
+  return counts;
+}
+
+}  // namespace
+
+void MeasureCleanBlocks(Run& run) {
+  Testbed testbed(run, {.paths = 2});
+  BackgroundWriter writer(&testbed);
+  const ReadCounts counts = ReadBlocks(testbed, run.Amount(1'000'000, 60'000));
+  writer.Stop();
+  const CorruptionLog log = testbed.LoadCorruptionLog();
+  run.Claim("1 false alarms", counts.corrupt_blocks == 0 && log.entries().empty(),
+            std::to_string(counts.corrupt_blocks) + " bad blocks told, " +
+                std::to_string(log.entries().size()) + " in the ledger, in " +
+                std::to_string(counts.intact_blocks) + " clean blocks beside " +
+                std::to_string(writer.writes()) + " overlapping writes (" +
+                std::to_string(counts.rejected_reads) + " reads refused)");
+}
+
+}  // namespace walnutspur::bench
--- /dev/null
+++ b/bench/integrity/configuration.h
@@ -0,0 +1,25 @@
+// The files that configure the initiator of a testbed. Owns nothing; any thread.
+#ifndef WALNUTSPUR_BENCH_INTEGRITY_CONFIGURATION_H_
+#define WALNUTSPUR_BENCH_INTEGRITY_CONFIGURATION_H_
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+namespace walnutspur::bench {
+
+struct DeployOptions {
+  int nbd_port = 0;               // where the initiator listens
+  std::vector<int> server_ports;  // of the storage server, by path
+  std::uint64_t size = 0;         // bytes of the export
+  bool plain = false;             // a second export of the same device, without checksums
+};
+
+// The deploy file (TOML).
+std::string FormatDeployFile(const DeployOptions& options);
+// The instance's configuration with its settings (JSON).
+std::string FormatInstanceConfig(int http_port, int discovery_port);
+
+}  // namespace walnutspur::bench
+
+#endif  // WALNUTSPUR_BENCH_INTEGRITY_CONFIGURATION_H_
--- /dev/null
+++ b/bench/integrity/testbed.cpp
@@ -0,0 +1,196 @@
+#include "testbed.h"
+
+#include <poll.h>
+
+#include <algorithm>
+#include <cstring>
+#include <exception>
+#include <utility>
+#include <vector>
+
+#include "configuration.h"
+#include "core/scheduler_thread.h"
+#include "integrity/volume.h"
+
+namespace walnutspur::bench {
+namespace {
+
+constexpr Time kAttachTimeout = 10'000'000;  // us
+constexpr int kListenTimeout = 5000;         // ms
+constexpr int kAttachPollInterval = 2;       // ms
+constexpr int kServerStartAttempts = 500;
+constexpr int kServerStartInterval = 10;  // ms
+constexpr int kLogWriteDelay = 1200;      // ms: more than the initiator waits before it writes the log's file
+constexpr int kCheckpointInterval = 280;  // ms
+constexpr std::uint64_t kScrubCommands = 200;  // of the scrub in one such interval, at most
+constexpr int kWriteAttempts = 50;
+constexpr int kRetryInterval = 10;  // ms
+constexpr std::uint32_t kAttachReadBytes = 512;
+
+}  // namespace
+
+Testbed::Testbed(const Run& run, TestbedOptions options)
+    : run_(run), options_(std::move(options)), random_(run.seed()) {
+  StartServer();
+  lab::Member member;
+  member.id = "a";
+  member.host_port = "127.0.0.1:" + std::to_string(server_http_port_);
+  discovery_.Set(member);
+  nbd_port_ = lab::FreePort();
+  http_port_ = lab::FreePort();
+  WriteFiles();
+  StartInitiator();
+}
+
+void Testbed::FormatDevice(lab::BlockDevice& device) const {
+  for (const auto& request : integrity::FormatPlan(kDeviceBytes, integrity::kUsualJournal, run_.seed())) {
+    if (request.kind == integrity::IoKind::kWrite) {
+      device.Write(request.offset, request.data, true);
+    }
+  }
+}
+
+void Testbed::StartServer() {
+  if (!options_.child_server) {
+    StartServerInProcess();
+    return;
+  }
+  lab::BlockDevice device(kDeviceBytes, run_.seed(), DeviceFile());
+  FormatDevice(device);
+  server_nbd_port_ = lab::FreePort();
+  while (!StartChildServer()) {
+    server_nbd_port_ = lab::FreePort();
+  }
+  server_http_port_ = server_nbd_port_ + 1;
+}
+
+void Testbed::StartServerInProcess() {
+  lab::StorageServerOptions options;
+  options.size = kDeviceBytes;
+  options.paths = options_.paths;
+  options.http = true;
+  options.seed = run_.seed();
+  server_ = std::make_unique<lab::StorageServer>(options);
+  server_->WithDevice([this](lab::BlockDevice& device) { FormatDevice(device); });
+  server_->Start();
+  server_nbd_port_ = server_->port(0);
+  server_http_port_ = server_->http_port();
+}
+
+// It listens for HTTP on the port after the one for NBD, and on the same ports each time.
+bool Testbed::StartChildServer() {
+  const std::vector<std::string> command = {run_.options().storage_server,
+                                            "--size",
+                                            std::to_string(kDeviceBytes),
+                                            "--file",
+                                            DeviceFile(),
+                                            "--http",
+                                            "--port",
+                                            std::to_string(server_nbd_port_),
+                                            "--seed",
+                                            std::to_string(random_())};
+  child_server_ =
+      std::make_unique<lab::Process>(command, std::map<std::string, std::string>{}, folder() + "/box.log");
+  for (int i = 0; i < kServerStartAttempts && child_server_->running(); ++i) {
+    if (lab::WaitForPort(server_nbd_port_ + 1, kServerStartInterval)) {
+      return true;
+    }
+  }
+  return false;
+}
+
+void Testbed::WriteFiles() {
+  DeployOptions deploy;
+  deploy.nbd_port = nbd_port_;
+  deploy.server_ports = {server_nbd_port_};
+  for (int path = 1; path < options_.paths; ++path) {
+    deploy.server_ports.push_back(server_->port(path));
+  }
+  deploy.size = kDeviceBytes;
+  deploy.plain = options_.plain;
+  deploy_file_ = folder_.Put("nbd.toml", FormatDeployFile(deploy));
+  config_file_ = folder_.Put("config.json", FormatInstanceConfig(http_port_, discovery_.port()));
+  settings_file_ = folder_.Put(
+      "settings.toml", "[integrity]\ndigests = true\nfolder = \"" + folder() + "\"\n" + options_.settings);
+}
+
+void Testbed::StartInitiator() {
+  const std::vector<std::string> command = {run_.options().program, "--config", config_file_, "--settings",
+                                            settings_file_,         "--nbd",    deploy_file_};
+  initiator_ =
+      std::make_unique<lab::Process>(command, std::map<std::string, std::string>{}, folder() + "/log");
+  if (!lab::WaitForPort(nbd_port_, kListenTimeout)) {
+    throw BenchError("the program does not start");
+  }
+  const Time end = core::Now() + kAttachTimeout;
+  while (core::Now() < end) {
+    if (IsAttached()) {
+      return;
+    }
+    poll(nullptr, 0, kAttachPollInterval);
+  }
+  throw BenchError("the export is not attached");
+}
+
+bool Testbed::IsAttached() const {
+  try {
+    return Connect()->Read(0, kAttachReadBytes).error == nbd::kOk;
+  } catch (const std::exception&) {
+    return false;
+  }
+}
+
+std::unique_ptr<nbd::BlockingClient> Testbed::Connect(const std::string& export_name) const {
+  return std::make_unique<nbd::BlockingClient>("127.0.0.1:" + std::to_string(nbd_port_), export_name);
+}
+
+void Testbed::WaitForCheckpoint() {
+  const bool scrubs = options_.settings.find("on = true") != std::string::npos;
+  const std::uint64_t idle_commands = scrubs ? kScrubCommands : 0;
+  std::uint64_t before = 0;
+  std::uint64_t now = server_->commands();
+  while (now - before > idle_commands || before == 0) {
+    before = now;
+    poll(nullptr, 0, kCheckpointInterval);
+    now = server_->commands();
+  }
+}
+
+CorruptionLog Testbed::LoadCorruptionLog() const {
+  poll(nullptr, 0, kLogWriteDelay);
+  CorruptionLog log;
+  std::string error;
+  integrity::LedgerFile(folder()).Load(&log, &error);
+  return log;
+}
+
+std::string Testbed::RandomData(std::size_t size) {
+  const std::lock_guard lock(random_mutex_);
+  std::string data(size, '\0');
+  for (std::size_t i = 0; i < size; i += sizeof(std::uint64_t)) {
+    const std::uint64_t word = random_();
+    std::memcpy(data.data() + i, &word, std::min(sizeof word, size - i));
+  }
+  return data;
+}
+
+std::uint64_t Testbed::Draw(std::uint64_t bound) {
+  const std::lock_guard lock(random_mutex_);
+  return bound == 0 ? 0 : random_() % bound;
+}
+
+bool WriteWithRetry(nbd::BlockingClient& client, std::uint64_t offset, const std::string& data) {
+  for (int i = 0; i < kWriteAttempts; ++i) {
+    const nbd::Error error = client.Write(offset, data).error;
+    if (error == nbd::kOk) {
+      return true;
+    }
+    if (error != nbd::kNoMemory) {
+      return false;
+    }
+    poll(nullptr, 0, kRetryInterval);
+  }
+  return false;
+}
+
+}  // namespace walnutspur::bench
--- /dev/null
+++ b/bench/integrity/testbed.h
@@ -0,0 +1,95 @@
+// The processes of one measurement: a storage server, discovery, and the initiator between them and clients.
+//
+// Created, restarted and destroyed on the thread of its part. Draw and RandomData may be called from any
+// thread.
+#ifndef WALNUTSPUR_BENCH_INTEGRITY_TESTBED_H_
+#define WALNUTSPUR_BENCH_INTEGRITY_TESTBED_H_
+
+#include <cstdint>
+#include <memory>
+#include <mutex>
+#include <pcg_random.hpp>
+#include <string>
+
+#include "integrity/layout.h"
+#include "integrity/ledger.h"
+#include "lab/discovery.h"
+#include "lab/process.h"
+#include "lab/storage_server/storage_server.h"
+#include "nbd/blocking_client.h"
+#include "run.h"
+
+namespace walnutspur::bench {
+
+inline constexpr auto kBlockBytes = integrity::kBlock;
+using CorruptionLog = integrity::Ledger;
+
+struct TestbedOptions {
+  int paths = 1;
+  bool plain = false;         // a second export of the same device, without checksums
+  std::string settings{};     // added to the initiator's settings file
+  bool child_server = false;  // the storage server is a child process, with one path
+};
+
+class Testbed {
+ public:
+  static constexpr std::uint64_t kDeviceBytes = 24 << 20;
+
+  // Starts everything. Throws BenchError.
+  Testbed(const Run& run, TestbedOptions options);
+  Testbed(const Testbed&) = delete;
+  Testbed& operator=(const Testbed&) = delete;
+
+  // Connects to an export of the initiator.
+  std::unique_ptr<nbd::BlockingClient> Connect(const std::string& export_name = "checked") const;
+  // Waits until a checkpoint has written all data to its place; a scrub goes on reading meanwhile.
+  void WaitForCheckpoint();
+  // The initiator's corruption log, once it has written the latest entries to its file.
+  CorruptionLog LoadCorruptionLog() const;
+
+  // Each starts a process and waits until it serves.
+  void StartInitiator();
+  bool StartChildServer();  // false if it does not start, for instance because its port is in use
+
+  lab::StorageServer& server() { return *server_; }          // unless child_server
+  lab::Process& server_process() { return *child_server_; }  // if child_server
+  lab::Process& initiator() { return *initiator_; }
+  int http_port() const { return http_port_; }
+  const std::string& folder() const { return folder_.path(); }
+
+  std::string RandomData(std::size_t size);
+  // A number below `bound`; 0 for a bound of 0.
+  std::uint64_t Draw(std::uint64_t bound);
+
+ private:
+  void StartServer();
+  void StartServerInProcess();
+  void FormatDevice(lab::BlockDevice& device) const;
+  void WriteFiles();
+  bool IsAttached() const;
+  std::string DeviceFile() const { return folder() + "/disk"; }
+
+  const Run& run_;
+  TestbedOptions options_;
+  lab::Folder folder_;
+  std::mutex random_mutex_;
+  pcg64 random_;
+  std::unique_ptr<lab::StorageServer> server_;  // null if it is a child process
+  std::unique_ptr<lab::Process> child_server_;
+  int server_nbd_port_ = 0;
+  int server_http_port_ = 0;
+  lab::Discovery discovery_;
+  int nbd_port_ = 0;
+  int http_port_ = 0;
+  std::string deploy_file_;
+  std::string config_file_;
+  std::string settings_file_;
+  std::unique_ptr<lab::Process> initiator_;
+};
+
+// Writes until the write is accepted; one that is rejected has changed nothing. False if it fails.
+bool WriteWithRetry(nbd::BlockingClient& client, std::uint64_t offset, const std::string& data);
+
+}  // namespace walnutspur::bench
+
+#endif  // WALNUTSPUR_BENCH_INTEGRITY_TESTBED_H_
