--- a/bench/integrity/http_corruption.cpp
+++ b/bench/integrity/http_corruption.cpp
@@ -89,7 +89,7 @@
     const CorruptionLog log = testbed_.LoadCorruptionLog();
     for (const auto& [path, at_rest] : corrupt_at_rest_) {
       const auto* entry = log.Find({"a", path, 0});
-      const integrity::Fault expected = at_rest ? integrity::Fault::kRest : integrity::Fault::kMemory;
+      const integrity::Fault expected = at_rest ? integrity::Fault::kAtRest : integrity::Fault::kMemory;
       attributed_ += entry && entry->fault == expected ? 1 : 0;
     }
     for (const auto& [location, entry] : log.entries()) {
--- a/bench/integrity/nbd_corruption.cpp
+++ b/bench/integrity/nbd_corruption.cpp
@@ -41,15 +41,15 @@
 integrity::Fault ExpectedFault(Damage damage) {
   switch (damage) {
     case Damage::kLost:
-      return integrity::Fault::kLost;
+      return integrity::Fault::kLostWrite;
     case Damage::kAstray:
-      return integrity::Fault::kAstray;
+      return integrity::Fault::kMisdirectedWrite;
     case Damage::kStale:
-      return integrity::Fault::kStale;
+      return integrity::Fault::kStaleRead;
     case Damage::kFlipPath:
       return integrity::Fault::kPath;
     default:
-      return integrity::Fault::kRest;
+      return integrity::Fault::kAtRest;
   }
 }
 
--- a/bench/integrity/testbed.cpp
+++ b/bench/integrity/testbed.cpp
@@ -10,6 +10,7 @@
 
 #include "configuration.h"
 #include "core/scheduler_thread.h"
+#include "integrity/corruption_log_file.h"
 #include "integrity/volume.h"
 
 namespace walnutspur::bench {
@@ -43,7 +44,8 @@
 }
 
 void Testbed::FormatDevice(lab::BlockDevice& device) const {
-  for (const auto& request : integrity::FormatPlan(kDeviceBytes, integrity::kUsualJournal, run_.seed())) {
+  for (const auto& request :
+       integrity::FormatPlan(kDeviceBytes, integrity::kDefaultJournalBytes, run_.seed())) {
     if (request.kind == integrity::IoKind::kWrite) {
       device.Write(request.offset, request.data, true);
     }
@@ -160,7 +162,7 @@
   poll(nullptr, 0, kLogWriteDelay);
   CorruptionLog log;
   std::string error;
-  integrity::LedgerFile(folder()).Load(&log, &error);
+  integrity::CorruptionLogFile(folder()).Load(&log, &error);
   return log;
 }
 
--- a/bench/integrity/testbed.h
+++ b/bench/integrity/testbed.h
@@ -11,8 +11,8 @@
 #include <pcg_random.hpp>
 #include <string>
 
+#include "integrity/corruption_log.h"
 #include "integrity/layout.h"
-#include "integrity/ledger.h"
 #include "lab/discovery.h"
 #include "lab/process.h"
 #include "lab/storage_server/storage_server.h"
@@ -21,8 +21,8 @@
 
 namespace walnutspur::bench {
 
-inline constexpr auto kBlockBytes = integrity::kBlock;
-using CorruptionLog = integrity::Ledger;
+using integrity::CorruptionLog;
+using integrity::kBlockBytes;
 
 struct TestbedOptions {
   int paths = 1;
--- a/src/app/scrub_setup.cpp
+++ b/src/app/scrub_setup.cpp
@@ -30,7 +30,7 @@
 // next to no share of the remaining capacity.
 int AddScrubPlan(const checksummed::ScrubOptions& options, const nbd::Config& nbd,
                  walnutspur::Settings* settings) {
-  const double units = nbd::UnitsOf(nbd, static_cast<std::uint32_t>(options.chunk * integrity::kBlock));
+  const double units = nbd::UnitsOf(nbd, static_cast<std::uint32_t>(options.chunk * integrity::kBlockBytes));
   Plan plan;
   plan.rate = options.job.requests_a_second * units;
   plan.reserved_rate = std::min(options.job.floor_a_second * units, plan.rate);
@@ -65,7 +65,7 @@
   options.slow_start_duration = settings->rules.slow_start_duration;
   if (filestore::FileStore* store = corruption->file_store()) {
     LoadCursors(corruption->folder() + "/" + kCursorFile, &options.cursors);
-    options.keep_cursors = [store](std::string bytes) { store->Put(kCursorFile, std::move(bytes)); };
+    options.save_cursors = [store](std::string bytes) { store->Put(kCursorFile, std::move(bytes)); };
   }
   return options;
 }
--- a/src/app/status_report.cpp
+++ b/src/app/status_report.cpp
@@ -23,24 +23,26 @@
 }
 
 json LedgerStatus(const checksummed::CorruptionTracker& corruption) {
-  return {{"damaged", corruption.ledger().bad()},
-          {"all", corruption.ledger().entries().size()},
-          {"dropped", corruption.ledger().dropped()},
-          {"open_cases", corruption.cases().open()}};
+  return {{"damaged", corruption.corruption_log().damaged_count()},
+          {"all", corruption.corruption_log().entries().size()},
+          {"dropped", corruption.corruption_log().dropped()},
+          {"open_cases", corruption.investigations().open_count()}};
 }
 
 json ExportStatus(const nbd::Volume& config, const Volume& volume) {
   const Volume::State state = volume.state();
-  json status = {
-      {"name", config.front.name}, {"box", config.target}, {"state", NameOf(state)}, {"open", volume.open()}};
+  json status = {{"name", config.front.name},
+                 {"box", config.target},
+                 {"state", NameOf(state)},
+                 {"open", volume.pending_commands()}};
   if (state == Volume::State::kBroken) {
-    status["why"] = volume.why();
+    status["why"] = volume.error();
   }
   if (state == Volume::State::kReady) {
-    status.update({{"journal", volume.super().geometry.journal_size},
+    status.update({{"journal", volume.superblock().geometry.journal_size},
                    {"journal_used", volume.journal_used()},
                    {"checkpoints", volume.checkpoints()},
-                   {"lost_in_journal", volume.bad().size()}});
+                   {"lost_in_journal", volume.damaged_blocks().size()}});
   }
   return status;
 }
@@ -62,7 +64,7 @@
     return paths;
   }
   for (const auto& path : exports->paths()) {
-    paths.push_back({{"box", path.box}, {"path", path.path}, {"state", integrity::NameOf(path.state)}});
+    paths.push_back({{"box", path.target}, {"path", path.path}, {"state", integrity::NameOf(path.state)}});
   }
   return paths;
 }
--- /dev/null
+++ b/src/integrity/fault_attribution.cpp
@@ -0,0 +1,155 @@
+#include "integrity/fault_attribution.h"
+
+#include <algorithm>
+
+namespace walnutspur::integrity {
+namespace {
+
+using Readings = std::vector<Reading>;  // of one block, oldest first, never empty
+
+constexpr int kMaxReadings = 8;         // with so many the majority decides
+constexpr int kMinEqualReadings = 2;    // equal mismatches that show corruption at rest
+constexpr int kMinVaryingReadings = 3;  // different mismatches that show faulty memory
+
+int CountOf(const Readings& readings) { return static_cast<int>(readings.size()); }
+
+std::set<int> PathsOfReadings(const Readings& readings) {
+  std::set<int> paths;
+  for (const Reading& reading : readings) {
+    paths.insert(reading.path);
+  }
+  return paths;
+}
+
+FaultAttribution Attribute(Fault fault, const Readings& readings) {
+  FaultAttribution attribution;
+  attribution.fault = fault;
+  attribution.readings = CountOf(readings);
+  return attribution;
+}
+
+// The last reading matches, so the block is intact and the mismatches before it were not at rest.
+FaultAttribution AttributeTransientFault(const Readings& readings, int paths) {
+  const bool was_stale = std::all_of(readings.begin(), readings.end() - 1, [](const Reading& reading) {
+    return reading.mismatch == MismatchKind::kPreviousContent;
+  });
+  if (was_stale) {
+    FaultAttribution attribution = Attribute(Fault::kStaleRead, readings);
+    attribution.path = readings.front().path;
+    return attribution;
+  }
+  std::set<int> faulty_paths;
+  for (const Reading& reading : readings) {
+    if (!reading.good) {
+      faulty_paths.insert(reading.path);
+    }
+  }
+  // Mismatches on several paths, or on the only one, cannot be attributed to a path.
+  if (faulty_paths.size() != 1 || paths <= 1) {
+    return Attribute(Fault::kMemory, readings);
+  }
+  FaultAttribution attribution = Attribute(Fault::kPath, readings);
+  attribution.path = *faulty_paths.begin();
+  return attribution;
+}
+
+Fault FaultAtRest(MismatchKind mismatch) {
+  switch (mismatch) {
+    case MismatchKind::kPreviousContent:
+      return Fault::kLostWrite;
+    case MismatchKind::kOtherBlock:
+      return Fault::kMisdirectedWrite;
+    case MismatchKind::kTagsUnreadable:
+      return Fault::kTags;
+    case MismatchKind::kUnrecognized:
+    case MismatchKind::kRecordDamaged:
+      break;
+  }
+  return Fault::kAtRest;
+}
+
+// The last reading does not match.
+std::optional<FaultAttribution> AttributePersistentFault(const Readings& readings, int paths) {
+  const Reading& last = readings.back();
+  const int count = CountOf(readings);
+  const auto equal = std::count_if(readings.begin(), readings.end(), [&](const Reading& reading) {
+    return reading.data_sum == last.data_sum && reading.mismatch == last.mismatch;
+  });
+  const bool on_every_path = static_cast<int>(PathsOfReadings(readings).size()) >= paths;
+  if (equal >= kMinEqualReadings && equal == count && on_every_path) {
+    FaultAttribution attribution = Attribute(FaultAtRest(last.mismatch), readings);
+    attribution.owner_block = last.owner_block;
+    return attribution;
+  }
+  if (count >= kMaxReadings) {
+    return Attribute(2 * equal > count ? Fault::kAtRest : Fault::kMemory, readings);
+  }
+  // Content at rest would not differ on each reading.
+  const bool varies = equal == 1 && count >= std::max(kMinVaryingReadings, paths + 1);
+  if (varies && on_every_path) {
+    return Attribute(Fault::kMemory, readings);
+  }
+  return std::nullopt;
+}
+
+// The fault that the readings show; nothing if they are not sufficient yet.
+std::optional<FaultAttribution> AttributeFault(const Readings& readings, int paths) {
+  if (readings.back().good) {
+    return AttributeTransientFault(readings, paths);
+  }
+  // The volume has confirmed damaged records by itself.
+  if (readings.back().mismatch == MismatchKind::kRecordDamaged) {
+    return Attribute(Fault::kRecord, readings);
+  }
+  return AttributePersistentFault(readings, paths);
+}
+
+}  // namespace
+
+const char* NameOf(Fault fault) {
+  static constexpr const char* kNames[kFaultCount] = {"path",   "memory", "rest", "lost",
+                                                      "astray", "stale",  "tags", "record"};
+  return kNames[static_cast<int>(fault)];
+}
+
+std::optional<FaultAttribution> CorruptionInvestigations::AddReading(const BlockLocation& location, int paths,
+                                                                     const Reading& reading, Time now) {
+  auto found = open_.find(location);
+  if (found == open_.end()) {
+    if (reading.good) {
+      return std::nullopt;
+    }
+    if (open_.size() >= max_open_) {
+      CloseOldest();
+    }
+    found = open_.emplace(location, Investigation{{}, now}).first;
+  }
+  found->second.readings.push_back(reading);
+  const auto attribution = AttributeFault(found->second.readings, paths);
+  if (attribution) {
+    open_.erase(found);
+  }
+  return attribution;
+}
+
+void CorruptionInvestigations::CloseOldest() {
+  const auto oldest = std::min_element(open_.begin(), open_.end(), [](const auto& a, const auto& b) {
+    return a.second.opened < b.second.opened;
+  });
+  open_.erase(oldest);
+}
+
+std::set<int> CorruptionInvestigations::PathsOf(const BlockLocation& location) const {
+  const auto found = open_.find(location);
+  return found == open_.end() ? std::set<int>() : PathsOfReadings(found->second.readings);
+}
+
+std::vector<BlockLocation> CorruptionInvestigations::locations() const {
+  std::vector<BlockLocation> all;
+  for (const auto& [location, investigation] : open_) {
+    all.push_back(location);
+  }
+  return all;
+}
+
+}  // namespace walnutspur::integrity
--- /dev/null
+++ b/src/integrity/fault_attribution.h
@@ -0,0 +1,90 @@
+// Attribution of a mismatch to the component at fault: a path, the target's memory, its storage, or a write
+// that was lost, misdirected or overtaken by a stale read. No I/O and no clock.
+//
+// A mismatch opens an investigation of its block. Each further reading of the block adds evidence until a
+// fault can be attributed, which closes the investigation:
+//
+//   matches on another reading, previous content before    a stale read
+//   matches on another path                                the path that did not match
+//   matches on the same and only path                      memory or path; counting tells them apart
+//   the same mismatch on every path, twice                 at rest, lost or misdirected, by its content
+//   a different mismatch each time                         memory, or the path if others match
+//
+// Owned by checksummed::CorruptionTracker; used on its thread only.
+#ifndef WALNUTSPUR_INTEGRITY_FAULT_ATTRIBUTION_H_
+#define WALNUTSPUR_INTEGRITY_FAULT_ATTRIBUTION_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "integrity/time.h"
+#include "integrity/volume_io.h"
+
+namespace walnutspur::integrity {
+
+// The order is that of the corruption log's file.
+enum class Fault { kPath, kMemory, kAtRest, kLostWrite, kMisdirectedWrite, kStaleRead, kTags, kRecord };
+constexpr int kFaultCount = 8;
+// As operators read it in log events and in the corruption log.
+const char* NameOf(Fault fault);
+
+// A block of an export of a target.
+struct BlockLocation {
+  std::string target;
+  std::string remote;  // the export's name at the target
+  std::uint64_t block = 0;
+  auto operator<=>(const BlockLocation&) const = default;
+};
+
+// One reading of a block; the members behind `good` describe a mismatch.
+struct Reading {
+  int path = 0;
+  bool good = false;
+  MismatchKind mismatch = MismatchKind::kUnrecognized;
+  std::uint32_t data_sum = 0;
+  std::uint64_t owner_block = 0;
+};
+
+struct FaultAttribution {
+  Fault fault = Fault::kAtRest;
+  int path = -1;                  // kPath: the path at fault
+  std::uint64_t owner_block = 0;  // kMisdirectedWrite: the block whose content was read
+  int readings = 0;               // that it rests on
+};
+
+class CorruptionInvestigations {
+ public:
+  // `max_open` bounds the open investigations; beyond, the oldest is closed without an attribution.
+  explicit CorruptionInvestigations(std::size_t max_open = 4096) : max_open_(max_open) {}
+
+  // Adds a reading of a block on a target with so many paths. A good reading of a block that is not under
+  // investigation has no effect.
+  std::optional<FaultAttribution> AddReading(const BlockLocation& location, int paths, const Reading& reading,
+                                             Time now);
+  // The block was written: earlier readings are no evidence any more.
+  void Forget(const BlockLocation& location) { open_.erase(location); }
+  std::size_t open_count() const { return open_.size(); }
+  bool IsOpen(const BlockLocation& location) const { return open_.contains(location); }
+  // The paths by which a block under investigation has been read; another one gives more evidence.
+  std::set<int> PathsOf(const BlockLocation& location) const;
+  std::vector<BlockLocation> locations() const;
+
+ private:
+  struct Investigation {
+    std::vector<Reading> readings;
+    Time opened = 0;
+  };
+  void CloseOldest();
+
+  std::size_t max_open_;
+  std::map<BlockLocation, Investigation> open_;
+};
+
+}  // namespace walnutspur::integrity
+
+#endif  // WALNUTSPUR_INTEGRITY_FAULT_ATTRIBUTION_H_
