--- a/Makefile
+++ b/Makefile
@@ -1,28 +1,29 @@
 # The project's tasks. Needs the Debian packages that .ci/run lists.
 BUILD ?= build
 CONFIG ?= $(BALANCER_CONFIG)
+JOBS ?= $(shell nproc)
 
 .PHONY: build bench-fleet bench-integrity bench-lab fuzz-integrity test format-check lint tidy sanitize sanitize-build tsan tsan-build run clean
 
 build:
 	cmake -B $(BUILD) -DCMAKE_BUILD_TYPE=Release
-	cmake --build $(BUILD) -j4
+	cmake --build $(BUILD) -j $(JOBS)
 
 test:
 	cmake -B build-test -DWALNUTSPUR_TESTS=ON -DWALNUTSPUR_WERROR=ON
-	cmake --build build-test -j4
+	cmake --build build-test -j $(JOBS)
 	ctest --test-dir build-test --output-on-failure
 
 sanitize-build:
 	cmake -B build-sanitize -DCMAKE_BUILD_TYPE=Debug -DWALNUTSPUR_TESTS=ON -DWALNUTSPUR_WERROR=ON -DWALNUTSPUR_SANITIZE=ON
-	cmake --build build-sanitize -j4
+	cmake --build build-sanitize -j $(JOBS)
 
 sanitize: sanitize-build  # addresses and undefined behaviour
 	ctest --test-dir build-sanitize --output-on-failure -j3
 
 tsan-build:
 	cmake -B build-tsan -DCMAKE_BUILD_TYPE=Debug -DWALNUTSPUR_TESTS=ON -DWALNUTSPUR_WERROR=ON -DWALNUTSPUR_TSAN=ON
-	cmake --build build-tsan -j4 --target walnutspur_net_tests walnutspur_unit_tests
+	cmake --build build-tsan -j $(JOBS) --target walnutspur_net_tests walnutspur_unit_tests
 
 tsan: tsan-build  # threads: the queues between the engine and the sockets, and the one that keeps files
 	ctest --test-dir build-tsan --output-on-failure -R "net_tests|unit_tests"
@@ -37,11 +38,10 @@
 	find src include tests examples -name '*.cpp' -o -name '*.h' | xargs clang-format --dry-run --Werror
 
 # The linter over src and include, with the build's own compile commands. The fleet's protocol header is generated.
-TIDY_JOBS ?= $(shell nproc)
 tidy:
 	cmake -B build-tidy -DCMAKE_EXPORT_COMPILE_COMMANDS=ON
 	cmake --build build-tidy --target walnutspur_fleet_proto
-	run-clang-tidy -p build-tidy -quiet -j $(TIDY_JOBS) '$(CURDIR)/src/' >build-tidy/findings.log 2>&1 || \
+	run-clang-tidy -p build-tidy -quiet -j $(JOBS) '$(CURDIR)/src/' >build-tidy/findings.log 2>&1 || \
 	  { grep -E '(warning|error):' build-tidy/findings.log | sort -u; exit 1; }
 
 # SEED=N draws another run, SHORT=1 takes under a minute, PARTS="nbd http clean kills scrub cost" are all of it. Claims
@@ -49,19 +49,19 @@
 PARTS ?=
 bench-integrity:
 	cmake -B $(BUILD) -DCMAKE_BUILD_TYPE=Release
-	cmake --build $(BUILD) -j4 --target walnutspur_main walnutspur_storage_server walnutspur_bench_integrity
+	cmake --build $(BUILD) -j $(JOBS) --target walnutspur_main walnutspur_storage_server walnutspur_bench_integrity
 	$(BUILD)/walnutspur_bench_integrity $(BUILD)/walnutspur $(PARTS)
 
 # The fleet in virtual time: SEED=N, SHORT=1, PARTS="size worlds signs sizes" are all of it.
 bench-lab:
 	cmake -B $(BUILD) -DCMAKE_BUILD_TYPE=Release
-	cmake --build $(BUILD) -j4 --target walnutspur_lab_program walnutspur_bench_lab
+	cmake --build $(BUILD) -j $(JOBS) --target walnutspur_lab_program walnutspur_bench_lab
 	$(BUILD)/walnutspur_bench_lab $(PARTS)
 
 # Fleets under faults: SEED=N, SHORT=1, PARTS="loss size view" are all of it.
 bench-fleet:
 	cmake -B $(BUILD) -DCMAKE_BUILD_TYPE=Release
-	cmake --build $(BUILD) -j4 --target walnutspur_main walnutspur_bench_fleet
+	cmake --build $(BUILD) -j $(JOBS) --target walnutspur_main walnutspur_bench_fleet
 	$(BUILD)/walnutspur_bench_fleet $(BUILD)/walnutspur $(PARTS)
 
 # SECONDS_EACH=N fuzzes for longer. New inputs stay in the build folder; the corpus is the tree's.
