--- a/src/loop/attempt_key.h
+++ b/src/loop/attempt_key.h
@@ -12,7 +12,6 @@
 struct AttemptKey {
   core::RequestNumber request = 0;
   int attempt = 0;
-  // NOLINTNEXTLINE(modernize-use-nullptr): false positive on the 0 that a defaulted comparison is built with
   auto operator<=>(const AttemptKey&) const = default;
 };
 
--- a/src/pcap/capture_reader.cpp
+++ b/src/pcap/capture_reader.cpp
@@ -14,7 +14,6 @@
 struct ConnectionKey {
   Endpoint client;
   Endpoint server;
-  // NOLINTNEXTLINE(modernize-use-nullptr): false positive on the 0 that a defaulted comparison is built with
   auto operator<=>(const ConnectionKey&) const = default;
 };
 
--- a/src/pcap/segment.h
+++ b/src/pcap/segment.h
@@ -22,7 +22,6 @@
 struct Endpoint {
   std::string address;  // in network byte order: 4 bytes (IPv4) or 16 (IPv6)
   std::uint16_t port = 0;
-  // NOLINTNEXTLINE(modernize-use-nullptr): false positive on the 0 that a defaulted comparison is built with
   auto operator<=>(const Endpoint&) const = default;
 };
 
