--- a/src/decision/accounts.cpp
+++ b/src/decision/accounts.cpp
@@ -5,33 +5,38 @@
 namespace walnutspur::decision {
 namespace {
 
-constexpr double kThrottleSpan = 0.25;  // s of its rate that a throttle's bucket holds: idling saves little
+// Time of its rate that a throttle's bucket holds: a flow that was idle gains little.
+constexpr Duration kThrottleBurst = std::chrono::milliseconds(250);
 
-// Part of a volume's reserve that is this instance's: all of it where targets report the use by others.
-double ReservePart(const SchedulerState& state, const Volume& volume) {
+// Fraction of a volume's reserve that is this instance's: all of it where targets report the use by others.
+double ReserveFraction(const SchedulerState& state, const Volume& volume) {
   return state.settings.reports_remote_usage ? 1.0 : 1.0 / volume.initiator_count;
 }
 
 double ReserveCapacity(const SchedulerState& state, const Volume& volume) {
   const double rate = volume.plan->reserved_rate;
-  return rate > 0 ? rate * ReservePart(state, volume) + state.settings.max_request_units : 0;
+  return rate > 0 ? rate * ReserveFraction(state, volume) + state.settings.max_request_units : 0;
+}
+
+// Rule: limits. A former process of this instance may have spent the burst, so the limit's bucket starts with
+// what has accrued since the start of this one.
+double InitialLimitCredit(const SchedulerState& state, const Volume& volume) {
+  const double accrued = volume.plan->limit * state.Since(state.started_at) / kSecond;
+  return std::min(volume.plan->burst, accrued) / volume.initiator_count;
 }
 
 }  // namespace
 
 Volume& VolumeOf(SchedulerState& state, const RequestArrived& arrival) {
-  const auto [entry, is_new] = state.volumes.try_emplace(arrival.volume);
-  Volume& volume = entry->second;
-  volume.plan = &state.settings.plans[std::clamp<int>(arrival.plan, 0, state.settings.plans.size() - 1)];
+  Volume& volume = state.volumes.FindOrAdd(arrival.volume);
+  const bool is_new = volume.plan == nullptr;
+  const int last_plan = static_cast<int>(state.settings.plans.size()) - 1;
+  volume.plan = &state.settings.plans[std::clamp(arrival.plan, 0, last_plan)];
   volume.initiator_count = std::max(1, arrival.initiator_count);
   if (is_new) {
-    volume.number = ++state.volume_count;
     volume.refilled_at = state.now;
     volume.reserve.tokens = ReserveCapacity(state, volume);
-    // Rule: limits. A former process of this instance may have spent the burst, so the limit's bucket starts
-    // with what has accrued since the start of this one.
-    const double accrued = volume.plan->limit * (state.now - state.started_at) / kSecond;
-    volume.limit.tokens = std::min(volume.plan->burst, accrued) / volume.initiator_count;
+    volume.limit.tokens = InitialLimitCredit(state, volume);
   }
   return volume;
 }
@@ -40,14 +45,15 @@
   const double seconds = state.Since(volume.refilled_at) / kSecond;
   const Plan& plan = *volume.plan;
   volume.refilled_at = state.now;
-  volume.reserve.Refill(plan.reserved_rate * ReservePart(state, volume) * seconds,
+  volume.reserve.Refill(plan.reserved_rate * ReserveFraction(state, volume) * seconds,
                         ReserveCapacity(state, volume));
   volume.limit.Refill(plan.limit / volume.initiator_count * seconds, plan.burst / volume.initiator_count);
 }
 
 void Refill(const SchedulerState& state, Flow& flow) {
   if (flow.throttle > 0) {
-    const double capacity = std::max(state.settings.max_request_units, flow.throttle * kThrottleSpan);
+    const double burst = flow.throttle * (kThrottleBurst / kSecond);
+    const double capacity = std::max(state.settings.max_request_units, burst);
     flow.throttle_bucket.Refill(flow.throttle * state.Since(flow.refilled_at) / kSecond, capacity);
     flow.refilled_at = state.now;
   }
@@ -70,8 +76,8 @@
     volume.limit.tokens -= request.units;
   }
   request.limit_charged = true;
-  if (request.attempts > 0 && state.settings.rules.retry_budget_window) {
-    state.retries.Add(state.now);
+  if (request.attempts > 0) {
+    state.retry_budget.OnRetrySent(state.settings.rules, state.now);
   }
 }
 
--- a/src/decision/accounts.h
+++ b/src/decision/accounts.h
@@ -9,7 +9,8 @@
 
 namespace walnutspur::decision {
 
-// The volume of a request that has arrived, created on first sight, under the plan that the request states.
+// The volume of a request that has arrived, under the plan that the request states. A new volume starts with
+// a full reserve.
 Volume& VolumeOf(SchedulerState& state, const RequestArrived& arrival);
 
 // Adds the credit that has accrued since the last refill: of a volume's reserve and limit, of a flow's
--- /dev/null
+++ b/src/decision/admission.cpp
@@ -0,0 +1,33 @@
+#include "decision/admission.h"
+
+#include "decision/deadlines.h"
+
+namespace walnutspur::decision {
+namespace {
+
+// Service time of a unit at the target of a shard; assumed where none is active.
+Duration UnitTime(const SchedulerState& state, int shard) {
+  const TargetState* target = state.endpoints.ActiveTarget(shard);
+  return target != nullptr ? target->latency.unit_time() : limits::kInitialUnitTime;
+}
+
+}  // namespace
+
+bool MayDispatchTo(const SchedulerState& state, const TargetState& target) {
+  return state.endpoint_lease.IsValid(state.now) && target.active && target.backoff.IsOver(state.now) &&
+         state.endpoints.ActiveTarget(target.shard) == &target;
+}
+
+bool MayWaitOnArrival(const SchedulerState& state, const RequestState& request) {
+  return state.endpoint_lease.IsValid(state.now) && request.deadline - state.now >= 2 * kTimerPeriod;
+}
+
+bool MayKeepWaiting(const SchedulerState& state, const RequestState& request) {
+  if (!state.endpoint_lease.IsValid(state.now) || IsDeadlineNear(state, request)) {
+    return false;
+  }
+  const Duration service_time = request.units * UnitTime(state, request.flow->shard);
+  return state.now + ToTime(service_time) <= LatestUsefulResponse(state, request);
+}
+
+}  // namespace walnutspur::decision
--- a/src/decision/concurrency_limit.cpp
+++ b/src/decision/concurrency_limit.cpp
@@ -4,129 +4,177 @@
 #include <cmath>
 
 #include "decision/estimates.h"
+#include "decision/in_flight.h"
 
 namespace walnutspur::decision {
 namespace {
 
-constexpr double kQueueingPart = 0.08;         // of the tightest objective that queueing may take
-constexpr double kReservedQueueingPart = 0.3;  // the same inside reserves, which earn the full weight
-constexpr double kPacedQueueingPart = 0.2;     // the same for a limit under one mean request: a single
-                                               // response cannot tell queueing from uneven service
-constexpr double kUnevenness = 2;              // service times that a response may take longer by itself
-constexpr double kGain = 0.4;                  // step of a limit towards what latency calls for
-constexpr double kDrift = 0.5;            // mean requests added a step, so that limits of instances converge;
-constexpr double kDriftInstances = 5;     // of more instances all together add what so many do
-constexpr double kInitialRequests = 3;    // mean requests in flight at an unknown target
-constexpr double kMostRequests = 64;      // mean requests; beyond it latency does not guide the limit
-constexpr double kReserveSpan = 2;        // s of reserved rate that may always be in flight
-constexpr double kFewestRequests = 0.05;  // mean requests: the least limit of an instance
-constexpr double kPacedInstances = 200;   // of more instances each has a smaller one
-constexpr double kExploreAfter = 0.8;  // part of the tightest objective without a send to a stuck target, and
-constexpr double kExploreDelays = 4;   // its queueing delays, until an exploratory attempt
-constexpr double kExploreDoublings = 10;   // of that time, at most
-constexpr Time kOverloadBackoff = 30'000;  // us after an overload, doubling
-constexpr int kOverloadDoublings = 5;      // at most: a full queue takes seconds to drain
-constexpr Time kConnectBackoff = 200'000;  // us after a failed connect, doubling
-constexpr int kConnectDoublings = 3;       // at most: a target is back in use within 1.6 s
-
-// `pressure` is the queueing delay over what is allowed. The upward drift is shared by all instances: if each
-// of hundreds added a part of its own limit, they would settle where queueing is well over what is allowed.
-void Adjust(const Settings& settings, ConcurrencyLimit& limit, double least, double pressure) {
-  const double part = settings.mean_request_units * std::min(1.0, kDriftInstances / settings.instances);
-  const double drift = kDrift * std::min(limit.units, part);
-  const double wanted = limit.units / std::max(0.5, pressure) + drift;
-  if (wanted < limit.units || limit.reached) {
-    limit.units += kGain * (wanted - limit.units);
+using limits::AdaptiveLimit;
+using limits::AdaptiveLimits;
+using limits::LatencySamples;
+
+// Fraction of the tightest objective that queueing may take.
+constexpr double kQueueingFraction = 0.08;
+// The same inside reserves, which earn the full weight.
+constexpr double kReservedQueueingFraction = 0.3;
+// The same where the limit is under one mean request: with one response at a time, queueing and uneven
+// service cannot be distinguished.
+constexpr double kPacedQueueingFraction = 0.2;
+// Service times by which a response of a paced target may be slower without any queueing.
+constexpr double kServiceVariation = 2;
+// Fraction of the way to the limit that latency calls for by which a limit moves in one adjustment.
+constexpr double kAdjustmentGain = 0.4;
+// Largest pressure below which a limit does not grow any faster.
+constexpr double kMinPressure = 0.5;
+// Upward drift of a limit in one adjustment, in mean requests, so that the limits of instances converge.
+constexpr double kDriftRequests = 0.5;
+// Number of instances beyond which they share the drift: if each of hundreds added a part of its own limit,
+// they would settle where queueing is well over what is allowed.
+constexpr double kMaxDriftingInstances = 5;
+// Limit of a target without samples, in mean requests.
+constexpr double kInitialRequests = 3;
+// Largest limit, in mean requests: beyond it latency does not guide the limit.
+constexpr double kMaxRequests = 64;
+// Smallest limit, in mean requests.
+constexpr double kMinRequests = 0.05;
+// Number of instances beyond which they share the smallest limit.
+constexpr double kMaxPacingInstances = 200;
+// Work that arrives inside reserves in this time may always be in flight.
+constexpr Duration kReservedSpan = std::chrono::seconds(2);
+// Factor by which an overload lowers the limits.
+constexpr double kOverloadFactor = 0.5;
+// Time without a send to a stuck target until it is explored: this fraction of the tightest objective, plus
+// this many of the target's queueing delays, doubled with each attempt in flight but the first, up to a
+// bound.
+constexpr double kExplorationObjectiveFraction = 0.8;
+constexpr double kExplorationQueueingDelays = 4;
+constexpr double kMaxExplorationDoublings = 10;
+
+// Moves a limit by one adjustment. `min_units` is its smallest value beside that of pacing; `pressure` is the
+// queueing delay over what is allowed.
+void Adjust(const Settings& settings, double min_units, double pressure, AdaptiveLimit& limit) {
+  const double drift_share = std::min(1.0, kMaxDriftingInstances / settings.instances);
+  const double drift = kDriftRequests * std::min(limit.units, settings.mean_request_units * drift_share);
+  const double wanted = limit.units / std::max(kMinPressure, pressure) + drift;
+  if (wanted < limit.units || limit.was_binding) {
+    limit.units += kAdjustmentGain * (wanted - limit.units);
   }
-  const double pace = kFewestRequests * std::min(1.0, kPacedInstances / settings.instances);
-  least = std::max(least, pace * settings.mean_request_units);
-  limit.units = std::clamp(limit.units, least, kMostRequests * settings.mean_request_units);
-  limit.reached = false;
+  const double pacing_requests = kMinRequests * std::min(1.0, kMaxPacingInstances / settings.instances);
+  const double lower_bound = std::max(min_units, pacing_requests * settings.mean_request_units);
+  limit.units = std::clamp(limit.units, lower_bound, kMaxRequests * settings.mean_request_units);
+  limit.was_binding = false;
 }
 
-void AdjustPair(const SchedulerState& state, ConcurrencyLimits& limits, const LatencySamples& samples,
-                double least_reserved) {
-  const double objective = state.tightest_objective * state.client_wait_fraction;
-  const double queueing = samples.queueing / samples.count;
-  const double unevenness = kUnevenness * (samples.service / samples.count) / objective;
-  const bool paced = limits.shared.units <= state.settings.mean_request_units;
-  const double allowed = paced ? kPacedQueueingPart + unevenness : kQueueingPart;
-  Adjust(state.settings, limits.shared, 0, queueing / objective / allowed);
-  Adjust(state.settings, limits.reserved, least_reserved, queueing / objective / kReservedQueueingPart);
+// Adjusts both limits by the samples, of which there is at least one.
+void AdjustBoth(const SchedulerState& state, const LatencySamples& samples, double min_reserved_units,
+                AdaptiveLimits& limits) {
+  const Duration objective = state.tightest_objective * state.client_wait.fraction();
+  const Duration queueing = samples.queueing / samples.count;
+  const double variation = kServiceVariation * (samples.service / samples.count) / objective;
+  const bool is_paced = limits.shared.units <= state.settings.mean_request_units;
+  const double allowed = is_paced ? kPacedQueueingFraction + variation : kQueueingFraction;
+  Adjust(state.settings, 0, queueing / objective / allowed, limits.shared);
+  Adjust(state.settings, min_reserved_units, queueing / objective / kReservedQueueingFraction,
+         limits.reserved);
 }
 
-// Time after the last send to a stuck target until one more attempt explores it, us. Longer where responses
-// were slow already, doubling with each attempt in flight, and such that the attempts of all instances
-// together are no more than one at a time: or else they alone keep a slow target congested.
-double ExplorationGap(const SchedulerState& state, const TargetState& target) {
-  const double others = static_cast<double>(AttemptsInFlight(state, target)) - 1;
-  const double doublings = std::clamp(others, 0.0, kExploreDoublings);
-  const double base = kExploreAfter * state.tightest_objective + kExploreDelays * target.latency.queueing();
-  return std::max(base * std::exp2(doublings),
-                  state.settings.instances * state.settings.mean_request_units * target.latency.unit_time());
+// Time after the last send to a stuck target until one more attempt explores it. Longer where responses were
+// slow already, and such that the attempts of all instances together are no more than one at a time:
+// otherwise they alone would keep a slow target congested.
+Duration ExplorationGap(const SchedulerState& state, const TargetState& target) {
+  const double others_in_flight = static_cast<double>(AttemptsInFlight(state, target)) - 1;
+  const double doublings = std::clamp(others_in_flight, 0.0, kMaxExplorationDoublings);
+  const Duration base = kExplorationObjectiveFraction * state.tightest_objective +
+                        kExplorationQueueingDelays * target.latency.queueing();
+  const Duration one_attempt_of_all =
+      state.settings.instances * state.settings.mean_request_units * target.latency.unit_time();
+  return std::max(base * std::exp2(doublings), one_attempt_of_all);
+}
+
+// Whether an exploratory attempt is due: only that can show that a stuck target responds again, or that its
+// attempts were lost.
+bool MayExplore(const SchedulerState& state, const TargetState& target, double units_in_flight) {
+  return units_in_flight > 0 && state.Since(target.last_send) > ExplorationGap(state, target);
+}
+
+// Whether other work uses the target, or may do so: one with a stale estimate may only look idle.
+bool IsInUse(const SchedulerState& state, const TargetState& target, double units_in_flight) {
+  const Duration allowed = kQueueingFraction * state.client_wait.fraction() * state.tightest_objective;
+  return units_in_flight > 0 || target.latency.IsStale(state.now) ||
+         ExpectedQueueing(state, target) > allowed;
+}
+
+// Limit that applies now, in units: the target's, and the fleet's too where the target's estimate is stale.
+double PresentLimit(const SchedulerState& state, const TargetState& target, bool is_reserved) {
+  const double units = target.limits.Select(is_reserved).units;
+  if (!target.latency.IsStale(state.now)) {
+    return units;
+  }
+  return std::min(units, state.fleet_latency.limits().Select(is_reserved).units);
+}
+
+// Whether the limit covers the request. An idle target gets a request larger than its limit, but paced, so
+// that the mean stays within the limit: one request in flight from each of hundreds of instances is too much.
+bool IsWithinLimit(const SchedulerState& state, const TargetState& target, const RequestState& request,
+                   double units_in_flight, bool is_reserved) {
+  const double limit = PresentLimit(state, target, is_reserved);
+  if (units_in_flight > 0) {
+    return units_in_flight + request.units <= limit;
+  }
+  const Duration response_time = target.latency.ServiceTime(request.units) + target.latency.queueing();
+  const Duration pacing_gap = (request.units / limit - 1) * response_time;
+  return state.Since(target.last_send) >= pacing_gap;
 }
 
 }  // namespace
 
-ConcurrencyLimits InitialConcurrencyLimits(const Settings& settings) {
-  const ConcurrencyLimit initial{kInitialRequests * settings.mean_request_units};
+AdaptiveLimits InitialConcurrencyLimits(const Settings& settings) {
+  const AdaptiveLimit initial{kInitialRequests * settings.mean_request_units};
   return {initial, initial};
 }
 
-void BackOff(const SchedulerState& state, Outcome outcome, TargetState& target) {
-  if (outcome == Outcome::kOverloaded) {
-    target.backoff_until = state.now + (kOverloadBackoff << std::min(target.overloads++, kOverloadDoublings));
-    const double drain_time = std::max(ExpectedQueueing(state, target), state.tightest_objective);
-    target.latency.SetQueueing(drain_time, state.now);
-    for (ConcurrencyLimit* limit : {&target.limits.shared, &target.limits.reserved}) {
-      limit->units = std::max(kFewestRequests * state.settings.mean_request_units, limit->units / 2);
-    }
-  } else if (outcome == Outcome::kConnectFailed) {
-    const int doublings = std::min(target.connect_failures++, kConnectDoublings);
-    target.backoff_until = state.now + (kConnectBackoff << doublings);
-  } else if (outcome == Outcome::kCompleted) {
-    target.connect_failures = 0;
-    target.overloads = 0;
+void OnTargetOverloaded(const SchedulerState& state, TargetState& target) {
+  const Duration drain_time = std::max(ExpectedQueueing(state, target), state.tightest_objective);
+  target.latency.SetQueueing(drain_time, state.now);
+  const double min_units = kMinRequests * state.settings.mean_request_units;
+  for (AdaptiveLimit* limit : {&target.limits.shared, &target.limits.reserved}) {
+    limit->units = std::max(min_units, limit->units * kOverloadFactor);
   }
 }
 
 void AdjustConcurrencyLimits(SchedulerState& state) {
   state.served_rate = ServedRate(state);
-  for (auto& [id, target] : state.targets) {
+  for (auto& [id, target] : state.endpoints.targets()) {
     RemoveEndedAttempts(state, target);
-    SampleStuckAttempts(state, kQueueingPart * state.tightest_objective, target);
+    SampleStuckAttempts(state, kQueueingFraction * state.tightest_objective, target);
     if (target.samples.count > 0) {
-      AdjustPair(state, target.limits, target.samples, kReserveSpan * target.reserved_rate);
+      const double min_reserved_units = kReservedSpan / kSecond * target.reserved_rate;
+      AdjustBoth(state, target.samples, min_reserved_units, target.limits);
     }
     target.samples = {};
   }
-  if (state.fleet_samples.count > 0) {
-    AdjustPair(state, state.fleet_limits, state.fleet_samples, 0);
+  LatencySamples& fleet_samples = state.fleet_latency.samples();
+  if (fleet_samples.count > 0) {
+    AdjustBoth(state, fleet_samples, 0, state.fleet_latency.limits());
+  }
+  fleet_samples = {};
+}
+
+bool HasCapacity(const SchedulerState& state, const TargetState& target, const RequestState& request,
+                 bool is_reserved, bool misses_objective) {
+  const double units_in_flight = UnitsInFlight(state, target);
+  if (MayExplore(state, target, units_in_flight)) {
+    return true;
+  }
+  if (misses_objective && IsInUse(state, target, units_in_flight)) {
+    return false;
   }
-  state.fleet_samples = {};
+  return IsWithinLimit(state, target, request, units_in_flight, is_reserved);
 }
 
-bool HasRoom(SchedulerState& state, TargetState& target, const RequestState& request, bool is_reserved,
-             bool is_late) {
-  const double in_flight = UnitsInFlight(state, target);
-  const double idle = state.Since(target.last_send);
-  // Only an exploratory attempt can show that a stuck target responds again, or that its attempts were lost.
-  const bool exploratory = in_flight > 0 && idle > ExplorationGap(state, target);
-  const bool is_stale = target.latency.IsStale(state.now);  // then the target may only look idle
-  const double allowed = kQueueingPart * state.client_wait_fraction * state.tightest_objective;
-  const bool busy = in_flight > 0 || (is_late && is_stale) || ExpectedQueueing(state, target) > allowed;
-  ConcurrencyLimit& limit = target.limits.Select(is_reserved);
-  ConcurrencyLimit& fleet_limit = state.fleet_limits.Select(is_reserved);
-  const double units = is_stale ? std::min(limit.units, fleet_limit.units) : limit.units;
-  // One request in flight from each of hundreds of instances is too much: below that, sends are paced.
-  const double gap =
-      (request.units / units - 1) * (target.latency.ServiceTime(request.units) + target.latency.queueing());
-  const bool full = in_flight > 0 ? in_flight + request.units > units : idle < gap;
-  // What is likely to be late takes only room that nothing else uses.
-  const bool has_room = exploratory || !(full || (busy && is_late));
-  limit.reached = limit.reached || !has_room;
-  fleet_limit.reached = fleet_limit.reached || !has_room;
-  return has_room;
+void MarkLimitBinding(SchedulerState& state, TargetState& target, bool is_reserved) {
+  target.limits.Select(is_reserved).was_binding = true;
+  state.fleet_latency.limits().Select(is_reserved).was_binding = true;
 }
 
 }  // namespace walnutspur::decision
--- a/src/decision/concurrency_limit.h
+++ b/src/decision/concurrency_limit.h
@@ -8,20 +8,25 @@
 
 namespace walnutspur::decision {
 
-// Limits of a target that nothing is known of. All instances may start at once.
-ConcurrencyLimits InitialConcurrencyLimits(const Settings& settings);
-
-// After an overload or a failed connect, sends nothing to the target for a time that doubles with each in
-// turn, and halves the limits of an overloaded one.
-void BackOff(const SchedulerState& state, Outcome outcome, TargetState& target);
+// Limits of a target without any samples. All instances may start at once.
+limits::AdaptiveLimits InitialConcurrencyLimits(const Settings& settings);
 
 // Ends an adjustment interval: raises or lowers all limits by the latencies since the last one.
 void AdjustConcurrencyLimits(SchedulerState& state);
 
-// Whether a request may be sent to the target now, given whether its volume's reserve covers it and whether
-// it is likely to miss its objective.
-bool HasRoom(SchedulerState& state, TargetState& target, const RequestState& request, bool is_reserved,
-             bool is_late);
+// An attempt was rejected since the target is overloaded: halves its limits and expects its queue to take at
+// least the tightest objective to drain.
+void OnTargetOverloaded(const SchedulerState& state, TargetState& target);
+
+// Whether a request may be sent to the target now. `is_reserved`: the reserve of its volume covers it, so
+// that the limit inside reserves applies; `misses_objective`: it is likely to miss its objective, and so
+// takes only capacity that nothing else uses. An attempt that explores a stuck target is allowed beyond the
+// limit.
+bool HasCapacity(const SchedulerState& state, const TargetState& target, const RequestState& request,
+                 bool is_reserved, bool misses_objective);
+
+// Records that a limit has held a request back. Limits that are never binding do not grow.
+void MarkLimitBinding(SchedulerState& state, TargetState& target, bool is_reserved);
 
 }  // namespace walnutspur::decision
 
--- a/src/decision/dispatch.h
+++ b/src/decision/dispatch.h
@@ -11,7 +11,8 @@
 // Queues a request in the flow of its volume at a shard; a retry goes to the front.
 void Enqueue(SchedulerState& state, const RequestRef& request, Volume& volume, int shard);
 
-// Sends the queued requests for which the target has room, in order of priority band and start tag.
+// Sends the queued requests for which the target has capacity, in order of priority band, start tag and
+// arrival. The first one without capacity ends the dispatch: a smaller one behind it must not overtake it.
 void DispatchQueued(SchedulerState& state, TargetState& target);
 
 }  // namespace walnutspur::decision
--- a/src/decision/endpoint_lease.cpp
+++ b/src/decision/endpoint_lease.cpp
@@ -2,33 +2,34 @@
 
 #include <algorithm>
 
+#include "limits/duration.h"
+
 namespace walnutspur::decision {
 namespace {
 
-// A change counts as announced so long after discovery had it and could be reached, us; for a service that a
-// new configuration names, after the configuration came.
-constexpr Time kAnnouncementDelay = 6'000'000;
-constexpr Time kServiceChangeDelay = 4'000'000;
-// Time that may pass between the clock's reading and the write of an attempt, us: an instance may be held up
-// for 0.15 s.
-constexpr Time kWriteDelay = 200'000;
-// Calls that found nobody listening show that this was so between them as well, if they are no further apart,
-// us.
-constexpr Time kLongestProofGap = 3'000'000;
+// Notification deadline: a change counts as notified this long after discovery had it and could be reached.
+constexpr Time kNotificationDeadline = ToTime(std::chrono::seconds(6));
+// The same after a new configuration has named another discovery service.
+constexpr Time kServiceChangeDeadline = ToTime(std::chrono::seconds(4));
+// Longest time between the reading of the clock and the write of an attempt: an instance may be held up for
+// 0.15 s.
+constexpr Time kMaxWriteDelay = ToTime(std::chrono::milliseconds(200));
+// Refused connections no further apart than this show that discovery was unreachable between them as well.
+constexpr Time kMaxUnreachableGap = ToTime(std::chrono::seconds(3));
 
 }  // namespace
 
 EndpointLease::EndpointLease(DiscoveryMode mode, Time drain_grace)
     : is_pushed_(mode == DiscoveryMode::kAutomatic), drain_grace_(drain_grace) {}
 
-Time EndpointLease::GraceAfter(Time at) const { return at + drain_grace_ - kWriteDelay; }
+Time EndpointLease::DrainGraceEnd(Time at) const { return at + drain_grace_ - kMaxWriteDelay; }
 
-void EndpointLease::EndBy(Time at) { expires_at_ = std::min(expires_at_, at); }
+void EndpointLease::ShortenTo(Time at) { expires_at_ = std::min(expires_at_, at); }
 
 void EndpointLease::OnStarted(Time now) {
   is_watching_ = false;
-  vouched_until_ = now;
-  expires_at_ = GraceAfter(now + kAnnouncementDelay);
+  confirmed_until_ = now;
+  expires_at_ = DrainGraceEnd(now + kNotificationDeadline);
 }
 
 void EndpointLease::OnCurrent() {
@@ -46,37 +47,37 @@
 void EndpointLease::OnFailed(Time now, Time current_until, DiscoveryFailure failure) {
   if (is_watching_) {
     is_watching_ = false;
-    vouched_until_ = current_until;
-    expires_at_ = GraceAfter(current_until + kAnnouncementDelay);
+    confirmed_until_ = current_until;
+    expires_at_ = DrainGraceEnd(current_until + kNotificationDeadline);
   } else {
     OnCallFailed(now, failure);
   }
   if (update_begun_at_ >= 0) {
-    EndBy(GraceAfter(update_begun_at_));
+    ShortenTo(DrainGraceEnd(update_begun_at_));
     update_begun_at_ = -1;
   }
 }
 
 void EndpointLease::OnCallFailed(Time now, DiscoveryFailure failure) {
   if (failure == DiscoveryFailure::kUnreachable) {
-    ExtendBy(now);
+    Renew(now);
     return;
   }
-  // How old the list of an earlier process is nobody knows: what it lacks may be announced by now. So may an
-  // answer that was lost on the way.
+  // A cached list has no known age, so the drains that it lacks may be notified by now. So may a drain in a
+  // response that was lost with its connection.
   if (!has_list_ || failure == DiscoveryFailure::kBroken) {
-    EndBy(GraceAfter(now));
+    ShortenTo(DrainGraceEnd(now));
   }
 }
 
-// Nothing could be announced from the last proof until `now`.
-void EndpointLease::ExtendBy(Time now) {
-  const Time lease_end = GraceAfter(vouched_until_ + kAnnouncementDelay);
-  if (!has_list_ || now - vouched_until_ > kLongestProofGap || expires_at_ < lease_end) {
+void EndpointLease::Renew(Time now) {
+  const Time unshortened_expiry = DrainGraceEnd(confirmed_until_ + kNotificationDeadline);
+  const bool was_shortened = expires_at_ < unshortened_expiry;
+  if (!has_list_ || now - confirmed_until_ > kMaxUnreachableGap || was_shortened) {
     return;
   }
-  vouched_until_ = now;
-  expires_at_ = GraceAfter(now + kAnnouncementDelay);
+  confirmed_until_ = now;
+  expires_at_ = DrainGraceEnd(now + kNotificationDeadline);
 }
 
 void EndpointLease::OnServiceChanged(Time now) {
@@ -84,16 +85,16 @@
     is_watching_ = false;
     expires_at_ = kNever;
   }
-  vouched_until_ = now - kAnnouncementDelay;  // no proof follows on it
-  EndBy(GraceAfter(now + kServiceChangeDelay));
+  confirmed_until_ = now - kNotificationDeadline;  // too early for any renewal
+  ShortenTo(DrainGraceEnd(now + kServiceChangeDeadline));
 }
 
 Time EndpointLease::expires_at() const {
   if (is_pushed_) {
     return kNever;
   }
-  const Time lease_end = is_watching_ ? kNever : expires_at_;
-  return update_begun_at_ >= 0 ? std::min(lease_end, GraceAfter(update_begun_at_)) : lease_end;
+  const Time expiry = is_watching_ ? kNever : expires_at_;
+  return update_begun_at_ >= 0 ? std::min(expiry, DrainGraceEnd(update_begun_at_)) : expiry;
 }
 
 }  // namespace walnutspur::decision
--- a/src/decision/flow_table.cpp
+++ b/src/decision/flow_table.cpp
@@ -1,7 +1,5 @@
 #include "decision/flow_table.h"
 
-#include "decision/state.h"
-
 namespace walnutspur::decision {
 
 void FlowTable::Enqueue(const RequestRef& request, Volume* volume, int shard, QueuePosition position,
--- a/src/decision/flow_table.h
+++ b/src/decision/flow_table.h
@@ -8,32 +8,17 @@
 #include <cstddef>
 #include <deque>
 #include <map>
-#include <memory>
 #include <set>
 #include <vector>
 
+#include "decision/request.h"
+#include "decision/volume.h"
 #include "limits/fair_queue.h"
+#include "limits/rate_meter.h"
 #include "limits/token_bucket.h"
-#include "walnutspur/scheduler.h"
 
 namespace walnutspur::decision {
 
-struct RequestState;
-struct Volume;
-using RequestRef = std::shared_ptr<RequestState>;
-
-// Rate of arrivals, averaged over the intervals of the control loop.
-struct RateMeter {
-  double rate = 0;   // units a second
-  double units = 0;  // since the last interval
-
-  // Ends an interval of `seconds`.
-  void EndInterval(double seconds) {
-    rate += 0.5 * (units / seconds - rate);
-    units = 0;
-  }
-};
-
 // Requests of one volume at one shard.
 struct Flow {
   Volume* volume = nullptr;
@@ -44,7 +29,7 @@
   double throttle = 0;  // units a second; 0: not throttled
   limits::TokenBucket throttle_bucket;
   Time refilled_at = 0;
-  RateMeter demand;
+  limits::RateMeter demand;
   double lateness = 0;  // sum of latency over latency objective, since the last interval
   int samples = 0;      // terms of that sum
 
@@ -87,6 +72,7 @@
 
   // All shards in the order of their numbers.
   std::map<int, ShardFlows>& shards() { return shards_; }
+  const std::map<int, ShardFlows>& shards() const { return shards_; }
 
   // Queues a request in the flow of `volume` at `shard`, created with one queue for each of `class_count`
   // classes on first use, and sets the request's flow.
--- a/src/decision/key_order.cpp
+++ b/src/decision/key_order.cpp
@@ -4,23 +4,38 @@
 
 namespace walnutspur::decision {
 
-bool IsKeyFree(SchedulerState& state, const RequestState& request) {
-  if (!state.IsOrdered(request)) {
-    return true;
+void KeyChain::RemoveFinished() {
+  while (!requests.empty() && requests.front()->finished && requests.front()->target == nullptr) {
+    requests.pop_front();
   }
-  KeyChain& chain = state.key_chains[request.key];
+}
+
+void KeyOrder::Add(const RequestRef& request) { chains_[request->key].requests.push_back(request); }
+
+bool KeyOrder::IsFree(const RequestState& request, Time now) {
+  KeyChain& chain = chains_[request.key];
   chain.RemoveFinished();
   const bool is_first = !chain.requests.empty() && chain.requests.front().get() == &request;
-  return is_first && (request.attempts > 0 || state.now >= chain.quarantined_until);
+  return is_first && (request.attempts > 0 || now >= chain.quarantined_until);
 }
 
-void QuarantineKey(SchedulerState& state, const RequestState& request, Outcome outcome) {
+void KeyOrder::OnAttemptEnded(const RequestState& request, Outcome outcome, std::optional<Time> quarantine,
+                              Time now) {
   const bool may_run_on =
       outcome == Outcome::kTimedOut || outcome == Outcome::kConnectionReset || outcome == Outcome::kCancelled;
-  if (may_run_on && state.IsOrdered(request) && state.settings.rules.key_quarantine) {
-    Time& until = state.key_chains[request.key].quarantined_until;
-    until = std::max(until, state.now + *state.settings.rules.key_quarantine);
+  if (may_run_on && quarantine) {
+    Time& until = chains_[request.key].quarantined_until;
+    until = std::max(until, now + *quarantine);
+  }
+}
+
+void KeyOrder::EvictFree(Time now) {
+  for (auto& [key, chain] : chains_) {
+    chain.RemoveFinished();
   }
+  std::erase_if(chains_, [now](const auto& entry) {
+    return entry.second.requests.empty() && entry.second.quarantined_until <= now;
+  });
 }
 
 }  // namespace walnutspur::decision
--- a/src/decision/key_order.h
+++ b/src/decision/key_order.h
@@ -1,19 +1,51 @@
 // Key order: of the requests that carry one key, in classes that call for it, one is sent at a time.
 //
-// Functions over the SchedulerState, called on its thread.
+// Where an attempt may still be running although it has ended here, the key is in quarantine: a new request
+// must not overtake what may yet take effect. Owned by the SchedulerState, used on its thread.
 #ifndef WALNUTSPUR_DECISION_KEY_ORDER_H_
 #define WALNUTSPUR_DECISION_KEY_ORDER_H_
 
-#include "decision/state.h"
+#include <cstddef>
+#include <deque>
+#include <map>
+#include <optional>
+#include <string>
+
+#include "decision/request.h"
 
 namespace walnutspur::decision {
 
-// Whether a request may be sent: it is the first of its key, and a first attempt is past the key's
-// quarantine.
-bool IsKeyFree(SchedulerState& state, const RequestState& request);
+// Requests that carry one key, in order of arrival, and the quarantine of the key.
+struct KeyChain {
+  std::deque<RequestRef> requests;
+  Time quarantined_until = 0;
+
+  // Removes requests that have their response and no attempt in flight from the front.
+  void RemoveFinished();
+};
+
+// The chains of all keys. Takes requests of ordered classes only (SchedulerState::IsOrdered).
+class KeyOrder {
+ public:
+  // Adds a request that has arrived to the end of its key's chain.
+  void Add(const RequestRef& request);
+
+  // Whether a request may be sent at `now`: it is the first of its key, and a first attempt is past the key's
+  // quarantine.
+  bool IsFree(const RequestState& request, Time now);
+
+  // After an attempt at `now` with this outcome: starts the key's quarantine (us; none if the settings state
+  // none) if the attempt may still be running.
+  void OnAttemptEnded(const RequestState& request, Outcome outcome, std::optional<Time> quarantine, Time now);
+
+  // Removes the keys that no request carries and that are in no quarantine at `now`.
+  void EvictFree(Time now);
+
+  std::size_t size() const { return chains_.size(); }
 
-// Starts the key's quarantine if an attempt with this outcome may still be running.
-void QuarantineKey(SchedulerState& state, const RequestState& request, Outcome outcome);
+ private:
+  std::map<std::string, KeyChain> chains_;
+};
 
 }  // namespace walnutspur::decision
 
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -2,18 +2,26 @@
 //
 // The path of a request: arrival -> queue of its flow (volume and shard) -> the flow's throttle covers it ->
 // among the flows' heads, priority band and start tag choose (start-time fair queueing) -> the target's
-// concurrency limit has room -> attempt. The control loop throttles flows once an interval (SLEDS).
+// concurrency limit has capacity -> attempt. The control loop throttles flows once an interval (SLEDS).
+//
+// Which rule is decided where: docs/decisions.md.
 #include "walnutspur/scheduler.h"
 
 #include <algorithm>
 
 #include "decision/accounts.h"
+#include "decision/admission.h"
 #include "decision/concurrency_limit.h"
+#include "decision/deadlines.h"
 #include "decision/dispatch.h"
-#include "decision/endpoints.h"
+#include "decision/endpoint_updates.h"
 #include "decision/estimates.h"
 #include "decision/eviction.h"
-#include "decision/key_order.h"
+#include "decision/expiry.h"
+#include "decision/final_response.h"
+#include "decision/idempotency.h"
+#include "decision/in_flight.h"
+#include "decision/placement.h"
 #include "decision/retry_policy.h"
 #include "decision/throttle.h"
 
@@ -21,25 +29,21 @@
 namespace decision {
 namespace {
 
-constexpr Time kControlInterval = 1'000'000;  // us between runs of the control loop, from the paper
-constexpr Time kLimitInterval = 200'000;      // us between adjustments of the limits: a fraction of a surge
+// Time between runs of the control loop, from the paper.
+constexpr Time kControlInterval = ToTime(std::chrono::seconds(1));
+// Time between adjustments of the concurrency limits: a fraction of a surge.
+constexpr Time kLimitInterval = ToTime(std::chrono::milliseconds(200));
 
 RequestRef NewRequest(const SchedulerState& state, const RequestArrived& arrival) {
+  const int last_class = static_cast<int>(state.settings.classes.size()) - 1;
   auto request = std::make_shared<RequestState>();
   request->id = arrival.id;
-  request->class_index = std::clamp<int>(arrival.request_class, 0, state.settings.classes.size() - 1);
+  request->class_index = std::clamp(arrival.request_class, 0, last_class);
   request->key = arrival.key;
   request->units = arrival.units;
   request->arrived_at = state.now;
   request->deadline = state.now + arrival.ttl;
-  // The objective runs from the client's first attempt. A client with a wait shorter than it is not late yet;
-  // but what such a client retries is: its last attempt took too long for it, and it will retry many times.
-  const RequestClass& request_class = state.ClassOf(*request);
-  if (arrival.ttl >= request_class.latency_objective) {
-    request->objective_at = request->deadline - request_class.deadline + request_class.latency_objective;
-  } else {
-    request->objective_at = arrival.is_client_retry ? state.now : request->deadline;
-  }
+  request->objective_at = ObjectiveEnd(state, *request, arrival);
   request->any_target = arrival.shard < 0;
   return request;
 }
@@ -47,9 +51,8 @@
 // Handles the events of one Scheduler.
 class EventHandler {
  public:
-  EventHandler(const Settings& settings, std::uint64_t seed) : state_(settings, seed, kLongestPollInterval) {
-    state_.fleet_limits = InitialConcurrencyLimits(settings);
-  }
+  EventHandler(const Settings& settings, std::uint64_t seed)
+      : state_(settings, InitialConcurrencyLimits(settings), seed) {}
 
   std::size_t table_entries() const { return state_.table_entries(); }
 
@@ -66,7 +69,7 @@
     next_control_ = state_.now;
     next_limits_ = state_.now;
     state_.endpoint_lease.OnStarted(state_.now);
-    if (state_.settings.discovery == DiscoveryMode::kSubscribe) {
+    if (state_.endpoint_poller.is_enabled()) {
       PollEndpoints(state_);
     }
     state_.actions.emplace_back(StartTimer{0, kTimerPeriod});
@@ -74,8 +77,8 @@
 
   void On(const TimerFired&) {
     state_.actions.emplace_back(StartTimer{0, kTimerPeriod});
-    state_.client_wait_fraction = state_.abandonment.SafeFraction(state_.now);
-    if (state_.next_poll >= 0 && state_.now >= state_.next_poll) {
+    state_.client_wait.Update(state_.now);
+    if (state_.endpoint_poller.IsDue(state_.now)) {
       PollEndpoints(state_);
     }
     if (state_.now >= next_limits_) {
@@ -86,79 +89,59 @@
       RunControlLoop();
     }
     DispatchAll();
-    ExpireDeadlines();
+    FinishExpired();
   }
 
   void On(const EndpointUpdate& update) {
     ApplyEndpointUpdate(state_, update);
-    if (state_.endpoint_lease.IsValid(state_.now)) {
-      DispatchAll();
-    }
+    DispatchAll();
   }
 
   void On(const RequestArrived& arrival) {
-    if (state_.settings.rules.retry_budget_window) {
-      state_.arrivals.Add(state_.now);
-    }
+    state_.retry_budget.OnArrival(state_.settings.rules, state_.now);
     const RequestRef request = NewRequest(state_, arrival);
-    state_.requests[request->id] = request;
+    state_.requests.Add(request);
     if (state_.IsOrdered(*request)) {
-      state_.key_chains[request->key].requests.push_back(request);
+      state_.key_order.Add(request);
     }
     Volume& volume = VolumeOf(state_, arrival);
-    volume.demand.units += request->units;
+    volume.demand.Add(request->units);
     volume.last_arrival = state_.now;
     Enqueue(state_, request, volume, request->any_target ? PlaceNewObject(state_, *request) : arrival.shard);
     DispatchShard(request->flow->shard);
-    // Rule: no request lost. No timer would see it in time if it stays queued. Without a list that is vouched
-    // for it would wait for seconds: its client does better to retry.
-    const bool must_wait_long = !state_.endpoint_lease.IsValid(state_.now);
-    if (request->target == nullptr && (must_wait_long || arrival.ttl < 2 * kTimerPeriod)) {
+    if (request->target == nullptr && !MayWaitOnArrival(state_, *request)) {
       Finish(request);
     }
   }
 
   void On(const AttemptFinished& result) {
-    const auto found = state_.requests.find(result.id);
-    const auto entry = state_.targets.find(result.target);
-    if (found == state_.requests.end() || entry == state_.targets.end()) {
-      return;
-    }
-    const RequestRef request = found->second;
-    TargetState& target = entry->second;
-    if (request->target != &target || result.attempt != request->attempts - 1) {
+    const RequestRef request = state_.requests.Find(result.id);
+    TargetState* target = state_.endpoints.Find(result.target);
+    if (request == nullptr || target == nullptr || request->target != target ||
+        result.attempt != request->attempts - 1) {
       return;
     }
     request->target = nullptr;
-    EndAttempt(state_, *request, result.outcome, target);
-    RecordService(state_, *request, result, target);
-    BackOff(state_, result.outcome, target);
-    RecordHealth(state_, result.outcome, target);
-    RecordLatency(state_, *request, result, target);
-    if (MayHaveRun(result.outcome) && request->possible_effect.sent_at < 0) {
-      request->possible_effect = {request->sent_at, target.shard, target.zone};
-    }
-    QuarantineKey(state_, *request, result.outcome);
-    Continue(request, result);
+    RecordOutcome(*request, result, *target);
+    ContinueOrFinish(request, result);
     if (result.outcome == Outcome::kCompleted) {
-      CancelOvertakenAttempts(state_, target);
+      CancelOvertakenAttempts(state_, *target);
     }
-    DispatchQueued(state_, target);
-    if (request->flow != nullptr && request->flow->shard != target.shard && !request->finished) {
+    DispatchQueued(state_, *target);
+    if (request->flow != nullptr && request->flow->shard != target->shard && !request->finished) {
       DispatchShard(request->flow->shard);
     }
   }
 
   void On(const ClientDisconnected& event) {
-    const auto found = state_.requests.find(event.id);
-    if (found == state_.requests.end()) {
+    const RequestRef request = state_.requests.Find(event.id);
+    if (request == nullptr) {
       return;
     }
-    const RequestRef request = found->second;
     MarkFinished(request, true);
     state_.flows.Remove(request);
     if (request->target == nullptr) {
-      state_.requests.erase(found);
+      state_.requests.Remove(event.id);
     } else if (state_.settings.can_cancel) {  // a target that drops queued work is spared it
       state_.actions.emplace_back(CancelAttempt{request->id, request->attempts - 1});
     }
@@ -166,9 +149,8 @@
 
   // The response is under way to the client: no other final response is due.
   void On(const ResponseStarted& event) {
-    const auto found = state_.requests.find(event.id);
-    if (found != state_.requests.end()) {
-      found->second->finished = true;
+    if (const RequestRef request = state_.requests.Find(event.id)) {
+      request->finished = true;
     }
   }
 
@@ -177,14 +159,41 @@
   void On(const FleetSize& fleet) {
     state_.settings.instances = std::max(1, fleet.live_instances);
     state_.settings.traffic_fraction = fleet.traffic_fraction;
-    state_.poll_backoff.SetInstanceCount(state_.settings.instances);
+    state_.endpoint_poller.SetInstanceCount(state_.settings.instances);
+  }
+
+  // Records what the end of an attempt says of the target, of the request and of its key.
+  void RecordOutcome(RequestState& request, const AttemptFinished& result, TargetState& target) {
+    EndAttempt(state_, request, result.outcome, target);
+    RecordService(state_, request, result, target);
+    UpdateBackoff(result.outcome, target);
+    state_.outliers.Record(result.outcome, target.zone, state_.now, target.outcomes);
+    RecordLatency(state_, request, result, target);
+    if (MayHaveRun(result.outcome) && !request.possible_effect.exists()) {
+      request.possible_effect = {request.sent_at, target.shard, target.zone};
+    }
+    if (state_.IsOrdered(request)) {
+      const std::optional<Time> quarantine = state_.settings.rules.key_quarantine;
+      state_.key_order.OnAttemptEnded(request, result.outcome, quarantine, state_.now);
+    }
+  }
+
+  void UpdateBackoff(Outcome outcome, TargetState& target) {
+    if (outcome == Outcome::kOverloaded) {
+      target.backoff.OnOverloaded(state_.now);
+      OnTargetOverloaded(state_, target);
+    } else if (outcome == Outcome::kConnectFailed) {
+      target.backoff.OnConnectFailed(state_.now);
+    } else if (outcome == Outcome::kCompleted) {
+      target.backoff.OnCompleted();
+    }
   }
 
   // Ends a request after one of its attempts, or queues it for another.
-  void Continue(const RequestRef& request, const AttemptFinished& result) {
+  void ContinueOrFinish(const RequestRef& request, const AttemptFinished& result) {
     if (result.request_finished || request->finished) {
       MarkFinished(request, false);
-      state_.requests.erase(result.id);
+      state_.requests.Remove(result.id);
     } else if (MayRetry(state_, *request, result.outcome)) {
       const bool may_move = request->any_target && !IsBoundToTarget(state_, *request);
       const int shard = may_move ? PlaceNewObject(state_, *request) : request->flow->shard;
@@ -195,7 +204,8 @@
   }
 
   void MarkFinished(const RequestRef& request, bool disconnected) {
-    RecordClientWait(state_, *request, disconnected);
+    const Time objective = state_.ClassOf(*request).latency_objective;
+    state_.client_wait.OnRequestEnded(*request, objective, disconnected, state_.now);
     request->finished = true;
   }
 
@@ -208,18 +218,24 @@
     state_.flows.Remove(request);
     Respond(state_, *request);
     if (request->target == nullptr) {
-      state_.requests.erase(request->id);
+      state_.requests.Remove(request->id);
+    }
+  }
+
+  void FinishExpired() {
+    for (const RequestRef& request : ExpiredRequests(state_)) {
+      Finish(request);
     }
   }
 
   void DispatchShard(int shard) {
-    if (TargetState* target = state_.ActiveTarget(shard)) {
+    if (TargetState* target = state_.endpoints.ActiveTarget(shard)) {
       DispatchQueued(state_, *target);
     }
   }
 
   void DispatchAll() {
-    for (auto& [id, target] : state_.targets) {
+    for (auto& [id, target] : state_.endpoints.targets()) {
       DispatchQueued(state_, target);
     }
   }
@@ -227,42 +243,10 @@
   void RunControlLoop() {
     const Time elapsed = state_.now - next_control_ + kControlInterval;
     next_control_ = state_.now + kControlInterval;
-    AdjustThrottles(state_, std::max(kTimerPeriod, elapsed) / kSecond);
+    AdjustThrottles(state_, Microseconds(std::max(kTimerPeriod, elapsed)) / kSecond);
     EvictIdle(state_);
   }
 
-  // Finishes what is of no more use: queued requests that can no longer meet their objective and for which
-  // there was no room just now, all queued ones where no list is vouched for, and requests whose attempt
-  // should have ended by the deadline.
-  void ExpireDeadlines() {
-    std::vector<RequestRef> expired;
-    const bool lease_is_over = !state_.endpoint_lease.IsValid(state_.now);
-    for (const auto& [shard, flows] : state_.flows.shards()) {
-      const TargetState* target = state_.ActiveTarget(shard);
-      const double unit_time = target != nullptr ? target->latency.unit_time() : limits::kInitialUnitTime;
-      flows.ForEachQueued([&, this](const RequestRef& request) {
-        if (lease_is_over) {
-          expired.push_back(request);
-          return;
-        }
-        const Time soonest = state_.now + static_cast<Time>(request->units * unit_time);
-        if (soonest > LatestUsefulResponse(state_, *request) || IsDeadlineNear(state_, *request)) {
-          expired.push_back(request);
-        }
-      });
-    }
-    for (const auto& [id, target] : state_.targets) {
-      for (const Attempt& attempt : target.attempts) {
-        if (!attempt.request->finished && state_.now >= attempt.request->deadline) {
-          expired.push_back(attempt.request);
-        }
-      }
-    }
-    for (const RequestRef& request : expired) {
-      Finish(request);
-    }
-  }
-
   SchedulerState state_;
   Time next_control_ = 0;  // of the control loop
   Time next_limits_ = 0;   // of the adjustment of concurrency limits
--- a/src/decision/throttle.cpp
+++ b/src/decision/throttle.cpp
@@ -8,12 +8,18 @@
 namespace walnutspur::decision {
 namespace {
 
-constexpr double kMargin = 1.05;            // over the rate that a plan promises, from the paper
-constexpr double kTighten = 0.8;            // factor a step: halves a throttled rate in three intervals
-constexpr double kLoosen = 1.15;            // factor a step: slower than tightening
-constexpr double kRelease = 3.0;            // times its use: a throttle this loose is removed
-constexpr double kLeastThrottle = 0.01;     // units a second
-constexpr Time kUsageLifetime = 4'000'000;  // us for which a report of a volume's usage holds
+// Throttled rate over the rate that a plan promises, from the paper.
+constexpr double kPromiseMargin = 1.05;
+// Factor by which an interval tightens a throttle: three of them halve a rate.
+constexpr double kTightenFactor = 0.8;
+// Factor by which an interval loosens a throttle: slower than tightening.
+constexpr double kLoosenFactor = 1.15;
+// A throttle that allows more than this multiple of the flow's use is removed.
+constexpr double kReleaseFactor = 3.0;
+// Smallest throttle, units a second.
+constexpr double kMinThrottle = 0.01;
+// Time for which a report of a volume's usage holds.
+constexpr Time kUsageLifetime = ToTime(std::chrono::seconds(4));
 
 // Flows of a shard that had responses in the interval.
 struct FlowGroups {
@@ -62,21 +68,21 @@
 void Tighten(const SchedulerState& state, Flow& flow) {
   const Volume& volume = *flow.volume;
   const double rate = flow.demand.rate;
-  const double part = volume.demand.rate > 0 ? std::min(1.0, rate / volume.demand.rate) : 1.0;
+  const double fraction = volume.demand.rate > 0 ? std::min(1.0, rate / volume.demand.rate) : 1.0;
   const double promised = volume.plan->reserved_rate > 0 ? volume.plan->reserved_rate : volume.plan->rate;
   const double from = flow.throttle > 0 ? std::min(flow.throttle, rate) : rate;
   if (flow.throttle <= 0) {
     flow.refilled_at = state.now;
     flow.throttle_bucket.tokens = 0;
   }
-  flow.throttle = std::max({promised * kMargin * part, kTighten * from, kLeastThrottle});
+  flow.throttle = std::max({promised * kPromiseMargin * fraction, kTightenFactor * from, kMinThrottle});
 }
 
 void Loosen(const SchedulerState& state, Flow& flow) {
   if (flow.throttle > 0) {
     Refill(state, flow);
-    flow.throttle *= kLoosen;
-    if (flow.throttle > kRelease * std::max(flow.demand.rate, flow.volume->plan->rate)) {
+    flow.throttle *= kLoosenFactor;
+    if (flow.throttle > kReleaseFactor * std::max(flow.demand.rate, flow.volume->plan->rate)) {
       flow.throttle = 0;
     }
   }
@@ -101,12 +107,10 @@
 }  // namespace
 
 void AdjustThrottles(SchedulerState& state, double seconds) {
-  for (auto& [name, volume] : state.volumes) {
-    volume.demand.EndInterval(seconds);
-  }
+  state.volumes.EndInterval(seconds);
   for (auto& [shard, flows] : state.flows.shards()) {
-    if (TargetState* target = state.ActiveTarget(shard)) {
-      MeasureInterval(state, flows, *target);
+    if (TargetState* target = state.endpoints.ActiveTarget(shard)) {
+      UpdateInterval(state, flows, *target);
     }
     AdjustShard(state, flows, seconds);
   }
--- a/src/limits/abandonment_estimate.cpp
+++ b/src/limits/abandonment_estimate.cpp
@@ -3,10 +3,12 @@
 namespace walnutspur::limits {
 namespace {
 
-constexpr double kDecayTime = 5e6;     // us over which requests are counted
-constexpr double kAssumedStaying = 3;  // requests taken to have stayed in each group: one alone says nothing
-constexpr double kMostDisconnected =
-    0.5;  // part of the clients that must have disconnected for an age to count
+// Time in which the weight of a request falls to 1/e.
+constexpr Duration kDecayTime = std::chrono::seconds(5);
+// Requests assumed to have stayed in each age group beside those counted: a single one says nothing.
+constexpr double kPriorStayingRequests = 3;
+// An age counts once more than this fraction of clients has disconnected by then.
+constexpr double kMaxDisconnectedFraction = 0.5;
 
 }  // namespace
 
@@ -26,8 +28,8 @@
   double staying = 1;
   for (const AgeGroup& group : groups_) {
     const double disconnected = group.disconnected.Now(now, kDecayTime);
-    staying *= 1 - disconnected / (kAssumedStaying + group.reached.Now(now, kDecayTime));
-    if (1 - staying > kMostDisconnected) {
+    staying *= 1 - disconnected / (kPriorStayingRequests + group.reached.Now(now, kDecayTime));
+    if (1 - staying > kMaxDisconnectedFraction) {
       return group.age_sum.Now(now, kDecayTime) / disconnected;
     }
   }
--- a/src/limits/decaying_counter.h
+++ b/src/limits/decaying_counter.h
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "walnutspur/scheduler.h"
+#include "limits/duration.h"
 
 namespace walnutspur::limits {
 
@@ -17,14 +17,13 @@
   double sum = 0;  // as of changed_at
   Time changed_at = 0;
 
-  // What is left of the sum at `now`; `decay_time` is the time (us) in which it falls to 1/e.
-  double Now(Time now, double decay_time) const {
-    const auto age = static_cast<double>(now - changed_at);
-    return sum * std::exp(-std::clamp(age / decay_time, 0.0, kMaxDecay));
+  // What is left of the sum at `now`; `decay_time` is the time in which it falls to 1/e.
+  double Now(Time now, Duration decay_time) const {
+    return sum * std::exp(-std::clamp(Elapsed(changed_at, now) / decay_time, 0.0, kMaxDecay));
   }
 
   // Adds `amount` at `now`.
-  void Add(double amount, Time now, double decay_time) {
+  void Add(double amount, Time now, Duration decay_time) {
     sum = Now(now, decay_time) + amount;
     changed_at = now;
   }
--- a/src/limits/latency_estimate.cpp
+++ b/src/limits/latency_estimate.cpp
@@ -8,30 +8,34 @@
 namespace walnutspur::limits {
 namespace {
 
-constexpr double kUnitTimeFall = 0.2;   // weight of a sample below the estimated service time
-constexpr double kUnitTimeRise = 0.01;  // weight of one above it: the estimate is a low quantile
-constexpr double kQueueingGain = 0.3;   // weight of the newest queueing delay
+// Weight of a sample below the estimated service time, and of one above it. They differ widely, so that the
+// estimate is a low quantile: what lies above is queueing.
+constexpr double kFasterSampleWeight = 0.2;
+constexpr double kSlowerSampleWeight = 0.01;
+// Weight of the newest queueing delay where samples follow each other closely.
+constexpr double kQueueingSampleWeight = 0.3;
 
 }  // namespace
 
-double LatencyEstimate::Record(Time latency, double units, Time now) {
-  const auto sample = static_cast<double>(latency);
-  const double per_unit = sample / units;
-  unit_time_ += (per_unit < unit_time_ ? kUnitTimeFall : kUnitTimeRise) * (per_unit - unit_time_);
-  const double queueing = std::max(0.0, sample - units * unit_time_);
+Duration LatencyEstimate::Record(Time latency, double units, Time now) {
+  const Duration sample = Microseconds(latency);
+  const Duration unit_sample = sample / units;
+  const double unit_weight = unit_sample < unit_time_ ? kFasterSampleWeight : kSlowerSampleWeight;
+  unit_time_ += unit_weight * (unit_sample - unit_time_);
+  const Duration queueing = std::max(Duration::zero(), sample - units * unit_time_);
   // An instance that gets few responses from the target has only the newest one to go by.
-  const double weight = 1 - (1 - kQueueingGain) * std::exp(-Age(now) / kQueueingDecay);
+  const double weight = 1 - (1 - kQueueingSampleWeight) * std::exp(-Age(now) / kQueueingDecay);
   SetQueueing(queueing_ + weight * (queueing - queueing_), now);
   return queueing;
 }
 
-void LatencyEstimate::SetQueueing(double queueing, Time now) {
+void LatencyEstimate::SetQueueing(Duration queueing, Time now) {
   queueing_ = queueing;
   sampled_at_ = now;
 }
 
-double LatencyEstimate::ExpectedQueueing(Time now) const {
-  const double age = Age(now);
+Duration LatencyEstimate::ExpectedQueueing(Time now) const {
+  const Duration age = Age(now);
   return std::max(queueing_ * std::exp(-std::min(kMaxDecay, age / kQueueingDecay)), queueing_ - age);
 }
 
--- a/src/limits/latency_estimate.h
+++ b/src/limits/latency_estimate.h
@@ -5,48 +5,48 @@
 #ifndef WALNUTSPUR_LIMITS_LATENCY_ESTIMATE_H_
 #define WALNUTSPUR_LIMITS_LATENCY_ESTIMATE_H_
 
-#include "walnutspur/scheduler.h"
+#include "limits/duration.h"
 
 namespace walnutspur::limits {
 
-// Service time assumed until the first response, us a unit.
-constexpr double kInitialUnitTime = 20'000;
-// Time in which a queueing delay without new samples decays to 1/e, us: queues drain.
-constexpr double kQueueingDecay = 500'000;
+// Service time of a unit assumed until the first response.
+constexpr Duration kInitialUnitTime = std::chrono::milliseconds(20);
+// Time in which a queueing delay without new samples decays to 1/e: queues drain.
+constexpr Duration kQueueingDecay = std::chrono::milliseconds(500);
 
 // Service time and queueing delay of one target.
 class LatencyEstimate {
  public:
-  // Uncongested service time, us a unit.
-  double unit_time() const { return unit_time_; }
+  // Uncongested service time of a unit.
+  Duration unit_time() const { return unit_time_; }
 
-  // Queueing delay as of the last sample, us.
-  double queueing() const { return queueing_; }
+  // Queueing delay as of the last sample.
+  Duration queueing() const { return queueing_; }
 
-  // Uncongested service time of a request of `units`, us.
-  double ServiceTime(double units) const { return units * unit_time_; }
+  // Uncongested service time of a request of `units`.
+  Duration ServiceTime(double units) const { return units * unit_time_; }
 
-  // Records a sample; returns its queueing delay, us.
-  double Record(Time latency, double units, Time now);
+  // Records a sample of `latency` (us); returns its queueing delay.
+  Duration Record(Time latency, double units, Time now);
 
-  // Replaces the queueing delay (us) by one known otherwise than from a latency.
-  void SetQueueing(double queueing, Time now);
+  // Replaces the queueing delay by one known otherwise than from a latency.
+  void SetQueueing(Duration queueing, Time now);
 
   // Discards the queueing delay: the process behind the target is a new one.
-  void ResetQueueing() { queueing_ = 0; }
+  void ResetQueueing() { queueing_ = Duration::zero(); }
 
-  // Queueing delay expected at `now`, us. It falls at least as fast as time passes and as fast as it decays.
-  double ExpectedQueueing(Time now) const;
+  // Queueing delay expected at `now`. It falls at least as fast as time passes and as fast as it decays.
+  Duration ExpectedQueueing(Time now) const;
 
-  // Time since the last sample, us.
-  double Age(Time now) const { return static_cast<double>(now - sampled_at_); }
+  // Time since the last sample.
+  Duration Age(Time now) const { return Elapsed(sampled_at_, now); }
 
   // Whether the last sample is too old for the estimate to be relied on.
   bool IsStale(Time now) const { return Age(now) > kQueueingDecay; }
 
  private:
-  double unit_time_ = kInitialUnitTime;
-  double queueing_ = 0;  // us
+  Duration unit_time_ = kInitialUnitTime;
+  Duration queueing_ = Duration::zero();
   Time sampled_at_ = 0;
 };
 
--- a/src/limits/shutdown_deadline_estimate.h
+++ b/src/limits/shutdown_deadline_estimate.h
@@ -10,34 +10,39 @@
 
 #include <algorithm>
 
-#include "walnutspur/scheduler.h"
+#include "limits/duration.h"
 
 namespace walnutspur::limits {
 
-constexpr double kSlowResponseRise = 0.2;   // weight of a response slower than the estimate, and
-constexpr double kSlowResponseFall = 0.05;  // of a faster one, such that four fifths of responses are faster
-constexpr double kLeadTimeFactor = 1.5;     // of the estimate: the last responses come all at once
-constexpr Time kShortestLeadTime =
-    200'000;  // us: longer than idle connections are given (http/client_connection.cpp)
-constexpr Time kLongestLeadTime = 1'000'000;  // us: beyond it most clients have disconnected
+// Weight of a response slower than the estimate, and of a faster one. At this ratio four fifths of responses
+// are faster than the estimate.
+constexpr double kSlowerResponseWeight = 0.2;
+constexpr double kFasterResponseWeight = 0.05;
+// Lead time as a multiple of the estimate: the last responses come all at once.
+constexpr double kLeadTimeFactor = 1.5;
+// The lead time is longer than what idle connections are given (http/client_connection.cpp).
+constexpr Duration kMinLeadTime = std::chrono::milliseconds(200);
+// Beyond this lead time most clients have disconnected.
+constexpr Duration kMaxLeadTime = std::chrono::seconds(1);
 
 // Estimate over the responses of one front end.
 class ShutdownDeadlineEstimate {
  public:
   // Records a response given `latency` us after its request arrived.
   void OnResponse(Time latency) {
-    const double difference = static_cast<double>(latency) - slow_latency_;
-    slow_latency_ += (difference > 0 ? kSlowResponseRise : kSlowResponseFall) * difference;
+    const Duration difference = Microseconds(latency) - slow_latency_;
+    const bool is_slower = difference > Duration::zero();
+    slow_latency_ += (is_slower ? kSlowerResponseWeight : kFasterResponseWeight) * difference;
   }
 
   // Whether the next response of each connection is its last, with `remaining` us until shutdown.
   bool IsLastResponse(Time remaining) const {
-    const auto lead_time = static_cast<Time>(kLeadTimeFactor * slow_latency_);
-    return remaining <= std::clamp(lead_time, kShortestLeadTime, kLongestLeadTime);
+    const Duration lead_time = std::clamp(kLeadTimeFactor * slow_latency_, kMinLeadTime, kMaxLeadTime);
+    return remaining <= ToTime(lead_time);
   }
 
  private:
-  double slow_latency_ = 0;  // us
+  Duration slow_latency_ = Duration::zero();
 };
 
 }  // namespace walnutspur::limits
--- a/src/limits/sliding_window.h
+++ b/src/limits/sliding_window.h
@@ -7,7 +7,7 @@
 #include <cstddef>
 #include <deque>
 
-#include "walnutspur/scheduler.h"
+#include "walnutspur/types.h"
 
 namespace walnutspur::limits {
 
--- a/tests/unit/limits_test.cpp
+++ b/tests/unit/limits_test.cpp
@@ -7,8 +7,9 @@
 #include <vector>
 
 #include "limits/abandonment_estimate.h"
-#include "limits/backoff.h"
+#include "limits/poll_backoff.h"
 #include "limits/slow_start.h"
+#include "limits/steady_state_rate.h"
 
 namespace walnutspur::limits {
 namespace {
