--- a/src/app/integrity_tool.cpp
+++ b/src/app/integrity_tool.cpp
@@ -290,9 +290,9 @@
   for (const auto& [place, entry] : ledger.entries()) {
     PrintEntry(place, entry, out);
   }
-  std::fprintf(out, "%zu damaged, %zu in all, %" PRIu64 " dropped\n", ledger.damaged_count(),
+  std::fprintf(out, "%zu damaged, %zu in all, %" PRIu64 " dropped\n", ledger.corrupt_count(),
                ledger.entries().size(), ledger.dropped());
-  return ledger.damaged_count() == 0 ? 0 : 1;
+  return ledger.corrupt_count() == 0 ? 0 : 1;
 }
 
 }  // namespace walnutspur::app
--- a/src/app/scrub_setup.cpp
+++ b/src/app/scrub_setup.cpp
@@ -41,7 +41,7 @@
 }
 
 void LoadCursors(const std::string& path, integrity::Cursors* cursors) {
-  const auto bytes = filestore::ReadWholeFile(path);
+  const auto bytes = filestore::ReadFile(path);
   if (!bytes) {
     return;
   }
--- a/src/app/status_report.cpp
+++ b/src/app/status_report.cpp
@@ -15,7 +15,7 @@
   switch (state) {
     case Volume::State::kReady:
       return "ready";
-    case Volume::State::kBroken:
+    case Volume::State::kFailed:
       return "broken";
     default:
       return "attaching";
@@ -23,7 +23,7 @@
 }
 
 json LedgerStatus(const checksummed::CorruptionTracker& corruption) {
-  return {{"damaged", corruption.corruption_log().damaged_count()},
+  return {{"damaged", corruption.corruption_log().corrupt_count()},
           {"all", corruption.corruption_log().entries().size()},
           {"dropped", corruption.corruption_log().dropped()},
           {"open_cases", corruption.investigations().open_count()}};
@@ -35,14 +35,14 @@
                  {"box", config.target},
                  {"state", NameOf(state)},
                  {"open", volume.pending_commands()}};
-  if (state == Volume::State::kBroken) {
+  if (state == Volume::State::kFailed) {
     status["why"] = volume.error();
   }
   if (state == Volume::State::kReady) {
     status.update({{"journal", volume.superblock().geometry.journal_size},
                    {"journal_used", volume.journal_used()},
                    {"checkpoints", volume.checkpoints()},
-                   {"lost_in_journal", volume.damaged_blocks().size()}});
+                   {"lost_in_journal", volume.unrecoverable_blocks().size()}});
   }
   return status;
 }
--- a/src/checksummed/checksummed_exports.cpp
+++ b/src/checksummed/checksummed_exports.cpp
@@ -134,7 +134,7 @@
   if (exported.volume->state() == Volume::State::kReady) {
     exported.attach_backoff = 0;
   }
-  if (exported.volume->state() == Volume::State::kBroken) {
+  if (exported.volume->state() == Volume::State::kFailed) {
     OnAttachFailed(exported);
   }
   if (exported.volume->dirty() && exported.dirty_since == 0) {
@@ -354,7 +354,7 @@
     if (!exported.volume || exported.config->target != target || !std::exchange(exported.suspended, false)) {
       continue;
     }
-    if (exported.volume->state() == Volume::State::kBroken ||
+    if (exported.volume->state() == Volume::State::kFailed ||
         exported.volume->state() == Volume::State::kNew) {
       Attach(i);
     }
--- a/src/checksummed/corruption_tracker.h
+++ b/src/checksummed/corruption_tracker.h
@@ -33,7 +33,7 @@
                                                         const integrity::Reading& reading, Time now);
   // No investigation is open and no block is known to be corrupt, so that a good reading has no effect.
   bool has_no_known_corruption() const {
-    return investigations_.open_count() == 0 && corruption_log_.damaged_count() == 0;
+    return investigations_.open_count() == 0 && corruption_log_.corrupt_count() == 0;
   }
 
   const integrity::CorruptionInvestigations& investigations() const { return investigations_; }
--- a/src/checksummed/scrub.cpp
+++ b/src/checksummed/scrub.cpp
@@ -217,9 +217,9 @@
   const bool has_read = response.status == core::ResponseStatus::kServed || has_corrupt_blocks;
   int completed_chunks = 0;
   if (has_read) {
-    completed_chunks = job.scrubber.Done(pending.range);
+    completed_chunks = job.scrubber.OnRead(pending.range);
   } else {
-    job.scrubber.Failed(pending.range);
+    job.scrubber.OnReadFailed(pending.range);
     ++failed_;
   }
   const std::uint64_t bytes = has_read ? pending.range.count * integrity::kBlockBytes : 0;
--- a/src/filestore/atomic_file.cpp
+++ b/src/filestore/atomic_file.cpp
@@ -81,7 +81,7 @@
   return true;
 }
 
-std::optional<std::string> ReadWholeFile(const std::string& path) {
+std::optional<std::string> ReadFile(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   if (!file) {
     return std::nullopt;
--- a/src/filestore/atomic_file.h
+++ b/src/filestore/atomic_file.h
@@ -13,7 +13,7 @@
 bool WriteFileAtomically(const std::string& folder, const std::string& name, std::string_view bytes,
                          std::string* what);
 // Nothing if there is no such file or it cannot be read.
-std::optional<std::string> ReadWholeFile(const std::string& path);
+std::optional<std::string> ReadFile(const std::string& path);
 
 }  // namespace walnutspur::filestore
 
--- a/src/http/request_admission.cpp
+++ b/src/http/request_admission.cpp
@@ -51,7 +51,7 @@
     client_wants_digest = true;
     payload->headers += HeaderLine(name, field);
     if (!payload->wanted_digest) {
-      payload->wanted_digest = integrity::Wanted(field);
+      payload->wanted_digest = integrity::PreferredAlgorithm(field);
     }
   }
   if (!client_wants_digest && !payload->is_put && config.digests.compute) {
--- a/src/integrity/block_locks.h
+++ b/src/integrity/block_locks.h
@@ -1,4 +1,5 @@
-// Locks on the blocks that writes are changing, and the writes that wait for them in order of arrival.
+// Locks on the blocks that writes are changing, and the writes that wait for them in order of arrival. No
+// errors: a lock is either acquired or waited for.
 //
 // Owned by CommandExecutor; used on the thread of the volume's owner.
 #ifndef WALNUTSPUR_INTEGRITY_BLOCK_LOCKS_H_
--- a/src/integrity/block_verifier.cpp
+++ b/src/integrity/block_verifier.cpp
@@ -63,9 +63,9 @@
     return true;
   }
   const bool is_needed = pending->NeedsContentOf(block);
-  if (context.damaged_blocks.contains(block)) {
+  if (context.unrecoverable_blocks.contains(block)) {
     if (is_needed) {
-      corrupt->push_back({block, MismatchKind::kRecordDamaged, 0, 0});
+      corrupt->push_back({block, MismatchKind::kRecordCorrupt, 0, 0});
     }
     return true;
   }
--- a/src/integrity/block_verifier.h
+++ b/src/integrity/block_verifier.h
@@ -1,5 +1,11 @@
-// Verification of what was read for a command against the tags of its blocks. Reads the state of the volume
-// and changes only the command; used on the thread of the volume's owner.
+// Verification of the content that was read for a command against the tags of its blocks. Called by
+// CommandExecutor, on the thread of the volume's owner. Reads the state of the volume and changes only the
+// command.
+//
+// Failure: a checkpoint writes a block in place while a command reads it, so that old content meets a new
+// tag, or the reverse, and a good block looks corrupt. Each checkpoint increments
+// VolumeContext::in_place_revision before and after it changes content: a mismatch counts only if the content
+// was requested at the current revision, otherwise it is read again.
 #ifndef WALNUTSPUR_INTEGRITY_BLOCK_VERIFIER_H_
 #define WALNUTSPUR_INTEGRITY_BLOCK_VERIFIER_H_
 
@@ -11,11 +17,11 @@
 
 namespace walnutspur::integrity {
 
-// A block of zeros: the content of a hole, and of what must not be passed on.
+// A block of zeros: the content of a hole, and the replacement of content that must not be passed on.
 const Slice& ZeroBlock();
 
 struct VerifiedBlocks {
-  // Something must be read again: it was not requested, or a checkpoint has changed it since.
+  // Content must be read again: it was not requested, or a checkpoint may have changed it since.
   bool must_reload = false;
   std::vector<CorruptBlock> corrupt;  // in order of their numbers
 };
--- a/src/integrity/checkpointer.cpp
+++ b/src/integrity/checkpointer.cpp
@@ -81,8 +81,8 @@
   }
 }
 
-// Of each block the newest content that the first flush has made durable. Newer content must not be in place
-// before its record is durable.
+// Selects of each block the newest content that the first flush has made durable. Records acknowledged since
+// are left out: a power cut could still lose them, and their content in place would match no tag.
 void Checkpointer::CollectContent() {
   for (const auto& [block, versions] : context_->overlay.blocks()) {
     for (const BlockVersion& version : versions) {
@@ -91,14 +91,14 @@
       }
     }
   }
-  for (const std::uint64_t block : context_->damaged_blocks) {
+  for (const std::uint64_t block : context_->unrecoverable_blocks) {
     if (!versions_.contains(block)) {
       unknown_blocks_.insert(block);
     }
   }
 }
 
-// Goes on once all tag blocks that the checkpoint changes are in memory.
+// Continues with WriteInPlace once all tag blocks that the checkpoint changes are in memory.
 void Checkpointer::LoadTagBlocks() {
   step_ = Step::kLoadingTags;
   std::set<std::uint64_t> needed;
@@ -155,7 +155,7 @@
   }
 }
 
-// Adjoining blocks go in one request, as far as its size allows.
+// Writes adjoining blocks with one request, up to the size limit of a request.
 void Checkpointer::WriteBlocks() {
   std::vector<Slice> run;
   std::uint64_t first = 0;
@@ -181,7 +181,7 @@
   }
   IoRequest request;
   request.kind = IoKind::kWrite;
-  request.purpose = IoPurpose::kApply;
+  request.purpose = IoPurpose::kCheckpoint;
   request.offset = first_block * kBlockBytes;
   for (const Slice& slice : run) {
     request.length += static_cast<std::uint32_t>(slice.bytes.size());
@@ -191,14 +191,15 @@
   context_->io_queue.Issue(std::move(request));
 }
 
-// Each into the slot that its version selects, so that the other slot still holds the tags before.
+// Writes each tag block into the slot that its version selects, so that a torn write leaves the other slot
+// with the previous tags.
 void Checkpointer::WriteTagBlocks() {
   for (auto& [index, tag_block] : tag_blocks_) {
     ++tag_block.version;
     const int slot = static_cast<int>(tag_block.version % 2);
     IoRequest request;
     request.kind = IoKind::kWrite;
-    request.purpose = IoPurpose::kApply;
+    request.purpose = IoPurpose::kCheckpoint;
     request.offset = context_->superblock.geometry.SlotOffset(index, slot);
     request.length = kBlockBytes;
     request.data = Encode(tag_block, context_->superblock.export_id);
@@ -212,7 +213,8 @@
   requests_in_flight_ = 1;
   next_superblock_ = context_->superblock;
   next_superblock_.tail_sequence = target_sequence_ + 1;
-  // Records of earlier epochs were found by the replay and are part of the first checkpoint after it.
+  // The first checkpoint after a replay frees all records of earlier epochs, so that from here on only
+  // records of this epoch are valid (Superblock::tail_epoch).
   next_superblock_.tail_epoch = context_->superblock.epoch;
   next_superblock_.tail_offset = context_->journal.OffsetOf(target_sequence_ + 1);
   context_->WriteSuperblock(next_superblock_);
@@ -230,10 +232,10 @@
   context_->journal.Release(target_sequence_);
   for (const auto& [block, version] : versions_) {
     context_->overlay.EraseUpTo(block, target_sequence_);
-    context_->damaged_blocks.erase(block);
+    context_->unrecoverable_blocks.erase(block);
   }
   for (const std::uint64_t block : unknown_blocks_) {
-    context_->damaged_blocks.erase(block);
+    context_->unrecoverable_blocks.erase(block);
   }
   for (auto& [index, tag_block] : tag_blocks_) {
     context_->tags.Insert(std::move(tag_block));
--- a/src/integrity/checkpointer.h
+++ b/src/integrity/checkpointer.h
@@ -3,10 +3,25 @@
 //
 //   flush  ->  tag blocks read  ->  data and tags in place  ->  flush  ->  superblock with the new tail
 //
-// A checkpoint that fails has changed nothing that matters: the journal still holds all of its content, and
-// the next one writes the same again.
+// Failures and their guards:
+// - A crash, or a failed request, in the middle of a checkpoint leaves blocks in place that are half old and
+// half
+//   new. The records stay in the journal until the superblock with the new tail is durable: a replay, or the
+//   next checkpoint, writes the same content again.
+// - A power cut loses records that were acknowledged but not flushed. If their content were in place already,
+// the
+//   tags would not match it after the replay. The first flush makes the records durable before anything is
+//   written in place, and only content that it covers is written.
+// - A power cut loses content in place that was not flushed, after its records have been freed. The second
+// flush
+//   comes before the superblock that frees them.
+// - A torn write of a tag block destroys the tags of all its blocks. Each tag block has two slots, written in
+//   turn: the other one still has the tags that were valid before the checkpoint, and the journal has the
+//   newer ones.
 //
-// Owned by Volume; used on the thread of the volume's owner.
+// Owned by Volume; called by it and by CommandExecutor, on the thread of the volume's owner. Errors of
+// storage requests end the checkpoint and are not reported: Volume::Checkpoint or the next write starts
+// another one.
 #ifndef WALNUTSPUR_INTEGRITY_CHECKPOINTER_H_
 #define WALNUTSPUR_INTEGRITY_CHECKPOINTER_H_
 
@@ -24,12 +39,12 @@
 
 class Checkpointer {
  public:
-  // `context` must outlive this. `on_finished` is called whenever a checkpoint has freed records.
+  // `context` must outlive this. `on_finished` is called after each checkpoint that has freed records.
   Checkpointer(VolumeContext* context, std::function<void()> on_finished)
       : context_(context), on_finished_(std::move(on_finished)) {}
 
   // Begins a checkpoint of all acknowledged records; nothing happens if there are none or one is under way.
-  // Retries void records that could not be written in either case.
+  // In either case void records whose write failed are retried.
   void Start();
   void OnTagsRead(std::uint64_t index, TagReadStatus status);
   // A flush or a write of the checkpoint has ended.
@@ -73,7 +88,7 @@
   bool io_failed_ = false;
   Superblock next_superblock_;
   std::map<std::uint64_t, BlockVersion> versions_;  // by block, what goes in place
-  std::set<std::uint64_t> unknown_blocks_;          // whose content is lost, which their tags will record
+  std::set<std::uint64_t> unknown_blocks_;          // unrecoverable, which their tags will say
   std::map<std::uint64_t, TagBlock> tag_blocks_;    // by index; pinned in the cache
   std::uint64_t completed_ = 0;
 };
--- a/src/integrity/command_executor.cpp
+++ b/src/integrity/command_executor.cpp
@@ -8,7 +8,7 @@
 namespace walnutspur::integrity {
 namespace {
 
-// Two records must fit into the journal: one that a checkpoint is freeing, and the next.
+// Records of the largest size that must fit into the journal: one that a checkpoint is freeing, and the next.
 constexpr std::uint64_t kRecordsInJournal = 2;
 
 bool IsCorrupt(const std::vector<CorruptBlock>& corrupt, std::uint64_t block) {
@@ -90,7 +90,7 @@
     return;
   }
   pending->abandoned = true;
-  // Nothing that changes data has been sent for a command that only waits: it ends here.
+  // No request that changes data has been sent for a command that is only waiting: it ends here.
   if (pending->phase == PendingCommand::Phase::kWaitingForLock ||
       pending->phase == PendingCommand::Phase::kWaitingForSpace) {
     Finish(*pending, CommandResult::Status::kRejected);
@@ -123,7 +123,7 @@
   }
 }
 
-// Adjoining blocks are read by one request, as far as its size allows.
+// Reads adjoining blocks with one request, up to the size limit of a request.
 void CommandExecutor::LoadData(PendingCommand& pending) {
   const std::uint64_t end = pending.range.end();
   for (std::uint64_t block = pending.range.first; block < end;) {
@@ -145,7 +145,7 @@
 
 // Whether the content of a block is needed and is in place, as far as is known before its tags are loaded.
 bool CommandExecutor::MustReadFromTarget(const PendingCommand& pending, std::uint64_t block) {
-  if (context_->overlay.Newest(block) || context_->damaged_blocks.contains(block) ||
+  if (context_->overlay.Newest(block) || context_->unrecoverable_blocks.contains(block) ||
       !pending.NeedsContentOf(block)) {
     return false;
   }
@@ -231,7 +231,8 @@
 
 void CommandExecutor::FinishRead(PendingCommand& pending, std::vector<CorruptBlock> corrupt) {
   const Command& command = pending.command;
-  // The common case needs no copy: nothing is in the journal, nothing is corrupt, one read brought it all.
+  // The common case needs no copy: nothing is in the journal, nothing is corrupt, one read returned
+  // everything.
   if (corrupt.empty() && pending.block_content.empty() &&
       pending.contiguous_content.size() == command.length) {
     return Finish(pending, CommandResult::Status::kCompleted, std::move(pending.contiguous_content));
@@ -282,8 +283,8 @@
   context_->journal.Append(std::move(content));
 }
 
-// Each content that is written in place has a generation of its own: a checkpoint that is under way may have
-// begun to write the newest one.
+// The generation of a block's next content. Content that is only in the journal may reuse the generation that
+// it replaces; content that a running checkpoint may have written in place already may not.
 std::uint32_t CommandExecutor::NextGenerationOf(std::uint64_t block) const {
   const BlockVersion* newest = context_->overlay.Newest(block);
   if (!newest) {
@@ -327,7 +328,7 @@
   if (!pending) {
     return;
   }
-  // A flag on the record's write would not do: the record would be durable without those before it.
+  // FUA on the record's write alone would make it durable without those before it.
   if (pending->command.fua && !context_->options.fua_journal) {
     pending->phase = PendingCommand::Phase::kFlushing;
     return context_->io_queue.IssueFlush(command, context_->journal.acknowledged_sequence());
@@ -375,7 +376,7 @@
   }
 }
 
-// One at a time: each command that starts may change which others must wait.
+// Starts waiting commands one at a time: each that starts may change which others must wait.
 void CommandExecutor::StartReadyWaiters() {
   while (const std::optional<CommandId> ready = locks_.TakeReadyWaiter()) {
     Lock(*pending_.at(*ready));
--- a/src/integrity/command_executor.h
+++ b/src/integrity/command_executor.h
@@ -1,9 +1,21 @@
 // Execution of clients' commands on one volume. A read loads tags and data and verifies them before any of it
-// is passed on. A write locks its blocks, loads what it needs to preserve, and is answered when its journal
-// record is acknowledged.
+// is passed on. A write locks its blocks, loads the content that it must preserve, and is answered when its
+// journal record is acknowledged.
+//
+// Failures and their guards:
+// - Two writes change parts of one block at a time, and the later record undoes the earlier one's part. A
+// write
+//   locks its blocks from its reads until its record is acknowledged.
+// - An FUA write has to survive a power cut as soon as it is answered. With FUA on the record's write alone,
+// the
+//   record would be durable without those before it, and a replay would end before it. Its acknowledgement is
+//   followed by a flush instead.
+// - A write arrives while a checkpoint writes the same block in place. With the same generation for both
+// contents,
+//   stale content of one could match the tag of the other. The new content gets a generation of its own.
 //
 // Owned by Volume, which submits commands once the export is attached; used on the thread of the volume's
-// owner.
+// owner. Errors are statuses of CommandResult.
 #ifndef WALNUTSPUR_INTEGRITY_COMMAND_EXECUTOR_H_
 #define WALNUTSPUR_INTEGRITY_COMMAND_EXECUTOR_H_
 
@@ -32,7 +44,7 @@
   void Submit(Command command);
   // Answers a command that is not going to be executed.
   void Reject(CommandId command);
-  // The client does not wait for the command any more. Requests in flight for it are not cancelled.
+  // The client no longer waits for the command. Requests in flight for it are not cancelled.
   void Abandon(CommandId command);
 
   // Completions of storage requests. `issued_read`: the command itself had issued the read that has ended.
--- a/src/integrity/corruption_log.cpp
+++ b/src/integrity/corruption_log.cpp
@@ -134,7 +134,7 @@
 
 }  // namespace
 
-void CorruptionLog::MakeRoom() {
+void CorruptionLog::EvictIfFull() {
   if (entries_.size() < max_entries_) {
     return;
   }
@@ -148,7 +148,7 @@
 void CorruptionLog::Record(const BlockLocation& location, const FaultAttribution& attribution,
                            std::int64_t now) {
   if (!entries_.contains(location)) {
-    MakeRoom();
+    EvictIfFull();
   }
   CorruptionEntry& entry = entries_[location];
   if (entry.times == 0) {
@@ -169,7 +169,7 @@
   }
 }
 
-// The block whose content was found elsewhere has not lost its write: it was misdirected.
+// The block whose content another block holds has not lost its write: the write was misdirected.
 void CorruptionLog::LinkMisdirectedWrite(const BlockLocation& location, const FaultAttribution& attribution) {
   const auto owner = entries_.find({location.target, location.remote, attribution.owner_block});
   if (owner == entries_.end()) {
@@ -212,12 +212,12 @@
   return found == entries_.end() ? nullptr : &found->second;
 }
 
-bool CorruptionLog::IsDamaged(const BlockLocation& location) const {
+bool CorruptionLog::IsCorrupt(const BlockLocation& location) const {
   const CorruptionEntry* entry = Find(location);
   return entry != nullptr && !entry->repaired;
 }
 
-std::size_t CorruptionLog::damaged_count() const {
+std::size_t CorruptionLog::corrupt_count() const {
   return static_cast<std::size_t>(std::count_if(entries_.begin(), entries_.end(),
                                                 [](const auto& entry) { return !entry.second.repaired; }));
 }
@@ -271,7 +271,7 @@
   entries_ = std::move(entries);
   dropped_ = header.dropped;
   while (entries_.size() > max_entries_) {
-    MakeRoom();
+    EvictIfFull();
   }
   changed_ = false;
   return true;
--- a/src/integrity/corruption_log.h
+++ b/src/integrity/corruption_log.h
@@ -1,5 +1,5 @@
-// The corruption log: which blocks are corrupt, since when, and which component was at fault. State only;
-// corruption_log_file.h stores it.
+// The corruption log: which blocks are corrupt, since when, and which component was at fault. It records the
+// attributions of fault_attribution.h; corruption_log_file.h stores it. No I/O and no clock.
 //
 // Owned by checksummed::CorruptionTracker; used on its thread only.
 #ifndef WALNUTSPUR_INTEGRITY_CORRUPTION_LOG_H_
@@ -39,21 +39,21 @@
   void MarkRepaired(const BlockLocation& location, std::int64_t now);
 
   const CorruptionEntry* Find(const BlockLocation& location) const;
-  // Corrupt at rest and not repaired: only the scrub needs to read it again.
-  bool IsDamaged(const BlockLocation& location) const;
+  // Whether the block is known to be corrupt on storage and not repaired since.
+  bool IsCorrupt(const BlockLocation& location) const;
   const std::map<BlockLocation, CorruptionEntry>& entries() const { return entries_; }
-  std::size_t damaged_count() const;                  // entries that are not repaired
+  std::size_t corrupt_count() const;                  // entries that are not repaired
   std::uint64_t dropped() const { return dropped_; }  // entries that exceeded the bound
   bool changed() const { return changed_; }           // since the last Encode
 
   // The log as bytes, versioned and checksummed.
   std::string Encode();
-  // Replaces the log by what Encode returned. False, and nothing changes, if the bytes are truncated, damaged
+  // Replaces the log by what Encode returned. False, and nothing changes, if the bytes are truncated, corrupt
   // or of a newer version; `what` is then one line.
   bool Decode(std::string_view bytes, std::string* what);
 
  private:
-  void MakeRoom();
+  void EvictIfFull();
   void LinkMisdirectedWrite(const BlockLocation& location, const FaultAttribution& attribution);
   void LinkLostWrite(const BlockLocation& location);
 
--- a/src/integrity/corruption_log_file.cpp
+++ b/src/integrity/corruption_log_file.cpp
@@ -8,7 +8,7 @@
 namespace walnutspur::integrity {
 
 CorruptionLogFile::LoadResult CorruptionLogFile::Load(CorruptionLog* log, std::string* what) {
-  const std::optional<std::string> bytes = filestore::ReadWholeFile(path());
+  const std::optional<std::string> bytes = filestore::ReadFile(path());
   if (!bytes) {
     return LoadResult::kMissing;
   }
--- a/src/integrity/crc32c.h
+++ b/src/integrity/crc32c.h
@@ -9,11 +9,12 @@
 
 namespace walnutspur::integrity {
 
-// The checksum of the bytes that `so_far` is the checksum of, followed by `bytes`.
-inline std::uint32_t Crc32c(std::string_view bytes, std::uint32_t so_far = 0) {
-  // ISA-L takes a mutable pointer and an int; it does not write, and nothing here is near 2 GiB.
+// Returns the checksum of `bytes` appended to other bytes whose checksum is `previous`. `bytes` must be
+// shorter than 2 GiB.
+inline std::uint32_t Crc32c(std::string_view bytes, std::uint32_t previous = 0) {
+  // ISA-L takes a mutable pointer, through which it does not write.
   auto* data = reinterpret_cast<unsigned char*>(const_cast<char*>(bytes.data()));
-  return ~crc32_iscsi(data, static_cast<int>(bytes.size()), ~so_far);
+  return ~crc32_iscsi(data, static_cast<int>(bytes.size()), ~previous);
 }
 
 }  // namespace walnutspur::integrity
--- a/src/integrity/digest.cpp
+++ b/src/integrity/digest.cpp
@@ -91,7 +91,7 @@
   return match;
 }
 
-std::optional<Algorithm> Wanted(std::string_view field) {
+std::optional<Algorithm> PreferredAlgorithm(std::string_view field) {
   std::optional<Algorithm> best;
   std::int64_t highest_weight = 0;
   const auto members = ReadDictionary(field);
--- a/src/integrity/digest.h
+++ b/src/integrity/digest.h
@@ -1,5 +1,5 @@
 // Digest fields of HTTP (RFC 9530): Content-Digest, Repr-Digest and their Want-* counterparts. No I/O and no
-// state; safe on any thread.
+// state; safe on any thread. A field that cannot be parsed counts as absent.
 #ifndef WALNUTSPUR_INTEGRITY_DIGEST_H_
 #define WALNUTSPUR_INTEGRITY_DIGEST_H_
 
@@ -10,8 +10,8 @@
 
 namespace walnutspur::integrity {
 
-// Of the registry (RFC 9530, 7.2): the two active algorithms, and crc32c, which is much cheaper and detects
-// corruption but not tampering.
+// The supported algorithms of the registry (RFC 9530, 7.2): the two active ones, and crc32c, which is much
+// cheaper and detects corruption but not tampering.
 enum class Algorithm { kCrc32c, kSha256, kSha512 };
 
 const char* NameOf(Algorithm algorithm);
@@ -23,7 +23,7 @@
   using std::runtime_error::runtime_error;
 };
 
-// The digest of the content as bytes. Throws DigestError.
+// Returns the digest of the content as bytes. Throws DigestError.
 std::string Digest(Algorithm algorithm, std::string_view content);
 
 // The value of a digest field that holds this one digest: "crc32c=:wCyzPA==:".
@@ -39,7 +39,7 @@
 
 // The algorithm that a Want-* field prefers: of the supported ones that with the highest weight, 1 to 10; 0
 // excludes an algorithm (RFC 9530, 4). Nothing if there is none.
-std::optional<Algorithm> Wanted(std::string_view field);
+std::optional<Algorithm> PreferredAlgorithm(std::string_view field);
 
 }  // namespace walnutspur::integrity
 
--- a/src/integrity/fault_attribution.cpp
+++ b/src/integrity/fault_attribution.cpp
@@ -7,9 +7,12 @@
 
 using Readings = std::vector<Reading>;  // of one block, oldest first, never empty
 
-constexpr int kMaxReadings = 8;         // with so many the majority decides
-constexpr int kMinEqualReadings = 2;    // equal mismatches that show corruption at rest
-constexpr int kMinVaryingReadings = 3;  // different mismatches that show faulty memory
+// Readings after which the majority decides.
+constexpr int kMaxReadings = 8;
+// Equal mismatches that show persistent corruption.
+constexpr int kMinEqualReadings = 2;
+// Different mismatches that show faulty memory.
+constexpr int kMinVaryingReadings = 3;
 
 int CountOf(const Readings& readings) { return static_cast<int>(readings.size()); }
 
@@ -28,7 +31,7 @@
   return attribution;
 }
 
-// The last reading matches, so the block is intact and the mismatches before it were not at rest.
+// The last reading matches, so the block is intact on storage and the mismatches before it were transient.
 FaultAttribution AttributeTransientFault(const Readings& readings, int paths) {
   const bool was_stale = std::all_of(readings.begin(), readings.end() - 1, [](const Reading& reading) {
     return reading.mismatch == MismatchKind::kPreviousContent;
@@ -53,7 +56,7 @@
   return attribution;
 }
 
-Fault FaultAtRest(MismatchKind mismatch) {
+Fault PersistentFault(MismatchKind mismatch) {
   switch (mismatch) {
     case MismatchKind::kPreviousContent:
       return Fault::kLostWrite;
@@ -62,7 +65,7 @@
     case MismatchKind::kTagsUnreadable:
       return Fault::kTags;
     case MismatchKind::kUnrecognized:
-    case MismatchKind::kRecordDamaged:
+    case MismatchKind::kRecordCorrupt:
       break;
   }
   return Fault::kAtRest;
@@ -77,14 +80,14 @@
   });
   const bool on_every_path = static_cast<int>(PathsOfReadings(readings).size()) >= paths;
   if (equal >= kMinEqualReadings && equal == count && on_every_path) {
-    FaultAttribution attribution = Attribute(FaultAtRest(last.mismatch), readings);
+    FaultAttribution attribution = Attribute(PersistentFault(last.mismatch), readings);
     attribution.owner_block = last.owner_block;
     return attribution;
   }
   if (count >= kMaxReadings) {
     return Attribute(2 * equal > count ? Fault::kAtRest : Fault::kMemory, readings);
   }
-  // Content at rest would not differ on each reading.
+  // Persistent corruption would give the same content on each reading.
   const bool varies = equal == 1 && count >= std::max(kMinVaryingReadings, paths + 1);
   if (varies && on_every_path) {
     return Attribute(Fault::kMemory, readings);
@@ -97,8 +100,8 @@
   if (readings.back().good) {
     return AttributeTransientFault(readings, paths);
   }
-  // The volume has confirmed damaged records by itself.
-  if (readings.back().mismatch == MismatchKind::kRecordDamaged) {
+  // The replay of the journal has confirmed corrupt records already.
+  if (readings.back().mismatch == MismatchKind::kRecordCorrupt) {
     return Attribute(Fault::kRecord, readings);
   }
   return AttributePersistentFault(readings, paths);
--- a/src/integrity/fault_attribution.h
+++ b/src/integrity/fault_attribution.h
@@ -1,13 +1,13 @@
-// Attribution of a mismatch to the component at fault: a path, the target's memory, its storage, or a write
-// that was lost, misdirected or overtaken by a stale read. No I/O and no clock.
+// Attribution of a mismatch to the component at fault: a path, the target's memory or its storage, or to a
+// write that was lost or misdirected, or to a stale read. No I/O and no clock: the caller passes the time.
 //
 // A mismatch opens an investigation of its block. Each further reading of the block adds evidence until a
 // fault can be attributed, which closes the investigation:
 //
 //   matches on another reading, previous content before    a stale read
 //   matches on another path                                the path that did not match
-//   matches on the same and only path                      memory or path; counting tells them apart
-//   the same mismatch on every path, twice                 at rest, lost or misdirected, by its content
+//   matches on the same and only path                      memory
+//   the same mismatch on every path, twice                 persistent, lost or misdirected, by its content
 //   a different mismatch each time                         memory, or the path if others match
 //
 // Owned by checksummed::CorruptionTracker; used on its thread only.
@@ -27,7 +27,8 @@
 
 namespace walnutspur::integrity {
 
-// The order is that of the corruption log's file.
+// The component or operation at fault. The order is that of the corruption log's file: new values are
+// appended.
 enum class Fault { kPath, kMemory, kAtRest, kLostWrite, kMisdirectedWrite, kStaleRead, kTags, kRecord };
 constexpr int kFaultCount = 8;
 // As operators read it in log events and in the corruption log.
@@ -54,19 +55,20 @@
   Fault fault = Fault::kAtRest;
   int path = -1;                  // kPath: the path at fault
   std::uint64_t owner_block = 0;  // kMisdirectedWrite: the block whose content was read
-  int readings = 0;               // that it rests on
+  int readings = 0;               // on which it is based
 };
 
 class CorruptionInvestigations {
  public:
-  // `max_open` bounds the open investigations; beyond, the oldest is closed without an attribution.
+  // `max_open` bounds the open investigations; when it is exceeded, the oldest is closed without an
+  // attribution.
   explicit CorruptionInvestigations(std::size_t max_open = 4096) : max_open_(max_open) {}
 
-  // Adds a reading of a block on a target with so many paths. A good reading of a block that is not under
+  // Adds a reading of a block on a target that has `paths` paths. A good reading of a block that is not under
   // investigation has no effect.
   std::optional<FaultAttribution> AddReading(const BlockLocation& location, int paths, const Reading& reading,
                                              Time now);
-  // The block was written: earlier readings are no evidence any more.
+  // Closes the investigation of a block that was written: earlier readings are no longer evidence.
   void Forget(const BlockLocation& location) { open_.erase(location); }
   std::size_t open_count() const { return open_.size(); }
   bool IsOpen(const BlockLocation& location) const { return open_.contains(location); }
--- a/src/integrity/format.cpp
+++ b/src/integrity/format.cpp
@@ -9,6 +9,7 @@
 namespace walnutspur::integrity {
 namespace {
 
+// Blocks that the smallest export has beside its journal; for the error message.
 constexpr std::uint64_t kMinBlocksBesideJournal = 16;
 
 void AddWrite(std::vector<IoRequest>* plan, std::uint64_t offset, std::string data, bool fua) {
@@ -37,17 +38,17 @@
                                   std::uint32_t max_io_bytes) {
   const auto geometry = FitGeometry(size, journal);
   if (!geometry) {
-    const std::uint64_t least = std::max(journal, kMinJournalBytes) + kMinBlocksBesideJournal * kBlockBytes;
+    const std::uint64_t min_size =
+        std::max(journal, kMinJournalBytes) + kMinBlocksBesideJournal * kBlockBytes;
     throw FormatError("an export of " + std::to_string(size) +
-                      " bytes has no room for tags and a journal; allowed are " + std::to_string(least) +
+                      " bytes has no room for tags and a journal; allowed are " + std::to_string(min_size) +
                       " bytes or more");
   }
   std::vector<IoRequest> plan;
-  // Old superblocks are erased first, so that a format that is interrupted leaves no export that looks valid.
   AddWrite(&plan, geometry->superblock_offset, std::string(kSuperblockCopies * kBlockBytes, '\0'), true);
   for (std::uint64_t at = geometry->tags_offset; at < geometry->journal_offset; at += max_io_bytes) {
-    const std::uint64_t part = std::min<std::uint64_t>(max_io_bytes, geometry->journal_offset - at);
-    AddWrite(&plan, at, std::string(part, '\0'), false);
+    const std::uint64_t length = std::min<std::uint64_t>(max_io_bytes, geometry->journal_offset - at);
+    AddWrite(&plan, at, std::string(length, '\0'), false);
   }
   AddFlush(&plan);
   Superblock superblock;
--- a/src/integrity/format.h
+++ b/src/integrity/format.h
@@ -1,4 +1,5 @@
-// Formatting of an export for checksums: what is written to it, in order. No I/O and no thread.
+// Formatting of an export for checksums: the requests that initialize its reserved region. Used by the
+// operator's command-line tool and by tests; no I/O, safe on any thread.
 #ifndef WALNUTSPUR_INTEGRITY_FORMAT_H_
 #define WALNUTSPUR_INTEGRITY_FORMAT_H_
 
@@ -10,7 +11,8 @@
 
 namespace walnutspur::integrity {
 
-constexpr std::uint32_t kDefaultMaxIoBytes = 1 << 20;  // of one storage request
+// Bytes of the largest storage request, unless configured otherwise.
+constexpr std::uint32_t kDefaultMaxIoBytes = 1 << 20;
 
 // An export that cannot be formatted; what() is one line for the operator.
 class FormatError : public std::runtime_error {
@@ -18,9 +20,12 @@
   using std::runtime_error::runtime_error;
 };
 
-// The requests that format an export of `size` bytes with a journal of `journal` bytes, each at most
-// `max_io_bytes` long. Each flush must have completed before the next request is sent: the superblock, which
-// comes last, makes the export valid. Throws FormatError if the export is too small.
+// Returns the requests that format an export of `size` bytes with a journal of `journal` bytes, each at most
+// `max_io_bytes` long, in order. Throws FormatError if the export is too small.
+//
+// Failure: formatting is interrupted and leaves an export that looks valid, with old tags or records. The old
+// superblocks are erased first and the new one is written last; each flush must have completed before the
+// next request is sent.
 std::vector<IoRequest> FormatPlan(std::uint64_t size, std::uint64_t journal, std::uint64_t export_id,
                                   std::uint32_t max_io_bytes = kDefaultMaxIoBytes);
 
--- a/src/integrity/io_queue.h
+++ b/src/integrity/io_queue.h
@@ -1,6 +1,6 @@
 // Storage requests of one volume: those that its owner has not collected yet and those in flight.
 //
-// Owned by VolumeState; used on the thread of the volume's owner.
+// Owned by VolumeContext; used on the thread of the volume's owner.
 #ifndef WALNUTSPUR_INTEGRITY_IO_QUEUE_H_
 #define WALNUTSPUR_INTEGRITY_IO_QUEUE_H_
 
@@ -14,7 +14,7 @@
 
 namespace walnutspur::integrity {
 
-// What the volume remembers of a request in flight; the data is the owner's.
+// The volume's record of a request in flight, without its data, which the owner has.
 struct PendingIo {
   IoKind kind = IoKind::kRead;
   IoPurpose purpose = IoPurpose::kData;
@@ -22,20 +22,20 @@
   std::uint64_t offset = 0;  // bytes
   std::uint32_t length = 0;  // bytes
   // Of a journal write: the sequence number of its record. Of a flush: the last record that was acknowledged
-  // when the flush was issued, all up to which it makes durable.
+  // when the flush was issued; it makes all records up to this one durable.
   std::uint64_t record_sequence = 0;
 };
 
 class IoQueue {
  public:
-  // Assigns the request's id and hands it to the owner with the next TakeRequests.
+  // Assigns the request's id; the next TakeRequests passes it to the owner.
   void Issue(IoRequest request, std::uint64_t record_sequence = 0);
   void IssueRead(IoPurpose purpose, CommandId command, std::uint64_t offset, std::uint32_t length);
   void IssueFlush(CommandId command, std::uint64_t acknowledged_sequence);
 
   // Removes a request that has ended; nothing if it is unknown.
   std::optional<PendingIo> Complete(IoId id);
-  // Forgets all requests in flight: their completions will be ignored.
+  // Removes all requests in flight: their completions are ignored.
   void ForgetPending() { pending_.clear(); }
 
   std::vector<IoRequest> TakeRequests();
--- a/src/integrity/journal.cpp
+++ b/src/integrity/journal.cpp
@@ -47,8 +47,8 @@
 
 // Fills the ring up to its end with a record without blocks.
 void Journal::AppendFiller() {
-  const std::uint64_t rest = superblock_->geometry.journal_size - head_offset_;
-  JournalRecord& filler = AddRecord(static_cast<std::uint32_t>(rest));
+  const std::uint64_t remaining = superblock_->geometry.journal_size - head_offset_;
+  JournalRecord& filler = AddRecord(static_cast<std::uint32_t>(remaining));
   WriteRecord(filler, HeaderOf(filler), {});
   last_first_block_ = 0;
   last_block_count_ = 0;
@@ -107,8 +107,8 @@
     record->state = record->write_failed ? JournalRecord::State::kVoid : JournalRecord::State::kWritten;
     return std::nullopt;
   }
-  // A void record that fails as well waits for the next checkpoint: a target that has failed twice is
-  // probably down.
+  // A void record that fails as well is retried with the next checkpoint, not at once: a target that has
+  // failed twice is probably down. Until then no later record is acknowledged.
   if (std::exchange(record->write_failed, true)) {
     return std::nullopt;
   }
--- a/src/integrity/journal.h
+++ b/src/integrity/journal.h
@@ -1,11 +1,21 @@
-// The journal of one volume: a ring in which every write is recorded before it is acknowledged. Appends
-// records, tracks which of them are written, acknowledged and durable, and frees them after a checkpoint.
+// The journal of one volume: a ring buffer on the target in which every write is recorded before it is
+// acknowledged. Appends records, tracks which of them are written, acknowledged and durable, and frees them
+// after a checkpoint. CommandExecutor appends and acknowledges, Checkpointer frees.
 //
-// Records are acknowledged in order only, since a replay ends at the first one that is missing. A record
-// whose write failed may or may not be in the ring, so a void record replaces it before later ones are
-// acknowledged.
+// Failures and their guards:
+// - The process crashes with records in flight, which the target executes in any order. A replay ends at the
+// first
+//   record that is missing, so a record after it would disappear although its write was acknowledged. Records
+//   are therefore acknowledged in order of their sequence numbers only.
+// - The write of a record fails with an unknown result: the record may be in the ring or not, and its command
+// was
+//   reported as failed. Were later records acknowledged, a replay would end before them or execute the failed
+//   command. A void record, without blocks, is written in its place and has to complete first.
+// - A record that was durable is corrupt when it is replayed, which looks like a record cut off by a crash.
+// Each
+//   header says up to which record the journal was durable (JournalReplay uses it).
 //
-// Owned by VolumeState; used on the thread of the volume's owner.
+// Owned by VolumeContext; used on the thread of the volume's owner.
 #ifndef WALNUTSPUR_INTEGRITY_JOURNAL_H_
 #define WALNUTSPUR_INTEGRITY_JOURNAL_H_
 
@@ -32,25 +42,26 @@
 
 class Journal {
  public:
-  // `durable_records`: each record is written durably by itself, for targets whose flush covers one
-  // connection only.
+  // The pointers must outlive the journal. `durable_records`: each record is written with FUA, for targets
+  // whose flush covers one connection only.
   Journal(const Superblock* superblock, IoQueue* io_queue, bool durable_records)
       : superblock_(superblock), io_queue_(io_queue), durable_records_(durable_records) {}
 
-  // Continues after what the replay found.
+  // Continues after the records that the replay returned.
   void Resume(const ReplayedJournal& replayed);
 
   bool HasSpaceFor(std::uint32_t size) const;
-  // Writes a record, which there must be space for, and a filler before it where the ring's end is too small.
+  // Writes a record, which there must be space for. If it does not fit before the end of the ring, a filler
+  // takes the remaining space and the record goes to the start.
   void Append(RecordContent content);
 
-  // Takes the end of a record's write. The command of a record that failed just now, which is not going to be
-  // acknowledged any more.
+  // The write of a record has ended. Returns the command of a record whose write failed for the first time;
+  // it is not going to be acknowledged.
   std::optional<CommandId> OnWritten(std::uint64_t sequence, IoStatus status);
-  // Acknowledges the next record if its write has ended; null if there is none. Valid until the next Append
-  // or Release.
+  // Acknowledges the next record in order if its write has ended, and returns it; null if there is none.
+  // Valid until the next Append or Release.
   JournalRecord* AcknowledgeNext();
-  // Writes void records again that have failed as well.
+  // Retries void records whose write failed as well.
   void RetryVoidRecords();
 
   // A flush that was issued when this record was the last acknowledged one has completed.
--- a/src/integrity/journal_record.h
+++ b/src/integrity/journal_record.h
@@ -1,7 +1,7 @@
-// Journal records as the volume remembers them until a checkpoint has written their content in place, and the
-// overlay: the content of blocks that is newer in the journal than in place.
+// Journal records in memory, until a checkpoint has written their content in place, and the overlay: the
+// content of blocks that is newer in the journal than in place.
 //
-// The overlay is owned by VolumeState; used on the thread of the volume's owner.
+// The overlay is owned by VolumeContext; used on the thread of the volume's owner.
 #ifndef WALNUTSPUR_INTEGRITY_JOURNAL_RECORD_H_
 #define WALNUTSPUR_INTEGRITY_JOURNAL_RECORD_H_
 
@@ -17,7 +17,7 @@
 
 namespace walnutspur::integrity {
 
-// One content of a block that is in the journal and not in place.
+// A version of a block's content that is in the journal and not in place.
 struct BlockVersion {
   std::uint64_t sequence = 0;  // of its record
   Tag tag;
@@ -28,7 +28,7 @@
   enum class State {
     kWriting,
     kWritten,
-    kVoid  // replaced by a record without blocks, or found damaged by the replay
+    kVoid  // replaced by a record without blocks, or corrupt according to the replay
   };
   std::uint64_t sequence = 0;
   std::uint64_t offset = 0;  // bytes from the start of the journal
@@ -48,9 +48,9 @@
   // The newest version of a block; null if the block is up to date in place.
   const BlockVersion* Newest(std::uint64_t block) const;
   void Add(std::uint64_t block, BlockVersion version) { versions_[block].push_back(std::move(version)); }
-  // Forgets all versions of a block whose newest content is lost.
+  // Removes all versions of a block whose newest content is unrecoverable.
   void Erase(std::uint64_t block) { versions_.erase(block); }
-  // Forgets the versions of a block, which must have one, up to this record: they are in place now.
+  // Removes the versions of a block up to this record, since they are in place now. The block must have one.
   void EraseUpTo(std::uint64_t block, std::uint64_t sequence);
 
   const std::unordered_map<std::uint64_t, Versions>& blocks() const { return versions_; }
--- a/src/integrity/journal_replay.cpp
+++ b/src/integrity/journal_replay.cpp
@@ -29,12 +29,12 @@
   if (!successor) {
     return false;
   }
-  SkipDamaged(header, *successor);
+  SkipCorruptRecord(header, *successor);
   return replayed_.error.empty();
 }
 
-// The header of the record that is due; nothing if it is damaged or there is none. A record of an earlier
-// epoch than its predecessor's was discarded by an earlier replay.
+// The header of the record that is due; nothing if it is corrupt, belongs to a record that an earlier replay
+// discarded, or does not fit the volume.
 std::optional<RecordHeader> JournalReplay::NextHeader() const {
   auto header = DecodeRecordHeader(journal_.substr(offset_), superblock_.export_id);
   if (!header) {
@@ -50,11 +50,12 @@
   return header;
 }
 
-// Replaces a record that was durable and is damaged by a void one, and marks the blocks that it changed. If
-// its header is lost, its successor's names the blocks.
-void JournalReplay::SkipDamaged(const std::optional<RecordHeader>& header, const FoundRecord& successor) {
+// Replaces a corrupt record that was durable by a void one, and marks the blocks that it changed. If its
+// header is corrupt, its successor's names the blocks.
+void JournalReplay::SkipCorruptRecord(const std::optional<RecordHeader>& header,
+                                      const FoundRecord& successor) {
   if (header) {
-    MarkDamaged(header->first_block, header->blocks.size());
+    MarkUnrecoverable(header->first_block, header->blocks.size());
     AddRecord(*header, false);
     return;
   }
@@ -65,15 +66,15 @@
     return;
   }
   const std::uint64_t end = successor.offset > offset_ ? successor.offset : journal_.size();
-  RecordHeader damaged;
-  damaged.sequence = sequence_;
-  damaged.size = static_cast<std::uint32_t>(end - offset_);
-  MarkDamaged(successor.header.previous_first_block, successor.header.previous_block_count);
-  AddRecord(damaged, false);
+  RecordHeader void_record;
+  void_record.sequence = sequence_;
+  void_record.size = static_cast<std::uint32_t>(end - offset_);
+  MarkUnrecoverable(successor.header.previous_first_block, successor.header.previous_block_count);
+  AddRecord(void_record, false);
 }
 
-// The earliest later record that was written after the one that is due had become durable: proof that the
-// latter is damaged and not merely cut off by a crash.
+// The earliest later record whose header names the due record as durable: proof that the due record is
+// corrupt and was not cut off by a crash.
 std::optional<JournalReplay::FoundRecord> JournalReplay::FindProofOfDurability() const {
   std::optional<FoundRecord> earliest;
   for (std::uint64_t at = 0; at + kSectorBytes <= journal_.size(); at += kSectorBytes) {
@@ -89,11 +90,11 @@
   return earliest;
 }
 
-void JournalReplay::MarkDamaged(std::uint64_t first_block, std::uint64_t count) {
+void JournalReplay::MarkUnrecoverable(std::uint64_t first_block, std::uint64_t count) {
   const std::uint64_t end = first_block + count;
   for (std::uint64_t block = first_block; block < end && block < superblock_.geometry.blocks; ++block) {
     replayed_.overlay.Erase(block);
-    replayed_.damaged_blocks.insert(block);
+    replayed_.unrecoverable_blocks.insert(block);
   }
 }
 
@@ -114,7 +115,7 @@
       version.data = Own(std::string(RecordBlockData(header, bytes, i)));
     }
     replayed_.overlay.Add(header.first_block + i, std::move(version));
-    replayed_.damaged_blocks.erase(header.first_block + i);
+    replayed_.unrecoverable_blocks.erase(header.first_block + i);
   }
   replayed_.last_first_block = header.first_block;
   replayed_.last_block_count = static_cast<std::uint16_t>(header.blocks.size());
--- a/src/integrity/journal_replay.h
+++ b/src/integrity/journal_replay.h
@@ -1,6 +1,19 @@
 // Replay of the journal when an export is attached: which records are valid, where the journal ends, and
-// which blocks have lost their newest content because a durable record is damaged. No I/O: it works on the
-// bytes of the whole journal. Used on the thread of the volume's owner.
+// which blocks are unrecoverable because a durable record is corrupt. No I/O: works on the bytes of the
+// complete journal. Called by Volume, on the thread of its owner.
+//
+// The replay follows sequence numbers from the tail. Failures and their guards:
+// - A crash cut a record off, or reordered writes left it out. It was not acknowledged, nor was any after it
+//   (journal.h): the replay ends before it and its space is reused.
+// - An earlier replay discarded a record, whose bytes are still in the ring, and a later process reused its
+//   sequence number. It would restore old content. Epochs never decrease along the journal, and the tail has
+//   one as well (Superblock::tail_epoch): a record of an earlier epoch than its predecessor's is not
+//   replayed.
+// - A record that was durable is corrupt. To end there would silently restore old content of acknowledged
+// writes.
+//   A later record whose header names the corrupt one as durable proves that no crash cut it off: its blocks
+//   are reported as unrecoverable and the replay goes on. If its own header is corrupt, the next header names
+//   its blocks; if that is corrupt too, the replay fails rather than guess which blocks are concerned.
 #ifndef WALNUTSPUR_INTEGRITY_JOURNAL_REPLAY_H_
 #define WALNUTSPUR_INTEGRITY_JOURNAL_REPLAY_H_
 
@@ -16,23 +29,24 @@
 
 namespace walnutspur::integrity {
 
-// The journal as it was found.
+// The result of a replay.
 struct ReplayedJournal {
   std::deque<JournalRecord> records;  // by sequence number, without gaps
   JournalOverlay overlay;
-  std::set<std::uint64_t> damaged_blocks;  // whose newest content was in a damaged record
-  std::uint64_t head_offset = 0;           // where the next record goes, bytes from the start of the journal
+  std::set<std::uint64_t> unrecoverable_blocks;  // whose newest content was in a corrupt record
+  std::uint64_t head_offset = 0;  // where the next record goes, bytes from the start of the journal
   std::uint64_t next_sequence = 1;
   std::uint64_t used_bytes = 0;
   std::uint64_t last_first_block = 0;  // of the last record
   std::uint16_t last_block_count = 0;
-  // One line if the journal cannot be replayed; the other members then hold what came before the damage.
+  // One line if the journal cannot be replayed; the other members then describe the records before the
+  // corrupt one.
   std::string error;
 };
 
 class JournalReplay {
  public:
-  // Both must outlive the replay; `journal` is the whole ring.
+  // Both must outlive the replay; `journal` is the complete ring.
   JournalReplay(const Superblock& superblock, std::string_view journal)
       : superblock_(superblock), journal_(journal) {}
 
@@ -46,9 +60,9 @@
 
   bool ReplayNext();
   std::optional<RecordHeader> NextHeader() const;
-  void SkipDamaged(const std::optional<RecordHeader>& header, const FoundRecord& successor);
+  void SkipCorruptRecord(const std::optional<RecordHeader>& header, const FoundRecord& successor);
   std::optional<FoundRecord> FindProofOfDurability() const;
-  void MarkDamaged(std::uint64_t first_block, std::uint64_t count);
+  void MarkUnrecoverable(std::uint64_t first_block, std::uint64_t count);
   void AddRecord(const RecordHeader& header, bool is_valid);
 
   const Superblock& superblock_;
--- a/src/integrity/layout.cpp
+++ b/src/integrity/layout.cpp
@@ -15,73 +15,124 @@
 constexpr std::string_view kRecordMagic = "WSPRREC1";
 constexpr std::size_t kChecksumBytes = 4;
 
-// Offsets of the fields, in bytes. Each structure begins with its magic.
-namespace superblock_field {
-constexpr std::size_t kVersion = 8;
-constexpr std::size_t kBlockBytes = 12;
-constexpr std::size_t kExportId = 16;
-constexpr std::size_t kBlocks = 24;
-constexpr std::size_t kJournalSize = 32;
-constexpr std::size_t kSuperblockOffset = 40;
-constexpr std::size_t kEpoch = 48;
-constexpr std::size_t kSequence = 56;
-constexpr std::size_t kTailOffset = 64;
-constexpr std::size_t kTailSequence = 72;
-constexpr std::size_t kTailEpoch = 80;
-constexpr std::size_t kChecksum = kSectorBytes - kChecksumBytes;  // of all bytes before it
-}  // namespace superblock_field
-
-namespace tag_field {
-constexpr std::size_t kExportId = 8;
-constexpr std::size_t kIndex = 16;
-constexpr std::size_t kVersion = 24;
-constexpr std::size_t kChecksum = 32;
-}  // namespace tag_field
-
-namespace record_field {
-constexpr std::size_t kExportId = 8;
-constexpr std::size_t kSequence = 16;
-constexpr std::size_t kEpoch = 24;
-constexpr std::size_t kDurableSequence = 32;
-constexpr std::size_t kFirstBlock = 40;
-constexpr std::size_t kSize = 48;
-constexpr std::size_t kBlockCount = 52;
-constexpr std::size_t kHasData = 54;
-constexpr std::size_t kChecksum = 56;
-constexpr std::size_t kPreviousBlockCount = 60;
-constexpr std::size_t kPreviousFirstBlock = 64;
-constexpr std::size_t kBlocks = 72;
-constexpr std::size_t kBytesPerBlock = 8;  // generation and sum
-}  // namespace record_field
-
-template <typename T>
-void Put(std::string* out, std::size_t offset, T value) {
-  StoreLittleEndian(value, out->data() + offset);
+// Offsets, in bytes, of the fields that are read or written outside the field lists below. Each structure
+// begins with its magic, of 8 bytes.
+constexpr std::size_t kSuperblockVersionOffset = 8;
+constexpr std::size_t kSuperblockBlockBytesOffset = 12;
+constexpr std::size_t kSuperblockChecksumOffset = kSectorBytes - kChecksumBytes;  // of all bytes before it
+constexpr std::size_t kExportIdOffset = 8;  // in tag blocks and in journal records
+constexpr std::size_t kTagIndexOffset = 16;
+constexpr std::size_t kTagVersionOffset = 24;
+constexpr std::size_t kTagChecksumOffset = 32;
+constexpr std::size_t kRecordBlockCountOffset = 52;
+constexpr std::size_t kRecordHasDataOffset = 54;
+constexpr std::size_t kRecordChecksumOffset = 56;
+constexpr std::size_t kRecordBlocksOffset = 72;  // where the list of blocks begins
+constexpr std::size_t kRecordBytesPerBlock = 8;  // of the list of blocks
+
+// Writes fields into a buffer, at offsets in bytes.
+class FieldWriter {
+ public:
+  explicit FieldWriter(std::string* out) : out_(*out) {}
+  template <typename T>
+  void operator()(std::size_t offset, T value) const {
+    StoreLittleEndian(value, out_.data() + offset);
+  }
+
+ private:
+  std::string& out_;
+};
+
+// Reads fields from a buffer that has them all.
+class FieldReader {
+ public:
+  explicit FieldReader(std::string_view bytes) : bytes_(bytes) {}
+  template <typename T>
+  void operator()(std::size_t offset, T& field) const {
+    field = Get<T>(offset);
+  }
+  template <typename T>
+  T Get(std::size_t offset) const {
+    return LoadLittleEndian<T>(bytes_.substr(offset, sizeof(T)));
+  }
+
+ private:
+  std::string_view bytes_;
+};
+
+// The field lists of the stored structures: each calls `visit` with the offset of every field and the field
+// itself. Encoding and decoding go by the same list, so that they cannot differ.
+
+template <typename SuperblockType, typename Visitor>
+void VisitSuperblock(SuperblockType& superblock, const Visitor& visit) {
+  visit(kSuperblockVersionOffset, superblock.version);
+  visit(16, superblock.export_id);
+  visit(24, superblock.geometry.blocks);
+  visit(32, superblock.geometry.journal_size);
+  visit(40, superblock.geometry.superblock_offset);
+  visit(48, superblock.epoch);
+  visit(56, superblock.sequence);
+  visit(64, superblock.tail_offset);
+  visit(72, superblock.tail_sequence);
+  visit(80, superblock.tail_epoch);
 }
 
-template <typename T>
-T Get(std::string_view in, std::size_t offset) {
-  return LoadLittleEndian<T>(in.substr(offset, sizeof(T)));
+template <typename TagBlockType, typename Visitor>
+void VisitTagBlock(TagBlockType& tag_block, const Visitor& visit) {
+  visit(kTagIndexOffset, tag_block.index);
+  visit(kTagVersionOffset, tag_block.version);
+  std::size_t offset = kTagHeaderBytes;
+  for (auto& tag : tag_block.tags) {
+    visit(offset, tag.generation);
+    visit(offset + 4, tag.sum);
+    visit(offset + 8, tag.previous_sum);
+    offset += kTagBytes;
+  }
+}
+
+// All fields but `has_data` and the number of `blocks`, which must be set before the blocks are visited.
+template <typename RecordHeaderType, typename Visitor>
+void VisitRecordHeader(RecordHeaderType& header, const Visitor& visit) {
+  visit(16, header.sequence);
+  visit(24, header.epoch);
+  visit(32, header.durable_sequence);
+  visit(40, header.first_block);
+  visit(48, header.size);
+  visit(60, header.previous_block_count);
+  visit(64, header.previous_first_block);
+  std::size_t offset = kRecordBlocksOffset;
+  for (auto& block : header.blocks) {
+    visit(offset, block.generation);
+    visit(offset + 4, block.sum);
+    offset += kRecordBytesPerBlock;
+  }
+}
+
+// A buffer of zeros that begins with the magic of its structure.
+std::string BufferWithMagic(std::size_t size, std::string_view magic) {
+  std::string out(size, '\0');
+  out.replace(0, magic.size(), magic);
+  return out;
 }
 
 bool IsAllZero(std::string_view bytes) {
   return std::all_of(bytes.begin(), bytes.end(), [](char byte) { return byte == 0; });
 }
 
-// Over the tag block but for its checksum and the spare bytes of its header.
+// Covers the tag block except its checksum and the spare bytes of its header.
 std::uint32_t TagBlockChecksum(std::string_view bytes) {
-  return Crc32c(bytes.substr(kTagHeaderBytes), Crc32c(bytes.substr(0, tag_field::kChecksum)));
+  return Crc32c(bytes.substr(kTagHeaderBytes), Crc32c(bytes.substr(0, kTagChecksumOffset)));
 }
 
-// Over the record's header but for its checksum.
+// Covers the record's header except its checksum.
 std::uint32_t RecordChecksum(std::string_view header) {
-  return Crc32c(header.substr(record_field::kChecksum + kChecksumBytes),
-                Crc32c(header.substr(0, record_field::kChecksum)));
+  return Crc32c(header.substr(kRecordChecksumOffset + kChecksumBytes),
+                Crc32c(header.substr(0, kRecordChecksumOffset)));
 }
 
 // Bytes of a record's header: complete sectors.
 std::size_t RecordHeaderSize(std::size_t blocks) {
-  const std::size_t bytes = record_field::kBlocks + record_field::kBytesPerBlock * blocks;
+  const std::size_t bytes = kRecordBlocksOffset + kRecordBytesPerBlock * blocks;
   return (bytes + kSectorBytes - 1) / kSectorBytes * kSectorBytes;
 }
 
@@ -130,48 +181,38 @@
 
 // ---- superblock ----
 
-// All fields lie in one sector, so that a superblock is written atomically.
+// Failure: a crash while the superblock is written. All fields lie in one sector, which the target writes
+// atomically, so that this copy is either the old or the new one; the other copy is not touched.
 std::string Encode(const Superblock& superblock) {
-  namespace field = superblock_field;
-  std::string out(kBlockBytes, '\0');
-  out.replace(0, kSuperblockMagic.size(), kSuperblockMagic);
-  Put(&out, field::kVersion, superblock.version);
-  Put(&out, field::kBlockBytes, kBlockBytes);
-  Put(&out, field::kExportId, superblock.export_id);
-  Put(&out, field::kBlocks, superblock.geometry.blocks);
-  Put(&out, field::kJournalSize, superblock.geometry.journal_size);
-  Put(&out, field::kSuperblockOffset, superblock.geometry.superblock_offset);
-  Put(&out, field::kEpoch, superblock.epoch);
-  Put(&out, field::kSequence, superblock.sequence);
-  Put(&out, field::kTailOffset, superblock.tail_offset);
-  Put(&out, field::kTailSequence, superblock.tail_sequence);
-  Put(&out, field::kTailEpoch, superblock.tail_epoch);
-  Put(&out, field::kChecksum, Crc32c(std::string_view{out}.substr(0, field::kChecksum)));
+  std::string out = BufferWithMagic(kBlockBytes, kSuperblockMagic);
+  const FieldWriter write(&out);
+  VisitSuperblock(superblock, write);
+  write(kSuperblockBlockBytesOffset, kBlockBytes);
+  write(kSuperblockChecksumOffset, Crc32c(std::string_view{out}.substr(0, kSuperblockChecksumOffset)));
   return out;
 }
 
 namespace {
 
-// `bytes` have a superblock's magic, checksum and version. Nothing if its geometry is not the one that an
-// export of this size has: nothing is read or written by stored offsets alone.
+// Decodes bytes that have a superblock's magic, checksum and a known version. Nothing if the stored geometry
+// is not that of an export of this size.
+//
+// Failure: the export was resized or its superblock copied from another one, so that the stored offsets point
+// to other data. The geometry is computed from the size of the export and only compared with the stored one,
+// so that stored offsets alone never direct a read or a write.
 std::optional<Superblock> DecodeFields(std::string_view bytes, std::uint64_t size) {
-  namespace field = superblock_field;
+  const FieldReader read(bytes);
   Superblock superblock;
-  superblock.version = Get<std::uint16_t>(bytes, field::kVersion);
-  superblock.export_id = Get<std::uint64_t>(bytes, field::kExportId);
-  superblock.epoch = Get<std::uint64_t>(bytes, field::kEpoch);
-  superblock.sequence = Get<std::uint64_t>(bytes, field::kSequence);
-  superblock.tail_offset = Get<std::uint64_t>(bytes, field::kTailOffset);
-  superblock.tail_sequence = Get<std::uint64_t>(bytes, field::kTailSequence);
-  superblock.tail_epoch = Get<std::uint64_t>(bytes, field::kTailEpoch);
-  const auto journal = Get<std::uint64_t>(bytes, field::kJournalSize);
-  const auto geometry = FitGeometry(size, journal);
-  const bool matches = geometry && Get<std::uint32_t>(bytes, field::kBlockBytes) == kBlockBytes &&
-                       geometry->blocks == Get<std::uint64_t>(bytes, field::kBlocks) &&
-                       geometry->superblock_offset == Get<std::uint64_t>(bytes, field::kSuperblockOffset) &&
-                       geometry->journal_size == journal;
-  if (!matches || superblock.tail_offset >= journal || superblock.tail_offset % kSectorBytes != 0 ||
-      superblock.tail_sequence == 0) {
+  VisitSuperblock(superblock, read);
+  const Geometry stored = superblock.geometry;
+  const auto geometry = FitGeometry(size, stored.journal_size);
+  const bool matches = geometry && read.Get<std::uint32_t>(kSuperblockBlockBytesOffset) == kBlockBytes &&
+                       geometry->blocks == stored.blocks &&
+                       geometry->superblock_offset == stored.superblock_offset &&
+                       geometry->journal_size == stored.journal_size;
+  const bool has_valid_tail = superblock.tail_offset < stored.journal_size &&
+                              superblock.tail_offset % kSectorBytes == 0 && superblock.tail_sequence != 0;
+  if (!matches || !has_valid_tail) {
     return std::nullopt;
   }
   superblock.geometry = *geometry;
@@ -181,17 +222,18 @@
 }  // namespace
 
 DecodedSuperblock DecodeSuperblock(std::string_view bytes, std::uint64_t size) {
-  namespace field = superblock_field;
   if (bytes.size() < kSectorBytes || IsAllZero(bytes.substr(0, kSectorBytes))) {
     return Rejected(SuperblockState::kMissing, "there is no superblock: the export is not formatted");
   }
   if (bytes.substr(0, kSuperblockMagic.size()) != kSuperblockMagic) {
     return Rejected(SuperblockState::kForeign, "where the superblock should be there is something else");
   }
-  if (Get<std::uint32_t>(bytes, field::kChecksum) != Crc32c(bytes.substr(0, field::kChecksum))) {
-    return Rejected(SuperblockState::kDamaged, "the superblock's checksum does not fit");
+  const FieldReader read(bytes);
+  if (read.Get<std::uint32_t>(kSuperblockChecksumOffset) !=
+      Crc32c(bytes.substr(0, kSuperblockChecksumOffset))) {
+    return Rejected(SuperblockState::kCorrupt, "the superblock's checksum does not fit");
   }
-  const auto version = Get<std::uint16_t>(bytes, field::kVersion);
+  const auto version = read.Get<std::uint16_t>(kSuperblockVersionOffset);
   if (version > kLayoutVersion) {
     return Rejected(SuperblockState::kNewer, "the superblock is of version " + std::to_string(version) +
                                                  "; known are versions up to " +
@@ -207,7 +249,8 @@
 }
 
 DecodedSuperblock ChooseSuperblock(const DecodedSuperblock& a, const DecodedSuperblock& b) {
-  // A newer version may be the one that holds, whatever stands beside it: the export is not touched.
+  // A newer program has written the export, and this copy may be the current one whatever the other contains:
+  // the export is rejected and not changed.
   if (a.state == SuperblockState::kNewer) {
     return a;
   }
@@ -241,20 +284,14 @@
   return Crc32c({salt.data(), salt.size()}, data_sum);
 }
 
-// The checksum covers all tags: a tag block is eight sectors and may be torn.
+// Failure: a tag block is eight sectors, so a crash may leave a torn one, old tags beside new ones. The
+// checksum covers all tags, so that a torn tag block does not decode and the other slot is used.
 std::string Encode(const TagBlock& tag_block, std::uint64_t export_id) {
-  std::string out(kBlockBytes, '\0');
-  out.replace(0, kTagMagic.size(), kTagMagic);
-  Put(&out, tag_field::kExportId, export_id);
-  Put(&out, tag_field::kIndex, tag_block.index);
-  Put(&out, tag_field::kVersion, tag_block.version);
-  for (std::size_t i = 0; i < kTagsPerBlock; ++i) {
-    const std::size_t at = kTagHeaderBytes + i * kTagBytes;
-    Put(&out, at, tag_block.tags[i].generation);
-    Put(&out, at + 4, tag_block.tags[i].sum);
-    Put(&out, at + 8, tag_block.tags[i].previous_sum);
-  }
-  Put(&out, tag_field::kChecksum, TagBlockChecksum(out));
+  std::string out = BufferWithMagic(kBlockBytes, kTagMagic);
+  const FieldWriter write(&out);
+  write(kExportIdOffset, export_id);
+  VisitTagBlock(tag_block, write);
+  write(kTagChecksumOffset, TagBlockChecksum(out));
   return out;
 }
 
@@ -268,18 +305,14 @@
   if (IsAllZero(bytes)) {
     return tag_block;
   }
+  const FieldReader read(bytes);
   if (bytes.substr(0, kTagMagic.size()) != kTagMagic ||
-      Get<std::uint64_t>(bytes, tag_field::kExportId) != export_id ||
-      Get<std::uint64_t>(bytes, tag_field::kIndex) != index ||
-      Get<std::uint32_t>(bytes, tag_field::kChecksum) != TagBlockChecksum(bytes)) {
+      read.Get<std::uint64_t>(kExportIdOffset) != export_id ||
+      read.Get<std::uint64_t>(kTagIndexOffset) != index ||
+      read.Get<std::uint32_t>(kTagChecksumOffset) != TagBlockChecksum(bytes)) {
     return std::nullopt;
   }
-  tag_block.version = Get<std::uint64_t>(bytes, tag_field::kVersion);
-  for (std::size_t i = 0; i < kTagsPerBlock; ++i) {
-    const std::size_t at = kTagHeaderBytes + i * kTagBytes;
-    tag_block.tags[i] = {Get<std::uint32_t>(bytes, at), Get<std::uint32_t>(bytes, at + 4),
-                         Get<std::uint32_t>(bytes, at + 8)};
-  }
+  VisitTagBlock(tag_block, read);
   return tag_block;
 }
 
@@ -290,66 +323,43 @@
 }
 
 std::string Encode(const RecordHeader& header, std::string_view data, std::uint64_t export_id) {
-  namespace field = record_field;
-  std::string out(RecordHeaderSize(header.blocks.size()), '\0');
-  out.replace(0, kRecordMagic.size(), kRecordMagic);
-  Put(&out, field::kExportId, export_id);
-  Put(&out, field::kSequence, header.sequence);
-  Put(&out, field::kEpoch, header.epoch);
-  Put(&out, field::kDurableSequence, header.durable_sequence);
-  Put(&out, field::kFirstBlock, header.first_block);
-  Put(&out, field::kSize, header.size);
-  Put(&out, field::kBlockCount, static_cast<std::uint16_t>(header.blocks.size()));
-  Put(&out, field::kHasData, static_cast<std::uint16_t>(header.has_data));
-  Put(&out, field::kPreviousBlockCount, header.previous_block_count);
-  Put(&out, field::kPreviousFirstBlock, header.previous_first_block);
-  for (std::size_t i = 0; i < header.blocks.size(); ++i) {
-    const std::size_t at = field::kBlocks + i * field::kBytesPerBlock;
-    Put(&out, at, header.blocks[i].generation);
-    Put(&out, at + 4, header.blocks[i].sum);
-  }
-  Put(&out, field::kChecksum, RecordChecksum(out));
+  std::string out = BufferWithMagic(RecordHeaderSize(header.blocks.size()), kRecordMagic);
+  const FieldWriter write(&out);
+  write(kExportIdOffset, export_id);
+  VisitRecordHeader(header, write);
+  write(kRecordBlockCountOffset, static_cast<std::uint16_t>(header.blocks.size()));
+  write(kRecordHasDataOffset, static_cast<std::uint16_t>(header.has_data));
+  write(kRecordChecksumOffset, RecordChecksum(out));
   out.append(data);
   return out;
 }
 
 namespace {
 
-// `bytes` begin with a valid header.
-RecordHeader DecodeHeaderFields(std::string_view bytes) {
-  namespace field = record_field;
+// `read` is on bytes that begin with a valid header.
+RecordHeader DecodeHeaderFields(const FieldReader& read) {
   RecordHeader header;
-  header.sequence = Get<std::uint64_t>(bytes, field::kSequence);
-  header.epoch = Get<std::uint64_t>(bytes, field::kEpoch);
-  header.durable_sequence = Get<std::uint64_t>(bytes, field::kDurableSequence);
-  header.first_block = Get<std::uint64_t>(bytes, field::kFirstBlock);
-  header.size = Get<std::uint32_t>(bytes, field::kSize);
-  header.has_data = Get<std::uint16_t>(bytes, field::kHasData) != 0;
-  header.previous_block_count = Get<std::uint16_t>(bytes, field::kPreviousBlockCount);
-  header.previous_first_block = Get<std::uint64_t>(bytes, field::kPreviousFirstBlock);
-  const std::size_t count = Get<std::uint16_t>(bytes, field::kBlockCount);
-  for (std::size_t i = 0; i < count; ++i) {
-    const std::size_t at = field::kBlocks + i * field::kBytesPerBlock;
-    header.blocks.push_back({Get<std::uint32_t>(bytes, at), Get<std::uint32_t>(bytes, at + 4)});
-  }
+  header.blocks.resize(read.Get<std::uint16_t>(kRecordBlockCountOffset));
+  header.has_data = read.Get<std::uint16_t>(kRecordHasDataOffset) != 0;
+  VisitRecordHeader(header, read);
   return header;
 }
 
 }  // namespace
 
 std::optional<RecordHeader> DecodeRecordHeader(std::string_view bytes, std::uint64_t export_id) {
-  namespace field = record_field;
+  const FieldReader read(bytes);
   if (bytes.size() < kSectorBytes || bytes.substr(0, kRecordMagic.size()) != kRecordMagic ||
-      Get<std::uint64_t>(bytes, field::kExportId) != export_id) {
+      read.Get<std::uint64_t>(kExportIdOffset) != export_id) {
     return std::nullopt;
   }
-  const std::size_t count = Get<std::uint16_t>(bytes, field::kBlockCount);
+  const std::size_t count = read.Get<std::uint16_t>(kRecordBlockCountOffset);
   const std::size_t header_size = RecordHeaderSize(count);
   if (count > kMaxRecordBlocks || bytes.size() < header_size ||
-      Get<std::uint32_t>(bytes, field::kChecksum) != RecordChecksum(bytes.substr(0, header_size))) {
+      read.Get<std::uint32_t>(kRecordChecksumOffset) != RecordChecksum(bytes.substr(0, header_size))) {
     return std::nullopt;
   }
-  RecordHeader header = DecodeHeaderFields(bytes);
+  RecordHeader header = DecodeHeaderFields(read);
   // Records without blocks may have any size; the size of the others follows from their blocks.
   const bool has_valid_size = count == 0 ? header.size >= kSectorBytes && header.size % kSectorBytes == 0
                                          : header.size == RecordSize(count, header.has_data);
--- a/src/integrity/layout.h
+++ b/src/integrity/layout.h
@@ -3,10 +3,11 @@
 //   | data: N blocks | tags: 2 slots a tag block | journal: a ring of 512-byte sectors | superblock A | B |
 //
 // A tag is the CRC32C of a block's data, the export's id, the block's number and its generation, so that it
-// detects flipped bits as well as lost, misdirected and outdated writes. docs/design/integrity.md weighs this
-// against interleaved tags.
+// detects flipped bits as well as lost, misdirected and stale writes. docs/design/integrity.md compares this
+// layout with its alternatives.
 //
-// Encoding and decoding only: no I/O, no state, safe on any thread. All integers are little-endian.
+// Encoding and decoding only: no I/O, no state, safe on any thread. Decoding never throws: bytes that are not
+// valid give no value, or a state other than kValid. All integers are little-endian.
 #ifndef WALNUTSPUR_INTEGRITY_LAYOUT_H_
 #define WALNUTSPUR_INTEGRITY_LAYOUT_H_
 
@@ -19,17 +20,27 @@
 
 namespace walnutspur::integrity {
 
-constexpr std::uint32_t kBlockBytes = 4096;    // that one tag covers
-constexpr std::uint32_t kSectorBytes = 512;    // that a target writes atomically
-constexpr std::uint16_t kLayoutVersion = 1;    // exports of a newer one are rejected and not changed
-constexpr std::uint32_t kTagBytes = 12;        // generation, sum, previous sum
-constexpr std::uint32_t kTagHeaderBytes = 64;  // of a tag block
-constexpr std::uint32_t kTagsPerBlock = (kBlockBytes - kTagHeaderBytes) / kTagBytes;  // 336
-constexpr std::uint64_t kTagSlotsBytes = std::uint64_t{2} * kBlockBytes;              // of a tag block
-constexpr std::uint64_t kSuperblockCopies = 2;        // kBlockBytes each, written in turn
-constexpr std::uint64_t kMinJournalBytes = 64 << 10;  // a record takes at most half of the journal
+// Bytes of data that one tag covers.
+constexpr std::uint32_t kBlockBytes = 4096;
+// Bytes that a target writes atomically.
+constexpr std::uint32_t kSectorBytes = 512;
+// Version of the stored format. Exports of a newer one are rejected and not changed.
+constexpr std::uint16_t kLayoutVersion = 1;
+// Bytes of a tag: generation, sum and previous sum.
+constexpr std::uint32_t kTagBytes = 12;
+// Bytes of a tag block's header.
+constexpr std::uint32_t kTagHeaderBytes = 64;
+// Tags of a tag block: 336.
+constexpr std::uint32_t kTagsPerBlock = (kBlockBytes - kTagHeaderBytes) / kTagBytes;
+// Bytes of the two slots of a tag block.
+constexpr std::uint64_t kTagSlotsBytes = std::uint64_t{2} * kBlockBytes;
+// Copies of the superblock, kBlockBytes each, written in turn.
+constexpr std::uint64_t kSuperblockCopies = 2;
+// Bytes of the smallest journal. A record takes at most half of the journal.
+constexpr std::uint64_t kMinJournalBytes = 64 << 10;
+// Bytes of the journal unless the configuration sets another size.
 constexpr std::uint64_t kDefaultJournalBytes = 4 << 20;
-// Of one journal record: a command of 1 MiB and the blocks that it covers in part.
+// Blocks of one journal record: those of a command of 1 MiB and the blocks that it covers partially.
 constexpr std::uint32_t kMaxRecordBlocks = 320;
 
 // Where the regions lie, in bytes from the start of the export at the target.
@@ -53,18 +64,22 @@
 
 struct Superblock {
   std::uint16_t version = kLayoutVersion;
-  std::uint64_t export_id = 0;  // chosen by chance at format; part of every tag
+  std::uint64_t export_id = 0;  // random, chosen at format; part of every tag
   Geometry geometry;
-  std::uint64_t epoch = 0;          // how often a writer has attached; the last one owns the export
+  std::uint64_t epoch = 0;          // number of attachments; the latest one owns the export
   std::uint64_t sequence = 0;       // of this superblock: of two copies the higher one is valid
   std::uint64_t tail_offset = 0;    // where a replay begins, bytes from the start of the journal
   std::uint64_t tail_sequence = 1;  // of the record there, if there is any
-  // The least epoch of the records from the tail on. Rules out a record that an earlier replay had discarded
-  // and that happens to have the sequence number that is due.
+  // The lowest epoch of the records from the tail on.
+  //
+  // Failure: a replay discards an incomplete record at the end of the journal; the next process reuses its
+  // sequence number, and its bytes may still be in the ring. A later replay would take them for the record
+  // that is due, and old content would replace new. The discarded record has an earlier epoch than the tail
+  // and is rejected by it.
   std::uint64_t tail_epoch = 0;
 };
 
-enum class SuperblockState { kValid, kMissing, kDamaged, kNewer, kForeign };
+enum class SuperblockState { kValid, kMissing, kCorrupt, kNewer, kForeign };
 
 struct DecodedSuperblock {
   SuperblockState state = SuperblockState::kMissing;
@@ -74,9 +89,9 @@
 
 // Returns kBlockBytes bytes.
 std::string Encode(const Superblock& superblock);
-// `size` is that of the export: a superblock with another geometry than this size gives is foreign.
+// `size` is that of the export, in bytes: a superblock with another geometry than fits this size is foreign.
 DecodedSuperblock DecodeSuperblock(std::string_view bytes, std::uint64_t size);
-// Of two copies the one that holds. A damaged copy beside a valid one is an interrupted update.
+// Returns the current one of two copies. A corrupt copy beside a valid one is an interrupted update.
 DecodedSuperblock ChooseSuperblock(const DecodedSuperblock& a, const DecodedSuperblock& b);
 
 // The checksum of one block.
@@ -89,7 +104,7 @@
 
 // A flag in a generation: the block was trimmed and reads as zeros.
 constexpr std::uint32_t kHoleFlag = 1u << 31;
-// The generation of a block whose tag is lost, so that its content cannot be verified.
+// The generation of a block whose tag is unreadable, so that its content cannot be verified.
 constexpr std::uint32_t kUnknownGeneration = kHoleFlag - 1;
 
 // The generation of the next content of a block; it wraps around to 1.
@@ -108,14 +123,14 @@
 // The tags of adjoining blocks.
 struct TagBlock {
   std::uint64_t index = 0;
-  std::uint64_t version = 0;  // raised with each write; of two slots the higher one holds
+  std::uint64_t version = 0;  // incremented with each write; of two slots the higher one is current
   std::vector<Tag> tags = std::vector<Tag>(kTagsPerBlock);
 };
 std::string Encode(const TagBlock& tag_block, std::uint64_t export_id);
-// Nothing if it is damaged, of another export or has another index. Zeros are a tag block never written.
+// Nothing if it is corrupt, of another export or has another index. Zeros are a tag block never written.
 std::optional<TagBlock> DecodeTagBlock(std::string_view bytes, std::uint64_t export_id, std::uint64_t index);
 
-// What a journal record says of one block.
+// A journal record's entry for one block.
 struct RecordBlock {
   std::uint32_t generation = 0;
   std::uint32_t sum = 0;  // TagSum of the new content
@@ -125,12 +140,14 @@
 struct RecordHeader {
   std::uint64_t sequence = 0;  // 1, 2, 3, ... from the format on
   std::uint64_t epoch = 0;
-  std::uint64_t durable_sequence = 0;  // all records up to this one were durable when this one was written
+  // All records up to this one were durable when this record was written. A replay that finds one of them
+  // incomplete knows by it that the record is corrupt, not cut off by a crash.
+  std::uint64_t durable_sequence = 0;
   std::uint64_t first_block = 0;
-  std::uint32_t size = 0;  // bytes of the whole record
+  std::uint32_t size = 0;  // bytes of the record, header and data
   bool has_data = true;    // false: the blocks become holes
   // The blocks of the record before this one. Stored twice, so that they are known even if that record's
-  // header is damaged.
+  // header is corrupt.
   std::uint64_t previous_first_block = 0;
   std::uint16_t previous_block_count = 0;
   std::vector<RecordBlock> blocks;  // empty: a filler or a void record
@@ -140,7 +157,7 @@
 std::uint32_t RecordSize(std::size_t blocks, bool has_data);
 // `data` has the bytes of each of the blocks, or none at all.
 std::string Encode(const RecordHeader& header, std::string_view data, std::uint64_t export_id);
-// The header at the start of `bytes`; nothing if there is no valid one of this export. Says nothing of the
+// The header at the start of `bytes`; nothing if there is no valid one of this export. Does not verify the
 // record's data.
 std::optional<RecordHeader> DecodeRecordHeader(std::string_view bytes, std::uint64_t export_id);
 // Whether the data of a record matches its header; `bytes` begin with the header.
--- a/src/integrity/little_endian.h
+++ b/src/integrity/little_endian.h
@@ -1,4 +1,5 @@
-// Little-endian integers in byte buffers, as all stored formats of this folder have them.
+// Little-endian integers in byte buffers, for the stored formats of this folder. No state; safe on any
+// thread.
 #ifndef WALNUTSPUR_INTEGRITY_LITTLE_ENDIAN_H_
 #define WALNUTSPUR_INTEGRITY_LITTLE_ENDIAN_H_
 
@@ -18,7 +19,7 @@
   }
 }
 
-// Reads sizeof(T) bytes, which must be there.
+// Reads sizeof(T) bytes; `bytes` must have as many.
 template <typename T>
 T LoadLittleEndian(std::string_view bytes) {
   std::uint64_t value = 0;
--- a/src/integrity/path_health.cpp
+++ b/src/integrity/path_health.cpp
@@ -7,14 +7,17 @@
 namespace walnutspur::integrity {
 namespace {
 
-// Ranks of states for the choice of a path; lower ones are chosen first. A path on probation precedes the
-// healthy ones when it is due: without requests no probation would end.
+// Ranks of states for the choice of a path; lower ones are chosen first.
+//
+// Failure: a path on probation that gets no requests stays there forever, since only successes end a
+// probation. So it precedes the healthy paths once every PathOptions::probation_interval choices.
 constexpr int kProbationDueRank = 0;
 constexpr int kHealthyRank = 1;
 constexpr int kSuspectRank = 2;
 constexpr int kProbationRank = 3;
 constexpr int kQuarantinedRank = 4;
-constexpr int kAvoidedPenalty = 10;  // puts any path to avoid behind all others
+// Added to the rank of a path to avoid; greater than any rank, so that it comes after all others.
+constexpr int kAvoidedPenalty = 10;
 
 }  // namespace
 
@@ -108,7 +111,7 @@
   const bool on_probation = updated.state == PathState::kProbation;
   const bool exceeds_limits =
       updated.faults >= options_.quarantine_at &&
-      updated.faults >= options_.quarantine_share * (updated.successes + updated.faults);
+      updated.faults >= options_.quarantine_fraction * (updated.successes + updated.faults);
   if (updated.state != PathState::kQuarantined && (on_probation || exceeds_limits)) {
     updated.state = PathState::kQuarantined;
     updated.quarantined_until = now + updated.next_quarantine;
--- a/src/integrity/path_health.h
+++ b/src/integrity/path_health.h
@@ -18,29 +18,40 @@
   kHealthy,
   kSuspect,      // used after healthy ones only
   kQuarantined,  // not used while there is another
-  kProbation     // gets a small share of the requests, to find out whether it has recovered
+  kProbation     // gets a small fraction of the requests, to find out whether it has recovered
 };
 // As operators read it in the status.
 const char* NameOf(PathState state);
 
+// Thresholds of the state transitions. Counts of faults and successes decay exponentially.
 struct PathOptions {
-  Time half_life = 60'000'000;     // us in which a count decays by half
-  double suspect_at = 0.5;         // decayed faults; a single one makes a path suspect
-  double healthy_below = 0.25;     // less than suspect_at, so that a path near one bound does not flap
-  double quarantine_at = 3;        // decayed faults, together with
-  double quarantine_share = 0.01;  // their share of all requests of the path
-  Time quarantine = 10'000'000;    // us; of the first one, doubled each time up to max_quarantine
+  // Half-life of the counts, us.
+  Time half_life = 60'000'000;
+  // Decayed faults from which a healthy path is suspect: a single one.
+  double suspect_at = 0.5;
+  // Decayed faults below which a suspect path is healthy. Less than `suspect_at`: a path near one common
+  // bound would flap between the two states.
+  double healthy_below = 0.25;
+  // Decayed faults from which a path is quarantined, if their fraction is high enough as well.
+  double quarantine_at = 3;
+  // Fraction of the path's requests that the faults must reach for a quarantine.
+  double quarantine_fraction = 0.01;
+  // Duration of the first quarantine, us; doubled for each further one.
+  Time quarantine = 10'000'000;
+  // Upper bound of a quarantine's duration, us.
   Time max_quarantine = 600'000'000;
-  int probation_successes = 64;  // in a row end a probation
-  int probation_interval = 16;   // one of so many requests goes to a path on probation
+  // Consecutive successes that end a probation.
+  int probation_successes = 64;
+  // Requests to the target of which one goes to a path on probation.
+  int probation_interval = 16;
 };
 
 class PathHealth {
  public:
   explicit PathHealth(int count, const PathOptions& options = {});
 
-  // The path for the next request: the best state, round robin among equals; there always is one. The paths
-  // to `avoid`, on which this request has met a mismatch, come last.
+  // Returns the path for the next request: one in the best state, round robin among equals. There always is
+  // one. The paths to `avoid`, on which this request has met a mismatch, come last.
   int Choose(Time now, const std::set<int>& avoid = {});
   void RecordSuccess(int path, Time now);
   // A fault was attributed to the path.
--- a/src/integrity/pending_command.cpp
+++ b/src/integrity/pending_command.cpp
@@ -50,7 +50,7 @@
   const std::uint64_t from = std::max(begin, command.offset);
   const std::uint64_t until = std::min(end, command.offset + command.length);
   if (from == begin && until == end) {
-    return command.data.Part(from - command.offset, kBlockBytes);
+    return command.data.Subslice(from - command.offset, kBlockBytes);
   }
   std::string content(*ContentOf(block));
   content.replace(from - begin, until - from, command.data.bytes, from - command.offset, until - from);
@@ -64,7 +64,7 @@
   }
   const Slice slice = Own(std::move(data));
   for (std::size_t at = 0; at < slice.bytes.size(); at += kBlockBytes) {
-    block_content[(offset + at) / kBlockBytes] = slice.Part(at, kBlockBytes);
+    block_content[(offset + at) / kBlockBytes] = slice.Subslice(at, kBlockBytes);
   }
 }
 
--- a/src/integrity/pending_command.h
+++ b/src/integrity/pending_command.h
@@ -1,5 +1,5 @@
-// One command under way in a volume: the blocks it covers, what it still waits for, and what has been read
-// for it. Owned by CommandExecutor; used on the thread of the volume's owner.
+// One command in progress in a volume: the blocks it covers, the reads it still waits for, and the content
+// that has been read for it. Owned by CommandExecutor; used on the thread of the volume's owner.
 #ifndef WALNUTSPUR_INTEGRITY_PENDING_COMMAND_H_
 #define WALNUTSPUR_INTEGRITY_PENDING_COMMAND_H_
 
@@ -35,7 +35,7 @@
   bool changes_blocks() const { return is_write() || command.kind == Command::Kind::kTrim; }
   bool is_loaded() const { return reads_in_flight == 0 && missing_tag_blocks.empty(); }
 
-  // Whether the command depends on the present content of the block: a read does, and a write that replaces
+  // Whether the command depends on the current content of the block: a read does, and a write that replaces
   // a part of it.
   bool NeedsContentOf(std::uint64_t block) const;
   // The block as it was read; nothing if it has not been.
@@ -43,7 +43,7 @@
   // The content that the block has after the write.
   Slice MergedContentOf(std::uint64_t block) const;
   void TakeData(std::uint64_t offset, std::string data);
-  // Drops what has been read.
+  // Discards the content that has been read.
   void ClearContent();
 
   Command command;
@@ -51,7 +51,7 @@
   Phase phase = Phase::kLoading;
   std::set<std::uint64_t> missing_tag_blocks;     // being read
   std::set<std::uint64_t> unreadable_tag_blocks;  // read, and not certain yet
-  std::string contiguous_content;                 // of all blocks, if one read brought them
+  std::string contiguous_content;                 // of all blocks, if one read returned them
   std::map<std::uint64_t, Slice> block_content;   // by block; takes precedence over contiguous_content
   std::size_t reads_in_flight = 0;                // of data
   std::uint64_t in_place_revision = 0;            // when the data was requested
--- a/src/integrity/scrubber.cpp
+++ b/src/integrity/scrubber.cpp
@@ -5,7 +5,8 @@
 namespace walnutspur::integrity {
 namespace {
 
-constexpr std::size_t kMaxRechecks = 1024;  // the round itself reads those beyond
+// Blocks queued for another read. Further ones are read again by the round only.
+constexpr std::size_t kMaxRechecks = 1024;
 
 }  // namespace
 
@@ -43,7 +44,7 @@
   return Chunk(next_++);
 }
 
-int Scrubber::Done(const Range& range) {
+int Scrubber::OnRead(const Range& range) {
   if (range.recheck) {
     rechecking_.erase(range.first);
     return 0;
@@ -51,7 +52,7 @@
   return static_cast<int>(in_flight_.erase(range.first / chunk_));
 }
 
-void Scrubber::Failed(const Range& range) {
+void Scrubber::OnReadFailed(const Range& range) {
   if (range.recheck) {
     rechecks_.push_back(range.first);
   } else if (in_flight_.erase(range.first / chunk_) > 0) {
@@ -67,14 +68,14 @@
 }
 
 std::uint64_t Scrubber::position() const {
-  std::uint64_t least = next_;
+  std::uint64_t first_unread = next_;
   if (!in_flight_.empty()) {
-    least = std::min(least, *in_flight_.begin());
+    first_unread = std::min(first_unread, *in_flight_.begin());
   }
   for (const std::uint64_t chunk : retries_) {
-    least = std::min(least, chunk);
+    first_unread = std::min(first_unread, chunk);
   }
-  return least;
+  return first_unread;
 }
 
 }  // namespace walnutspur::integrity
--- a/src/integrity/scrubber.h
+++ b/src/integrity/scrubber.h
@@ -1,5 +1,5 @@
 // The order in which a scrub reads one export: blocks suspected of corruption first, then all chunks of the
-// export in order, round after round. No I/O and no clock; background/budget.h decides when it may read.
+// export in order, in repeated rounds. No I/O and no clock; background/budget.h decides when it may read.
 //
 // Owned by checksummed::Scrub; used on its thread only.
 #ifndef WALNUTSPUR_INTEGRITY_SCRUBBER_H_
@@ -27,16 +27,17 @@
 
   // The next range; nothing while all that is left of the round is in flight.
   std::optional<Range> Next();
-  // A range was read, whatever was found. Returns how many chunks of the round that completes: 0 or 1.
-  int Done(const Range& range);
+  // A range was read, with or without a mismatch. Returns the number of chunks of the round that this
+  // completes, 0 or 1.
+  int OnRead(const Range& range);
   // A range could not be read: it is retried ahead of the others.
-  void Failed(const Range& range);
-  // A block that should be read again soon: it did not match and no fault has been attributed yet.
+  void OnReadFailed(const Range& range);
+  // Schedules another read of a block that did not match and to which no fault has been attributed yet.
   void Recheck(std::uint64_t block);
 
   // Chunks of a round.
   std::uint64_t total() const { return chunks_; }
-  // The chunk from which a later process must continue so that none is left out.
+  // The chunk from which a later process must continue so that none is skipped.
   std::uint64_t position() const;
   std::uint64_t rounds() const { return rounds_; }                            // that are complete
   std::size_t waiting() const { return rechecks_.size() + retries_.size(); }  // ranges ahead of the round
--- a/src/integrity/slice.h
+++ b/src/integrity/slice.h
@@ -1,6 +1,6 @@
-// Bytes that several owners share without a copy: a part of a string that lives as long as any of them. The
-// data of a write stays in one buffer from the client's request through the journal to its place. Immutable,
-// so that it may be read on any thread.
+// Bytes that several owners share without a copy: a part of a reference-counted string. The data of a write
+// stays in one buffer from the client's request through the journal until the checkpoint has written it in
+// place. Immutable, so that it may be read on any thread.
 #ifndef WALNUTSPUR_INTEGRITY_SLICE_H_
 #define WALNUTSPUR_INTEGRITY_SLICE_H_
 
@@ -17,7 +17,7 @@
   std::string_view bytes;
 
   explicit operator bool() const { return owner != nullptr; }
-  Slice Part(std::size_t from, std::size_t length) const { return {owner, bytes.substr(from, length)}; }
+  Slice Subslice(std::size_t from, std::size_t length) const { return {owner, bytes.substr(from, length)}; }
   // Whether these bytes follow the other's in memory, in the same string.
   bool Continues(const Slice& before) const {
     return owner == before.owner && before.bytes.data() + before.bytes.size() == bytes.data();
@@ -33,8 +33,8 @@
   return {std::move(owner), bytes};
 }
 
-// Appends a slice to the parts of a write, joined with the last part if it continues that one, as the blocks
-// of one write mostly do.
+// Appends a slice to the parts of a write. Joins it with the last part if it continues that one, as the
+// blocks of one write mostly do.
 inline void AppendSlice(std::vector<Slice>* parts, const Slice& slice) {
   if (!parts->empty() && slice.Continues(parts->back())) {
     parts->back().ExtendBy(slice);
--- a/src/integrity/structured_field.h
+++ b/src/integrity/structured_field.h
@@ -18,8 +18,8 @@
   std::optional<std::int64_t> integer;
 };
 
-// The members of a dictionary, each key once with the last of its values (RFC 8941, 4.2.2); nothing if the
-// field is malformed, which RFC 8941, 4.2, has ignored as a whole.
+// The members of a dictionary, each key once with the last of its values (RFC 8941, 4.2.2). Nothing if the
+// field is malformed, since RFC 8941, 4.2, requires that a malformed field is ignored completely.
 std::optional<std::vector<Member>> ReadDictionary(std::string_view field);
 
 }  // namespace walnutspur::integrity
--- a/src/integrity/tag_cache.cpp
+++ b/src/integrity/tag_cache.cpp
@@ -6,8 +6,8 @@
 namespace walnutspur::integrity {
 namespace {
 
-// A slot that cannot be read may be damaged in transit, damaged at rest or torn by a crash. It counts as
-// damaged at rest once so many consecutive readings were equal.
+// Consecutive equal readings after which a slot that does not decode counts as corrupt on storage or torn by
+// a crash. Until then it may have been corrupted in transit.
 constexpr int kConfirmingReadings = 3;
 
 }  // namespace
@@ -47,7 +47,7 @@
   const bool valid = newest && !IsStale(*newest);
   if (first && second && valid) {
     unreadable_.erase(index);
-  } else if (!IsConfirmedDamage(index, slots)) {
+  } else if (!IsConfirmedCorruption(index, slots)) {
     return false;
   }
   if (valid) {
@@ -58,9 +58,9 @@
   return true;
 }
 
-// An unreadable slot may be the newer one: as long as it may have been damaged in transit only, the tags of
-// the other slot must not be trusted, since they may be old.
-bool TagCache::IsConfirmedDamage(std::uint64_t index, std::string_view slots) {
+// Counts equal readings of a tag block with an unreadable slot. That slot may be the newer one: until its
+// corruption is confirmed, the tags of the other slot must not be used, since they may be outdated.
+bool TagCache::IsConfirmedCorruption(std::uint64_t index, std::string_view slots) {
   UnreadableSlots& unreadable = unreadable_[index];
   const std::uint32_t sum = DataSum(slots);
   unreadable.readings = unreadable.sum == sum ? unreadable.readings + 1 : 1;
--- a/src/integrity/tag_cache.h
+++ b/src/integrity/tag_cache.h
@@ -1,7 +1,12 @@
-// Tag blocks of one volume in memory, least recently used evicted first, and what is needed to trust a tag
-// block that is read: the newest version seen of each and slots that could not be read.
+// Tag blocks of one volume in memory, least recently used evicted first, and the evidence by which a tag
+// block that was read is trusted: the newest version seen of each, and slots that did not decode.
 //
-// Owned by VolumeState; used on the thread of the volume's owner.
+// Failure: a slot is corrupted in transit, or a read returns stale content. If the tags of the other, older
+// slot were used then, good blocks would be reported as corrupt and the next checkpoint would write outdated
+// tags. So a slot that does not decode must read the same several times before it is considered corrupt on
+// storage, and a tag block older than one seen before is not used.
+//
+// Owned by VolumeContext; used on the thread of the volume's owner.
 #ifndef WALNUTSPUR_INTEGRITY_TAG_CACHE_H_
 #define WALNUTSPUR_INTEGRITY_TAG_CACHE_H_
 
@@ -33,9 +38,9 @@
   const Tag& TagOf(std::uint64_t block) const;
   void Insert(TagBlock tag_block);
 
-  // Takes both slots of a tag block as they were read and caches the one that is valid. False: a slot that
-  // is newer may have been damaged in transit, and both must be read again. A tag block of which both slots
-  // are certainly damaged is cached with all its tags unknown.
+  // Takes both slots of a tag block as they were read and caches the current one. False: the newer slot may
+  // have been corrupted in transit, and both must be read again. A tag block of which both slots are
+  // confirmed as corrupt is cached with all its tags unknown.
   bool InsertFromSlots(std::uint64_t index, std::string_view slots, std::uint64_t export_id);
 
   // Pinned tag blocks are not evicted.
@@ -60,7 +65,7 @@
     int readings = 0;
   };
 
-  bool IsConfirmedDamage(std::uint64_t index, std::string_view slots);
+  bool IsConfirmedCorruption(std::uint64_t index, std::string_view slots);
   bool IsStale(const TagBlock& tag_block) const;
   void InsertUnknown(std::uint64_t index);
 
--- a/src/integrity/tag_loader.h
+++ b/src/integrity/tag_loader.h
@@ -1,7 +1,7 @@
-// Reads of tag blocks in flight and who waits for each: one read serves all waiters. A waiter is a command,
+// Reads of tag blocks in flight and the waiters of each: one read serves all waiters. A waiter is a command,
 // or kVolumeCommand for the checkpoint.
 //
-// Owned by VolumeState; used on the thread of the volume's owner.
+// Owned by VolumeContext; used on the thread of the volume's owner.
 #ifndef WALNUTSPUR_INTEGRITY_TAG_LOADER_H_
 #define WALNUTSPUR_INTEGRITY_TAG_LOADER_H_
 
@@ -18,7 +18,7 @@
 // How a read of a tag block ended.
 enum class TagReadStatus {
   kLoaded,
-  kUncertain,  // a slot may have been damaged in transit
+  kUncertain,  // a slot may have been corrupted in transit
   kFailed      // the target did not execute the read
 };
 
@@ -28,7 +28,7 @@
 
   // Reads both slots of the tag block unless a read is in flight already.
   void Load(std::uint64_t index, CommandId waiter);
-  // Ends the read of a tag block: whoever waited for it, in the order of their ids.
+  // Ends the read of a tag block and returns its waiters, in the order of their ids.
   std::set<CommandId> TakeWaiters(std::uint64_t index);
   void RemoveWaiter(CommandId waiter);
   bool IsWaiting(std::uint64_t index, CommandId waiter) const;
--- a/src/integrity/time.h
+++ b/src/integrity/time.h
@@ -1,4 +1,4 @@
-// Time as this folder's decisions see it. Its callers read the clock; nothing here does.
+// The time that callers pass to this folder's modules, none of which reads a clock.
 #ifndef WALNUTSPUR_INTEGRITY_TIME_H_
 #define WALNUTSPUR_INTEGRITY_TIME_H_
 
--- a/src/integrity/volume.cpp
+++ b/src/integrity/volume.cpp
@@ -7,7 +7,8 @@
 namespace walnutspur::integrity {
 namespace {
 
-constexpr std::uint64_t kMinBlocks = 3;  // the superblocks and anything else
+// Blocks of an export with room for anything beside the superblocks.
+constexpr std::uint64_t kMinBlocks = kSuperblockCopies + 1;
 
 }  // namespace
 
@@ -19,7 +20,8 @@
 std::size_t Volume::tracked_entries() const {
   return commands_.tracked_entries() + checkpointer_.tracked_entries() + early_commands_.size() +
          context_.io_queue.in_flight() + context_.journal.size() + context_.overlay.blocks().size() +
-         context_.tag_loader.reads() + context_.damaged_blocks.size() + context_.tags.unreadable_slots();
+         context_.tag_loader.reads() + context_.unrecoverable_blocks.size() +
+         context_.tags.unreadable_slots();
 }
 
 // ---- attaching ----
@@ -32,8 +34,8 @@
   const VolumeOptions& options = context_.options;
   const std::uint64_t blocks = options.size / kBlockBytes;
   if (blocks < kMinBlocks || options.max_io_bytes < kSuperblockCopies * kBlockBytes) {
-    return Break("an export of " + std::to_string(options.size) +
-                 " bytes is smaller than its reserved region");
+    return Fail("an export of " + std::to_string(options.size) +
+                " bytes is smaller than its reserved region");
   }
   context_.io_queue.IssueRead(IoPurpose::kSuperblock, kVolumeCommand,
                               (blocks - kSuperblockCopies) * kBlockBytes,
@@ -45,7 +47,7 @@
   if (status != IoStatus::kCompleted || (is_read && data.size() != request.length)) {
     journal_reads_in_flight_ = 0;
     context_.io_queue.ForgetPending();
-    return Break("the box did not carry out what attaching the export needs");
+    return Fail("the box did not carry out what attaching the export needs");
   }
   if (is_read && request.purpose == IoPurpose::kSuperblock) {
     return OnSuperblockRead(data);
@@ -68,7 +70,7 @@
   const DecodedSuperblock decoded = ChooseSuperblock(DecodeSuperblock(copies.substr(0, kBlockBytes), size),
                                                      DecodeSuperblock(copies.substr(kBlockBytes), size));
   if (decoded.state != SuperblockState::kValid) {
-    return Break(decoded.error);
+    return Fail(decoded.error);
   }
   context_.superblock = decoded.superblock;
   Superblock next = decoded.superblock;
@@ -78,12 +80,12 @@
 
 void Volume::ReadJournal() {
   const Geometry& geometry = context_.superblock.geometry;
-  const std::uint64_t max_part = context_.options.max_io_bytes;
+  const std::uint64_t max_length = context_.options.max_io_bytes;
   attached_journal_.assign(geometry.journal_size, '\0');
-  for (std::uint64_t at = 0; at < geometry.journal_size; at += max_part) {
-    const std::uint64_t part = std::min(max_part, geometry.journal_size - at);
+  for (std::uint64_t at = 0; at < geometry.journal_size; at += max_length) {
+    const std::uint64_t length = std::min(max_length, geometry.journal_size - at);
     context_.io_queue.IssueRead(IoPurpose::kJournal, kVolumeCommand, geometry.journal_offset + at,
-                                static_cast<std::uint32_t>(part));
+                                static_cast<std::uint32_t>(length));
     ++journal_reads_in_flight_;
   }
 }
@@ -92,10 +94,10 @@
   ReplayedJournal replayed = JournalReplay(context_.superblock, attached_journal_).Run();
   context_.journal.Resume(replayed);
   context_.overlay = std::move(replayed.overlay);
-  context_.damaged_blocks = std::move(replayed.damaged_blocks);
+  context_.unrecoverable_blocks = std::move(replayed.unrecoverable_blocks);
   attached_journal_ = std::string();
   if (!replayed.error.empty()) {
-    return Break(replayed.error);
+    return Fail(replayed.error);
   }
   state_ = State::kReady;
   for (Command& command : std::exchange(early_commands_, {})) {
@@ -104,8 +106,8 @@
   Checkpoint();
 }
 
-void Volume::Break(std::string error) {
-  state_ = State::kBroken;
+void Volume::Fail(std::string error) {
+  state_ = State::kFailed;
   error_ = std::move(error);
   for (const Command& command : std::exchange(early_commands_, {})) {
     commands_.Reject(command.id);
@@ -116,7 +118,7 @@
 
 void Volume::Submit(Command command) {
   switch (state_) {
-    case State::kBroken:
+    case State::kFailed:
       return commands_.Reject(command.id);
     case State::kReady:
       return commands_.Submit(std::move(command));
@@ -145,7 +147,7 @@
   if (request->kind == IoKind::kFlush && status == IoStatus::kCompleted) {
     context_.journal.OnFlushed(request->record_sequence);
   }
-  if (state_ == State::kBroken) {
+  if (state_ == State::kFailed) {
     return;
   }
   if (state_ == State::kAttaching) {
@@ -158,7 +160,7 @@
       return commands_.OnDataRead(*request, status, std::move(data));
     case IoPurpose::kJournal:
       return commands_.OnRecordWritten(request->record_sequence, status);
-    case IoPurpose::kApply:
+    case IoPurpose::kCheckpoint:
     case IoPurpose::kSuperblock:
       return checkpointer_.OnIoCompleted(status);
     case IoPurpose::kBarrier:
--- a/src/integrity/volume.h
+++ b/src/integrity/volume.h
@@ -2,16 +2,19 @@
 // be answered. No I/O, clock or thread: the owner executes the requests and reports their completions, in any
 // order.
 //
-// A write is recorded in the journal and answered once its record and all before it are there; a later
+// A write is recorded in the journal and answered once its record and all before it are written; a later
 // checkpoint writes data and tags in place. So a crash at any time leaves the old or the new content of every
-// block, with matching tags. The order that this rests on:
+// block, with matching tags. This requires the order
 //
 //   records  ->  flush  ->  data and tags in place  ->  flush  ->  superblock with the new tail  ->  reuse
 //
 // A read is verified against its tags before any of it is passed on. Blocks that do not match are reported
-// with what their content looks like; fault_attribution.h decides which component is at fault.
+// with a classification of their content; fault_attribution.h decides which component is at fault.
 //
-// One writer: an export is attached by one owner at a time, and every attachment raises its epoch.
+// One writer: an export must be attached by one owner at a time. Every attachment increments its epoch.
+//
+// Errors: a volume that cannot be attached is in state kFailed and says why in error(); commands end with a
+// CommandResult::Status. Nothing is thrown.
 //
 // Owned by checksummed::ChecksummedExports; used on its thread only.
 #ifndef WALNUTSPUR_INTEGRITY_VOLUME_H_
@@ -32,22 +35,23 @@
 
 class Volume {
  public:
-  enum class State { kNew, kAttaching, kReady, kBroken };
+  enum class State { kNew, kAttaching, kReady, kFailed };
 
   explicit Volume(const VolumeOptions& options);
   Volume(const Volume&) = delete;
   Volume& operator=(const Volume&) = delete;
 
-  // Reads superblock and journal and takes the export over; the volume is ready or broken after that.
+  // Reads superblock and journal and becomes the export's writer; the volume is ready or failed after that.
   void Attach();
-  // Commands that are submitted before the volume is ready wait; once it is broken all are rejected.
+  // Commands that are submitted before the volume is ready wait; once it has failed all are rejected.
   void Submit(Command command);
-  // The client does not wait for the command any more. Requests in flight go on: they may be executed.
+  // The client no longer waits for the command, which has no result then. Its requests in flight may still be
+  // executed.
   void Abandon(CommandId command);
-  // A storage request has ended; `data` is what a read brought.
+  // A storage request has ended; `data` is the content that a read returned.
   void OnIoCompleted(IoId id, IoStatus status, std::string data = "");
-  // Begins a checkpoint if the journal holds anything and none is under way. The owner calls it when the
-  // volume has been idle, and after a failure when it is time to retry.
+  // Starts a checkpoint if the journal has acknowledged records and none is running. The owner calls it when
+  // the volume has been idle, and to retry after a failure.
   void Checkpoint();
 
   // The storage requests since the last call, in order.
@@ -55,7 +59,7 @@
   std::vector<CommandResult> TakeResults() { return commands_.TakeResults(); }
 
   State state() const { return state_; }
-  const std::string& error() const { return error_; }  // of a broken volume: one line
+  const std::string& error() const { return error_; }  // of a failed volume: one line
   std::uint64_t size() const { return context_.superblock.geometry.data_size(); }  // bytes, for clients
   const Superblock& superblock() const { return context_.superblock; }
 
@@ -67,15 +71,16 @@
   std::size_t in_flight() const { return context_.io_queue.in_flight(); }
   // Entries in all tables but the tag cache: 0 when the volume is idle and clean.
   std::size_t tracked_entries() const;
-  // Blocks that lost their newest content with a damaged journal record, until they are written again.
-  const std::set<std::uint64_t>& damaged_blocks() const { return context_.damaged_blocks; }
+  // Blocks whose newest content was in a corrupt journal record, until a checkpoint has recorded that or they
+  // are written again.
+  const std::set<std::uint64_t>& unrecoverable_blocks() const { return context_.unrecoverable_blocks; }
 
  private:
   void OnAttachIoCompleted(const PendingIo& request, IoStatus status, const std::string& data);
   void OnSuperblockRead(const std::string& data);
   void ReadJournal();
   void ReplayJournal();
-  void Break(std::string error);
+  void Fail(std::string error);
 
   void OnTagsRead(const PendingIo& request, IoStatus status, const std::string& data);
   TagReadStatus CacheTags(std::uint64_t index, IoStatus status, const std::string& data);
@@ -86,7 +91,7 @@
   Checkpointer checkpointer_;
   CommandExecutor commands_;
   std::vector<Command> early_commands_;  // submitted before the volume was ready
-  std::string attached_journal_;         // the whole journal, while attaching
+  std::string attached_journal_;         // bytes of the journal, while attaching
   std::size_t journal_reads_in_flight_ = 0;
 };
 
--- a/src/integrity/volume_context.h
+++ b/src/integrity/volume_context.h
@@ -1,7 +1,7 @@
-// What the parts of one volume share: its place on the export, the journal and its overlay, cached tags, and
-// the queue of storage requests.
+// The state that the components of one volume share: its superblock, the journal and its overlay, cached
+// tags, and the queue of storage requests.
 //
-// Owned by Volume, which outlives the parts that point to it; used on the thread of the volume's owner.
+// Owned by Volume, which outlives the components that point to it; used on the thread of the volume's owner.
 #ifndef WALNUTSPUR_INTEGRITY_VOLUME_CONTEXT_H_
 #define WALNUTSPUR_INTEGRITY_VOLUME_CONTEXT_H_
 
@@ -23,8 +23,8 @@
   std::uint64_t size = 0;                           // bytes of the export at the target
   std::uint32_t max_io_bytes = kDefaultMaxIoBytes;  // of one storage request
   std::size_t max_cached_tag_blocks = 256;          // kBlockBytes each
-  double checkpoint_fraction = 0.5;  // of the journal's size: a checkpoint begins when so much is used
-  // Journal records are made durable one by one, for targets whose flush covers one connection only.
+  double checkpoint_fraction = 0.5;  // used fraction of the journal from which a checkpoint begins
+  // Journal records are written with FUA, for targets whose flush covers one connection only.
   bool fua_journal = false;
 };
 
@@ -47,11 +47,11 @@
   TagLoader tag_loader;
   Journal journal;
   JournalOverlay overlay;
-  // Blocks whose newest content was in a damaged journal record, until a checkpoint has marked their tags
+  // Blocks whose newest content was in a corrupt journal record, until a checkpoint has marked their tags as
   // unknown or written new content.
-  std::set<std::uint64_t> damaged_blocks;
-  // Raised whenever a checkpoint begins or ends to change content in place: what was read at an earlier
-  // revision may not match the tags of this one.
+  std::set<std::uint64_t> unrecoverable_blocks;
+  // Incremented before and after a checkpoint changes content in place: content that was read at an earlier
+  // revision may not match the current tags (block_verifier.h).
   std::uint64_t in_place_revision = 0;
 };
 
--- a/src/integrity/volume_io.h
+++ b/src/integrity/volume_io.h
@@ -1,5 +1,5 @@
-// The vocabulary between a Volume and its owner: commands of clients, storage requests that the volume
-// issues, and results of commands. Plain data without a thread of its own.
+// The types that a Volume and its owner exchange: commands of clients, storage requests that the volume
+// issues, and results of commands. Plain values, without an owner or a thread.
 #ifndef WALNUTSPUR_INTEGRITY_VOLUME_IO_H_
 #define WALNUTSPUR_INTEGRITY_VOLUME_IO_H_
 
@@ -11,7 +11,7 @@
 
 namespace walnutspur::integrity {
 
-using CommandId = std::uint64_t;  // clients' commands count from 1
+using CommandId = std::uint64_t;  // clients' commands are numbered from 1
 using IoId = std::uint64_t;
 
 // Stands for the volume's own work where a command is expected.
@@ -19,8 +19,9 @@
 
 enum class IoKind { kRead, kWrite, kFlush };
 
-// Which part of the volume a storage request serves; selects the handler of its completion.
-enum class IoPurpose { kSuperblock, kJournal, kTags, kData, kApply, kBarrier };
+// The purpose of a storage request, which selects the handler of its completion. kCheckpoint: content or tags
+// that are written in place; kBarrier: a flush.
+enum class IoPurpose { kSuperblock, kJournal, kTags, kData, kCheckpoint, kBarrier };
 
 // A request to the storage server.
 struct IoRequest {
@@ -40,7 +41,7 @@
 
 enum class IoStatus {
   kCompleted,
-  kNotExecuted,  // the target has received nothing of it that it could execute
+  kNotExecuted,  // the target has not received it
   kFailed        // it may have been executed, or may be executed later
 };
 
@@ -55,19 +56,19 @@
   bool fua = false;          // a write must be durable when it completes
 };
 
-// What the content of a block that does not match its tag looks like.
+// Classification of content that does not match its tag.
 enum class MismatchKind {
   kUnrecognized,     // matches nothing that is known
   kPreviousContent,  // the content before the last write: a lost write or a stale read
   kOtherBlock,       // the content of another block: a misdirected write
   kTagsUnreadable,   // its tags cannot be read, so its content cannot be verified
-  kRecordDamaged     // its newest content was in a journal record that is damaged
+  kRecordCorrupt     // its newest content was in a journal record that is corrupt
 };
 
 struct CorruptBlock {
   std::uint64_t block = 0;
   MismatchKind mismatch = MismatchKind::kUnrecognized;
-  std::uint32_t data_sum = 0;     // DataSum of what was read
+  std::uint32_t data_sum = 0;     // DataSum of the content that was read
   std::uint64_t owner_block = 0;  // kOtherBlock: the block whose content was read
   bool operator==(const CorruptBlock&) const = default;
 };
--- a/tests/fuzz/integrity_fuzz.cpp
+++ b/tests/fuzz/integrity_fuzz.cpp
@@ -31,7 +31,7 @@
   const auto members = ReadDictionary(text);
   const Match match = Verify(text, "content");
   if (!members) {
-    Require(match == Match::kNone && !Wanted(text));
+    Require(match == Match::kNone && !PreferredAlgorithm(text));
   }
   // A valid digest ahead of other well-formed members counts, unless they name the same algorithm copy.
   if (members && !members->empty() && text.find("crc32c") == std::string_view::npos &&
--- a/tests/integrity/corruption_test.cpp
+++ b/tests/integrity/corruption_test.cpp
@@ -94,7 +94,7 @@
                    int* injected) {
   lab::BlockDevice& disk = fixture.driver.disk();
   fixture.driver.on_io = [&, injected](const IoRequest& io, std::string*, bool* executed) {
-    if (io.purpose != IoPurpose::kApply || io.offset != block * kBlockBytes) {
+    if (io.purpose != IoPurpose::kCheckpoint || io.offset != block * kBlockBytes) {
       return IoStatus::kCompleted;
     }
     ++*injected;
@@ -360,7 +360,7 @@
     driver.Start();
     driver.Submit(Kind::kWrite, 0, 4, "data");
     driver.Settle();
-    CHECK(driver.volume().state() == Volume::State::kBroken);
+    CHECK(driver.volume().state() == Volume::State::kFailed);
     CHECK_FALSE(driver.volume().error().empty());
     CHECK(driver.volume().error().find('\n') == std::string::npos);
     CHECK(driver.results.at(1).status == CommandResult::Status::kRejected);
--- a/tests/integrity/fault_attribution_test.cpp
+++ b/tests/integrity/fault_attribution_test.cpp
@@ -103,8 +103,8 @@
 
 TEST_CASE("the corruption log decodes completely or not at all") {
   CorruptionLog log = FilledLog();
-  CHECK(log.IsDamaged({"b", "e", 1}));
-  CHECK_FALSE(log.IsDamaged({"b", "e", 2}));  // the path is at fault: the block is intact
+  CHECK(log.IsCorrupt({"b", "e", 1}));
+  CHECK_FALSE(log.IsCorrupt({"b", "e", 2}));  // the path is at fault: the block is intact
   const std::string bytes = log.Encode();
   CorruptionLog read;
   std::string what;
@@ -137,7 +137,7 @@
   log.Record({"b", "e", 5}, {Fault::kAtRest, -1, 0, 2}, 15);
   CHECK_FALSE(log.Find({"b", "e", 1}));
   CHECK(log.dropped() == 2);
-  CHECK(log.damaged_count() == 3);
+  CHECK(log.corrupt_count() == 3);
 }
 
 TEST_CASE("a corruption log file that was rejected is moved aside and not overwritten") {
--- a/tests/integrity/stored_data_test.cpp
+++ b/tests/integrity/stored_data_test.cpp
@@ -85,7 +85,7 @@
   REQUIRE(rewritten);
   CHECK(*rewritten ==
         CorruptionEntry{Fault::kLostWrite, true, 1'700'000'002'000'000, 1'700'000'003'000'000, 1, -1, 0});
-  CHECK(log.damaged_count() == 1);
+  CHECK(log.corrupt_count() == 1);
   CHECK(log.Encode() == bytes);
 }
 
--- a/tests/net/checksummed_export_test.cpp
+++ b/tests/net/checksummed_export_test.cpp
@@ -286,11 +286,11 @@
   fixture.server.AddFault({Damage::kFlipRest, -1, 11 * kBlockBytes, 12 * kBlockBytes});
   integrity::CorruptionLog ledger;
   std::string what;
-  for (int i = 0; i < 100 && !ledger.IsDamaged({"a", "disk", 11}); ++i) {
+  for (int i = 0; i < 100 && !ledger.IsCorrupt({"a", "disk", 11}); ++i) {
     poll(nullptr, 0, 100);
     integrity::CorruptionLogFile(fixture.folder.path()).Load(&ledger, &what);
   }
-  REQUIRE(ledger.IsDamaged({"a", "disk", 11}));
+  REQUIRE(ledger.IsCorrupt({"a", "disk", 11}));
   CHECK(ledger.Find({"a", "disk", 11})->fault == Fault::kAtRest);
   CHECK(ledger.entries().size() == 1);
 }
@@ -337,7 +337,7 @@
   CHECK_FALSE(std::filesystem::exists(path));
   std::string what;
   const auto cursors =
-      integrity::DecodeCursors(*filestore::ReadWholeFile(fixture.folder.path() + "/scrub.cursor"), &what);
+      integrity::DecodeCursors(*filestore::ReadFile(fixture.folder.path() + "/scrub.cursor"), &what);
   REQUIRE(cursors);
   CHECK(cursors->at("letters").block / 16 + 1 >= position);
   CHECK(cursors->at("letters").rounds >= rounds);
@@ -362,7 +362,7 @@
   { const app::Control control(base.get(), path, nullptr); }
   folder.Put("control.sock", "a letter");
   CHECK_THROWS_WITH(app::Control(base.get(), path, nullptr), (path + " is there and is no socket").c_str());
-  CHECK(filestore::ReadWholeFile(path) == "a letter");
+  CHECK(filestore::ReadFile(path) == "a letter");
   CHECK_THROWS(app::Control(base.get(), path + std::string(120, 'x'), nullptr));
 }
 
--- a/tests/unit/digest_test.cpp
+++ b/tests/unit/digest_test.cpp
@@ -79,12 +79,12 @@
 }
 
 TEST_CASE("the wanted digest is the known one of the highest weight") {
-  CHECK(Wanted("sha-512=3, sha-256=10, unixsum=11") == Algorithm::kSha256);
-  CHECK(Wanted("sha-256=0") == std::nullopt);
-  CHECK(Wanted("sha-256=11, crc32c=1") == Algorithm::kCrc32c);
-  CHECK(Wanted("md5=10") == std::nullopt);
-  CHECK(Wanted("sha-256=:AAAA:") == std::nullopt);
-  CHECK(Wanted("sha-256=-1") == std::nullopt);
+  CHECK(PreferredAlgorithm("sha-512=3, sha-256=10, unixsum=11") == Algorithm::kSha256);
+  CHECK(PreferredAlgorithm("sha-256=0") == std::nullopt);
+  CHECK(PreferredAlgorithm("sha-256=11, crc32c=1") == Algorithm::kCrc32c);
+  CHECK(PreferredAlgorithm("md5=10") == std::nullopt);
+  CHECK(PreferredAlgorithm("sha-256=:AAAA:") == std::nullopt);
+  CHECK(PreferredAlgorithm("sha-256=-1") == std::nullopt);
 }
 
 }  // namespace
--- a/tests/unit/file_store_test.cpp
+++ b/tests/unit/file_store_test.cpp
@@ -25,11 +25,11 @@
   std::filesystem::create_directory(folder.path() + "/a.new/full");
   CHECK_FALSE(WriteFileAtomically(folder.path(), "a", "new", &what));
   CHECK(what == "cannot open " + folder.path() + "/a.new: Is a directory");
-  CHECK(ReadWholeFile(folder.path() + "/a") == "old");
+  CHECK(ReadFile(folder.path() + "/a") == "old");
   std::filesystem::remove_all(folder.path() + "/a.new");
   CHECK(WriteFileAtomically(folder.path(), "a", "new", &what));
-  CHECK(ReadWholeFile(folder.path() + "/a") == "new");
-  CHECK_FALSE(ReadWholeFile(folder.path() + "/b"));
+  CHECK(ReadFile(folder.path() + "/a") == "new");
+  CHECK_FALSE(ReadFile(folder.path() + "/b"));
 }
 
 TEST_CASE("while a disk hangs, Put returns and only the newest pending content is written") {
