--- a/src/app/scrub_setup.cpp
+++ b/src/app/scrub_setup.cpp
@@ -32,8 +32,8 @@
                  walnutspur::Settings* settings) {
   const double units = nbd::UnitsOf(nbd, static_cast<std::uint32_t>(options.chunk * integrity::kBlockBytes));
   Plan plan;
-  plan.rate = options.job.requests_a_second * units;
-  plan.reserved_rate = std::min(options.job.floor_a_second * units, plan.rate);
+  plan.rate = options.job.max_requests_per_second * units;
+  plan.reserved_rate = std::min(options.job.min_requests_per_second * units, plan.rate);
   plan.weight = kScrubPriorityWeight;
   plan.priority_factor = kScrubPriorityWeight;
   settings->plans.push_back(plan);
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -38,12 +38,12 @@
 checksummed::ScrubOptions ReadScrub(const config::Table& root) {
   checksummed::ScrubOptions options;
   options.enabled = root.Bool("scrub.on");
-  options.job.bytes_a_second = root.Number("scrub.bytes");
-  options.job.requests_a_second = root.Number("scrub.requests");
-  options.job.in_flight = static_cast<int>(root.Integer("scrub.in_flight"));
-  options.job.floor_a_second = root.Number("scrub.floor");
-  options.job.wish = static_cast<Time>(root.Number("scrub.wish") * kMicrosPerDay);
-  options.pressure.most_missed = root.Number("scrub.most_missed");
+  options.job.max_bytes_per_second = root.Number("scrub.bytes");
+  options.job.max_requests_per_second = root.Number("scrub.requests");
+  options.job.max_in_flight = static_cast<int>(root.Integer("scrub.in_flight"));
+  options.job.min_requests_per_second = root.Number("scrub.floor");
+  options.job.goal = static_cast<Time>(root.Number("scrub.wish") * kMicrosPerDay);
+  options.pressure.max_missed_fraction = root.Number("scrub.most_missed");
   return options;
 }
 
--- a/src/background/budget.cpp
+++ b/src/background/budget.cpp
@@ -6,14 +6,16 @@
 namespace walnutspur::background {
 namespace {
 
-constexpr double kUnknownLoadSpeed = 0.5;  // fraction of the speed without a recent report
-constexpr double kGoalMargin = 1.2;        // over the pace of the goal, so that a round ends before it
-constexpr Time kSecond = 1'000'000;        // us
+// Fraction of the speed that remains without a recent report.
+constexpr double kUnknownLoadSpeed = 0.5;
+// Factor over the rate that the goal requires, so that a round ends before the goal.
+constexpr double kGoalMargin = 1.2;
+constexpr Time kSecond = 1'000'000;  // us
 constexpr double kMicrosPerSecond = 1e6;
 
 double Seconds(Time duration) { return static_cast<double>(std::max<Time>(0, duration)) / kSecond; }
 
-// The part of its round that a job has done, 0 to 1.
+// The fraction of its round that a job has completed, 0 to 1.
 double DoneFraction(const Progress& progress) {
   if (progress.total == 0) {
     return 0.0;
@@ -21,8 +23,8 @@
   return static_cast<double>(progress.position) / static_cast<double>(progress.total);
 }
 
-// Requests per second that a goal needs: a job that is behind catches up, one that is ahead keeps an even
-// pace.
+// Requests per second that a goal requires: a job that is behind catches up, one that is ahead keeps an even
+// rate.
 double GoalRate(Time goal, const Progress& progress, Time now) {
   const auto total = static_cast<double>(progress.total);
   const double left = total - std::min(total, static_cast<double>(progress.position));
@@ -35,15 +37,16 @@
 // ---- pressure ----
 
 void Pressure::Take(const Report& report, Time now) {
-  const bool overloaded = report.missed > options_.most_missed || report.waiting > options_.most_waiting ||
-                          report.bound > options_.most_bound;
-  // Down at once, since the next live request would suffer; up slowly, or else the two would oscillate.
-  speed_ = overloaded ? 0 : std::min(1.0, speed_ + options_.recover);
+  const bool overloaded = report.missed_fraction > options_.max_missed_fraction ||
+                          report.queued_fraction > options_.max_queued_fraction;
+  // Failure: background work and the pressure that it causes alternate, and live requests suffer in every
+  // cycle. The speed drops at once and recovers in small steps, so that it settles below the threshold.
+  speed_ = overloaded ? 0 : std::min(1.0, speed_ + options_.recovery_step);
   last_report_ = now;
 }
 
 double Pressure::Speed(Time now) const {
-  if (!last_report_ || now - *last_report_ > options_.report_lasts) {
+  if (!last_report_ || now - *last_report_ > options_.report_validity) {
     return speed_ * kUnknownLoadSpeed;
   }
   return speed_;
@@ -75,24 +78,24 @@
 // than the minimum.
 double Budget::Rate(const Job& job, Time now) const {
   const JobOptions& options = job.options;
-  double rate =
-      std::min(options.requests_a_second, options.bytes_a_second / std::max(1.0, options.mean_request_bytes));
-  if (options.wish > 0 && job.progress.total > 0) {
-    rate = std::min(rate, GoalRate(options.wish, job.progress, now));
+  double rate = std::min(options.max_requests_per_second,
+                         options.max_bytes_per_second / std::max(1.0, options.mean_request_bytes));
+  if (options.goal > 0 && job.progress.total > 0) {
+    rate = std::min(rate, GoalRate(options.goal, job.progress, now));
   }
-  return std::max(options.floor_a_second, rate * pressure_.Speed(now));
+  return std::max(options.min_requests_per_second, rate * pressure_.Speed(now));
 }
 
 void Budget::PayDebts(Job& job, Time now) const {
   const double rate = Rate(job, now);
   const double elapsed = Seconds(now - job.updated_at);
   job.request_debt = std::max(0.0, job.request_debt - elapsed * rate);
-  job.bytes_debt = std::max(0.0, job.bytes_debt - elapsed * job.options.bytes_a_second);
+  job.bytes_debt = std::max(0.0, job.bytes_debt - elapsed * job.options.max_bytes_per_second);
   job.updated_at = std::max(job.updated_at, now);
 }
 
 std::optional<Time> Budget::WaitOf(const Job& job, Time now) const {
-  if (held_ || job.paused || job.in_flight >= job.options.in_flight) {
+  if (suspended_ || job.paused || job.in_flight >= job.options.max_in_flight) {
     return std::nullopt;
   }
   const double rate = Rate(job, now);
@@ -100,7 +103,7 @@
     return std::nullopt;
   }
   const double elapsed = Seconds(now - job.updated_at);
-  const double byte_rate = job.options.bytes_a_second;
+  const double byte_rate = job.options.max_bytes_per_second;
   const double for_requests = std::max(0.0, job.request_debt - elapsed * rate) / rate;
   const double for_bytes = std::max(0.0, job.bytes_debt - elapsed * byte_rate) / byte_rate;
   return static_cast<Time>(std::ceil(std::max(for_requests, for_bytes) * kMicrosPerSecond));
--- a/src/background/budget.h
+++ b/src/background/budget.h
@@ -1,10 +1,10 @@
 // The budget of background work beside live requests: which job may send a request, and when.
 //
-// No I/O, clock or thread: times are microseconds that never run backwards, and the owner sends the requests
-// it is granted. Each job has a priority, a budget (bytes and requests per second, requests in flight) and an
-// optional goal: all its work within a time. Load on live requests stops a job within one report, after it
-// the speed recovers slowly, and a guaranteed minimum keeps the job moving regardless. One thread owns each
-// object.
+// No I/O, clock or thread: times are microseconds that never run backwards, and the owner,
+// checksummed::Scrub, sends the requests it is granted. Each job has a priority, a budget (bytes and requests
+// per second, requests in flight) and an optional goal: all its work within a time. Load on live requests
+// slows a job to its guaranteed minimum within one report; below the thresholds the speed recovers slowly.
+// Used on the owner's thread only. No errors: a JobId must come from Add.
 #ifndef WALNUTSPUR_BACKGROUND_BUDGET_H_
 #define WALNUTSPUR_BACKGROUND_BUDGET_H_
 
@@ -21,29 +21,27 @@
 // The limits of one job.
 struct JobOptions {
   std::string name;
-  int priority = 0;                 // higher ones are served first
-  double bytes_a_second = 8 << 20;  // at most
-  double requests_a_second = 200;   // at most
-  int in_flight = 2;                // requests, at most
-  double floor_a_second = 1;        // requests per second, whatever the load; 0: the job may stand still
-  Time wish = 0;  // the goal: all work within this time, us; 0: as fast as the budget allows
+  int priority = 0;  // jobs of higher priority are served first
+  double max_bytes_per_second = 8 << 20;
+  double max_requests_per_second = 200;
+  int max_in_flight = 2;               // requests
+  double min_requests_per_second = 1;  // regardless of the load; 0: the job may stop
+  Time goal = 0;                       // all work within this time, us; 0: as fast as the budget allows
   double mean_request_bytes = 64 << 10;
 };
 
 // The load on live requests at one target since the last report.
 struct Report {
-  double missed = 0;   // fraction of the requests that missed their latency objective
-  double waiting = 0;  // requests queued at the target, as it reported last
-  double bound = 0;    // fraction of the concurrency limit in use, 0 to 1
+  double missed_fraction = 0;  // of the requests, those that missed their latency objective
+  double queued_fraction = 0;  // of the open requests, those that wait for the concurrency limit
 };
 
 // The thresholds of a report; any value above its threshold stops background work.
 struct PressureOptions {
-  double most_missed = 0.02;
-  double most_waiting = 4;
-  double most_bound = 0.7;
-  double recover = 0.05;          // fraction of the full speed regained by a report below all thresholds
-  Time report_lasts = 3'000'000;  // us; with an older report the speed is halved, as the load is unknown
+  double max_missed_fraction = 0.02;
+  double max_queued_fraction = 0.7;
+  double recovery_step = 0.05;       // fraction of the full speed regained by a report below both thresholds
+  Time report_validity = 3'000'000;  // us; after it the load is unknown and the speed is halved
 };
 
 // The speed of background work at one target that live requests allow, as a fraction of the full one.
@@ -59,7 +57,7 @@
   std::optional<Time> last_report_;
 };
 
-// The progress of a job. `position` and `since` are what is stored from one process to the next.
+// The progress of a job. `position`, `rounds` and `since` are preserved across restarts.
 struct Progress {
   std::uint64_t position = 0;  // units of work done in this round; a request does one
   std::uint64_t total = 0;     // units of a round; 0: unknown yet
@@ -77,9 +75,9 @@
 
   void Pause(JobId job);
   void Resume(JobId job, Time now);
-  // While held, the target takes no background requests, not even the minimum: it is draining, in slow start
-  // or terminated.
-  void Hold(bool held) { held_ = held; }
+  // While suspended, the target gets no background requests, not even the minimum: it is draining, in slow
+  // start or terminated.
+  void Suspend(bool suspended) { suspended_ = suspended; }
 
   // Grants a request to the job that may send one now, if there is one; it is in flight until Done or Return.
   std::optional<JobId> Next(Time now);
@@ -91,9 +89,8 @@
   void Return(JobId job);
 
   const Progress& progress(JobId job) const { return jobs_.at(job).progress; }
-  bool paused(JobId job) const { return jobs_.at(job).paused; }
   int in_flight(JobId job) const { return jobs_.at(job).in_flight; }
-  // Requests per second that a job may send at present.
+  // Requests per second that a job may currently send.
   double Rate(JobId job, Time now) const { return Rate(jobs_.at(job), now); }
 
  private:
@@ -110,14 +107,14 @@
   double Rate(const Job& job, Time now) const;
   // Reduces the debts by the time that has passed.
   void PayDebts(Job& job, Time now) const;
-  // How long until the debts of a job are paid, us; nothing if only another call can let it send.
+  // Time until the debts of a job are paid, us; nothing if only another call can let it send.
   std::optional<Time> WaitOf(const Job& job, Time now) const;
   static bool GoesBefore(const Job& job, const Job& other);
 
   Pressure pressure_;
   std::map<JobId, Job> jobs_;
   JobId next_id_ = 1;
-  bool held_ = false;
+  bool suspended_ = false;
 };
 
 }  // namespace walnutspur::background
--- a/src/checksummed/checksummed_exports.cpp
+++ b/src/checksummed/checksummed_exports.cpp
@@ -16,11 +16,15 @@
 using integrity::IoStatus;
 using integrity::Volume;
 
-constexpr Time kCheckpointCheckInterval = 50'000;  // us
-constexpr Time kIdleBeforeCheckpoint = 200'000;    // us without writes after which a checkpoint begins
-constexpr Time kMaxDirtyTime = 1'000'000;          // us after which one begins in any case
-constexpr Time kMinAttachBackoff = 250'000;        // us
-constexpr Time kMaxAttachBackoff = 5'000'000;      // us
+// Interval between checks whether a checkpoint is due, us.
+constexpr Time kCheckpointCheckInterval = 50'000;
+// Time without writes after which a checkpoint starts, us.
+constexpr Time kIdleBeforeCheckpoint = 200'000;
+// Time with records in the journal after which a checkpoint starts in any case, us.
+constexpr Time kMaxDirtyTime = 1'000'000;
+// First and longest backoff between attempts to attach an export, us.
+constexpr Time kMinAttachBackoff = 250'000;
+constexpr Time kMaxAttachBackoff = 5'000'000;
 
 integrity::Command ToVolumeCommand(CommandId id, const std::shared_ptr<const nbd::CommandPayload>& payload) {
   using Kind = integrity::Command::Kind;
@@ -111,7 +115,7 @@
 }
 
 // Sends the volume's storage requests and reports its results until it has no more of either. Requests that
-// end at once call this again, which leaves the work to the outer call.
+// end at once call this recursively; the recursive call returns and leaves the work to the outer one.
 void ChecksummedExports::Dispatch(std::size_t number) {
   Export& exported = exports_[number];
   if (std::exchange(exported.dispatching, true)) {
@@ -143,8 +147,8 @@
   }
 }
 
-// Logged once and retried with a backoff: a target that did not answer may recover, and an operator may
-// restore what it stores.
+// Logs the failure once and schedules another attempt with a backoff: a target that did not answer may
+// recover, and an operator may restore the export.
 void ChecksummedExports::OnAttachFailed(Export& exported) {
   if (std::exchange(exported.failure_logged, true)) {
     return;
@@ -204,8 +208,8 @@
   Dispatch(completed.number);
 }
 
-// The order of writes that the journal rests on needs flushes that cover all connections. Before anything is
-// written the target must have offered them.
+// Whether the target offers flushes that cover all connections, on which the volume's order of writes
+// depends.
 bool ChecksummedExports::IsTargetSuitable(const Export& exported) const {
   const auto flags = targets_.flags(exported.config->target, exported.config->remote);
   if (!flags) {
@@ -267,7 +271,8 @@
   Abandon(found->second, Outcome::kCancelled);
 }
 
-// The volume's storage requests go on: they cannot be cancelled, and the volume must know how they end.
+// Ends the attempt. The volume's storage requests continue: they cannot be cancelled, and the volume must
+// know how they end.
 void ChecksummedExports::Abandon(CommandId command, Outcome outcome) {
   const auto found = attempts_.find(command);
   if (found == attempts_.end()) {
--- a/src/checksummed/checksummed_exports.h
+++ b/src/checksummed/checksummed_exports.h
@@ -3,10 +3,22 @@
 //
 // An attempt is one command of a volume, which issues as many storage requests as it needs; all those of a
 // read go by one path. Requests that are in flight when the attempt ends are awaited by the volume, not by
-// the scheduler. Checkpoints are the volume's own work; the protocol's cost of a write counts its units twice
+// the scheduler. Checkpoints are not requests of the scheduler; the cost of a write counts its units twice
 // for them.
 //
-// Owned by the initiator; runs on the event loop's thread.
+// Failures and their guards:
+// - A target without a flush that covers all connections would break the volume's order of writes. An export
+// is
+//   attached only if its target offers FLUSH, and FUA or CAN_MULTI_CONN; nothing is written before.
+// - A target that is draining must not get requests, but a volume keeps issuing them. They end as not
+// executed, so
+//   that commands fail and the journal keeps its records until the target is active again.
+// - An export cannot be attached because the target does not answer or an operator has to repair it. The
+// failure
+//   is logged once and the attachment retried with a backoff.
+//
+// Owned by the initiator; runs on the event loop's thread. Errors are outcomes of attempts and log events;
+// nothing is thrown.
 #ifndef WALNUTSPUR_CHECKSUMMED_CHECKSUMMED_EXPORTS_H_
 #define WALNUTSPUR_CHECKSUMMED_CHECKSUMMED_EXPORTS_H_
 
@@ -51,13 +63,12 @@
   void Activate(const TargetId& target);
 
   std::size_t connections() const { return targets_.connections(); }
-  // Null for an export without checksums.
+  // Null for an export without checksums. Valid until the export is attached again.
   const integrity::Volume* volume(std::size_t number) const { return exports_[number].volume.get(); }
   const Counts& counts() const { return counts_; }
   std::vector<PathStatus> paths();  // to targets with checksummed exports
-  integrity::PathState PathOf(const std::string& target, int path) { return paths_.StateOf(target, path); }
 
-  // Called with each block that was found corrupt and to which no fault could be attributed yet.
+  // Called with each block that did not match its tag and to which no fault could be attributed yet.
   std::function<void(std::size_t number, std::uint64_t block)> on_suspected_corruption;
 
  private:
@@ -66,9 +77,9 @@
     std::unique_ptr<integrity::Volume> volume;  // null: an export without checksums
     bool suspended = true;        // its target takes no requests, until it is known to be active
     bool dispatching = false;     // guards Dispatch against reentry
-    bool failure_logged = false;  // that it could not be attached
-    Time last_write = 0;          // when a write was answered last
-    Time dirty_since = 0;         // since when the journal holds records; 0: it does not
+    bool failure_logged = false;  // of the latest attachment
+    Time last_write = 0;          // when the latest write was answered
+    Time dirty_since = 0;         // since when the journal has records; 0: it has none
     Time attach_backoff = 0;      // us before the next attempt to attach, after a failure
     loop::EventHandle checkpoint_timer;
     loop::EventHandle attach_timer;
--- a/src/checksummed/corruption_tracker.cpp
+++ b/src/checksummed/corruption_tracker.cpp
@@ -8,7 +8,8 @@
 namespace walnutspur::checksummed {
 namespace {
 
-constexpr Time kSaveDelay = 1'000'000;  // us from a change to the save of the log: one save for many changes
+// Delay from a change of the log to its save, us, so that one save covers many changes.
+constexpr Time kSaveDelay = 1'000'000;
 
 void LogStoreStatus(const std::string& error) {
   if (error.empty()) {
@@ -55,15 +56,11 @@
 
 std::optional<integrity::FaultAttribution> CorruptionTracker::AddReading(
     const integrity::BlockLocation& location, int paths, const integrity::Reading& reading, Time now) {
-  if (!reading.good) {
-    ++mismatches_;
-  }
   auto attribution = investigations_.AddReading(location, paths, reading, now);
   if (reading.good) {
     corruption_log_.MarkRepaired(location, now);
   }
   if (attribution) {
-    ++attributions_;
     corruption_log_.Record(location, *attribution, now);
     log::Event(log::Level::kError, "damage",
                {{"box", location.target},
--- a/src/checksummed/io_dispatcher.cpp
+++ b/src/checksummed/io_dispatcher.cpp
@@ -9,9 +9,10 @@
 using integrity::IoKind;
 using integrity::IoStatus;
 
-// Requests of volumes are numbered from here on; the scheduler's stay below.
+// The first request number of volumes; those of the scheduler are lower.
 constexpr core::RequestNumber kFirstInternalRequest = core::RequestNumber{1} << 63;
-constexpr Time kIoTimeout = 2'000'000;  // us
+// Timeout of one storage request, us.
+constexpr Time kIoTimeout = 2'000'000;
 
 IoStatus StatusOf(const core::AttemptResult& result, bool is_flushing) {
   switch (result.outcome) {
--- a/src/checksummed/io_dispatcher.h
+++ b/src/checksummed/io_dispatcher.h
@@ -2,7 +2,9 @@
 // of an nbd::TargetPool, and reports their completions. A write that must be durable when it completes is
 // followed by a flush, since not every target supports FUA.
 //
-// Owned by ChecksummedExports; runs on the event loop's thread.
+// Owned by ChecksummedExports; runs on the event loop's thread. Each request is completed exactly once, with
+// an integrity::IoStatus. A failure after which the target may have executed the request is kFailed, never
+// kNotExecuted: the volume would otherwise report a write as not executed that may still take effect.
 #ifndef WALNUTSPUR_CHECKSUMMED_IO_DISPATCHER_H_
 #define WALNUTSPUR_CHECKSUMMED_IO_DISPATCHER_H_
 
@@ -21,7 +23,7 @@
 
 namespace walnutspur::checksummed {
 
-// One storage request of an export; the data of a write is not kept.
+// One storage request of an export, without the data of a write.
 struct ExportIo {
   std::size_t number = 0;  // of the export
   integrity::IoRequest request;
@@ -35,7 +37,7 @@
   struct Callbacks {
     // Whether requests may be sent to the export's target now.
     std::function<bool(std::size_t number)> is_available;
-    // A storage request has ended; `data` is what a read brought.
+    // A storage request has ended; `data` is the content that a read returned.
     std::function<void(const ExportIo& completed, integrity::IoStatus status, std::string data)> on_completed;
   };
 
@@ -43,7 +45,7 @@
   IoDispatcher(const nbd::Config& config, nbd::TargetPool* targets, PathTracker* paths, Callbacks callbacks);
 
   void Send(ExportIo export_io, int path);
-  // Takes the result of an attempt that this has started; false if another one has.
+  // Handles the result of an attempt that this has started; false if another component has started it.
   bool OnResult(const core::AttemptResult& result);
 
  private:
--- a/src/checksummed/path_tracker.cpp
+++ b/src/checksummed/path_tracker.cpp
@@ -20,7 +20,7 @@
   return (request.offset + request.length - 1) / integrity::kBlockBytes;
 }
 
-// What a read by this path says of one of its blocks.
+// The reading of one block that a read on this path has given.
 integrity::Reading ReadingOf(const integrity::CommandResult& result, std::uint64_t block, int path) {
   const auto corrupt =
       std::find_if(result.corrupt_blocks.begin(), result.corrupt_blocks.end(),
@@ -86,14 +86,10 @@
   return suspected;
 }
 
-integrity::PathState PathTracker::StateOf(const std::string& target, int path) {
-  return paths_.at(target).StateOf(path, core::Now());
-}
-
 void PathTracker::AppendStatus(const std::string& target, std::vector<PathStatus>* status) {
-  const int count = paths_.at(target).count();
-  for (int path = 0; path < count; ++path) {
-    status->push_back({target, path, StateOf(target, path)});
+  integrity::PathHealth& paths = paths_.at(target);
+  for (int path = 0; path < paths.count(); ++path) {
+    status->push_back({target, path, paths.StateOf(path, core::Now())});
   }
 }
 
--- a/src/checksummed/path_tracker.h
+++ b/src/checksummed/path_tracker.h
@@ -1,8 +1,8 @@
-// Which path each request to a target takes, and what is learned of the paths from the reads that they
-// served: readings of corrupt blocks go to the corruption tracker, and faults that it attributes to a path
-// count against that path.
+// Chooses the path of each request to a target, and evaluates the reads: readings of blocks under suspicion
+// go to the corruption tracker, and faults that it attributes to a path count against that path's health.
 //
-// Owned by ChecksummedExports; runs on the event loop's thread.
+// Owned by ChecksummedExports, called by it and by IoDispatcher; runs on the event loop's thread. No errors:
+// there always is a path.
 #ifndef WALNUTSPUR_CHECKSUMMED_PATH_TRACKER_H_
 #define WALNUTSPUR_CHECKSUMMED_PATH_TRACKER_H_
 
@@ -34,12 +34,11 @@
   // The path for a request to the target of an export. A read avoids paths on which its blocks have met a
   // mismatch that is still under investigation.
   int Choose(const nbd::Volume& volume, const nbd::Request& request);
-  // Takes the result of a read that went by this path. The corrupt blocks to which no fault could be
+  // Evaluates the result of a read on this path. Returns the corrupt blocks to which no fault could be
   // attributed yet, which should be read again soon.
   std::vector<std::uint64_t> RecordRead(const nbd::Volume& volume, const nbd::Request& request, int path,
                                         const integrity::CommandResult& result);
 
-  integrity::PathState StateOf(const std::string& target, int path);
   // Appends the states of all paths to a target.
   void AppendStatus(const std::string& target, std::vector<PathStatus>* status);
 
--- a/src/checksummed/scrub.cpp
+++ b/src/checksummed/scrub.cpp
@@ -9,10 +9,14 @@
 namespace walnutspur::checksummed {
 namespace {
 
-constexpr Time kReportInterval = 200'000;          // us between reports of the pressure on live work
-constexpr Time kIdleScheduleInterval = 250'000;    // us while no read is due
-constexpr Time kMinScheduleInterval = 1'000;       // us
-constexpr Time kSaveCursorsInterval = 10'000'000;  // us
+// Interval between reports of the pressure on live requests, us.
+constexpr Time kReportInterval = 200'000;
+// Longest interval between two checks for reads that are due, us.
+constexpr Time kIdleScheduleInterval = 250'000;
+// Shortest interval between two checks for reads that are due, us.
+constexpr Time kMinScheduleInterval = 1'000;
+// Interval between saves of the cursors, us.
+constexpr Time kSaveCursorsInterval = 10'000'000;
 
 }  // namespace
 
@@ -63,11 +67,11 @@
   progress.total = scrubber.total();
   progress.position = scrubber.position();
   progress.rounds = cursor.rounds;
-  progress.since = std::min(cursor.since, now);  // a clock that was set back must not shorten the round
+  progress.since = std::min(cursor.since, now);  // `since` is in the future if the clock was set back
   jobs_.push_back({number, volume.target, target.budget->Add(job, progress, now), std::move(scrubber)});
 }
 
-// Cursors of exports that are not served at present are saved again as they were.
+// Saves the cursors of all exports; those of exports that are currently not served are saved unchanged.
 void Scrub::SaveCursors() {
   if (!options_.save_cursors) {
     return;
@@ -86,13 +90,13 @@
   options_.save_cursors(integrity::Encode(saved_cursors_));
 }
 
-// An interval without live requests counts as one without pressure.
+// Reports the pressure of the last interval. One without live requests counts as one without pressure.
 void Scrub::ReportPressure() {
   background::Report report;
   if (responses_ > 0) {
-    report.missed = static_cast<double>(missed_objectives_) / static_cast<double>(responses_);
+    report.missed_fraction = static_cast<double>(missed_objectives_) / static_cast<double>(responses_);
   }
-  report.bound = max_queued_fraction_;
+  report.queued_fraction = max_queued_fraction_;
   responses_ = 0;
   missed_objectives_ = 0;
   max_queued_fraction_ = 0;
@@ -150,7 +154,7 @@
   }
   TargetState& state = targets_.at(target);
   const Time now = core::Now();
-  state.budget->Hold(!state.active || !IsWarmedUp(state, now));
+  state.budget->Suspend(!state.active || !IsWarmedUp(state, now));
   while (const auto granted = state.budget->Next(now)) {
     for (std::size_t i = 0; i < jobs_.size(); ++i) {
       if (jobs_[i].target == target && jobs_[i].id == *granted) {
@@ -212,7 +216,7 @@
   pending_reads_.erase(found);
   Job& job = jobs_[pending.job];
   const auto* reply = static_cast<const nbd::ReplyPayload*>(response.payload.get());
-  // A read that has found corruption has succeeded: the corruption log has what it found.
+  // A read that has met corruption has succeeded: the corruption log has the result.
   const bool has_corrupt_blocks = reply != nullptr && !reply->bad.empty();
   const bool has_read = response.status == core::ResponseStatus::kServed || has_corrupt_blocks;
   int completed_chunks = 0;
--- a/src/checksummed/scrub.h
+++ b/src/checksummed/scrub.h
@@ -1,8 +1,9 @@
 // The scrub of checksummed exports: reads all of their blocks in the background, as internal requests of a
-// class of their own, so that corruption is found before clients meet it. A budget for each target limits the
-// reads by the load that live requests feel.
+// separate request class, so that corruption is detected before clients read it. A budget for each target
+// limits the reads by the pressure on live requests.
 //
-// Owned by the initiator; runs on the event loop's thread.
+// Owned by the initiator; runs on the event loop's thread. A read that fails is retried by the same round; a
+// read that meets corruption has succeeded, since the corruption log has the result.
 #ifndef WALNUTSPUR_CHECKSUMMED_SCRUB_H_
 #define WALNUTSPUR_CHECKSUMMED_SCRUB_H_
 
@@ -52,11 +53,11 @@
   void BeginGracefulShutdown(Time) override { stopped_ = true; }
   std::size_t connections() const override { return 0; }
 
-  // The response to a live request, from which the pressure on live work is measured.
+  // Called with each response to a live request, from which the pressure on live requests is computed.
   void ObserveResponse(const core::Response& response);
-  // The discovery's state of a target; `started_at` 0: long ago.
+  // Called with each state of a target that discovery reports; `started_at` 0: long ago.
   void OnTargetState(const std::string& target, bool active, Time started_at);
-  // A block of an export that should be read again soon.
+  // Schedules another read of a block of an export.
   void Recheck(std::size_t number, std::uint64_t block);
   void Pause(bool paused);
   bool paused() const { return paused_; }
@@ -67,7 +68,7 @@
     std::uint64_t position = 0;
     std::uint64_t total = 0;
     std::uint64_t rounds = 0;
-    double rate = 0;  // requests a second, at present
+    double rate = 0;  // requests per second, currently allowed
     int in_flight = 0;
   };
   std::vector<Status> status() const;
--- a/src/filestore/atomic_file.cpp
+++ b/src/filestore/atomic_file.cpp
@@ -38,8 +38,8 @@
     close(fd);
     return "cannot write";
   }
-  // After an error of fsync nothing is known of what is on the disk: the new file is discarded and not synced
-  // again.
+  // After an error of fsync the content on the disk is unknown, and a second fsync may succeed without having
+  // written it: the new file is discarded.
   if (fsync(fd) != 0) {
     close(fd);
     return "cannot sync";
--- a/src/filestore/file_store.cpp
+++ b/src/filestore/file_store.cpp
@@ -84,7 +84,7 @@
       return;
     }
     pending_.try_emplace(file.name, std::move(file.bytes));  // unless newer content is pending
-    // Neither new content nor a retry may keep a failing disk busy.
+    // New content does not shorten the backoff, so that a failing disk is not kept busy.
     changed_.wait_for(lock, backoff, [this] { return stopping_; });
     backoff = std::min(2 * backoff, max_backoff_);
   }
--- a/src/filestore/file_store.h
+++ b/src/filestore/file_store.h
@@ -1,6 +1,6 @@
-// Stores small files of one folder asynchronously, so that a slow or hanging disk blocks nobody. Of each name
-// only the newest content waits to be written. A failed write is retried with a growing backoff and reported
-// once.
+// Stores small files of one folder asynchronously, so that a slow or hanging disk does not block the caller.
+// Of each name only the newest content waits to be written. A failed write is retried with a growing backoff
+// and reported once.
 //
 // Owns its thread, on which all writes run. Put, Flush and the counters may be called from any thread; only
 // Flush waits for the disk. The destructor makes one last attempt to write what is pending.
@@ -20,7 +20,7 @@
 
 class FileStore {
  public:
-  // Writes one file; false, with one line in `what`, if that failed.
+  // Writes one file; false, with one line in `what`, on failure.
   using Write = std::function<bool(const std::string& name, const std::string& bytes, std::string* what)>;
   // Called with the error when writes begin to fail, and with an empty one when they succeed again.
   using ReportStatus = std::function<void(const std::string& error)>;
@@ -34,7 +34,7 @@
   FileStore(const FileStore&) = delete;
   FileStore& operator=(const FileStore&) = delete;
 
-  // Replaces the content of a file that is pending, if there is any.
+  // Queues a file to be written; replaces its pending content, if there is any. Never blocks on the disk.
   void Put(const std::string& name, std::string bytes);
   // Waits until nothing is pending or being written; false after the timeout.
   bool Flush(std::chrono::milliseconds timeout);
--- a/src/integrity/fault_attribution.cpp
+++ b/src/integrity/fault_attribution.cpp
@@ -147,12 +147,4 @@
   return found == open_.end() ? std::set<int>() : PathsOfReadings(found->second.readings);
 }
 
-std::vector<BlockLocation> CorruptionInvestigations::locations() const {
-  std::vector<BlockLocation> all;
-  for (const auto& [location, investigation] : open_) {
-    all.push_back(location);
-  }
-  return all;
-}
-
 }  // namespace walnutspur::integrity
--- a/src/integrity/fault_attribution.h
+++ b/src/integrity/fault_attribution.h
@@ -74,7 +74,6 @@
   bool IsOpen(const BlockLocation& location) const { return open_.contains(location); }
   // The paths by which a block under investigation has been read; another one gives more evidence.
   std::set<int> PathsOf(const BlockLocation& location) const;
-  std::vector<BlockLocation> locations() const;
 
  private:
   struct Investigation {
--- a/src/integrity/path_health.h
+++ b/src/integrity/path_health.h
@@ -58,8 +58,6 @@
   void RecordFault(int path, Time now);
   PathState StateOf(int path, Time now);
   int count() const { return static_cast<int>(paths_.size()); }
-  // Decayed faults as of the path's last update.
-  double weighted_faults(int path) const { return paths_[static_cast<std::size_t>(path)].faults; }
 
  private:
   struct Path {
--- a/src/integrity/scrubber.cpp
+++ b/src/integrity/scrubber.cpp
@@ -38,7 +38,6 @@
       return std::nullopt;
     }
     next_ = 0;
-    ++rounds_;
   }
   in_flight_.insert(next_);
   return Chunk(next_++);
--- a/src/integrity/scrubber.h
+++ b/src/integrity/scrubber.h
@@ -39,17 +39,14 @@
   std::uint64_t total() const { return chunks_; }
   // The chunk from which a later process must continue so that none is skipped.
   std::uint64_t position() const;
-  std::uint64_t rounds() const { return rounds_; }                            // that are complete
-  std::size_t waiting() const { return rechecks_.size() + retries_.size(); }  // ranges ahead of the round
 
  private:
   Range Chunk(std::uint64_t number) const;
 
   std::uint64_t blocks_;
-  std::uint64_t chunk_;     // blocks of one chunk; the last one may have fewer
-  std::uint64_t chunks_;    // of the export
-  std::uint64_t next_ = 0;  // chunk
-  std::uint64_t rounds_ = 0;
+  std::uint64_t chunk_;                 // blocks of one chunk; the last one may have fewer
+  std::uint64_t chunks_;                // of the export
+  std::uint64_t next_ = 0;              // chunk
   std::set<std::uint64_t> in_flight_;   // chunks
   std::deque<std::uint64_t> retries_;   // chunks that could not be read
   std::deque<std::uint64_t> rechecks_;  // blocks
--- a/tests/net/checksummed_export_test.cpp
+++ b/tests/net/checksummed_export_test.cpp
@@ -55,9 +55,9 @@
     options.nbd = folder.Put("nbd.toml", DeployFile(paths));
     options.folder = folder.path();
     options.scrub.enabled = scrub;
-    options.scrub.job.requests_a_second = 400;
-    options.scrub.job.bytes_a_second = 1e9;
-    options.scrub.job.floor_a_second = 50;
+    options.scrub.job.max_requests_per_second = 400;
+    options.scrub.job.max_bytes_per_second = 1e9;
+    options.scrub.job.min_requests_per_second = 50;
     StartInitiator();
   }
   ~ExportFixture() { StopInitiator(); }
@@ -341,8 +341,8 @@
   REQUIRE(cursors);
   CHECK(cursors->at("letters").block / 16 + 1 >= position);
   CHECK(cursors->at("letters").rounds >= rounds);
-  fixture.options.scrub.job.requests_a_second = 0.1;  // so that it stays where it resumes
-  fixture.options.scrub.job.floor_a_second = 0;
+  fixture.options.scrub.job.max_requests_per_second = 0.1;  // so that it stays where it resumes
+  fixture.options.scrub.job.min_requests_per_second = 0;
   fixture.StartInitiator();
   status = nlohmann::json::parse(query("status"));
   CHECK(status["scrub"]["exports"][0]["position"] >= position);
--- a/tests/unit/budget_test.cpp
+++ b/tests/unit/budget_test.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr Time kSec = 1'000'000;
-const Report kCalm{0, 0, 0.1};
-const Report kBusy{0.1, 0, 0.1};
+const Report kCalm{0, 0.1};
+const Report kBusy{0.1, 0.1};
 
 // Runs a job that always has work for `seconds`; a request takes `latency` microseconds. Returns the requests
 // started in each second.
@@ -43,10 +43,10 @@
 // A job of 100 requests of 4 KiB a second with a floor of 2 requests a second.
 JobOptions BasicJob() {
   JobOptions options;
-  options.requests_a_second = 100;
-  options.bytes_a_second = 100e6;
+  options.max_requests_per_second = 100;
+  options.max_bytes_per_second = 100e6;
   options.mean_request_bytes = 4096;
-  options.floor_a_second = 2;
+  options.min_requests_per_second = 2;
   return options;
 }
 
@@ -69,13 +69,13 @@
   CHECK(after[5] >= 85);
 }
 
-TEST_CASE("a target on hold gets nothing, not even the floor; nor does a paused job") {
+TEST_CASE("a suspended target gets nothing, not even the floor; nor does a paused job") {
   Budget budget;
   const JobId job = budget.Add(BasicJob(), {}, 0);
-  budget.Hold(true);
+  budget.Suspend(true);
   CHECK(Play(budget, 0, 2, {kCalm}) == std::vector<int>{0, 0});
   CHECK_FALSE(budget.NextAt(2 * kSec));
-  budget.Hold(false);
+  budget.Suspend(false);
   budget.Pause(job);
   CHECK(Play(budget, 2 * kSec, 1, {kCalm}) == std::vector<int>{0});
   budget.Resume(job, 3 * kSec);
@@ -85,7 +85,7 @@
 TEST_CASE("requests in flight and bytes are bounded") {
   Budget budget;
   JobOptions options = BasicJob();
-  options.in_flight = 3;
+  options.max_in_flight = 3;
   const JobId job = budget.Add(options, {}, 0);
   for (int i = 0; i < 100; ++i) {
     budget.Take(kCalm, i);
@@ -110,8 +110,8 @@
   JobOptions high = BasicJob();
   JobOptions low = BasicJob();
   high.priority = 1;
-  high.in_flight = 1;
-  low.in_flight = 1;
+  high.max_in_flight = 1;
+  low.max_in_flight = 1;
   const JobId low_job = budget.Add(low, {}, 0);
   const JobId high_job = budget.Add(high, {}, 0);
   CHECK(budget.Next(0) == high_job);
@@ -126,8 +126,8 @@
 TEST_CASE("with a target duration it runs no faster than needed, and a round ends in time and restarts") {
   Budget budget;
   JobOptions options = BasicJob();
-  options.wish = 60 * kSec;
-  options.floor_a_second = 0.5;
+  options.goal = 60 * kSec;
+  options.min_requests_per_second = 0.5;
   Progress progress;
   progress.total = 600;
   const JobId job = budget.Add(options, progress, 1);
