--- a/src/checksummed/checksummed_exports.h
+++ b/src/checksummed/checksummed_exports.h
@@ -8,14 +8,11 @@
 //
 // Failures and their guards:
 // - A target without a flush that covers all connections would break the volume's order of writes. An export
-// is
-//   attached only if its target offers FLUSH, and FUA or CAN_MULTI_CONN; nothing is written before.
+//   is attached only if its target offers FLUSH, and FUA or CAN_MULTI_CONN; nothing is written before.
 // - A target that is draining must not get requests, but a volume keeps issuing them. They end as not
-// executed, so
-//   that commands fail and the journal keeps its records until the target is active again.
+//   executed, so that commands fail and the journal keeps its records until the target is active again.
 // - An export cannot be attached because the target does not answer or an operator has to repair it. The
-// failure
-//   is logged once and the attachment retried with a backoff.
+//   failure is logged once and the attachment retried with a backoff.
 //
 // Owned by the initiator; runs on the event loop's thread. Errors are outcomes of attempts and log events;
 // nothing is thrown.
--- a/src/fleet/codec/codec.cpp
+++ b/src/fleet/codec/codec.cpp
@@ -15,8 +15,10 @@
 namespace walnutspur::fleet {
 namespace {
 
-constexpr std::size_t kChecksumSize = 4;  // bytes
-constexpr std::size_t kTagSize = 16;      // bytes; HMAC-SHA-256 is truncated to them
+// Bytes of the checksum.
+constexpr std::size_t kChecksumSize = 4;
+// Bytes to which the HMAC-SHA-256 is truncated.
+constexpr std::size_t kTagSize = 16;
 
 void EncodeRecord(const Record& record, wire::Record* out) {
   out->set_name(record.name);
@@ -162,7 +164,7 @@
   const std::string_view body = datagram.substr(HeaderSize());
   wire::Envelope envelope;
   if (!envelope.ParseFromArray(body.data(), static_cast<int>(body.size()))) {
-    ++dropped_.damaged;
+    ++dropped_.corrupt;
     return std::nullopt;
   }
   if (envelope.major() != kMajorVersion) {
@@ -174,7 +176,7 @@
     return std::nullopt;
   }
   if (!IsValid(envelope)) {
-    ++dropped_.damaged;
+    ++dropped_.corrupt;
     return std::nullopt;
   }
   return DecodeEnvelope(envelope);
@@ -182,13 +184,13 @@
 
 bool Codec::VerifyHeader(std::string_view datagram) {
   if (datagram.size() < HeaderSize() || datagram.size() > kMaxDatagramSize) {
-    ++dropped_.damaged;
+    ++dropped_.corrupt;
     return false;
   }
   std::uint32_t checksum = 0;
   std::memcpy(&checksum, datagram.data(), kChecksumSize);
   if (checksum != integrity::Crc32c(datagram.substr(kChecksumSize))) {
-    ++dropped_.damaged;
+    ++dropped_.corrupt;
     return false;
   }
   if (key_.empty()) {
--- a/src/fleet/codec/codec.h
+++ b/src/fleet/codec/codec.h
@@ -17,13 +17,15 @@
 
 namespace walnutspur::fleet {
 
-constexpr std::uint32_t kMajorVersion = 1;      // of the protocol
-constexpr std::size_t kMaxDatagramSize = 1200;  // bytes
+// Version of the protocol; datagrams of another one are dropped.
+constexpr std::uint32_t kMajorVersion = 1;
+// Bytes of a datagram; updates that do not fit are left out.
+constexpr std::size_t kMaxDatagramSize = 1200;
 
 class Codec {
  public:
   struct Dropped {
-    std::uint64_t damaged = 0;   // truncated, or the checksum or form is wrong
+    std::uint64_t corrupt = 0;   // truncated, or the checksum or a field is wrong
     std::uint64_t untagged = 0;  // the tag is not that of the key
     std::uint64_t other_fleet = 0;
     std::uint64_t other_major = 0;
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -1,7 +1,7 @@
 // The program's interface to the fleet.
 //
-// The implementation is in a library of its own (libwalnutspur_fleet.so), which is loaded only if the
-// settings have a [fleet] table: without one none of it is loaded, and startup costs nothing more. The
+// The implementation is in a separate library (libwalnutspur_fleet.so), which app/fleet_settings.cpp loads
+// only if the settings have a [fleet] table: other programs pay for neither its load time nor its memory. The
 // program owns the event loop and passes it in; the library owns its socket, its timers and the membership.
 // All calls and hooks run on the loop's thread.
 #ifndef WALNUTSPUR_FLEET_FLEET_H_
@@ -31,16 +31,16 @@
   Time period = 200'000;            // us between probes
 };
 
-// What the library calls back.
+// Callbacks into the program.
 struct FleetHooks {
   std::function<void(bool warning, const std::string& kind, const std::vector<log::Field>& fields)> log;
   // The number of live members, or this one's share of the load of all members' clients, has changed.
-  std::function<void(int live, double part)> on_size;
-  // This process has to terminate.
+  std::function<void(int live, double load_share)> on_size;
+  // This process has to terminate: an older one has its name.
   std::function<void(const std::string& why)> on_end;
 };
 
-// This process's membership of a fleet. Destroying it leaves without an announcement.
+// This process's membership of a fleet. Destroying it without Leave looks like a crash to the others.
 class Fleet {
  public:
   virtual ~Fleet() = default;
@@ -48,11 +48,12 @@
   virtual void Publish(const Facts& facts) = 0;
   // Announces that this member leaves.
   virtual void Leave() = 0;
-  // Executes an operator's command, given without its first word "fleet". Returns JSON or a line of error.
+  // Executes an operator's command, given without its first word "fleet". Returns JSON, or one line with an
+  // error.
   virtual std::string Execute(const std::vector<std::string>& words) = 0;
 };
 
-// The library's entry, exported as kEntry. The caller owns the result. Throws FleetError.
+// The library's entry point, exported as kEntry. The caller owns the result. Throws FleetError.
 using Open = Fleet*(event_base* base, const FleetOptions& options, FleetHooks hooks);
 constexpr const char* kEntry = "walnutspur_fleet_open";
 
--- a/src/fleet/membership/actions.h
+++ b/src/fleet/membership/actions.h
@@ -1,4 +1,5 @@
-// What a Membership asks its caller to do, in the order in which it has to be done.
+// What the caller of a Membership has to do, in the order of the returned actions. Plain values without an
+// owner or a thread.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_ACTIONS_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_ACTIONS_H_
 
--- a/src/fleet/membership/anti_entropy.cpp
+++ b/src/fleet/membership/anti_entropy.cpp
@@ -6,20 +6,25 @@
 namespace walnutspur::fleet {
 namespace {
 
-constexpr Time kCompareInterval = 1'000'000;    // us between comparisons of digests
-constexpr Time kReconnectInterval = 1'000'000;  // us between attempts to reach those that are not live
-constexpr int kReconnectAttempts = 1;           // addresses at a time,
-constexpr int kJoinAttempts = 3;                // and as long as this member has not joined
-constexpr std::size_t kBucketBytes = 9;         // of a digest, encoded
+// Interval between comparisons of digests, us.
+constexpr Time kCompareInterval = 1'000'000;
+// Interval between attempts to contact addresses that are not live, us.
+constexpr Time kReconnectInterval = 1'000'000;
+// Addresses contacted per interval once this member has joined.
+constexpr int kReconnectAttempts = 1;
+// Addresses contacted per interval until this member has joined.
+constexpr int kJoinAttempts = 3;
+// Encoded size of a digest's bucket, bytes.
+constexpr std::size_t kBucketBytes = 9;
 
-// Splits records into messages' worth of them. The first page shares its datagram with a digest.
+// Splits records into pages that fit a message each. The first page shares its datagram with a digest.
 std::vector<std::vector<Record>> SplitIntoPages(std::vector<Record> records) {
   std::vector<std::vector<Record>> pages(1);
   std::size_t size = 0;
   for (Record& record : records) {
-    const std::size_t room =
+    const std::size_t capacity =
         pages.size() == 1 ? kMaxUpdateBytes - kDigestBuckets * kBucketBytes : kMaxUpdateBytes;
-    if (size + EstimateSize(record) > room) {
+    if (size + EstimateSize(record) > capacity) {
       pages.emplace_back();
       size = 0;
     }
@@ -33,7 +38,7 @@
 
 void AntiEntropy::Start() {
   const double interval = kCompareInterval;
-  // Members that start at once must not compare at once.
+  // A random delay, since members that start at the same time must not all compare at the same time.
   state_.timers.Start(static_cast<Time>(state_.draw() * interval), [this](Time) { CompareDigests(); });
   Reconnect();
 }
--- a/src/fleet/membership/anti_entropy.h
+++ b/src/fleet/membership/anti_entropy.h
@@ -1,5 +1,15 @@
-// Anti-entropy: compares digests of whole tables with other members, so that updates that were lost arrive
-// all the same, and contacts members and configured peers that are not part of the table's live ones. A part
+// Anti-entropy: compares digests of the complete table with other members, and contacts members and
+// configured peers that are not live in the table.
+//
+// Failures and their guards:
+// - An update is transmitted a limited number of times, and all of its datagrams may be lost. The tables of
+//   two members then differ for good, and nothing fails visibly. Comparing digests detects any difference,
+//   and the records of the differing buckets are exchanged.
+// - After a partition the members of each side are failed in the tables of the other, and failed members are
+//   not probed. Each second one of them, or a configured peer, gets a digest: its reply reconnects the two
+//   sides.
+//
+// A component
 // of a Membership, used on the thread of its caller.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_ANTI_ENTROPY_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_ANTI_ENTROPY_H_
@@ -16,6 +26,7 @@
  public:
   AntiEntropy(MembershipState& state, MessageSender& sender) : state_(state), sender_(sender) {}
 
+  // Starts both timers. Called once.
   void Start();
   // Answers a digest or a reply to one with the records that differ.
   void OnDigest(const Message& message);
--- a/src/fleet/membership/broadcast_queue.h
+++ b/src/fleet/membership/broadcast_queue.h
@@ -12,7 +12,7 @@
 
 class BroadcastQueue {
  public:
-  // Replaces what is left of an earlier update of the member.
+  // Replaces the remaining transmissions of an earlier update of the member.
   void Enqueue(const std::string& name, int transmissions) { transmissions_[name] = transmissions; }
   void Remove(const std::string& name) { transmissions_.erase(name); }
   void Clear() { transmissions_.clear(); }
--- a/src/fleet/membership/convergence.cpp
+++ b/src/fleet/membership/convergence.cpp
@@ -5,7 +5,8 @@
 namespace walnutspur::fleet {
 namespace {
 
-constexpr double kSampleFactor = 3;  // times log2 of the members: size of a sample that has to agree
+// Consecutive messages that have to agree in a large fleet, as a multiple of log2 of its members.
+constexpr double kSampleFactor = 3;
 
 }  // namespace
 
--- a/src/fleet/membership/convergence.h
+++ b/src/fleet/membership/convergence.h
@@ -1,5 +1,8 @@
-// Whether the other members hold the same table as this one, estimated from the hashes in their messages.
-// Owned by a MembershipState, used on the thread of its caller.
+// Whether the other members have the same table as this one, estimated from the hashes in their messages.
+//
+// Failure: a decision is based on a table that other members do not share, for example during a partition or
+// before an update has reached them. Only hashes that were received since this table last changed count, so
+// that any change of it ends the agreement. Owned by a MembershipState, used on the thread of its caller.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_CONVERGENCE_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_CONVERGENCE_H_
 
@@ -12,13 +15,14 @@
 
 class Convergence {
  public:
-  // The table changed: hashes that were received before say nothing any more.
+  // The table changed: hashes that were received before no longer count.
   void Reset();
   // A message of `name` arrived whose hash equals ours, or does not.
   void Observe(const std::string& name, bool agrees);
   void Forget(const std::string& name) { observations_.erase(name); }
-  // Whether all members that were heard from since the table last changed agree. In a large fleet a sample of
-  // consecutive messages is enough, since not all members can be heard from between two changes.
+  // Whether all members whose messages were received since the table last changed agree. In a large fleet a
+  // sample of consecutive messages is sufficient, since messages of all members cannot arrive between two
+  // changes.
   bool Agreed(int live_count) const;
 
  private:
--- a/src/fleet/membership/disseminator.cpp
+++ b/src/fleet/membership/disseminator.cpp
@@ -6,7 +6,8 @@
 namespace walnutspur::fleet {
 namespace {
 
-constexpr double kRetransmitFactor = 3;  // times log2 of the members: transmissions of an update by each
+// Transmissions of an update by each member, as a multiple of log2 of the members.
+constexpr double kRetransmitFactor = 3;
 
 }  // namespace
 
@@ -35,7 +36,7 @@
     }
     sender_.Send(state_.table.Get(name).address, Message{});
   }
-  // Without other members there is nobody to send to; whoever joins gets the table by anti-entropy.
+  // Without other members there is no receiver; a member that joins gets the table by anti-entropy.
   if (state_.table.live_count() <= 1) {
     state_.broadcasts.Clear();
   }
--- a/src/fleet/membership/disseminator.h
+++ b/src/fleet/membership/disseminator.h
@@ -1,6 +1,6 @@
-// Spreads updates: each is queued for piggybacking, and sent on its own to random members every half period
-// until it was transmitted often enough to reach all. A part of a Membership, used on the thread of its
-// caller.
+// Disseminates updates: each is queued for piggybacking, and sent to random members every half period until
+// it has been transmitted often enough to reach all with high probability. Lost updates are left to
+// anti-entropy. A component of a Membership, used on the thread of its caller.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_DISSEMINATOR_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_DISSEMINATOR_H_
 
@@ -11,7 +11,7 @@
 
 namespace walnutspur::fleet {
 
-// Members that a gossip message is sent to at a time.
+// Members that a gossip message is sent to per half period.
 constexpr std::size_t kGossipFanout = 3;
 
 class Disseminator {
--- a/src/fleet/membership/failure_detector.cpp
+++ b/src/fleet/membership/failure_detector.cpp
@@ -6,10 +6,14 @@
 namespace walnutspur::fleet {
 namespace {
 
-constexpr int kIndirectProbes = 3;       // members that are requested to probe
-constexpr Time kDirectTimeoutPart = 3;   // of a period: then indirect probes are requested
-constexpr Time kRelayTimeoutPart = 2;    // of a period: then a relay replies that it got no answer
-constexpr Time kStallMemoryPeriods = 2;  // for which a stall of this process excuses missing answers
+// Members that are requested to probe a member that has not answered.
+constexpr int kIndirectProbes = 3;
+// Indirect probes are requested after a period divided by this.
+constexpr Time kDirectTimeoutDivisor = 3;
+// A relay replies with a nack after a period divided by this.
+constexpr Time kRelayTimeoutDivisor = 2;
+// Periods after a stall of this process during which missing answers do not count.
+constexpr Time kStallMemoryPeriods = 2;
 
 }  // namespace
 
@@ -34,7 +38,7 @@
   probes_[id].target = target;
   SendPing(state_.table.Get(target).address, target, id);
   const Time period = state_.options.period;
-  state_.timers.Start(state_.health.Scale(period / kDirectTimeoutPart),
+  state_.timers.Start(state_.health.Scale(period / kDirectTimeoutDivisor),
                       [this, id](Time) { RequestIndirectProbes(id); });
   // One microsecond before the next probe starts.
   state_.timers.Start(state_.health.Scale(period) - 1,
@@ -82,12 +86,12 @@
     return;
   }
   const Time period = state_.options.period;
-  // This process did not run in time, so the fault is its own.
+  // This process did not run in time: the answer may be waiting unread.
   if (lateness > period || state_.health.StalledSince(state_.timers.now() - kStallMemoryPeriods * period)) {
     state_.health.Adjust(1);
     return;
   }
-  // Relays that do not even send a nack show that it is this member that is not reached.
+  // Relays that do not send a nack either indicate that this member is not reached itself.
   state_.health.Adjust(probe.relays > 0 ? std::max(0, probe.relays - probe.nacks) : 1);
   const Record* known = state_.table.Find(probe.target);
   if (!known) {
@@ -116,7 +120,7 @@
   relays_[id] = {message.from_address, message.probe, message.target};
   const Record* known = state_.table.Find(message.target);
   SendPing(known ? known->address : message.target_address, message.target, id);
-  state_.timers.Start(state_.options.period / kRelayTimeoutPart,
+  state_.timers.Start(state_.options.period / kRelayTimeoutDivisor,
                       [this, id](Time lateness) { FinishRelay(id, lateness); });
 }
 
--- a/src/fleet/membership/failure_detector.h
+++ b/src/fleet/membership/failure_detector.h
@@ -1,5 +1,16 @@
 // SWIM's failure detector: each period one member is probed, by others on this one's behalf if it does not
-// answer in time, and suspected if none of them gets an answer. Also relays the probes of others. A part of a
+// answer in time, and suspected if none of them gets an answer. Also relays the probes of others.
+//
+// Failures and their guards:
+// - The link between two members is broken and both suspect each other although all others reach them.
+//   Indirect probes by other members take other links.
+// - This process was stopped or got no processor: its probes time out although the answers have arrived. A
+//   probe that ends late, or soon after a stall, suspects no member and lowers this member's local health
+//   instead.
+// - This member is cut off itself and would suspect all others. Relays reply with a nack when their target
+//   does not answer; missing nacks lower the local health, which lengthens its timeouts.
+//
+// A component of a
 // Membership, used on the thread of its caller.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_FAILURE_DETECTOR_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_FAILURE_DETECTOR_H_
@@ -20,7 +31,8 @@
   FailureDetector(MembershipState& state, MessageSender& sender, MemberLifecycle& lifecycle)
       : state_(state), sender_(sender), lifecycle_(lifecycle) {}
 
-  // Begins to probe, after a random part of a period: members that start at once must not probe at once.
+  // Starts probing after a random fraction of a period, since members that start at the same time must not
+  // all probe at the same time. Called once.
   void Start();
   void OnPing(const Message& message);
   void OnPingRequest(const Message& message);
--- a/src/fleet/membership/local_health.h
+++ b/src/fleet/membership/local_health.h
@@ -1,5 +1,9 @@
-// Lifeguard's local health: how far a member has to mistrust its own view of others. Owned by the member's
-// MembershipState, used on the thread of its caller. Times are microseconds.
+// Lifeguard's local health: a score of how slow or badly connected this member is itself. Owned by the
+// member's MembershipState, used on the thread of its caller. Times are microseconds.
+//
+// Failure: a member that lacks processor time, or whose link is bad, misses answers and would declare healthy
+// members failed. Each indication of that raises the score, which lengthens its intervals and timeouts; each
+// answered probe lowers it.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_LOCAL_HEALTH_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_LOCAL_HEALTH_H_
 
@@ -9,6 +13,7 @@
 
 namespace walnutspur::fleet {
 
+// Highest score; intervals and timeouts are at most this many times longer, plus one.
 constexpr int kMaxHealthScore = 8;
 
 class LocalHealth {
@@ -26,8 +31,8 @@
   // Intervals and timeouts grow with the score.
   Time Scale(Time time) const { return time * (1 + score_); }
 
-  // A process that was stopped, or got no processor, did not receive either: timeouts that passed meanwhile
-  // say nothing about others.
+  // This process was stopped or got no processor. It did not receive either: timeouts that passed meanwhile
+  // are no evidence against other members.
   void RecordStall(Time now) {
     stalled_at_ = now;
     Adjust(1);
--- a/src/fleet/membership/member.h
+++ b/src/fleet/membership/member.h
@@ -17,7 +17,7 @@
 // Result of failure detection. Among updates of one incarnation the later enumerator wins.
 enum class MemberState : std::uint8_t { kAlive, kSuspect, kFailed, kLeft };
 
-// What a member publishes about itself.
+// Phase of its process that a member publishes.
 enum class Phase : std::uint8_t { kJoining, kServing, kDraining };
 
 // Metadata that a member publishes to all others.
@@ -27,16 +27,16 @@
   Time started_at = 0;
   double load = 0;  // requests a second that its clients send
   std::string building;
-  std::map<std::string, std::uint32_t>
-      connections;  // by target, the most used ones (kMaxReportedConnections)
+  std::map<std::string, std::uint32_t> connections;  // by target, the kMaxReportedConnections most used
   bool operator==(const Facts&) const = default;
 };
 
-// Bounds of what one member can make the others store.
-constexpr std::size_t kMaxNameLength = 64;           // bytes of a name, an address, or a target's name
-constexpr std::size_t kMaxReportedConnections = 16;  // entries of Facts::connections
+// Bytes of a name, an address, or a target's name; bounds the memory that one member can use at the others.
+constexpr std::size_t kMaxNameLength = 64;
+// Entries of Facts::connections, for the same reason.
+constexpr std::size_t kMaxReportedConnections = 16;
 
-// All that is replicated about one member.
+// The replicated state of one member.
 struct Record {
   std::string name;
   std::string address;            // host:port, numeric, where other members reach it
--- a/src/fleet/membership/member_lifecycle.cpp
+++ b/src/fleet/membership/member_lifecycle.cpp
@@ -5,12 +5,18 @@
 namespace walnutspur::fleet {
 namespace {
 
-constexpr Time kTombstoneAge = 600'000'000;    // us that a dead member is remembered, against late updates
-constexpr int kMaxDeadMembers = 1024;          // that are remembered
-constexpr double kPartitionFraction = 0.25;    // members that failed at once: then this member is partitioned
-constexpr int kMinPartitionFailures = 2;       // and at least this many of them,
-constexpr Time kPartitionWindow = 10'000'000;  // us, within this time
-constexpr double kSuspectProbes = 8;           // expected members that probe a suspect by themselves
+// Time for which a dead member stays in the table, us.
+constexpr Time kTombstoneAge = 600'000'000;
+// Dead members in the table.
+constexpr int kMaxDeadMembers = 1024;
+// Fraction of the members whose failure within kPartitionWindow indicates that this member is partitioned.
+constexpr double kPartitionFraction = 0.25;
+// Smallest number of failures that indicates a partition.
+constexpr int kMinPartitionFailures = 2;
+// Window in which failures are counted, us.
+constexpr Time kPartitionWindow = 10'000'000;
+// Expected number of members that probe a suspect after a notification of the suspicion.
+constexpr double kSuspectProbes = 8;
 
 }  // namespace
 
@@ -50,7 +56,7 @@
   Store(next);
   ConfirmSuspicion(name, reporter);
   disseminator_.Broadcast(name);
-  // Whoever receives a suspicion checks it: in a small fleet each member, in a large one some.
+  // Receivers of a suspicion probe the suspect themselves: in a small fleet all of them, in a large one some.
   if (reporter != state_.table.self_name() && state_.draw() * state_.table.live_count() < kSuspectProbes) {
     state_.schedule.ProbeOutOfTurn(name);
   }
@@ -60,7 +66,8 @@
   if (!suspicions_.Confirm(name, reporter)) {
     return;
   }
-  state_.table.SetReporter(name, reporter);  // each confirmation is passed on under its own reporter
+  // Each confirmation is broadcast under its own reporter: the timeout shortens with distinct reporters only.
+  state_.table.SetReporter(name, reporter);
   if (suspicions_.confirmations(name) > 1) {
     disseminator_.Broadcast(name);
   }
@@ -90,9 +97,9 @@
   RefuteIfPartitioned();
 }
 
-// If many members fail at once it is more likely that this one is partitioned from them, and they consider it
-// failed as well. A new incarnation that is broadcast on this side now saves each member here one refutation
-// when the partition heals.
+// If many members fail at once it is more likely that this one is partitioned from them, and that they
+// consider it failed as well. The new incarnation is known on this side when the partition heals, so that one
+// comparison of digests makes its members alive on the other side, without one refutation for each.
 void MemberLifecycle::RefuteIfPartitioned() {
   const Time now = state_.timers.now();
   if (now - recent_failures_since_ > kPartitionWindow) {
--- a/src/fleet/membership/member_lifecycle.h
+++ b/src/fleet/membership/member_lifecycle.h
@@ -1,5 +1,17 @@
 // The state transitions of members: alive, suspect, failed, left and forgotten. The only writer of the member
-// table. A part of a Membership, used on the thread of its caller.
+// table.
+//
+// Failures and their guards:
+// - A late update about a member that failed or left would make it alive again. Dead members stay in the
+//   table as tombstones for longer than updates circulate; their incarnation decides.
+// - This process was stopped while a suspicion was running, and the refutation waits unread in its socket.
+//   The suspicion starts over instead of ending.
+// - This member is partitioned from the others: here they fail, there it fails, and after the partition each
+//   member on this side needs one refutation. It refutes its own failure in advance, with a new incarnation.
+// - Names that are used once each (a process with a random name) would exhaust the memory. The number of dead
+//   members is bounded; the oldest is forgotten first.
+//
+// A component of a Membership, used on the thread of its caller.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_MEMBER_LIFECYCLE_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_MEMBER_LIFECYCLE_H_
 
@@ -27,9 +39,9 @@
   // Counts a further confirmation of a running suspicion.
   void ConfirmSuspicion(const std::string& name, const std::string& reporter);
   void DeclareFailed(const std::string& name, const std::string& reporter);
-  // Refutes all that is said of this member's incarnations up to `above`.
+  // Refutes all updates about this member's incarnations up to `above`.
   void IncrementIncarnation(std::uint64_t above);
-  // Entries that are held beside the table.
+  // Entries beside the table, for tests of memory bounds.
   std::size_t size() const { return suspicions_.size() + tombstone_timers_.size(); }
 
  private:
--- a/src/fleet/membership/member_table.cpp
+++ b/src/fleet/membership/member_table.cpp
@@ -7,7 +7,8 @@
 namespace walnutspur::fleet {
 namespace {
 
-constexpr int kVersionShift = 48;  // bits; keeps versions apart from incarnations, which are microseconds
+// Bits by which versions are shifted in a hash, above the bits of incarnations, which are microseconds.
+constexpr int kVersionShift = 48;
 
 // The final mix of SplitMix64.
 std::uint64_t Mix(std::uint64_t value) {
--- a/src/fleet/membership/member_table.h
+++ b/src/fleet/membership/member_table.h
@@ -39,7 +39,7 @@
   StoreResult Store(const Record& record, Time now);
   // `name` has to be in the table and dead.
   void Remove(const std::string& name);
-  // Names the member whose report of the state is passed on; not a change of the member.
+  // Sets the member that is named as the reporter of the state; not a change of the member.
   void SetReporter(const std::string& name, const std::string& reporter) {
     entries_.at(name).record.by = reporter;
   }
--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -5,12 +5,18 @@
 namespace walnutspur::fleet {
 namespace {
 
-constexpr Time kJoinTimeout = 3'000'000;                 // us without an answer: this member is the first one
-constexpr Time kMinPublishInterval = 5'000'000;          // us between updates of a member's facts,
-constexpr Time kPublishIntervalPerMember = 200'000;      // and at least this for each, as all share the links
-constexpr Time kMinStall = 1'000'000;                    // us that a timer has to be late,
-constexpr Time kStallPeriods = 5;                        // and periods, for the process to have stalled
-constexpr std::size_t kLeaveFanout = 2 * kGossipFanout;  // members that are informed of a departure
+// Time without an answer of a peer after which this member considers itself the first one, us.
+constexpr Time kJoinTimeout = 3'000'000;
+// Shortest interval between updates of a member's facts, us.
+constexpr Time kMinPublishInterval = 5'000'000;
+// Interval between updates of a member's facts per member of the fleet, us: the fleet's total rate is
+// bounded.
+constexpr Time kPublishIntervalPerMember = 200'000;
+// Lateness of a timer from which the process counts as stalled: the greater of us and periods.
+constexpr Time kMinStall = 1'000'000;
+constexpr Time kStallPeriods = 5;
+// Members that are notified of a departure.
+constexpr std::size_t kLeaveFanout = 2 * kGossipFanout;
 
 // Keeps the most used connections.
 void LimitConnections(Facts& facts) {
@@ -117,7 +123,7 @@
   Record self = state_.table.self();
   self.state = MemberState::kLeft;
   lifecycle_.Store(self);
-  // The process may end at once, so several members are informed now and pass it on.
+  // The process may terminate at once, so several members are notified now and disseminate it.
   Message message;
   message.updates = {self};
   for (const std::string& name : state_.PickRandom(kLeaveFanout)) {
--- a/src/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -2,13 +2,16 @@
 // extensions and anti-entropy.
 //
 // SWIM (Das, Gupta, Motivala 2002): each period one member is probed, indirectly if it does not answer; one
-// that does not answer at all is suspect, and has failed once nobody refutes that; updates are piggybacked on
-// the messages. Lifeguard (Dadgar, Phillips, Currey 2018): a member that notices that it is slow itself waits
-// longer, a suspicion's timeout shortens with each further member that confirms it, and a suspect is informed
-// first. Digests of whole tables are compared once a second, so that a lost update arrives all the same.
+// that does not answer at all is suspect, and has failed if it does not refute that in time; updates are
+// piggybacked on the messages. Lifeguard (Dadgar, Phillips, Currey 2018): a member that notices that it is
+// slow itself waits longer, a suspicion's timeout shortens with each further member that confirms it, and a
+// suspect is notified first. Digests of the tables are compared once a second, so that a lost update arrives
+// nevertheless.
 //
-// No I/O, clock, thread or randomness of its own: messages, times and random numbers come in, actions go out.
-// One owner, who calls it from one thread. Times are microseconds of Unix time.
+// No I/O, clock, thread or randomness of its own: messages, times and random numbers are passed in, actions
+// are returned. Owned by GossipTransport, or by a simulated cluster, which calls it from one thread. Times
+// are microseconds of Unix time. Errors: messages that are not valid are counted and ignored; nothing is
+// thrown.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_MEMBERSHIP_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_MEMBERSHIP_H_
 
@@ -34,17 +37,17 @@
 
 class Membership {
  public:
-  // `draw` returns numbers distributed evenly over [0, 1).
+  // `draw` returns random numbers, uniform over [0, 1).
   Membership(MembershipOptions options, std::function<double()> draw);
 
-  // Each of these returns what the caller has to do now, in this order.
+  // Each of these returns the actions that the caller has to execute now, in this order.
   std::vector<Action> Start(Time now);
   std::vector<Action> HandleMessage(const Message& message, Time now);
   std::vector<Action> HandleTimer(std::uint64_t id, Time now);
   // Publishes this member's facts; their version, start and building are filled in here. A change of phase is
   // broadcast at once, others at most every five seconds, and less often in large fleets.
   std::vector<Action> Publish(Facts facts, Time now);
-  // Announces that this member leaves; the process may end right after the actions.
+  // Announces that this member leaves; the process may terminate right after the actions.
   std::vector<Action> Leave(Time now);
 
   const std::map<std::string, MemberEntry>& members() const { return state_.table.entries(); }
@@ -54,7 +57,7 @@
   int suspect_count() const { return state_.table.suspect_count(); }
   // This member's share of the load of all live members, between 0 and 1.
   double LoadShare() const { return state_.table.LoadShare(); }
-  // Whether nobody is suspect and all members are known to hold the same table.
+  // Whether no member is suspect and all members are known to have the same table.
   bool converged() const { return converged_; }
   // Of the live members: equal on members that hold the same table.
   std::uint64_t hash() const { return state_.table.hash(); }
--- a/src/fleet/membership/membership_state.h
+++ b/src/fleet/membership/membership_state.h
@@ -1,5 +1,5 @@
-// The state that the parts of one Membership share. Owned by the Membership, used on the thread of its
-// caller; the parts hold references to it and decide how it changes.
+// The state that the components of one Membership share. Owned by the Membership, used on the thread of its
+// caller; the components have references to it and decide how it changes.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_MEMBERSHIP_STATE_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_MEMBERSHIP_STATE_H_
 
@@ -35,12 +35,12 @@
   std::uint64_t replayed = 0;         // datagrams
   std::uint64_t forged = 0;           // updates with an impossible incarnation
   std::uint64_t table_full = 0;       // updates of new members that were not stored
-  std::uint64_t stalls = 0;           // times that this process did not run for long
+  std::uint64_t stalls = 0;           // timers that fired late because this process did not run
   std::uint64_t refuted = 0;          // updates about this member that were false
 };
 
 struct MembershipState {
-  // `draw_fraction` returns numbers distributed evenly over [0, 1).
+  // `draw_fraction` returns random numbers, uniform over [0, 1).
   MembershipState(MembershipOptions the_options, std::function<double()> draw_fraction)
       : options(std::move(the_options)), draw(std::move(draw_fraction)) {}
   MembershipState(const MembershipState&) = delete;
@@ -64,7 +64,7 @@
   ReplayFilter replays;
   LocalHealth health{options.lifeguard};
   MembershipCounters counters;
-  bool joined = false;      // has the table of another member, or there is nobody to get it from
+  bool joined = false;      // has the table of another member, or there is no other member
   bool left = false;        // Leave was called
   bool terminated = false;  // lost its name to an older process
 };
--- a/src/fleet/membership/message.cpp
+++ b/src/fleet/membership/message.cpp
@@ -3,8 +3,10 @@
 namespace walnutspur::fleet {
 namespace {
 
-constexpr std::size_t kRecordOverhead = 40;     // bytes of a record's numbers and field tags
-constexpr std::size_t kConnectionOverhead = 8;  // bytes of an entry of Facts::connections, without its name
+// Bytes of a record's numbers and field tags.
+constexpr std::size_t kRecordOverhead = 40;
+// Bytes of an entry of Facts::connections, without its name.
+constexpr std::size_t kConnectionOverhead = 8;
 
 }  // namespace
 
--- a/src/fleet/membership/message.h
+++ b/src/fleet/membership/message.h
@@ -20,13 +20,13 @@
   kGossip,       // updates only
   kDigest,       // hashes of the sender's table by bucket; answered where they differ
   kDigestReply,  // the replier's hashes, and its records of the buckets that differ
-  kConflict,     // an older process holds the sender's name
+  kConflict,     // the sender is an older process with the receiver's name
 };
 
-// Buckets of a digest; a member's bucket is chosen by the hash of its name.
+// Buckets of a digest; a member's bucket is determined by the hash of its name.
 constexpr std::size_t kDigestBuckets = 32;
 
-// Room for updates in a datagram: bytes, as estimated by EstimateSize.
+// Bytes of updates in a datagram, as estimated by EstimateSize.
 constexpr std::size_t kMaxUpdateBytes = 1'000;
 
 struct Message {
--- a/src/fleet/membership/message_sender.cpp
+++ b/src/fleet/membership/message_sender.cpp
@@ -6,7 +6,7 @@
 namespace walnutspur::fleet {
 namespace {
 
-// Appends records to a message as long as there is room.
+// Appends records to a message up to its size limit.
 class UpdateAppender {
  public:
   UpdateAppender(const MemberTable& table, Message& message) : table_(table), message_(message) {
@@ -48,8 +48,8 @@
   message.number = ++last_number_;
   message.hash = state_.table.hash();
   UpdateAppender appender(state_.table, message);
-  // A suspect, or one that is considered failed, learns of it with each message, so that it can refute it
-  // (Lifeguard's buddy system).
+  // Each message to a suspect or failed member carries its record, so that it can refute it (Lifeguard's
+  // buddy system).
   const Record* receiver = state_.table.FindByAddress(address);
   if (receiver && state_.options.lifeguard && receiver->state != MemberState::kAlive) {
     appender.Append(receiver->name);
--- a/src/fleet/membership/message_sender.h
+++ b/src/fleet/membership/message_sender.h
@@ -1,5 +1,5 @@
-// Completes outgoing messages: sender's identity, datagram number, table hash and piggybacked updates. A part
-// of a Membership, used on the thread of its caller.
+// Completes outgoing messages: sender's identity, datagram number, table hash and piggybacked updates. A
+// component of a Membership, used on the thread of its caller.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_MESSAGE_SENDER_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_MESSAGE_SENDER_H_
 
@@ -10,7 +10,7 @@
 
 namespace walnutspur::fleet {
 
-// Whether queued updates ride on a message.
+// Whether queued updates are appended to a message.
 enum class Piggyback : std::uint8_t { kUpdates, kNone };
 
 class MessageSender {
--- a/src/fleet/membership/replay_filter.h
+++ b/src/fleet/membership/replay_filter.h
@@ -1,5 +1,8 @@
-// Rejects datagrams that are replayed, by the numbers that their senders count. Owned by a MembershipState,
-// used on the thread of its caller.
+// Rejects replayed datagrams by the numbers that their senders count. Owned by a MembershipState, used on the
+// thread of its caller.
+//
+// Failure: a network replays datagrams minutes later, with states that were true then. A number far below the
+// highest one received is rejected; the window tolerates reordering, and replays within it are recent.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_REPLAY_FILTER_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_REPLAY_FILTER_H_
 
@@ -10,11 +13,12 @@
 
 namespace walnutspur::fleet {
 
-constexpr std::uint64_t kReorderWindow = 256;  // datagrams that may overtake each other
+// Datagrams by which one may be overtaken and is still accepted.
+constexpr std::uint64_t kReorderWindow = 256;
 
 class ReplayFilter {
  public:
-  // False: a datagram with this number must have been received long ago.
+  // False: the number is below the window.
   bool Accept(const std::string& sender, std::uint64_t number) {
     if (number + kReorderWindow <= highest_[sender]) {
       return false;
@@ -25,7 +29,7 @@
   void Advance(const std::string& sender, std::uint64_t number) {
     highest_[sender] = std::max(highest_[sender], number);
   }
-  // For a new incarnation, which nothing that could be replayed belongs to.
+  // Resets the highest number, for a new process or incarnation.
   void Set(const std::string& sender, std::uint64_t number) { highest_[sender] = number; }
   void Forget(const std::string& sender) { highest_.erase(sender); }
 
--- a/src/fleet/membership/suspicion_tracker.cpp
+++ b/src/fleet/membership/suspicion_tracker.cpp
@@ -7,9 +7,12 @@
 namespace walnutspur::fleet {
 namespace {
 
-constexpr double kMinTimeoutPeriods = 3;  // periods, times log10 of the members, until a suspect has failed
-constexpr double kMaxTimeoutFactor = 4;   // times that, while nobody else confirms
-constexpr int kConfirmationsForMinimum = 3;  // by this many others the timeout is at its minimum
+// Minimum timeout of a suspicion, as a multiple of the period and log10 of the members.
+constexpr double kMinTimeoutPeriods = 3;
+// Timeout while no other member confirms the suspicion, as a multiple of the minimum.
+constexpr double kMaxTimeoutFactor = 4;
+// Confirmations by other members from which the timeout is at its minimum.
+constexpr int kConfirmationsForMinimum = 3;
 
 }  // namespace
 
@@ -30,8 +33,8 @@
 void SuspicionTracker::StartTimer(const std::string& name, TimerQueue::Callback on_timeout) {
   Suspicion& suspicion = suspicions_.at(name);
   state_.timers.Cancel(suspicion.timer);
-  const Time left = suspicion.started_at + Timeout(suspicion) - state_.timers.now();
-  suspicion.timer = state_.timers.Start(std::max<Time>(left, 0), std::move(on_timeout));
+  const Time remaining = suspicion.started_at + Timeout(suspicion) - state_.timers.now();
+  suspicion.timer = state_.timers.Start(std::max<Time>(remaining, 0), std::move(on_timeout));
 }
 
 void SuspicionTracker::Clear(const std::string& name) {
--- a/src/fleet/membership/suspicion_tracker.h
+++ b/src/fleet/membership/suspicion_tracker.h
@@ -1,5 +1,12 @@
-// Running suspicions: who confirms each, and how long it lasts until the suspect is declared failed. By
-// Lifeguard each further confirmation shortens it. A part of a Membership, used on the thread of its caller.
+// Running suspicions: the members that confirm each, and its timeout, after which the suspect is declared
+// failed.
+//
+// Failure: a slow member suspects others although they answer in time, and declares them failed before their
+// refutations arrive. By Lifeguard the timeout is long while a single member reports the suspicion, and
+// shortens with each other member that confirms it: a real crash is confirmed by several within a few
+// periods.
+//
+// A component of a Membership, used on the thread of its caller.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_SUSPICION_TRACKER_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_SUSPICION_TRACKER_H_
 
@@ -18,7 +25,7 @@
   explicit SuspicionTracker(MembershipState& state) : state_(state) {}
 
   // Counts a confirmation, the first of which starts the suspicion. False: `reporter` has confirmed it
-  // before, or enough others have.
+  // before, or the timeout is at its minimum already.
   bool Confirm(const std::string& name, const std::string& reporter);
   // Number of members that confirm the suspicion.
   std::size_t confirmations(const std::string& name) const;
--- a/src/fleet/membership/timer_queue.h
+++ b/src/fleet/membership/timer_queue.h
@@ -27,13 +27,13 @@
   // Timers are started by appending a StartTimer to `actions`, which has to outlive the queue.
   explicit TimerQueue(std::vector<Action>& actions) : actions_(actions) {}
 
-  // Time never runs backwards.
+  // A time before the current one is ignored: time never runs backwards.
   void AdvanceTo(Time now) { now_ = std::max(now_, now); }
   Time now() const { return now_; }
 
   // Returns the timer's id; ids are never 0.
   std::uint64_t Start(Time delay, Callback callback);
-  // A timer that was cancelled still fires at the caller, and is ignored then.
+  // The caller's timer still fires; Take returns nothing for it then.
   void Cancel(std::uint64_t id) { pending_.erase(id); }
   // Removes a timer that fired; nothing if it was cancelled.
   std::optional<Expired> Take(std::uint64_t id);
--- a/src/fleet/membership/update_handler.cpp
+++ b/src/fleet/membership/update_handler.cpp
@@ -5,8 +5,10 @@
 namespace walnutspur::fleet {
 namespace {
 
-constexpr int kMaxLiveMembers = 4096;          // further ones are not stored
-constexpr Time kMaxClockSkew = 3'600'000'000;  // us that an incarnation may lie in the future
+// Live members in the table; further ones are not stored.
+constexpr int kMaxLiveMembers = 4096;
+// Time by which an incarnation or a start may lie in the future, us: members' clocks differ.
+constexpr Time kMaxClockSkew = 3'600'000'000;
 
 }  // namespace
 
@@ -35,8 +37,8 @@
   }
 }
 
-// Incarnations begin as the time of a start and rise by one: one that is far ahead was made up, and could not
-// be refuted any more.
+// Incarnations begin as the time of a start and are incremented by one: a real one is never far in the
+// future.
 bool UpdateHandler::IsForged(const Record& update) const {
   const Time latest = state_.timers.now() + kMaxClockSkew;
   return update.incarnation > static_cast<std::uint64_t>(latest) || update.started_at > latest;
@@ -87,8 +89,8 @@
 }
 
 void UpdateHandler::ReplaceIncarnation(const Record& known, const Record& update) {
-  // A later start under another address may be a second process: it is accepted once the first one is dead,
-  // which a probe will show.
+  // A later start at another address may be a second process: it is accepted once the first one is dead,
+  // which the probe decides.
   if (update.address != known.address && !IsDead(known.state)) {
     state_.schedule.ProbeOutOfTurnOnce(known.name);
     return;
@@ -106,7 +108,7 @@
   }
 }
 
-// Refutes what others say of this member that is not so: that it is dead, or facts that it never published.
+// Refutes false updates about this member: that it is suspect or dead, or facts that it never published.
 void UpdateHandler::ApplyUpdateOfSelf(const Record& update) {
   if (state_.left) {
     return;
--- a/src/fleet/transport/gossip_transport.cpp
+++ b/src/fleet/transport/gossip_transport.cpp
@@ -21,13 +21,17 @@
 namespace walnutspur::fleet {
 namespace {
 
-constexpr int kReadBatch = 64;             // datagrams that are read before other events get their turn
-constexpr std::size_t kReadBuffer = 2048;  // bytes; longer datagrams are truncated and dropped
-constexpr std::size_t kMinKeySize = 16;    // bytes
+// Datagrams that are read before other events are processed.
+constexpr int kReadBatch = 64;
+// Bytes of the read buffer; longer datagrams are truncated and dropped.
+constexpr std::size_t kReadBuffer = 2048;
+// Bytes of a key.
+constexpr std::size_t kMinKeySize = 16;
 constexpr std::size_t kMaxKeySize = 4096;
-constexpr double kReportedChange = 0.1;  // of the load share: a change by more than that is reported
+// Relative change of the load share from which it is reported.
+constexpr double kReportedChange = 0.1;
 
-using core::Now;  // incarnations begin as it
+using core::Now;  // the time from which incarnations start
 
 std::string ReadKey(const std::string& path) {
   if (path.empty()) {
@@ -141,7 +145,7 @@
   try {
     address = loop::ToSocket(loop::ParseAddress(datagram.address));
   } catch (const std::exception&) {
-    ++unsent_;  // the address came from another member
+    ++unsent_;  // an invalid address in an update of another member
     return;
   }
   const std::string bytes = codec_.Encode(datagram.message);
@@ -203,7 +207,7 @@
                            {"members", nlohmann::json::array()},
                            {"datagrams", {{"received", received_}, {"sent", sent_}, {"unsent", unsent_}}},
                            {"dropped",
-                            {{"damaged", dropped.damaged},
+                            {{"damaged", dropped.corrupt},
                              {"untagged", dropped.untagged},
                              {"other_fleet", dropped.other_fleet},
                              {"other_major", dropped.other_major},
--- a/src/fleet/transport/gossip_transport.h
+++ b/src/fleet/transport/gossip_transport.h
@@ -1,5 +1,6 @@
-// Runs a Membership on a UDP socket and the event loop's timers. Created by the library's entry and owned by
-// the program; runs on the loop's thread. Makes no decisions of its own.
+// Runs a Membership on a UDP socket and the event loop's timers: executes its actions and makes no decisions
+// of its own. Created by the library's entry point and owned by the program; runs on the loop's thread.
+// Errors of the socket count as lost datagrams.
 #ifndef WALNUTSPUR_FLEET_TRANSPORT_GOSSIP_TRANSPORT_H_
 #define WALNUTSPUR_FLEET_TRANSPORT_GOSSIP_TRANSPORT_H_
 
--- a/src/integrity/checkpointer.h
+++ b/src/integrity/checkpointer.h
@@ -5,16 +5,13 @@
 //
 // Failures and their guards:
 // - A crash, or a failed request, in the middle of a checkpoint leaves blocks in place that are half old and
-// half
-//   new. The records stay in the journal until the superblock with the new tail is durable: a replay, or the
-//   next checkpoint, writes the same content again.
+//   half new. The records stay in the journal until the superblock with the new tail is durable: a replay, or
+//   the next checkpoint, writes the same content again.
 // - A power cut loses records that were acknowledged but not flushed. If their content were in place already,
-// the
-//   tags would not match it after the replay. The first flush makes the records durable before anything is
-//   written in place, and only content that it covers is written.
+//   the tags would not match it after the replay. The first flush makes the records durable before anything
+//   is written in place, and only content that it covers is written.
 // - A power cut loses content in place that was not flushed, after its records have been freed. The second
-// flush
-//   comes before the superblock that frees them.
+//   flush comes before the superblock that frees them.
 // - A torn write of a tag block destroys the tags of all its blocks. Each tag block has two slots, written in
 //   turn: the other one still has the tags that were valid before the checkpoint, and the journal has the
 //   newer ones.
--- a/src/integrity/command_executor.h
+++ b/src/integrity/command_executor.h
@@ -4,15 +4,13 @@
 //
 // Failures and their guards:
 // - Two writes change parts of one block at a time, and the later record undoes the earlier one's part. A
-// write
-//   locks its blocks from its reads until its record is acknowledged.
+//   write locks its blocks from its reads until its record is acknowledged.
 // - An FUA write has to survive a power cut as soon as it is answered. With FUA on the record's write alone,
-// the
-//   record would be durable without those before it, and a replay would end before it. Its acknowledgement is
-//   followed by a flush instead.
+//   the record would be durable without those before it, and a replay would end before it. Its
+//   acknowledgement is followed by a flush instead.
 // - A write arrives while a checkpoint writes the same block in place. With the same generation for both
-// contents,
-//   stale content of one could match the tag of the other. The new content gets a generation of its own.
+//   contents, stale content of one could match the tag of the other. The new content gets a generation of its
+//   own.
 //
 // Owned by Volume, which submits commands once the export is attached; used on the thread of the volume's
 // owner. Errors are statuses of CommandResult.
--- a/src/integrity/journal.h
+++ b/src/integrity/journal.h
@@ -4,16 +4,13 @@
 //
 // Failures and their guards:
 // - The process crashes with records in flight, which the target executes in any order. A replay ends at the
-// first
-//   record that is missing, so a record after it would disappear although its write was acknowledged. Records
-//   are therefore acknowledged in order of their sequence numbers only.
+//   first record that is missing, so a record after it would disappear although its write was acknowledged.
+//   Records are therefore acknowledged in order of their sequence numbers only.
 // - The write of a record fails with an unknown result: the record may be in the ring or not, and its command
-// was
-//   reported as failed. Were later records acknowledged, a replay would end before them or execute the failed
-//   command. A void record, without blocks, is written in its place and has to complete first.
+//   was reported as failed. Were later records acknowledged, a replay would end before them or execute the
+//   failed command. A void record, without blocks, is written in its place and has to complete first.
 // - A record that was durable is corrupt when it is replayed, which looks like a record cut off by a crash.
-// Each
-//   header says up to which record the journal was durable (JournalReplay uses it).
+//   Each header says up to which record the journal was durable (JournalReplay uses it).
 //
 // Owned by VolumeContext; used on the thread of the volume's owner.
 #ifndef WALNUTSPUR_INTEGRITY_JOURNAL_H_
--- a/src/integrity/journal_replay.h
+++ b/src/integrity/journal_replay.h
@@ -10,10 +10,10 @@
 //   one as well (Superblock::tail_epoch): a record of an earlier epoch than its predecessor's is not
 //   replayed.
 // - A record that was durable is corrupt. To end there would silently restore old content of acknowledged
-// writes.
-//   A later record whose header names the corrupt one as durable proves that no crash cut it off: its blocks
-//   are reported as unrecoverable and the replay goes on. If its own header is corrupt, the next header names
-//   its blocks; if that is corrupt too, the replay fails rather than guess which blocks are concerned.
+//   writes. A later record whose header names the corrupt one as durable proves that no crash cut it off: its
+//   blocks are reported as unrecoverable and the replay goes on. If its own header is corrupt, the next
+//   header names its blocks; if that is corrupt too, the replay fails rather than guess which blocks are
+//   concerned.
 #ifndef WALNUTSPUR_INTEGRITY_JOURNAL_REPLAY_H_
 #define WALNUTSPUR_INTEGRITY_JOURNAL_REPLAY_H_
 
--- a/tests/fleet/codec_test.cpp
+++ b/tests/fleet/codec_test.cpp
@@ -1,4 +1,4 @@
-// Datagrams: what is encoded is decoded, and what is damaged or foreign is dropped and counted.
+// Datagrams: what is encoded is decoded, and what is corrupt or foreign is dropped and counted.
 #include "fleet/codec/codec.h"
 
 #include <doctest/doctest.h>
@@ -35,12 +35,12 @@
   }
 }
 
-void CheckDamagedIsDropped(fleet::Codec& codec, const std::string& bytes) {
+void CheckCorruptIsDropped(fleet::Codec& codec, const std::string& bytes) {
   for (std::size_t i = 0; i < bytes.size(); ++i) {
     CHECK_FALSE(codec.Decode(bytes.substr(0, i)));
     CheckInvertedBitsAreDropped(codec, bytes, i);
   }
-  CHECK(codec.dropped().damaged == 9 * bytes.size());
+  CHECK(codec.dropped().corrupt == 9 * bytes.size());
 }
 
 }  // namespace
@@ -61,7 +61,7 @@
   message.updates = {record};
   const std::string bytes = ours.Encode(message);
   CheckDecodesTo(same, bytes, message);
-  CheckDamagedIsDropped(same, bytes);
+  CheckCorruptIsDropped(same, bytes);
   CHECK_FALSE(stranger.Decode(bytes));
   CHECK(stranger.dropped().untagged == 1);
   CHECK_FALSE(other.Decode(bytes));
