--- a/bench/integrity/run.h
+++ b/bench/integrity/run.h
@@ -13,7 +13,7 @@
 
 namespace walnutspur::bench {
 
-// A part of the benchmark cannot go on.
+// A part of the benchmark cannot continue.
 class BenchError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/bench/integrity/scrub.cpp
+++ b/bench/integrity/scrub.cpp
@@ -40,7 +40,7 @@
          "\nrequests = 200.0\nfloor = 1.0\nwish = 0.0\n";
 }
 
-// An open loop: each read is sent when it is due, whatever the replies do, and its latency counts from then.
+// An open loop: each read is sent when it is due, independently of replies, and its latency counts from then.
 class OpenLoop {
  public:
   OpenLoop(const Run& run, bool scrub, std::uint64_t seed, double last_rate)
@@ -67,8 +67,8 @@
   }
 
  private:
-  // The whole export: blocks that were never written are not read from the server, so that neither clients
-  // nor the scrub would cost anything.
+  // Writes every block of the export: blocks that were never written are not read from the server, so that
+  // neither clients nor the scrub would cost anything.
   void Fill() {
     const std::size_t size = kFillBlocks * kBlockBytes;
     for (std::uint64_t offset = 0; offset + size <= client_->size(); offset += size) {
--- a/bench/integrity/testbed.cpp
+++ b/bench/integrity/testbed.cpp
@@ -21,9 +21,12 @@
 constexpr int kAttachPollInterval = 2;       // ms
 constexpr int kServerStartAttempts = 500;
 constexpr int kServerStartInterval = 10;  // ms
-constexpr int kLogWriteDelay = 1200;      // ms: more than the initiator waits before it writes the log's file
-constexpr int kCheckpointInterval = 280;  // ms
-constexpr std::uint64_t kScrubCommands = 200;  // of the scrub in one such interval, at most
+// Delay after which the initiator has written the corruption log's file, ms: longer than its save delay.
+constexpr int kLogWriteDelay = 1200;
+// Interval in which an idle volume has finished a checkpoint, ms.
+constexpr int kCheckpointInterval = 280;
+// Upper bound of the scrub's commands in one such interval.
+constexpr std::uint64_t kScrubCommands = 200;
 constexpr int kWriteAttempts = 50;
 constexpr int kRetryInterval = 10;  // ms
 constexpr std::uint32_t kAttachReadBytes = 512;
--- a/src/pcap/capture.h
+++ b/src/pcap/capture.h
@@ -1,5 +1,6 @@
 // Capture files in pcap format: TCP streams read from them and written to them. Nothing is captured live.
-// Objects have no shared state; each belongs to one thread.
+// Called by Recorder and by the programs' replay. Objects have no shared state; each belongs to one thread.
+// Errors are CaptureError.
 #ifndef WALNUTSPUR_PCAP_CAPTURE_H_
 #define WALNUTSPUR_PCAP_CAPTURE_H_
 
@@ -21,22 +22,23 @@
 
 namespace walnutspur::pcap {
 
-// A TCP stream as a file shows it.
+// A TCP stream as recorded in a file.
 struct Stream {
   explicit Stream(std::size_t max_bytes) : to_server(max_bytes), to_client(max_bytes) {}
   Endpoint client;
   Endpoint server;
   Reassembly to_server;
   Reassembly to_client;
-  bool opened = false;    // the file holds its first segment
-  bool finished = false;  // the file holds a FIN or RST of it
+  bool opened = false;    // the file has its first segment
+  bool finished = false;  // the file has a FIN or RST of it
 };
 
+// Bytes that are stored of each direction of a stream, unless the caller sets another limit.
 constexpr std::size_t kDefaultMaxStreamBytes = 16 << 20;
 
-// The TCP streams of a file, in the order of their first packets. `max_bytes` bounds what is held of each
-// direction of each. Throws CaptureError if it is not a pcap file; from one that is cut off it returns what
-// it holds.
+// Reads the TCP streams of a file, in the order of their first packets. `max_bytes` bounds the bytes that are
+// stored of each direction of each stream. Throws CaptureError if it is not a pcap file; of a truncated file
+// it returns the streams up to its end.
 std::vector<Stream> ReadStreams(const std::string& path, std::size_t max_bytes = kDefaultMaxStreamBytes);
 
 // Writes streams to a file, as IPv4 packets.
--- a/src/pcap/capture_writer.cpp
+++ b/src/pcap/capture_writer.cpp
@@ -9,9 +9,11 @@
 namespace walnutspur::pcap {
 namespace {
 
-constexpr std::size_t kMaxSegmentBytes = 1400;  // of data in one packet
-constexpr int kSnapshotLength = 65535;          // bytes; packets are not longer
-constexpr std::size_t kIpv4AddressSize = 4;
+// Bytes of data in one packet.
+constexpr std::size_t kMaxSegmentBytes = 1400;
+// Bytes of the longest packet, for the file's header.
+constexpr int kSnapshotLength = 65535;
+constexpr std::size_t kIpv4AddressSize = 4;  // bytes
 
 }  // namespace
 
--- a/src/pcap/error.h
+++ b/src/pcap/error.h
@@ -1,4 +1,4 @@
-// The error that this folder throws.
+// The error that the functions of this folder throw.
 #ifndef WALNUTSPUR_PCAP_ERROR_H_
 #define WALNUTSPUR_PCAP_ERROR_H_
 
--- a/src/pcap/player.cpp
+++ b/src/pcap/player.cpp
@@ -6,7 +6,8 @@
 namespace walnutspur::pcap {
 namespace {
 
-constexpr std::size_t kMaxOpenStreams = 64;  // replayed at a time
+// Streams that are replayed at the same time.
+constexpr std::size_t kMaxOpenStreams = 64;
 
 }  // namespace
 
--- a/src/pcap/reassembly.h
+++ b/src/pcap/reassembly.h
@@ -12,7 +12,7 @@
 
 class Reassembly {
  public:
-  // At most `max_bytes` are held; the stream counts as cut off there.
+  // At most `max_bytes` are stored; the stream counts as truncated there.
   explicit Reassembly(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
   // Sets the sequence number of the first byte; later calls have no effect.
@@ -24,7 +24,7 @@
   bool begun() const { return begun_; }
   // The stream up to its first gap.
   const std::string& bytes() const { return bytes_; }
-  // Whether something is missing behind bytes().
+  // Whether bytes are missing after bytes().
   bool gap() const { return truncated_ || !pending_.empty(); }
 
  private:
--- a/src/pcap/traffic.h
+++ b/src/pcap/traffic.h
@@ -1,5 +1,5 @@
 // Traffic between the front ends and capture files: a Player replays a file's streams to the front ends, a
-// Recorder writes what the front ends serve to a file. Both belong to the thread of the event loop.
+// Recorder writes the front ends' traffic to a file. Both belong to the thread of the event loop.
 #ifndef WALNUTSPUR_PCAP_TRAFFIC_H_
 #define WALNUTSPUR_PCAP_TRAFFIC_H_
 
@@ -21,7 +21,7 @@
 
 namespace walnutspur::pcap {
 
-// Records what is received and sent on the streams that it is attached to. It must outlive them.
+// Records the bytes received and sent on the streams that it is attached to. It must outlive them.
 class Recorder {
  public:
   // Throws CaptureError. At most `max_bytes` of data are written.
@@ -44,7 +44,7 @@
 };
 
 // Replays the clients' side of a file's streams to the front ends, over connections of its own, so that the
-// front ends' parsers read the bytes as from clients. Holds what the front ends send.
+// front ends' parsers read the bytes as from clients. Stores the responses.
 class Player {
  public:
   // One stream's result.
@@ -86,7 +86,7 @@
   Time quiet_time_;
   std::vector<Result> results_;
   std::vector<std::unique_ptr<Replay>> replays_;  // those that have not ended, in the order of the file
-  std::size_t open_ = 0;                          // connections: the first so many replays
+  std::size_t open_ = 0;                          // open connections: the first `open_` replays
   std::size_t next_ = 0;                          // the first replay that has not started
   loop::EventHandle step_;
   std::function<void()> on_done_;
--- a/src/simulator/adapter.h
+++ b/src/simulator/adapter.h
@@ -1,7 +1,7 @@
 // The adapter between the simulator and the Scheduler: batches of JSON lines in, actions as JSON lines out.
 //
-// A batch starts with "round", ends with "eofBatch" and gets one reply. No decision is taken here. Owned by
-// the adapter program; single-threaded.
+// A batch starts with "round", ends with "eofBatch" and gets one reply. Makes no decisions of its own. Owned
+// by the adapter program; single-threaded.
 #ifndef WALNUTSPUR_SIMULATOR_ADAPTER_H_
 #define WALNUTSPUR_SIMULATOR_ADAPTER_H_
 
--- a/src/simulator/messages.cpp
+++ b/src/simulator/messages.cpp
@@ -105,7 +105,7 @@
   event.volume = FieldOr<std::string>(object, "owner", "");
   event.ttl = RequiredField<Time>(object, "ttl");
   event.units = FieldOr(object, "priceUnits", 1.0);
-  // The simulator may write whole numbers with a fraction.
+  // The simulator may write integers as floating-point numbers.
   event.shard = static_cast<int>(FieldOr(object, "liesIn", -1.0));
   event.initiator_count = static_cast<int>(FieldOr(object, "mounts", 1.0));
   event.is_client_retry = FieldOr(object, "isRetry", false);
--- a/tests/fleet/codec_test.cpp
+++ b/tests/fleet/codec_test.cpp
@@ -1,4 +1,5 @@
-// Datagrams: what is encoded is decoded, and what is corrupt or foreign is dropped and counted.
+// Datagrams arrive truncated, with flipped bits, with the tag of another key, or from another fleet. Each is
+// dropped and counted by its cause; a valid one decodes to what was encoded.
 #include "fleet/codec/codec.h"
 
 #include <doctest/doctest.h>
--- a/tests/fleet/dissemination_test.cpp
+++ b/tests/fleet/dissemination_test.cpp
@@ -1,4 +1,6 @@
-// Dissemination and anti-entropy in virtual time: lost updates, healed partitions, traffic and memory.
+// Updates are lost, or a partition separates the members for minutes, or all are restarted while their
+// configured peers are down. When that ends, all members must soon have the same table, without a storm of
+// refutations, and traffic and memory must stay bounded. In virtual time.
 #include "cluster_fixture.h"
 
 namespace walnutspur {
@@ -8,7 +10,8 @@
 using fleet::MessageKind;
 using lab::SimulatedCluster;
 
-TEST_CASE("where updates are lost, digests replace them") {
+// Every update is removed from every message but digests and their replies, while a member is restarted.
+TEST_CASE("lost updates are replaced by comparing digests") {
   SimulatedCluster cluster = ConvergedCluster(9);
   cluster.mutate = [](int, int, Message* message) {
     if (message->kind != MessageKind::kDigest && message->kind != MessageKind::kDigestReply) {
@@ -21,7 +24,8 @@
   CheckConverges(cluster, 10 * kSecond);
 }
 
-TEST_CASE("once all agree, broadcasts end") {
+// After the start of 100 members, updates that all have received already would go on to be transmitted.
+TEST_CASE("broadcasts end once all members agree") {
   lab::ClusterOptions options;
   options.members = 100;
   options.measure_sizes = true;
@@ -37,6 +41,8 @@
   CHECK(cluster.largest_datagram() <= fleet::kMaxDatagramSize);
 }
 
+// A partition divides the fleet into halves that declare each other failed. Afterwards members would need one
+// refutation each to become alive on the other side.
 TEST_CASE("halves that were partitioned for minutes are one fleet again soon after") {
   for (const int members : {4, 30}) {
     SimulatedCluster cluster = ConvergedCluster(members);
@@ -45,7 +51,8 @@
     CHECK(cluster.membership(0).live_count() == members / 2);
     cluster.SetPartition(nullptr);
     CheckConverges(cluster);
-    std::uint64_t refuted = 0;  // incarnations rose while partitioned, so few members have anything to refute
+    // Members incremented their incarnations while partitioned, so that few have to refute their failure.
+    std::uint64_t refuted = 0;
     for (int i = 0; i < members; ++i) {
       refuted += cluster.membership(i).counters().refuted;
     }
@@ -53,6 +60,8 @@
   }
 }
 
+// All members restart at once; then again, and the configured peers, by which the others would join, start
+// later.
 TEST_CASE("all are restarted at once; and the configured peers are down at first") {
   SimulatedCluster cluster = ConvergedCluster(9);
   for (int i = 0; i < 9; ++i) {
@@ -64,7 +73,7 @@
     cluster.Crash(i);
   }
   for (int i = 3; i < 9; ++i) {
-    cluster.Start(i);  // none can reach another
+    cluster.Start(i);  // no member can reach another
   }
   cluster.Run(10 * kSecond);
   CHECK(cluster.membership(8).live_count() == 1);
@@ -72,7 +81,8 @@
   CheckConverges(cluster);
 }
 
-TEST_CASE("members that come under new names for a week are forgotten") {
+// Thousands of members join under names that are never used again, and fail.
+TEST_CASE("members with names that are used once are forgotten") {
   lab::ClusterOptions options;
   options.members = 3;
   SimulatedCluster cluster(options);
@@ -99,7 +109,7 @@
   CHECK(cluster.membership(0).EntryCount() < 100);
 }
 
-TEST_CASE("without load each member's share of it is the same") {
+TEST_CASE("without load all members have the same load share") {
   SimulatedCluster cluster = ConvergedCluster(3);
   CHECK(cluster.membership(0).LoadShare() == doctest::Approx(1.0 / 3));
 }
--- a/tests/fleet/failure_detection_test.cpp
+++ b/tests/fleet/failure_detection_test.cpp
@@ -1,4 +1,6 @@
-// Failure detection in virtual time: crashes, departures, stalls, loss and partitions.
+// Members crash, leave, restart or are stopped for a while; links lose datagrams or work in one direction
+// only. A member that has crashed must be failed for all others within seconds, and no running member that
+// can be reached may be declared failed. In virtual time.
 #include "cluster_fixture.h"
 
 namespace walnutspur {
@@ -7,6 +9,7 @@
 
 namespace {
 
+// Stops a member while one of its probes is unanswered and a suspicion runs, and resumes it after 20 s.
 void CheckStopWithProbeInFlight(SimulatedCluster& cluster) {
   cluster.SetPartition([](int sender, int receiver) { return sender != 1 && receiver != 0; });
   for (int i = 0; i < 100 && cluster.membership(0).suspect_count() == 0; ++i) {
@@ -41,7 +44,9 @@
   CHECK(cluster.false_failures() == 0);
 }
 
-TEST_CASE("a process that resumes after 20 s declares nobody failed, and is alive again") {
+// A process is stopped for 20 s, as by a debugger or a paused virtual machine. All its timers fire late when
+// it resumes, with the answers of the others unread in its socket.
+TEST_CASE("a process that resumes after 20 s declares no member failed, and is alive again") {
   SimulatedCluster cluster = ConvergedCluster(9);
   cluster.Stop(5);
   cluster.Run(20 * kSecond);
@@ -53,13 +58,14 @@
   CHECK(cluster.membership(5).counters().stalls > 0);
 }
 
-TEST_CASE("probes that time out while a process is stopped say nothing about others") {
+TEST_CASE("probes that time out while a process is stopped are no evidence against others") {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulatedCluster cluster = ConvergedCluster(5, seed);
     CheckStopWithProbeInFlight(cluster);
   }
 }
 
+// A member of a large fleet crashes. A suspicion that only one member confirms would last too long.
 TEST_CASE("confirmations shorten a suspicion: 30 members learn of a crash within 2 s") {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulatedCluster cluster = ConvergedCluster(30, seed);
@@ -68,11 +74,13 @@
   }
 }
 
-TEST_CASE("a one-way partition, and two members that do not reach each other, make nobody failed") {
+// Datagrams of one member do not reach one other, and then two members do not reach each other, while all
+// others reach both.
+TEST_CASE("a one-way partition, and two members that do not reach each other, make no member failed") {
   SimulatedCluster cluster = ConvergedCluster(9);
   cluster.SetPartition([](int sender, int receiver) { return sender != 3 || receiver != 6; });
   cluster.Run(20 * kSecond);
-  // Between 1 and 2.
+  // No datagrams between 1 and 2.
   cluster.SetPartition(
       [](int sender, int receiver) { return !(sender + receiver == 3 && (sender == 1 || receiver == 1)); });
   cluster.Run(20 * kSecond);
@@ -92,7 +100,7 @@
   CHECK(cluster.false_failures() == 0);
 }
 
-TEST_CASE("under lost datagrams nobody is declared failed") {
+TEST_CASE("no member is declared failed while datagrams are lost") {
   SimulatedCluster cluster = ConvergedCluster(30);
   cluster.SetLoss(0.1);
   cluster.Run(120 * kSecond);
--- a/tests/fleet/fleet_settings_test.cpp
+++ b/tests/fleet/fleet_settings_test.cpp
@@ -1,4 +1,5 @@
-// Errors in the [fleet] table of the settings.
+// An operator makes a mistake in the [fleet] table of the settings. One line must say where it is and what is
+// allowed.
 #include "app/fleet_settings.h"
 
 #include <doctest/doctest.h>
--- a/tests/fleet/identity_test.cpp
+++ b/tests/fleet/identity_test.cpp
@@ -1,5 +1,6 @@
-// Which process a message comes from, in virtual time: incarnations, replayed and forged messages, and names
-// that are used twice.
+// Messages come from another process than they seem to: from a member's process before its restart, replayed
+// minutes later, forged, or from a second process with the same name. None of them may fail a running member
+// or hide a new process, and of two processes with one name only the older may continue. In virtual time.
 #include "cluster_fixture.h"
 
 namespace walnutspur {
@@ -8,6 +9,7 @@
 using fleet::Message;
 using lab::SimulatedCluster;
 
+// A member is restarted, and updates about its earlier process are still in circulation.
 TEST_CASE("updates of an earlier process neither fail the new one nor hide it") {
   SimulatedCluster cluster = ConvergedCluster(5);
   const fleet::Record before = cluster.membership(3).self();
@@ -30,6 +32,7 @@
   CHECK(cluster.membership(0).counters().earlier_process > 0);
 }
 
+// A network delivers hundreds of old datagrams again, from before and after the crash of a member.
 TEST_CASE("datagrams of minutes ago, replayed by the hundred, change nothing") {
   SimulatedCluster cluster = ConvergedCluster(5);
   cluster.Crash(2);
@@ -50,6 +53,7 @@
   CHECK(cluster.membership(0).counters().replayed > 0);
 }
 
+// An operator copies a settings file and starts a second process with the name of a running one.
 TEST_CASE("of two processes under one name the younger ends with a reason, and no member flaps") {
   SimulatedCluster cluster = ConvergedCluster(5);
   const int duplicate = cluster.StartDuplicate(3);
@@ -66,6 +70,8 @@
   CHECK(cluster.has_process(next));
 }
 
+// Forged messages claim that a member failed in the last possible incarnation, and facts that it never
+// published.
 TEST_CASE("a forged incarnation near the largest is dropped, and forged facts are refuted") {
   SimulatedCluster cluster = ConvergedCluster(5);
   Message forged = ForgedMessage(cluster, 1);
@@ -84,7 +90,7 @@
   forged.updates = {record};
   InjectIntoAll(cluster, 5, forged);
   cluster.Run(2 * kSecond);
-  // The numbers of the forged datagrams hide m1's own ones until it has refuted that it failed.
+  // After the forged datagrams' high numbers, m1's own ones are rejected until it has refuted that it failed.
   CheckConverges(cluster, 2 * kConvergenceTime);
   CHECK(cluster.membership(0).members().at("m3").record.facts.load < 1e9);
 }
--- a/tests/fleet/message_mutation_test.cpp
+++ b/tests/fleet/message_mutation_test.cpp
@@ -1,4 +1,6 @@
-// A scenario in virtual time is repeated for each of its messages and each mutation of that message.
+// One message of a run is lost, duplicated or changed: its number, probe, hash, target, sender or updates. A
+// scenario in virtual time, a crash and a restart among three members, is repeated for each of its messages
+// and each mutation of that message. All members must agree at the end of each.
 #include <utility>
 
 #include "cluster_fixture.h"
--- a/tests/fuzz/integrity_fuzz.cpp
+++ b/tests/fuzz/integrity_fuzz.cpp
@@ -1,6 +1,6 @@
 // A libFuzzer target for all decoders of external bytes: digest fields, superblock, tag blocks, journal
-// records, the corruption log and the scrub's cursors. The first byte selects the decoder. What decodes must
-// encode to the same.
+// records, the corruption log and the scrub's cursors. The first byte selects the decoder. Bytes that decode
+// must encode to the same bytes.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
--- a/tests/integrity/corruption_test.cpp
+++ b/tests/integrity/corruption_test.cpp
@@ -1,4 +1,7 @@
-// Corruption of each kind: detected, never passed on, and attributed to the component at fault.
+// Blocks on a checksummed volume are corrupted. Bits flip on the disk or on one path; a write reports success
+// and is lost, torn or written to another block; a read returns the content before the last write; the
+// volume's tags, journal or superblock are corrupted themselves. No corrupt content may reach a client, the
+// corruption log has to name the component at fault, and writing a block again has to repair it.
 #include <doctest/doctest.h>
 
 #include "driver.h"
@@ -89,7 +92,7 @@
   std::map<std::uint64_t, std::string> content;
 };
 
-// Carries out a write that reports success and is lost, misdirected to `other`, or torn.
+// Executes a write that reports success and is lost, misdirected to `other`, or torn.
 void InjectAtWrite(CorruptionFixture& fixture, Damage damage, std::uint64_t block, std::uint64_t other,
                    int* injected) {
   lab::BlockDevice& disk = fixture.driver.disk();
@@ -113,7 +116,7 @@
   fixture.driver.on_io = nullptr;
 }
 
-// Makes reads bring previous content once, or flipped bits: once by the only path, always by path 0 of
+// Makes reads return the previous content once, or flipped bits: once on the only path, always on path 0 of
 // several.
 void InjectAtRead(CorruptionFixture& fixture, Damage damage, std::uint64_t block, int* injected) {
   if (damage == Damage::kStale) {
@@ -138,7 +141,7 @@
   };
 }
 
-// Injects the damage, and counts in `injected` how often.
+// Injects the corruption, and counts the injections in `injected`.
 void Inject(CorruptionFixture& fixture, Damage damage, std::uint64_t block, std::uint64_t other,
             int* injected) {
   if (damage == Damage::kLost || damage == Damage::kAstray || damage == Damage::kTorn) {
@@ -176,7 +179,7 @@
   CHECK(fixture.log.Find({"box", "export", block})->fault == Fault::kMisdirectedWrite);
 }
 
-void CheckDamageIsAttributed(Damage damage, std::uint64_t seed, int path_count) {
+void CheckCorruptionIsAttributed(Damage damage, std::uint64_t seed, int path_count) {
   CAPTURE(lab::NameOf(damage));
   CAPTURE(seed);
   CAPTURE(path_count);
@@ -211,17 +214,18 @@
   CHECK_FALSE(fixture.Read(other));
 }
 
-TEST_CASE("each kind of damage is detected and attributed to the component at fault") {
+TEST_CASE("each kind of corruption is detected and attributed to the component at fault") {
   for (const Damage damage : {Damage::kFlipPath, Damage::kFlipRest, Damage::kLost, Damage::kAstray,
                               Damage::kStale, Damage::kTorn}) {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
       for (const int paths : {1, 2, 3}) {
-        CheckDamageIsAttributed(damage, seed, paths);
+        CheckCorruptionIsAttributed(damage, seed, paths);
       }
     }
   }
 }
 
+// The target's memory is faulty: every reading of a block has other bits flipped, on whichever path it comes.
 TEST_CASE("mismatches that differ on every path are attributed to the target's memory") {
   CorruptionFixture fixture(3, 2);
   fixture.driver.on_io = [&](const IoRequest& io, std::string* data, bool*) {
@@ -237,6 +241,8 @@
   CHECK(attribution->fault == Fault::kMemory);
 }
 
+// A client overwrites a part of a block whose other part is corrupt. With a new tag over both, the corruption
+// would become undetectable.
 TEST_CASE("a write over part of a corrupt block is not executed: the block would look intact") {
   CorruptionFixture fixture(4, 1);
   fixture.driver.disk().Flip(9 * kBlockBytes, kBlockBytes, 2);
@@ -245,7 +251,7 @@
   CHECK(result.status == CommandResult::Status::kCorrupted);
   CHECK(fixture.driver.Do(Kind::kRead, 9 * kBlockBytes, kBlockBytes).status ==
         CommandResult::Status::kCorrupted);
-  // The blocks around it are read, and it is reported.
+  // A larger read returns the blocks around it, and reports it.
   const CommandResult wide = fixture.driver.Do(Kind::kRead, 8 * kBlockBytes, 3 * kBlockBytes);
   REQUIRE(wide.corrupt_blocks.size() == 1);
   CHECK(wide.corrupt_blocks[0].block == 9);
@@ -253,8 +259,9 @@
   CHECK(wide.data.substr(2 * kBlockBytes) == fixture.content[10]);
 }
 
-// After a restart nothing is in memory: tags and records are judged by what is stored.
-TEST_CASE("one damaged tag slot leaves the other, two leave no block that can be verified") {
+// One or both slots of a tag block are corrupted while no process runs, so that no tag is in memory. With one
+// slot left some blocks can be verified; with none no block may be returned, until it is written again.
+TEST_CASE("one corrupt tag slot leaves the other, two leave no block that can be verified") {
   for (const bool both : {false, true}) {
     CorruptionFixture fixture(5, 1);
     const std::uint64_t at = fixture.driver.volume().superblock().geometry.SlotOffset(0, 0);
@@ -267,7 +274,8 @@
     }
     fixture.driver.Start();
     fixture.driver.Settle();
-    int good = 0, bad = 0;
+    int good = 0;
+    int bad = 0;
     for (int round = 0; round < 4; ++round) {
       for (std::uint64_t block = 0; block < kBlocks; ++block) {
         const CommandResult result = fixture.driver.Do(Kind::kRead, block * kBlockBytes, kBlockBytes);
@@ -284,6 +292,8 @@
   }
 }
 
+// The first read of a tag block after a restart has a flipped bit in one slot, on the way. If the other
+// slot's outdated tags were used, good blocks would be reported as corrupt.
 TEST_CASE("a tag slot that is corrupted in transit does not make outdated tags trusted") {
   for (const int slot : {0, 1}) {
     CorruptionFixture fixture(8, 1);
@@ -308,7 +318,9 @@
   }
 }
 
-TEST_CASE("the blocks of a damaged durable record are reported instead of read with old content") {
+// A write was flushed, so its journal record is durable; while no process runs, the record's header or data
+// is corrupted. A replay that took it for a record cut off by a crash would return the block's old content.
+TEST_CASE("the blocks of a corrupt durable record are reported instead of read with old content") {
   for (const bool head : {false, true}) {
     CorruptionFixture fixture(6, 1);
     const std::uint64_t start = fixture.driver.volume().superblock().geometry.journal_offset +
@@ -322,8 +334,8 @@
     fixture.driver.Start();
     fixture.driver.Settle();
     REQUIRE(fixture.driver.volume().state() == Volume::State::kReady);
-    const CommandResult damaged = fixture.driver.Do(Kind::kRead, 10 * kBlockBytes, kBlockBytes);
-    REQUIRE(damaged.status == CommandResult::Status::kCorrupted);
+    const CommandResult result = fixture.driver.Do(Kind::kRead, 10 * kBlockBytes, kBlockBytes);
+    REQUIRE(result.status == CommandResult::Status::kCorrupted);
     CHECK(fixture.driver.Do(Kind::kRead, 11 * kBlockBytes, kBlockBytes).data == fixture.content[11]);
     CHECK(fixture.driver.Do(Kind::kRead, 12 * kBlockBytes, kBlockBytes).data == fixture.content[12]);
     fixture.Checkpoint();  // nor are they after a checkpoint and another restart
@@ -337,8 +349,10 @@
   }
 }
 
-TEST_CASE("an export that is unformatted, foreign, newer or damaged is not changed, and one line says why") {
-  for (const char* what : {"nothing", "foreign", "newer", "damaged"}) {
+// An export whose superblock is missing, of another program, of a newer version or corrupt is attached and
+// written to.
+TEST_CASE("an export that is unformatted, foreign, newer or corrupt is not changed, and one line says why") {
+  for (const char* what : {"nothing", "foreign", "newer", "corrupt"}) {
     CAPTURE(what);
     Driver driver(kSize, 1);
     if (std::string(what) != "nothing") {
@@ -348,7 +362,7 @@
     if (std::string(what) == "foreign") {
       driver.disk().Write(at, std::string(2 * kBlockBytes, 'x'), true);
     }
-    if (std::string(what) == "damaged") {
+    if (std::string(what) == "corrupt") {
       driver.disk().Flip(at + 100, 300, 2);
     }
     if (std::string(what) == "newer") {
--- a/tests/integrity/fault_attribution_test.cpp
+++ b/tests/integrity/fault_attribution_test.cpp
@@ -1,4 +1,7 @@
-// The health of paths, corruption investigations, the corruption log and its file.
+// One path to a target starts to corrupt what it transfers, and later recovers: requests must avoid it
+// meanwhile and return to it after a probation. Many blocks are corrupt at once: investigations and the
+// corruption log stay bounded. The log's file is truncated, corrupt or of another program: it is rejected
+// completely and not overwritten.
 #include "integrity/fault_attribution.h"
 
 #include <doctest/doctest.h>
--- a/tests/integrity/layout_test.cpp
+++ b/tests/integrity/layout_test.cpp
@@ -1,5 +1,6 @@
-// The stored format: what is encoded decodes to the same, and what is damaged, foreign, newer or misplaced is
-// recognized.
+// The stored structures of a checksummed export have flipped bits, come from another export or a newer
+// version, or were read from the wrong offset. Each of these must be recognized, and each valid structure
+// must decode to what was encoded.
 #include "integrity/layout.h"
 
 #include <doctest/doctest.h>
@@ -37,7 +38,7 @@
   return s;
 }
 
-TEST_CASE("a superblock is read back; damaged, newer, foreign and resized ones are recognized") {
+TEST_CASE("a superblock is read back; corrupt, newer, foreign and resized ones are recognized") {
   const std::uint64_t size = 1 << 20;
   const std::string good = Encode(Sample(size));
   const DecodedSuperblock read = DecodeSuperblock(good, size);
@@ -62,7 +63,7 @@
   CHECK(later.error.find("version 2") != std::string::npos);
 }
 
-TEST_CASE("of two superblocks the later valid one holds, and a newer version is never ignored") {
+TEST_CASE("of two superblocks the later valid one is used, and a newer version is never ignored") {
   const std::uint64_t size = 1 << 20;
   Superblock old = Sample(size);
   Superblock young = Sample(size);
--- a/tests/integrity/stored_data_test.cpp
+++ b/tests/integrity/stored_data_test.cpp
@@ -1,6 +1,6 @@
-// Files in tests/integrity/stored were written by version 0.2.0 before its code was renamed: a checksummed
-// export with a journal that had not been applied yet and one damaged block, a damage ledger, and scrub
-// cursors. Whatever is stored in the field has to be read, and written again, byte for byte.
+// An initiator is updated and finds files of an earlier version. Those in tests/integrity/stored were written
+// by version 0.2.0: a checksummed export with a journal that had not been applied yet and one corrupt block,
+// a corruption log, and scrub cursors. Every stored file has to be read, and written again byte for byte.
 #include <doctest/doctest.h>
 
 #include <fstream>
@@ -39,7 +39,7 @@
   const std::string expected[] = {std::string(kBlockBytes, 'a'),
                                   second,
                                   std::string(kBlockBytes, '\0'),  // trimmed in the journal
-                                  "",                              // damaged
+                                  "",                              // corrupt
                                   std::string(kBlockBytes, 'e'),
                                   std::string(kBlockBytes, '\0'),
                                   std::string(kBlockBytes, '\0'),
@@ -57,7 +57,7 @@
     }
   }
 
-  // What it wrote back is read by the next process as well.
+  // The next process reads what this one has written.
   driver.Start();
   driver.Settle();
   REQUIRE(driver.volume().state() == Volume::State::kReady);
@@ -67,7 +67,7 @@
   CHECK(driver.Do(Kind::kRead, 4 * kBlockBytes, kBlockBytes).data == std::string(kBlockBytes, 'e'));
 }
 
-TEST_CASE("a damage ledger that version 0.2.0 wrote is read, and written again as it was") {
+TEST_CASE("a corruption log that version 0.2.0 wrote is read, and written again as it was") {
   const std::string bytes = ReadStored("damage.ledger");
   CorruptionLog log;
   std::string error;
--- a/tests/integrity/volume_test.cpp
+++ b/tests/integrity/volume_test.cpp
@@ -1,5 +1,7 @@
-// A checksummed volume on a disk that fails: a read returns what was written, whatever is torn, reordered or
-// lost, and no corruption is reported where there is none.
+// The initiator or its storage server is killed at any moment, with writes in flight that the disk executes
+// in any order, in part or not at all; in some processes the target fails requests as well. After each
+// restart every block must have a content that its acknowledged and flushed writes allow, and no corruption
+// may be reported, since there is none. An oracle keeps the allowed contents of each block.
 #include <doctest/doctest.h>
 
 #include <cstdlib>
@@ -18,7 +20,7 @@
     (24 + 2 + 2) * kBlockBytes + (96 << 10);  // 24 blocks, one tag block, a small journal
 constexpr std::uint64_t kJournal = 96 << 10;
 
-// The environment's SEED (the first one) and SEEDS (how many) extend a run by hand.
+// SEED (the first seed) and SEEDS (their number) in the environment extend a run.
 int FromEnvironment(const char* name, int default_value) {
   const char* value = std::getenv(name);
   return value ? std::atoi(value) : default_value;
@@ -40,8 +42,8 @@
     content.replace(w.from, w.data.size(), w.data);
     return content;
   }
-  // The contents that may be found after a crash; with `running`, those that a read in a running process may
-  // return that was submitted when `acked` writes of the chain had been answered.
+  // The contents that are allowed after a crash; with `running`, those that a read in a running process may
+  // return if it was submitted when `acked` writes of the chain had been acknowledged.
   std::set<std::string> States(bool running, std::size_t acked = 0) const {
     std::set<std::string> now = before;
     std::set<std::string> all = before;
@@ -67,7 +69,7 @@
   }
 };
 
-// A read in flight, and how many writes of its block had been answered when it was submitted.
+// A read in flight, and the number of writes of its block that had been acknowledged when it was submitted.
 struct ReadState {
   std::uint64_t block = 0;
   std::size_t acked = 0;
@@ -153,7 +155,7 @@
       at += part;
     }
     writes.insert(id);
-    // Rejected or answered within Submit, before the oracle knew of it.
+    // The result arrived within Submit, before the oracle had the write.
     if (const auto at = driver.results.find(id); at != driver.results.end()) {
       Mark(id, at->second.status);
     }
@@ -197,7 +199,8 @@
     }
   }
 
-  // After a crash: every block has a content that it may have, which the oracle continues from.
+  // Restarts after a crash and checks that every block has an allowed content, from which the oracle
+  // continues.
   void Recover(bool power) {
     reads.clear();
     flushes.clear();
@@ -212,7 +215,7 @@
       CHECK_MESSAGE(states.contains(r.data), "block ", i,
                     " has a content that it may not have after a crash");
       ++checked;
-      // A storage server that goes on running may still lose what it has not flushed.
+      // A storage server that was not killed may still lose content that it has not flushed.
       blocks[i].before = power ? std::set<std::string>{r.data} : states;
       Oracle::Write now;
       now.data = r.data;
@@ -246,7 +249,7 @@
     CrashFixture fixture(static_cast<std::uint64_t>(seed));
     fixture.driver.Start();
     for (int process = 0; process < 8; ++process) {
-      // Every other process meets a target that fails writes, executed or not.
+      // In every other process the target fails some writes, executed or not.
       if (process % 2 == 1) {
         fixture.driver.on_io = [&fixture](const IoRequest& io, std::string*, bool* executed) {
           if (io.kind == IoKind::kRead || io.purpose == IoPurpose::kSuperblock || fixture.Draw(20) != 0) {
@@ -258,23 +261,23 @@
       }
       const auto steps = 20 + fixture.Draw(600);
       for (std::uint64_t step = 0; step < steps; ++step) {
-        const auto what = fixture.Draw(24);
-        if (what < 6 && fixture.driver.pending() < 30) {
+        const auto choice = fixture.Draw(24);
+        if (choice < 6 && fixture.driver.pending() < 30) {
           fixture.Write();
         }
-        if (what == 6) {
+        if (choice == 6) {
           fixture.Trim();
         }
-        if (what == 7) {
+        if (choice == 7) {
           fixture.Flush();
         }
-        if (what == 8 || what == 9) {
+        if (choice == 8 || choice == 9) {
           fixture.Read();
         }
-        if (what == 10 && fixture.Draw(4) == 0) {
+        if (choice == 10 && fixture.Draw(4) == 0) {
           fixture.driver.volume().Checkpoint();
         }
-        if (what > 10) {
+        if (choice > 10) {
           fixture.driver.Step();
         }
       }
--- a/tests/support/temporary_file.h
+++ b/tests/support/temporary_file.h
@@ -1,4 +1,4 @@
-// A file in /tmp that lives as long as its object.
+// A file in /tmp that is removed with its object.
 //
 // Owner: the test that declares it. Thread: any one at a time.
 #ifndef WALNUTSPUR_TESTS_SUPPORT_TEMPORARY_FILE_H_
