--- a/tests/unit/decision_fixture.h
+++ b/tests/unit/decision_fixture.h
@@ -38,14 +38,13 @@
 }
 
 // A state before any event.
-inline SchedulerState MakeState(std::uint64_t seed) {
-  const Settings settings = MakeSettings();
+inline SchedulerState MakeState(const Settings& settings, std::uint64_t seed) {
   return {settings, InitialConcurrencyLimits(settings), seed};
 }
 
 // A state with one active target "a" (shard 3, zone 1), one second after its start.
 struct Fixture {
-  Fixture() : state(MakeState(7)) {
+  explicit Fixture(const Settings& settings = MakeSettings()) : state(MakeState(settings, 7)) {
     state.started_at = kStart;
     state.now = kStart + kOneSecond;
     target = &state.endpoints.FindOrAdd("a");
--- a/tests/unit/decision_test.cpp
+++ b/tests/unit/decision_test.cpp
@@ -106,8 +106,8 @@
 }
 
 TEST_CASE("equal seeds give equal draws from [0, 1)") {
-  SchedulerState first = MakeState(5);
-  SchedulerState second = MakeState(5);
+  SchedulerState first = MakeState(MakeSettings(), 5);
+  SchedulerState second = MakeState(MakeSettings(), 5);
   for (int i = 0; i < 100; ++i) {
     const double draw = first.random.Next();
     CHECK(draw == second.random.Next());
