--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -154,7 +154,7 @@
     }
   }
 
-  void On(const HealthCheckFinished&) {}
+  void On(const HealthCheckFinished&) const {}
 
   void On(const FleetSize& fleet) {
     state_.settings.instances = std::max(1, fleet.live_instances);
--- a/src/limits/duration.h
+++ b/src/limits/duration.h
@@ -20,8 +20,8 @@
 // The span that an event, an action or the settings state, given in us.
 constexpr Duration Microseconds(Time span) { return Duration(static_cast<double>(span)); }
 
-// Time from `from` to `to`; negative if `to` is the earlier one.
-constexpr Duration Elapsed(Time from, Time to) { return Microseconds(to - from); }
+// Time from `begin` to `end`; negative if `end` is the earlier one.
+constexpr Duration Elapsed(Time begin, Time end) { return Microseconds(end - begin); }
 
 // A point in time as the span since the clock's origin, for comparison with fractions of microseconds.
 constexpr Duration SinceEpoch(Time at) { return Microseconds(at); }
