--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -148,13 +148,13 @@
   }
 
   // The response is under way to the client: no other final response is due.
-  void On(const ResponseStarted& event) {
+  void On(const ResponseStarted& event) const {
     if (const RequestRef request = state_.requests.Find(event.id)) {
       request->finished = true;
     }
   }
 
-  void On(const HealthCheckFinished&) const {}
+  void On(const HealthCheckFinished&) {}
 
   void On(const FleetSize& fleet) {
     state_.settings.instances = std::max(1, fleet.live_instances);
