--- a/src/filestore/file_store.cpp
+++ b/src/filestore/file_store.cpp
@@ -45,7 +45,7 @@
   return failed_;
 }
 
-// The caller holds the lock.
+// The caller must hold the lock.
 FileStore::PendingFile FileStore::TakePending() {
   const auto first = pending_.begin();
   PendingFile file{first->first, std::move(first->second)};
--- a/src/fleet/membership/actions.h
+++ b/src/fleet/membership/actions.h
@@ -24,7 +24,7 @@
 };
 
 // One change of one member. Incarnations of a name never decrease, each change is reported once, and a reader
-// that applies the changes in order of `number` holds the same records as the member table.
+// that applies the changes in order of `number` has the same records as the member table.
 struct MemberChanged {
   std::uint64_t number = 0;
   Record record;
@@ -35,12 +35,12 @@
   std::string name;
 };
 
-// Whether all members are known to hold the same table.
+// Whether all members are known to have the same table.
 struct ConvergenceChanged {
   bool converged = false;
 };
 
-// An older process holds this member's name: this process has to terminate.
+// An older process has this member's name: this process has to terminate.
 struct NameConflict {
   std::string reason;
 };
--- a/src/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -59,12 +59,12 @@
   double LoadShare() const { return state_.table.LoadShare(); }
   // Whether no member is suspect and all members are known to have the same table.
   bool converged() const { return converged_; }
-  // Of the live members: equal on members that hold the same table.
+  // Of the live members: equal on members with the same table.
   std::uint64_t hash() const { return state_.table.hash(); }
   const MembershipCounters& counters() const { return state_.counters; }
   // Lifeguard's local health; 0: healthy.
   int health_score() const { return state_.health.score(); }
-  // Entries held in all containers, for tests of memory bounds.
+  // Entries of all containers, for tests of memory bounds.
   std::size_t EntryCount() const;
 
  private:
--- a/src/fleet/membership/timer_queue.h
+++ b/src/fleet/membership/timer_queue.h
@@ -1,5 +1,5 @@
 // The clock and the pending timers of one member. Owned by its MembershipState and used on the thread of its
-// caller, who brings the time and reports each timer that fires.
+// caller, who passes the time and reports each timer that fires.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_TIMER_QUEUE_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_TIMER_QUEUE_H_
 
--- a/src/integrity/checkpointer.h
+++ b/src/integrity/checkpointer.h
@@ -84,8 +84,8 @@
   std::size_t requests_in_flight_ = 0;
   bool io_failed_ = false;
   Superblock next_superblock_;
-  std::map<std::uint64_t, BlockVersion> versions_;  // by block, what goes in place
-  std::set<std::uint64_t> unknown_blocks_;          // unrecoverable, which their tags will say
+  std::map<std::uint64_t, BlockVersion> versions_;  // by block, the content to write in place
+  std::set<std::uint64_t> unknown_blocks_;          // unrecoverable; their tags become unknown
   std::map<std::uint64_t, TagBlock> tag_blocks_;    // by index; pinned in the cache
   std::uint64_t completed_ = 0;
 };
--- a/src/integrity/corruption_log.cpp
+++ b/src/integrity/corruption_log.cpp
@@ -17,8 +17,10 @@
 //            i64 last seen, u32 times, i32 path, u64 owner block
 constexpr std::string_view kMagic = "WSPRLDG1";
 constexpr std::uint16_t kFormatVersion = 1;
+// Bytes of the header and of the checksum at its end.
 constexpr std::size_t kHeaderBytes = 24;
 constexpr std::size_t kChecksumBytes = 4;
+// Bytes of a target's or an export's name; longer ones are rejected as corrupt.
 constexpr std::size_t kMaxNameBytes = 4096;
 
 class Writer {
@@ -169,7 +171,7 @@
   }
 }
 
-// The block whose content another block holds has not lost its write: the write was misdirected.
+// The block whose content another block contains has not lost its write: the write was misdirected.
 void CorruptionLog::LinkMisdirectedWrite(const BlockLocation& location, const FaultAttribution& attribution) {
   const auto owner = entries_.find({location.target, location.remote, attribution.owner_block});
   if (owner == entries_.end()) {
--- a/src/integrity/corruption_log.h
+++ b/src/integrity/corruption_log.h
@@ -32,8 +32,9 @@
   // time.
   explicit CorruptionLog(std::size_t max_entries = 65536) : max_entries_(max_entries) {}
 
-  // Adds an attribution. A misdirected write shows at both of its ends: at the block that holds another one's
-  // content, and at that other block, whose write looks lost. Once both are known, both are misdirected.
+  // Adds an attribution. A misdirected write shows at both of its ends: at the block that contains another
+  // one's content, and at that other block, whose write looks lost. Once both are known, both are
+  // misdirected.
   void Record(const BlockLocation& location, const FaultAttribution& attribution, std::int64_t now);
   // The block was read without a mismatch, or written again.
   void MarkRepaired(const BlockLocation& location, std::int64_t now);
--- a/src/integrity/cursor.cpp
+++ b/src/integrity/cursor.cpp
@@ -7,7 +7,9 @@
 namespace walnutspur::integrity {
 namespace {
 
+// Version of the stored format; newer ones are rejected.
 constexpr int kCursorVersion = 1;
+// First word of the file, and first word of the line with the checksum of all bytes before it.
 constexpr std::string_view kFormatWord = "walnutspur-scrub";
 constexpr std::string_view kChecksumWord = "sum ";
 
--- a/src/integrity/digest.cpp
+++ b/src/integrity/digest.cpp
@@ -10,7 +10,8 @@
 namespace walnutspur::integrity {
 namespace {
 
-constexpr std::int64_t kMaxWeight = 10;  // RFC 9530, 4
+// Highest weight of an algorithm in a Want-* field (RFC 9530, 4).
+constexpr std::int64_t kMaxWeight = 10;
 
 std::string EncodeBase64(std::string_view bytes) {
   std::string out((bytes.size() + 2) / 3 * 4 + 1, '\0');
--- a/src/integrity/digest.h
+++ b/src/integrity/digest.h
@@ -26,7 +26,7 @@
 // Returns the digest of the content as bytes. Throws DigestError.
 std::string Digest(Algorithm algorithm, std::string_view content);
 
-// The value of a digest field that holds this one digest: "crc32c=:wCyzPA==:".
+// The value of a digest field with this one digest: "crc32c=:wCyzPA==:".
 std::string DigestField(Algorithm algorithm, std::string_view content);
 
 enum class Match {
--- a/src/integrity/fault_attribution.h
+++ b/src/integrity/fault_attribution.h
@@ -30,6 +30,7 @@
 // The component or operation at fault. The order is that of the corruption log's file: new values are
 // appended.
 enum class Fault { kPath, kMemory, kAtRest, kLostWrite, kMisdirectedWrite, kStaleRead, kTags, kRecord };
+// Number of enumerators of Fault.
 constexpr int kFaultCount = 8;
 // As operators read it in log events and in the corruption log.
 const char* NameOf(Fault fault);
--- a/src/integrity/journal.h
+++ b/src/integrity/journal.h
@@ -88,7 +88,7 @@
   IoQueue* io_queue_;
   bool durable_records_;
   std::deque<JournalRecord> records_;  // not in place yet, by sequence number without gaps
-  std::uint64_t head_offset_ = 0;      // where the next record goes, bytes from the start of the journal
+  std::uint64_t head_offset_ = 0;      // offset of the next record, bytes from the start of the journal
   std::uint64_t used_bytes_ = 0;
   std::uint64_t next_sequence_ = 1;
   std::uint64_t acknowledged_sequence_ = 0;  // all records up to this one are acknowledged
--- a/src/integrity/journal_replay.h
+++ b/src/integrity/journal_replay.h
@@ -34,7 +34,7 @@
   std::deque<JournalRecord> records;  // by sequence number, without gaps
   JournalOverlay overlay;
   std::set<std::uint64_t> unrecoverable_blocks;  // whose newest content was in a corrupt record
-  std::uint64_t head_offset = 0;  // where the next record goes, bytes from the start of the journal
+  std::uint64_t head_offset = 0;  // offset of the next record, bytes from the start of the journal
   std::uint64_t next_sequence = 1;
   std::uint64_t used_bytes = 0;
   std::uint64_t last_first_block = 0;  // of the last record
--- a/src/integrity/layout.cpp
+++ b/src/integrity/layout.cpp
@@ -10,9 +10,11 @@
 namespace walnutspur::integrity {
 namespace {
 
+// First bytes of each stored structure.
 constexpr std::string_view kSuperblockMagic = "WSPRSUP1";
 constexpr std::string_view kTagMagic = "WSPRTAG1";
 constexpr std::string_view kRecordMagic = "WSPRREC1";
+// Bytes of a CRC32C.
 constexpr std::size_t kChecksumBytes = 4;
 
 // Offsets, in bytes, of the fields that are read or written outside the field lists below. Each structure
--- a/src/integrity/layout.h
+++ b/src/integrity/layout.h
@@ -136,7 +136,7 @@
   std::uint32_t sum = 0;  // TagSum of the new content
 };
 
-// The header of a journal record, which holds the new content of adjoining blocks. Its data follows it.
+// The header of a journal record, which has the new content of adjoining blocks. Its data follows it.
 struct RecordHeader {
   std::uint64_t sequence = 0;  // 1, 2, 3, ... from the format on
   std::uint64_t epoch = 0;
--- a/src/integrity/tag_cache.h
+++ b/src/integrity/tag_cache.h
@@ -23,7 +23,7 @@
 
 namespace walnutspur::integrity {
 
-// The tag block that holds a data block's tag, and the tag's position in it.
+// The tag block that contains a data block's tag, and the tag's position in it.
 inline std::uint64_t TagBlockOf(std::uint64_t block) { return block / kTagsPerBlock; }
 inline std::size_t TagPositionOf(std::uint64_t block) { return block % kTagsPerBlock; }
 
--- a/src/integrity/volume.h
+++ b/src/integrity/volume.h
@@ -63,7 +63,7 @@
   std::uint64_t size() const { return context_.superblock.geometry.data_size(); }  // bytes, for clients
   const Superblock& superblock() const { return context_.superblock; }
 
-  bool dirty() const { return !context_.journal.empty(); }  // the journal holds records
+  bool dirty() const { return !context_.journal.empty(); }  // the journal has records
   bool checkpointing() const { return checkpointer_.is_running(); }
   std::uint64_t journal_used() const { return context_.journal.used_bytes(); }
   std::uint64_t checkpoints() const { return checkpointer_.completed(); }
--- a/src/pcap/capture_reader.cpp
+++ b/src/pcap/capture_reader.cpp
@@ -29,7 +29,7 @@
   }
 
  private:
-  // A stream, and which way a segment of it goes.
+  // A stream, and the direction of a segment of it.
   struct Match {
     Stream* stream = nullptr;
     bool to_server = false;
@@ -56,7 +56,7 @@
   return {};
 }
 
-// Where the file does not hold the first segment, the client's end is guessed: ports of servers are low.
+// If the file does not have the first segment, the end with the higher port is taken for the client.
 StreamTable::Match StreamTable::Open(const Segment& segment) {
   const bool from_client_port = !segment.Has(kSyn) && segment.from.port > segment.to.port;
   const bool to_server = IsFirst(segment) || from_client_port;
--- a/src/pcap/reassembly.cpp
+++ b/src/pcap/reassembly.cpp
@@ -41,7 +41,7 @@
   AppendPending();
 }
 
-// Of segments at the same position the longest is held.
+// Of segments at the same position the longest is stored.
 void Reassembly::AddPending(std::uint32_t position, std::string_view bytes) {
   std::string& held = pending_[position];
   if (bytes.size() <= held.size()) {
--- a/src/pcap/segment.cpp
+++ b/src/pcap/segment.cpp
@@ -65,7 +65,7 @@
   return PacketOfType(type, frame.substr(kLinuxCookedHeaderSize));
 }
 
-// The extent of a packet that holds TCP.
+// The sizes of an IP packet with a TCP segment.
 struct IpExtent {
   std::size_t header = 0;  // bytes of the IP header
   std::size_t total = 0;   // bytes of the packet as it was sent
--- a/src/simulator/json_fields.h
+++ b/src/simulator/json_fields.h
@@ -45,14 +45,14 @@
   return it->get<T>();
 }
 
-// A word of the protocol and what it stands for.
+// A word of the protocol and the value that it represents.
 template <typename T>
 struct Word {
   const char* text;
   T value;
 };
 
-// What a word stands for. Throws ProtocolError if it is none of `words`.
+// The value that a word represents. Throws ProtocolError if it is none of `words`.
 template <typename T>
 T ParseWord(const std::string& text, std::initializer_list<Word<T>> words) {
   for (const Word<T>& word : words) {
