--- a/bench/lab.cpp
+++ b/bench/lab.cpp
@@ -18,7 +18,7 @@
 #include "lab/experiment.h"
 #include "lab/experiment_file.h"
 #include "lab/sim/explore.h"
-#include "lab/sim/invariant_checker.h"
+#include "lab/sim/log_checker.h"
 #include "lab/sim/simulation.h"
 
 namespace {
@@ -28,10 +28,10 @@
 using walnutspur::lab::CheckedRun;
 using walnutspur::lab::Experiment;
 using walnutspur::lab::FaultKind;
+using walnutspur::lab::LogViolation;
 using walnutspur::lab::ParseExperiment;
 using walnutspur::lab::RunChecked;
 using walnutspur::lab::SimulationResults;
-using walnutspur::lab::Violation;
 
 using Change = std::function<void(Experiment*)>;
 
@@ -90,8 +90,8 @@
   cost.requests = static_cast<double>(run.results.requests);
   cost.clean = run.violations.empty();
   cost.micros_per_request = 1e6 * cost.seconds / std::max(1.0, cost.requests);
-  for (const Violation& violation : run.violations) {
-    std::printf("     broken %s: %s\n", violation.rule.c_str(), violation.description.c_str());
+  for (const LogViolation& violation : run.violations) {
+    std::printf("     broken %s: %s\n", violation.invariant.c_str(), violation.description.c_str());
   }
   return cost;
 }
@@ -136,7 +136,7 @@
     ++failing;
     if (failing <= kMaxPrintedFailures) {
       std::printf("     seed %s broke %s: %s\n", std::to_string(run.seed).c_str(),
-                  run.violations[0].rule.c_str(), run.violations[0].description.c_str());
+                  run.violations[0].invariant.c_str(), run.violations[0].description.c_str());
     }
   });
   Claim("5 drawn worlds keep the rules", failing == 0,
--- /dev/null
+++ b/src/lab/invariants/attempt_invariants.cpp
@@ -0,0 +1,145 @@
+// Invariants of attempts: whether an initiator may send one, where to, and what it says of its outcome.
+//
+// An attempt of an unknown request breaks known-request and is not judged further.
+#include "lab/invariants/invariant_checks.h"
+
+namespace walnutspur::lab::invariants {
+namespace {
+
+constexpr Time kMicrosecondsPerMillisecond = 1'000;
+
+std::string Milliseconds(Time span) { return std::to_string(span / kMicrosecondsPerMillisecond) + " ms"; }
+
+// The observed attempt, if it is sent for a known request.
+const AttemptSent* SentAttempt(const Observation& observation) {
+  return observation.request == nullptr ? nullptr : As<AttemptSent>(observation);
+}
+
+}  // namespace
+
+// No attempt is sent once the client has its response. Input: attempts, responses. Tolerance: none.
+void CheckAttemptAfterResponse(const Observation& observation, const FindingSink& report) {
+  if (SentAttempt(observation) != nullptr && observation.request->answered) {
+    report({"an attempt of a request that has its response"});
+  }
+}
+
+// No attempt is sent once the client has left. Input: attempts, disconnections. Tolerance: disconnect_slack,
+// in which the initiator learns of it and what it has already written arrives.
+void CheckAttemptAfterDisconnect(const Observation& observation, const FindingSink& report) {
+  if (SentAttempt(observation) == nullptr || !observation.request->disconnect) {
+    return;
+  }
+  const Disconnect& disconnect = *observation.request->disconnect;
+  const bool has_left =
+      disconnect.reason == DisconnectReason::kClientLeft || disconnect.reason == DisconnectReason::kLost;
+  const Time late = observation.event.at - disconnect.at;
+  if (has_left && late > observation.tolerances.disconnect_slack) {
+    report({"sent " + Milliseconds(late) + " after its client had left"});
+  }
+}
+
+// Attempts of a request are numbered from 0 in the order in which they are sent. Input: attempts. Tolerance:
+// none.
+void CheckAttemptNumber(const Observation& observation, const FindingSink& report) {
+  const AttemptSent* const sent = SentAttempt(observation);
+  if (sent != nullptr && sent->attempt != static_cast<int>(observation.request->attempts.size())) {
+    report({"attempts are not numbered in order"});
+  }
+}
+
+// A request has at most as many attempts as the limits allow. Input: limits, attempts. Tolerance: none.
+void CheckMaxAttempts(const Observation& observation, const FindingSink& report) {
+  const AttemptSent* const sent = SentAttempt(observation);
+  if (sent != nullptr && sent->attempt >= observation.run.limits().max_attempts) {
+    report({"more attempts than are allowed"});
+  }
+}
+
+// A server is told no more time than is left until the request's deadline, and no attempt is sent after it.
+// Input: attempts. Tolerance: deadline_slack, for the way of the request and of the attempt.
+void CheckAttemptDeadline(const Observation& observation, const FindingSink& report) {
+  const AttemptSent* const sent = SentAttempt(observation);
+  if (sent == nullptr) {
+    return;
+  }
+  const Time left = observation.request->deadline - observation.event.at;
+  if (sent->stated_time_left > left + observation.tolerances.deadline_slack) {
+    report({"told " + Milliseconds(sent->stated_time_left) + " with " + Milliseconds(left) + " left"});
+  }
+}
+
+// A request that is not idempotent is not sent again while an earlier attempt may have run. Input: attempts,
+// their outcomes. Tolerance: none. One finding for each earlier attempt.
+void CheckUnsafeRetry(const Observation& observation, const FindingSink& report) {
+  if (SentAttempt(observation) == nullptr || observation.request->is_idempotent) {
+    return;
+  }
+  for (const AttemptState& earlier : observation.request->attempts) {
+    if (earlier.PossiblyRan()) {
+      report({"not idempotent, and sent again though an earlier attempt may have run"});
+    }
+  }
+}
+
+// An attempt goes to a server that the initiator was notified of. Input: attempts, notifications. Tolerance:
+// none.
+void CheckUnknownTarget(const Observation& observation, const FindingSink& report) {
+  const AttemptSent* const sent = SentAttempt(observation);
+  if (sent != nullptr && observation.run.FindEndpoint(sent->initiator, sent->server) == nullptr) {
+    report({"sent to a server that this initiator was not notified of"});
+  }
+}
+
+// No attempt goes to a server later than the drain grace after the initiator was notified of its drain.
+// Input: limits, attempts, notifications. Tolerance: drain_slack, for the way to the server;
+// last_notice_counts.
+void CheckDrainGrace(const Observation& observation, const FindingSink& report) {
+  const AttemptSent* const sent = SentAttempt(observation);
+  const KnownEndpoint* const endpoint =
+      sent == nullptr ? nullptr : observation.run.FindEndpoint(sent->initiator, sent->server);
+  if (endpoint == nullptr || endpoint->is_active) {
+    return;
+  }
+  const Tolerances& tolerances = observation.tolerances;
+  const Time notified_at = tolerances.last_notice_counts ? endpoint->notified_at : endpoint->inactive_since;
+  const Time since_notice = observation.event.at - notified_at;
+  if (since_notice > observation.run.limits().drain_grace + tolerances.drain_slack) {
+    report({"sent to a server " + Milliseconds(since_notice) +
+            " after the notice of its drain, which is past the grace"});
+  }
+}
+
+// An attempt goes to a server of the request's shard. Input: requests, attempts, notifications. Tolerance:
+// none.
+void CheckWrongShard(const Observation& observation, const FindingSink& report) {
+  const AttemptSent* const sent = SentAttempt(observation);
+  const KnownEndpoint* const endpoint =
+      sent == nullptr ? nullptr : observation.run.FindEndpoint(sent->initiator, sent->server);
+  if (endpoint == nullptr || observation.request->shard < 0) {
+    return;
+  }
+  if (endpoint->shard != observation.request->shard) {
+    report({"sent to a server that does not hold its shard"});
+  }
+}
+
+// An attempt has one outcome. Input: outcomes. Tolerance: none.
+void CheckOneOutcome(const Observation& observation, const FindingSink& report) {
+  if (As<AttemptEnded>(observation) != nullptr && observation.attempt != nullptr &&
+      observation.attempt->ended) {
+    report({"a second outcome of an attempt"});
+  }
+}
+
+// An attempt whose outcome says that it has not run was not begun by its server. Input: outcomes, starts of
+// work. Tolerance: none.
+void CheckFalseNotRun(const Observation& observation, const FindingSink& report) {
+  const auto* const ended = As<AttemptEnded>(observation);
+  if (ended != nullptr && observation.attempt != nullptr && !ended->may_have_run &&
+      observation.attempt->started) {
+    report({"its outcome says that it has not run, and the server has begun it"});
+  }
+}
+
+}  // namespace walnutspur::lab::invariants
--- /dev/null
+++ b/src/lab/invariants/response_invariants.cpp
@@ -0,0 +1,106 @@
+// Invariants of responses: one for each request, in time, and true.
+#include <algorithm>
+
+#include "lab/invariants/invariant_checks.h"
+
+namespace walnutspur::lab::invariants {
+namespace {
+
+// The observed response, if it is the first to a known request.
+const ResponseReceived* FirstResponse(const Observation& observation) {
+  const bool is_first = observation.request != nullptr && !observation.request->answered;
+  return is_first ? As<ResponseReceived>(observation) : nullptr;
+}
+
+// The latest of `times`, which are in order, that is not after `at`; 0 if there is none.
+Time LatestUntil(const std::vector<Time>& times, Time at) {
+  const auto after = std::upper_bound(times.begin(), times.end(), at);
+  return after == times.begin() ? 0 : *std::prev(after);
+}
+
+// Whether the end of its initiator's process excuses that a request got no response: the process was killed
+// in the meantime, or the request came so late in its graceful shutdown that nothing is promised any more.
+bool IsExcusedByProcessEnd(const RequestState& request, Time lost_at, const Observation& observation) {
+  const ProcessLife* const life = observation.run.FindProcess(request.initiator);
+  if (life == nullptr) {
+    return false;
+  }
+  const Tolerances& tolerances = observation.tolerances;
+  const Time terminated = LatestUntil(life->terminations, request.sent_at);
+  const bool in_shutdown = terminated > LatestUntil(life->starts, request.sent_at);
+  if (in_shutdown) {
+    // What arrives in time after SIGTERM has to be answered before a kill.
+    return request.sent_at - terminated > tolerances.shutdown_service;
+  }
+  return std::any_of(life->kills.begin(), life->kills.end(),
+                     [&](Time at) { return at >= request.sent_at && at <= lost_at + tolerances.kill_slack; });
+}
+
+// Whether a request, not answered when the run ends, should have been.
+bool MissesResponse(const RequestState& request, const Observation& observation) {
+  if (request.disconnect) {
+    return request.disconnect->reason == DisconnectReason::kLost &&
+           !IsExcusedByProcessEnd(request, request.disconnect->at, observation);
+  }
+  return request.deadline + observation.tolerances.response_grace < observation.event.at;
+}
+
+}  // namespace
+
+// A request has at most one response. Input: responses. Tolerance: none.
+void CheckOneResponse(const Observation& observation, const FindingSink& report) {
+  if (As<ResponseReceived>(observation) != nullptr && observation.request != nullptr &&
+      observation.request->answered) {
+    report({"a second response"});
+  }
+}
+
+// A response comes by the request's deadline. Input: requests, responses. Tolerance: response_grace.
+void CheckLateResponse(const Observation& observation, const FindingSink& report) {
+  if (FirstResponse(observation) != nullptr &&
+      observation.event.at > observation.request->deadline + observation.tolerances.response_grace) {
+    report({"the response came after the client's deadline"});
+  }
+}
+
+// A request that is said to be served was completed by a server. Input: responses, finished work. Tolerance:
+// none.
+void CheckFalseServed(const Observation& observation, const FindingSink& report) {
+  const ResponseReceived* const response = FirstResponse(observation);
+  if (response != nullptr && response->status == core::ResponseStatus::kServed &&
+      observation.request->completions == 0) {
+    report({"said to be served, and completed by no server"});
+  }
+}
+
+// A request that is rejected and not idempotent has not run: a rejection says that a retry is harmless, and
+// the client will retry. Input: responses, outcomes of attempts. Tolerance: none. One finding for each
+// attempt.
+void CheckFalseRejected(const Observation& observation, const FindingSink& report) {
+  const ResponseReceived* const response = FirstResponse(observation);
+  if (response == nullptr || response->status != core::ResponseStatus::kRejected ||
+      observation.request->is_idempotent) {
+    return;
+  }
+  for (const AttemptState& attempt : observation.request->attempts) {
+    if (attempt.PossiblyRan()) {
+      report({"rejected though it may have run"});
+    }
+  }
+}
+
+// Each request is answered while its client waits, but where the initiator's process was killed or the
+// request came late in its shutdown. Input: requests, responses, disconnections, the processes' lives; judged
+// when the run ends. Tolerance: response_grace, kill_slack, shutdown_service.
+void CheckMissingResponse(const Observation& observation, const FindingSink& report) {
+  if (As<RunEnded>(observation) == nullptr) {
+    return;
+  }
+  for (const auto& [number, request] : observation.run.requests()) {
+    if (!request.answered && MissesResponse(request, observation)) {
+      report({"no response while its client waited", number});
+    }
+  }
+}
+
+}  // namespace walnutspur::lab::invariants
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -15,7 +15,7 @@
 #include "lab/experiment_file.h"
 #include "lab/sim/event_log.h"
 #include "lab/sim/explore.h"
-#include "lab/sim/invariant_checker.h"
+#include "lab/sim/log_checker.h"
 #include "lab/sim/simulation.h"
 
 namespace {
@@ -24,12 +24,12 @@
 using walnutspur::lab::EventLog;
 using walnutspur::lab::EventLogError;
 using walnutspur::lab::Experiment;
-using walnutspur::lab::InvariantChecker;
+using walnutspur::lab::LogChecker;
 using walnutspur::lab::LogEntry;
+using walnutspur::lab::LogViolation;
 using walnutspur::lab::SecondTotals;
 using walnutspur::lab::Simulation;
 using walnutspur::lab::SimulationResults;
-using walnutspur::lab::Violation;
 
 // Exit codes.
 constexpr int kExitOk = 0;
@@ -46,13 +46,13 @@
   return static_cast<double>(part) / static_cast<double>(std::max<std::uint64_t>(1, total));
 }
 
-void PrintViolation(const Violation& violation) {
-  std::printf("broken %s: %s, by: %s", violation.rule.c_str(), violation.description.c_str(),
+void PrintViolation(const LogViolation& violation) {
+  std::printf("broken %s: %s, by: %s", violation.invariant.c_str(), violation.description.c_str(),
               FormatEntry(violation.entry).c_str());
 }
 
-int ReportViolations(const InvariantChecker& checker) {
-  for (const Violation& violation : checker.violations()) {
+int ReportViolations(const LogChecker& checker) {
+  for (const LogViolation& violation : checker.violations()) {
     PrintViolation(violation);
   }
   return checker.clean() ? kExitOk : kExitViolation;
@@ -87,7 +87,7 @@
 
 int Simulate(const Experiment& experiment, const std::string& log_path) {
   EventLog log(log_path);
-  InvariantChecker checker;
+  LogChecker checker;
   log.on_entry = [&](const LogEntry& entry) { checker.Observe(entry); };
   const auto start = std::chrono::steady_clock::now();
   const SimulationResults results =
@@ -106,7 +106,7 @@
   if (!file) {
     throw EventLogError("cannot read " + path);
   }
-  InvariantChecker checker;
+  LogChecker checker;
   std::string line;
   for (int number = 1; std::getline(file, line); ++number) {
     const std::optional<LogEntry> entry = walnutspur::lab::ParseEntry(line);
@@ -115,21 +115,22 @@
     }
     checker.Observe(*entry);
   }
-  for (const auto& [rule, count] : checker.counts()) {
-    std::printf("%s: %llu\n", rule.c_str(), Printable{count});
+  for (const auto& [invariant, count] : checker.counts()) {
+    std::printf("%s: %llu\n", invariant.c_str(), Printable{count});
   }
   return ReportViolations(checker);
 }
 
 // Shrinks the failing experiment and prints it, or writes it to `replay_path` if that is not empty.
 void ReportSmallest(const Experiment& base, const CheckedRun& failing, const std::string& replay_path) {
-  const std::string rule = failing.violations.front().rule;
-  const Experiment smallest = Shrink(DrawExperiment(base, failing.seed), rule, kMaxShrinkRuns);
+  const std::string invariant = failing.violations.front().invariant;
+  const Experiment smallest = Shrink(DrawExperiment(base, failing.seed), invariant, kMaxShrinkRuns);
   if (replay_path.empty()) {
-    std::printf("# the smallest that still breaks %s:\n%s", rule.c_str(), FormatExperiment(smallest).c_str());
+    std::printf("# the smallest that still breaks %s:\n%s", invariant.c_str(),
+                FormatExperiment(smallest).c_str());
   } else {
     std::ofstream(replay_path) << FormatExperiment(smallest);
-    std::printf("the smallest that still breaks %s is in %s\n", rule.c_str(), replay_path.c_str());
+    std::printf("the smallest that still breaks %s is in %s\n", invariant.c_str(), replay_path.c_str());
   }
 }
 
--- a/src/lab/sim/explore.cpp
+++ b/src/lab/sim/explore.cpp
@@ -92,9 +92,9 @@
   return smaller;
 }
 
-bool Violates(const CheckedRun& run, const std::string& rule) {
+bool Violates(const CheckedRun& run, const std::string& invariant) {
   return std::any_of(run.violations.begin(), run.violations.end(),
-                     [&](const Violation& violation) { return violation.rule == rule; });
+                     [&](const LogViolation& violation) { return violation.invariant == invariant; });
 }
 
 }  // namespace
@@ -132,7 +132,7 @@
   CheckedRun run;
   run.seed = experiment.seed;
   EventLog log;
-  InvariantChecker checker;
+  LogChecker checker;
   log.on_entry = [&](const LogEntry& entry) { checker.Observe(entry); };
   run.results = Simulation(experiment, &log, hooks).Run();
   run.violations = checker.violations();
@@ -165,11 +165,12 @@
   }
 }
 
-Experiment Shrink(const Experiment& failing, const std::string& rule, int max_runs, const TestHooks& hooks) {
+Experiment Shrink(const Experiment& failing, const std::string& invariant, int max_runs,
+                  const TestHooks& hooks) {
   Experiment best = failing;
   int runs_left = max_runs;
   const auto still_violates = [&](const Experiment& candidate) {
-    return runs_left-- > 0 && Violates(RunChecked(candidate, hooks), rule);
+    return runs_left-- > 0 && Violates(RunChecked(candidate, hooks), invariant);
   };
   for (bool progress = true; progress && runs_left > 0;) {
     progress = false;
--- a/src/lab/sim/explore.h
+++ b/src/lab/sim/explore.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "lab/experiment.h"
-#include "lab/sim/invariant_checker.h"
+#include "lab/sim/log_checker.h"
 #include "lab/sim/simulation.h"
 
 namespace walnutspur::lab {
@@ -22,7 +22,7 @@
 struct CheckedRun {
   std::uint64_t seed = 0;
   SimulationResults results;
-  std::vector<Violation> violations;
+  std::vector<LogViolation> violations;
   std::uint32_t log_checksum = 0;  // CRC32C
 };
 
@@ -35,8 +35,8 @@
 void Explore(const Experiment& base, std::uint64_t first, std::uint64_t last, int jobs, bool until_violation,
              const std::function<void(const CheckedRun&)>& each, const TestHooks& hooks = {});
 
-// The smallest experiment found in at most `max_runs` runs that still violates the invariant `rule`.
-Experiment Shrink(const Experiment& failing, const std::string& rule, int max_runs,
+// The smallest experiment found in at most `max_runs` runs that still violates the invariant of this name.
+Experiment Shrink(const Experiment& failing, const std::string& invariant, int max_runs,
                   const TestHooks& hooks = {});
 
 }  // namespace walnutspur::lab
--- a/src/lab/soak/main.cpp
+++ b/src/lab/soak/main.cpp
@@ -12,6 +12,7 @@
 #include <thread>
 #include <vector>
 
+#include "lab/invariants/invariant_names.h"
 #include "lab/soak/plan.h"
 #include "lab/soak/run.h"
 
@@ -20,11 +21,11 @@
 using walnutspur::lab::soak::Describe;
 using walnutspur::lab::soak::DrawPlan;
 using walnutspur::lab::soak::Play;
-using walnutspur::lab::soak::RuleViolation;
 using walnutspur::lab::soak::Shrink;
 using walnutspur::lab::soak::SoakPlan;
 using walnutspur::lab::soak::SoakPrograms;
 using walnutspur::lab::soak::SoakResult;
+using walnutspur::lab::soak::Violation;
 
 // Exit codes.
 constexpr int kExitOk = 0;
@@ -79,7 +80,10 @@
       return Play(plan, options_.programs);
     } catch (const std::exception& error) {
       SoakResult result;
-      result.violations.push_back({"crash", 0, error.what()});
+      Violation failed;
+      failed.invariant = walnutspur::lab::invariants::name::kProcessCrash;
+      failed.description = error.what();
+      result.violations.push_back(failed);
       return result;
     }
   }
@@ -97,13 +101,13 @@
     }
     broken_.push_back(plan);
     WriteLogs(plan, result);
-    for (const RuleViolation& violation : result.violations) {
-      ++rules_[violation.rule];
+    for (const Violation& violation : result.violations) {
+      ++rules_[violation.invariant];
     }
     std::printf("%s", Describe(plan).c_str());
     for (std::size_t shown = 0; shown < std::min<std::size_t>(3, result.violations.size()); ++shown) {
-      const RuleViolation& violation = result.violations[shown];
-      std::printf("  broken %s: %s\n", violation.rule.c_str(), violation.description.c_str());
+      const Violation& violation = result.violations[shown];
+      std::printf("  broken %s: %s\n", violation.invariant.c_str(), violation.description.c_str());
     }
     if (options_.shrinks) {
       std::printf("  shrunk: %s", Describe(Shrink(plan, options_.programs, kShrinkRuns)).c_str());
--- a/src/lab/soak/run.cpp
+++ b/src/lab/soak/run.cpp
@@ -163,10 +163,10 @@
   SoakResult Result() {
     const Record& record = testbed_.record();
     SoakResult result;
-    RuleSettings settings;
-    settings.drain_grace = plan_.drain_grace;
-    settings.held_up = HoldsUp(plan_) ? kLongestHoldUp : 0;
-    result.violations = FindViolations(record, settings);
+    CheckOptions options;
+    options.drain_grace = plan_.drain_grace;
+    options.held_up = HoldsUp(plan_) ? kLongestHoldUp : 0;
+    result.violations = FindViolations(record, options);
     for (int process = 0; process < plan_.processes && !result.violations.empty(); ++process) {
       result.logs[process] = testbed_.Log(process);
     }
--- a/src/lab/soak/run.h
+++ b/src/lab/soak/run.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "lab/soak/plan.h"
-#include "lab/soak/rules.h"
+#include "lab/soak/record_checker.h"
 
 namespace walnutspur::lab::soak {
 
@@ -21,7 +21,7 @@
 };
 
 struct SoakResult {
-  std::vector<RuleViolation> violations;
+  std::vector<Violation> violations;
   std::map<int, std::string> logs;  // of the processes, if a rule is broken
   std::size_t requests = 0;
   std::size_t attempts = 0;
--- a/tests/faults/clock_step_test.cpp
+++ b/tests/faults/clock_step_test.cpp
@@ -8,17 +8,17 @@
 #include <vector>
 
 #include "core/clock.h"
-#include "lab/soak/rules.h"
+#include "lab/soak/record_checker.h"
 #include "lab/soak/testbed.h"
 
 namespace walnutspur::test {
 namespace {
 
 using lab::soak::FindViolations;
-using lab::soak::RuleViolation;
 using lab::soak::ServedFraction;
 using lab::soak::Testbed;
 using lab::soak::TestbedOptions;
+using lab::soak::Violation;
 
 constexpr Time kSecond = 1'000'000;
 constexpr std::int64_t kMillisecondsPerMinute = 60'000;
@@ -26,7 +26,7 @@
 // Part of the requests that a process serves, and the rules that it breaks.
 struct StepResult {
   double served = 0;
-  std::vector<RuleViolation> violations;
+  std::vector<Violation> violations;
 };
 
 struct StepCase {
--- a/tests/faults/endpoint_lease_test.cpp
+++ b/tests/faults/endpoint_lease_test.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "core/clock.h"
-#include "lab/soak/rules.h"
+#include "lab/soak/record_checker.h"
 #include "lab/soak/testbed.h"
 
 namespace walnutspur::test {
@@ -14,16 +14,16 @@
 
 using lab::soak::DiscoveryFault;
 using lab::soak::FindViolations;
-using lab::soak::RuleViolation;
 using lab::soak::ServedFraction;
 using lab::soak::Testbed;
 using lab::soak::TestbedOptions;
+using lab::soak::Violation;
 
 constexpr Time kSecond = 1'000'000;
 constexpr int kLargeFleet = 300;
 
 struct FaultResult {
-  std::vector<RuleViolation> violations;
+  std::vector<Violation> violations;
   double served_before = 0;     // part of the requests, before discovery failed
   double served_in_outage = 0;  // from 7 s to 9 s after discovery failed
   double served_after = 0;      // in the last 2 s
@@ -124,7 +124,7 @@
   const Time ended_at = core::Now();
   testbed.StopAllClients();
   testbed.RunFor(2 * kSecond);
-  const std::vector<RuleViolation> violations = FindViolations(testbed.record(), {});
+  const std::vector<Violation> violations = FindViolations(testbed.record(), {});
   const std::string first = violations.empty() ? "" : violations.front().description;
   CHECK_MESSAGE(violations.empty(), violations.size(), " violations, first: ", first);
   CHECK(ServedFraction(testbed.record(), ended_at - 2 * kSecond, ended_at) > 0.6);
--- a/tests/faults/system_call_test.cpp
+++ b/tests/faults/system_call_test.cpp
@@ -6,17 +6,17 @@
 #include <vector>
 
 #include "core/clock.h"
-#include "lab/soak/rules.h"
+#include "lab/soak/record_checker.h"
 #include "lab/soak/testbed.h"
 
 namespace walnutspur::test {
 namespace {
 
 using lab::soak::FindViolations;
-using lab::soak::RuleViolation;
 using lab::soak::ServedFraction;
 using lab::soak::Testbed;
 using lab::soak::TestbedOptions;
+using lab::soak::Violation;
 
 constexpr Time kSecond = 1'000'000;
 
@@ -25,7 +25,7 @@
   double least_served;  // of the requests, over the whole run
   double served = 0;
   int idle_ends = 0;  // connections that ended between requests
-  std::vector<RuleViolation> violations = {};
+  std::vector<Violation> violations = {};
   bool runs_on = false;
 };
 
@@ -83,9 +83,9 @@
   PlayAll(cases);
   for (const CallCase& each : cases) {
     CAPTURE(each.faults);
-    const std::string first = each.violations.empty()
-                                  ? ""
-                                  : each.violations.front().rule + ": " + each.violations.front().description;
+    const std::string first = each.violations.empty() ? ""
+                                                      : each.violations.front().invariant + ": " +
+                                                            each.violations.front().description;
     CHECK_MESSAGE(each.violations.empty(), each.violations.size(), " violations, first: ", first);
     CHECK(each.served > each.least_served);
     CHECK(each.runs_on);
--- a/tests/lab/invariant_checker_test.cpp
+++ b/tests/lab/invariant_checker_test.cpp
@@ -1,19 +1,23 @@
 // The checker notices each invariant that is violated on purpose, and a failing experiment is shrunk to its
 // cause.
-#include "lab/sim/invariant_checker.h"
+#include "lab/invariants/invariant_checker.h"
 
 #include <doctest/doctest.h>
 
 #include <algorithm>
 #include <cstdint>
+#include <string>
 
 #include "base_experiment.h"
 #include "invariant_mutations.h"
+#include "lab/invariants/invariant_names.h"
 #include "lab/sim/explore.h"
 
 namespace walnutspur::lab {
 namespace {
 
+namespace name = invariants::name;
+
 constexpr std::uint64_t kMaxSeed = 200;
 
 // Draws an experiment in which a server is replaced and two restart under load, whatever else is drawn.
@@ -28,11 +32,12 @@
 
 bool IsNoticed(const Mutation& mutation, const Experiment& experiment) {
   const CheckedRun run = RunChecked(experiment, mutation.hooks());
-  return std::any_of(run.violations.begin(), run.violations.end(),
-                     [&](const Violation& violation) { return violation.rule == mutation.rule; });
+  return std::any_of(run.violations.begin(), run.violations.end(), [&](const LogViolation& violation) {
+    return violation.invariant == mutation.invariant;
+  });
 }
 
-TEST_CASE("each invariant violated on purpose is noticed, by its own rule, within 200 experiments") {
+TEST_CASE("each invariant violated on purpose is noticed, by its own name, within 200 experiments") {
   Experiment base = BaseExperiment();
   base.discovery_delay = 1'000'000;
   for (const Mutation& mutation : Mutations()) {
@@ -41,7 +46,7 @@
     bool noticed = false;
     for (; seed <= kMaxSeed && !noticed; ++seed) {
       Experiment experiment = DrawWithFaults(base, seed);
-      if (mutation.rule == "unlisted") {
+      if (mutation.invariant == name::kUnknownTarget) {
         experiment.discovery_delay = 100'000;
       }
       noticed = IsNoticed(mutation, experiment);
@@ -53,20 +58,20 @@
 
 TEST_CASE("a failing experiment is shrunk, and the result still fails") {
   const Mutation ignores_drains = Mutations()[4];
-  REQUIRE(ignores_drains.rule == "drain");
+  REQUIRE(ignores_drains.invariant == name::kDrainGrace);
   Experiment experiment = DrawExperiment(BaseExperiment(), 3);
   experiment.servers = 6;
   experiment.faults = {{FaultKind::kSlow, 100'000, 1'000'000, 0, 3, 0.5, 0},
                        {FaultKind::kReplace, 500'000, 2'500'000, 1, 2, 0, 0},
                        {FaultKind::kFreeze, 2'000'000, 500'000, 2, 1, 0, 0}};
-  const Experiment smallest = Shrink(experiment, "drain", 100, ignores_drains.hooks());
+  const Experiment smallest = Shrink(experiment, std::string(name::kDrainGrace), 100, ignores_drains.hooks());
   CHECK(smallest.faults.size() == 1);
   CHECK(smallest.faults[0].kind == FaultKind::kReplace);
   CHECK(smallest.initiators <= experiment.initiators);
   const CheckedRun again =
       RunChecked(ParseExperiment(FormatExperiment(smallest), "smallest"), ignores_drains.hooks());
   REQUIRE_FALSE(again.violations.empty());
-  CHECK(again.violations.front().rule == "drain");
+  CHECK(again.violations.front().invariant == name::kDrainGrace);
 }
 
 }  // namespace
--- a/tests/lab/invariant_mutations.cpp
+++ b/tests/lab/invariant_mutations.cpp
@@ -6,6 +6,7 @@
 #include <variant>
 
 #include "base_experiment.h"
+#include "lab/invariants/invariant_names.h"
 #include "lab/sim/policies.h"
 
 namespace walnutspur::lab {
@@ -15,6 +16,7 @@
 using core::Response;
 using core::ResponseStatus;
 using core::StartAttempt;
+namespace name = invariants::name;
 using Outputs = std::vector<Output>;
 
 TestHooks OnOutputs(std::function<void(int, Time, Outputs*)> call) {
@@ -207,37 +209,38 @@
 
 std::vector<Mutation> InitiatorMutations() {
   return {
-      {"answers twice", "one-answer", Duplicate<Response>},
-      {"drops one response in a hundred", "unanswered", DropResponses},
-      {"delays responses", "in-time", DelayResponses},
-      {"retries all failures", "unsafe-resent", RetryAllFailures},
-      {"ignores drains", "drain", IgnoreDrains},
-      {"starts a fourth attempt", "attempts", AddFourthAttempt},
-      {"numbers attempts from one", "trial-order",
+      {"answers twice", name::kOneResponse, Duplicate<Response>},
+      {"drops one response in a hundred", name::kMissingResponse, DropResponses},
+      {"delays responses", name::kLateResponse, DelayResponses},
+      {"retries all failures", name::kUnsafeRetry, RetryAllFailures},
+      {"ignores drains", name::kDrainGrace, IgnoreDrains},
+      {"starts a fourth attempt", name::kMaxAttempts, AddFourthAttempt},
+      {"numbers attempts from one", name::kAttemptNumber,
        [] { return OnStartedAttempts([](StartAttempt* attempt) { ++attempt->attempt; }); }},
-      {"sends to a server without the shard", "cell", [] { return Redirect("", "b0"); }},
-      {"sends to servers before it is notified of them", "unlisted", [] { return Redirect("b1", "b6"); }},
-      {"reports failed work as served", "served-unrun",
+      {"sends to a server without the shard", name::kWrongShard, [] { return Redirect("", "b0"); }},
+      {"sends to servers before it is notified of them", name::kUnknownTarget,
+       [] { return Redirect("b1", "b6"); }},
+      {"reports failed work as served", name::kFalseServed,
        [] {
          return ChangeStatuses({ResponseStatus::kRejected, ResponseStatus::kTimedOut},
                                ResponseStatus::kServed);
        }},
-      {"rejects what may have run", "refused-run",
+      {"rejects what may have run", name::kFalseRejected,
        [] {
          return ChangeStatuses({ResponseStatus::kFailed, ResponseStatus::kTimedOut},
                                ResponseStatus::kRejected);
        }},
-      {"ignores slow start and sends everything at once", "cold", IgnoreSlowStart},
-      {"sends after the response", "after-answer", SendAfterResponse},
-      {"sends each attempt twice", "unsafe-twice", Duplicate<StartAttempt>},
+      {"ignores slow start and sends everything at once", name::kSlowStart, IgnoreSlowStart},
+      {"sends after the response", name::kAttemptAfterResponse, SendAfterResponse},
+      {"sends each attempt twice", name::kRepeatedWork, Duplicate<StartAttempt>},
   };
 }
 
 std::vector<Mutation> LogMutations() {
   return {
-      {"reports all outcomes as overloaded", "never-ran", ReportAllAsOverloaded},
-      {"omits finished work", "units", OmitFinishedWork},
-      {"sets the clock back", "time", SetClockBack},
+      {"reports all outcomes as overloaded", name::kFalseNotRun, ReportAllAsOverloaded},
+      {"omits finished work", name::kLostWork, OmitFinishedWork},
+      {"sets the clock back", name::kRecordOrder, SetClockBack},
   };
 }
 
--- a/tests/lab/invariant_mutations.h
+++ b/tests/lab/invariant_mutations.h
@@ -4,6 +4,7 @@
 
 #include <functional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "lab/sim/test_hooks.h"
@@ -12,7 +13,7 @@
 
 struct Mutation {
   std::string name;
-  std::string rule;                  // the invariant that it violates
+  std::string_view invariant;        // that it violates
   std::function<TestHooks()> hooks;  // made anew for each run: some have state
 };
 
--- /dev/null
+++ b/tests/lab/record_checker_test.cpp
@@ -0,0 +1,172 @@
+// The record of a run on real processes is judged by the common invariants: a record without faults violates
+// none, and each promise broken on purpose is noticed by its own name.
+#include "lab/soak/record_checker.h"
+
+#include <doctest/doctest.h>
+
+#include <functional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "lab/invariants/invariant_names.h"
+
+namespace walnutspur::lab::soak {
+namespace {
+
+namespace name = invariants::name;
+
+constexpr Time kSecond = 1'000'000;
+constexpr int kProcess = 0;
+constexpr const char* kRead = "0000000000000001";
+constexpr const char* kWrite = "0000000000000002";
+
+ClientRequest Request(Time sent_at, bool is_idempotent) {
+  ClientRequest request;
+  request.process = kProcess;
+  request.is_idempotent = is_idempotent;
+  request.sent_at = sent_at;
+  request.deadline = kSecond;
+  request.finished_at = sent_at + kSecond / 10;
+  request.result = ClientResult::kServed;
+  request.responses = 1;
+  return request;
+}
+
+TargetArrival Arrival(const std::string& request_id, Time at, bool was_overloaded) {
+  TargetArrival arrival;
+  arrival.at = at;
+  arrival.target = "t0";
+  arrival.request_id = request_id;
+  arrival.stated_deadline = kSecond / 2;
+  arrival.was_overloaded = was_overloaded;
+  return arrival;
+}
+
+// A read and a write that were served 2 and 3 s after the process started; the write's first attempt was
+// rejected as overloaded. The target drains 4 s after the start, of
+// which the process is notified at once.
+Record CleanRecord() {
+  Record record;
+  record.starts[kProcess] = {kSecond};
+  record.requests[kRead] = Request(3 * kSecond, true);
+  record.requests[kWrite] = Request(4 * kSecond, false);
+  record.arrivals = {Arrival(kRead, 3 * kSecond + 1'000, false), Arrival(kWrite, 4 * kSecond + 1'000, true),
+                     Arrival(kWrite, 4 * kSecond + 2'000, false)};
+  record.changes = {{5 * kSecond, 1, "t0", false}};
+  record.lists = {{5 * kSecond, kProcess, 1}};
+  return record;
+}
+
+void Lose(Record* record, const char* request_id) {
+  ClientRequest& request = record->requests[request_id];
+  request.result = ClientResult::kLost;
+  request.responses = 0;
+}
+
+struct RecordMutation {
+  std::string_view invariant;  // that it violates
+  std::function<void(Record*)> change;
+};
+
+std::vector<RecordMutation> RecordMutations() {
+  return {
+      {name::kKnownRequest, [](Record* record) { record->requests.erase(kRead); }},
+      {name::kUnsafeRetry, [](Record* record) { record->arrivals[1].was_overloaded = false; }},
+      {name::kOneResponse, [](Record* record) { record->requests[kRead].responses = 2; }},
+      {name::kMissingResponse, [](Record* record) { Lose(record, kRead); }},
+      {name::kAttemptDeadline, [](Record* record) { record->arrivals[0].stated_deadline = 2 * kSecond; }},
+      {name::kAttemptDeadline,
+       [](Record* record) {
+         record->requests[kRead].deadline = 0;
+         record->arrivals[0].at += kSecond;
+         record->arrivals[0].stated_deadline = 0;
+       }},
+      {name::kAttemptAfterDisconnect,
+       [](Record* record) {
+         record->requests[kRead].result = ClientResult::kLeft;
+         record->requests[kRead].responses = 0;
+         record->arrivals[0].at = record->requests[kRead].finished_at + 101'000;
+       }},
+      {name::kDrainGrace,
+       [](Record* record) {
+         record->requests[kRead] = Request(5 * kSecond + 500'000, true);
+         record->arrivals[0].at = 5 * kSecond + 551'000;
+       }},
+      {name::kProcessCrash,
+       [](Record* record) { record->unexpected_process_ends = {"process 0 has ended"}; }},
+  };
+}
+
+std::vector<std::string> ViolatedBy(const Record& record) {
+  std::vector<std::string> names;
+  for (const Violation& violation : FindViolations(record, {})) {
+    names.push_back(violation.invariant);
+  }
+  return names;
+}
+
+TEST_CASE("a record without faults violates nothing") { CHECK(ViolatedBy(CleanRecord()).empty()); }
+
+TEST_CASE("each invariant violated on purpose in a record is noticed, and no other is") {
+  for (const RecordMutation& mutation : RecordMutations()) {
+    CAPTURE(mutation.invariant);
+    Record record = CleanRecord();
+    mutation.change(&record);
+    CHECK(ViolatedBy(record) == std::vector<std::string>{std::string(mutation.invariant)});
+  }
+}
+
+TEST_CASE("times within the tolerances of real processes violate nothing") {
+  Record record = CleanRecord();
+  record.requests[kRead] = Request(5 * kSecond + 500'000, true);
+  record.arrivals[0].at = 5 * kSecond + 550'000;  // 50 ms past the drain grace
+  CHECK(ViolatedBy(record).empty());
+
+  record = CleanRecord();
+  record.arrivals[0].stated_deadline = kSecond - 1'000 + 150'000;  // 150 ms more than is left
+  CHECK(ViolatedBy(record).empty());
+
+  record = CleanRecord();
+  record.requests[kRead].result = ClientResult::kLeft;
+  record.requests[kRead].responses = 0;
+  record.arrivals[0].at = record.requests[kRead].finished_at + 100'000;  // 100 ms after the client left
+  CHECK(ViolatedBy(record).empty());
+}
+
+TEST_CASE("a response may be missing where the process was killed, or late in its shutdown") {
+  Record record = CleanRecord();
+  Lose(&record, kRead);
+  record.kills[kProcess] = {record.requests[kRead].sent_at + 1'000};
+  CHECK(ViolatedBy(record).empty());
+
+  // Sent 0.6 s after SIGTERM: it has to be answered before the kill. At 0.8 s nothing is promised.
+  record.terminations[kProcess] = {record.requests[kRead].sent_at - 600'000};
+  CHECK(ViolatedBy(record) == std::vector<std::string>{std::string(name::kMissingResponse)});
+  record.terminations[kProcess] = {record.requests[kRead].sent_at - 800'000};
+  CHECK(ViolatedBy(record).empty());
+}
+
+TEST_CASE("a process that starts after a drain may go by its first list for 6 s, or until discovery fails") {
+  // The process starts 1 s after the drain, and discovery writes it no list. It sends 5.9 s after its start.
+  Record record = CleanRecord();
+  record.lists.clear();
+  record.starts[kProcess].push_back(6 * kSecond);
+  record.requests[kRead] = Request(6 * kSecond + 5'900'000, true);
+  record.arrivals = {Arrival(kRead, 6 * kSecond + 5'900'000, false)};
+  CHECK(ViolatedBy(record).empty());
+
+  // Its first call of discovery failed 1 s after its start: what was drained 6 s ago is known by then.
+  const std::vector<std::string> drain_grace{std::string(name::kDrainGrace)};
+  record.failed_calls[kProcess] = {7 * kSecond};
+  CHECK(ViolatedBy(record) == drain_grace);
+
+  // No call failed, and it sends 10 s after its start.
+  record.failed_calls.clear();
+  record.requests[kRead] = Request(16 * kSecond, true);
+  record.arrivals = {Arrival(kRead, 16 * kSecond + 1'000, false)};
+  CHECK(ViolatedBy(record) == drain_grace);
+}
+
+}  // namespace
+}  // namespace walnutspur::lab::soak
--- a/tests/lab/simulation_test.cpp
+++ b/tests/lab/simulation_test.cpp
@@ -13,7 +13,7 @@
 #include "base_experiment.h"
 #include "lab/process.h"
 #include "lab/sim/explore.h"
-#include "lab/sim/invariant_checker.h"
+#include "lab/sim/log_checker.h"
 
 namespace walnutspur::lab {
 namespace {
@@ -28,7 +28,7 @@
 // Checks that the entries of a log file are formatted as they were parsed and violate no invariant.
 void CheckLogFile(const std::string& path) {
   std::ifstream file(path);
-  InvariantChecker checker;
+  LogChecker checker;
   std::uint32_t entries = 0;
   for (std::string line; std::getline(file, line); ++entries) {
     const auto entry = ParseEntry(line);
@@ -152,8 +152,8 @@
     const CheckedRun run = RunChecked(experiment);
     requests += run.results.requests;
     faults += experiment.faults.size();
-    for (const Violation& violation : run.violations) {
-      FAIL_CHECK("seed ", seed, " violates ", violation.rule, ": ", violation.description, " by ",
+    for (const LogViolation& violation : run.violations) {
+      FAIL_CHECK("seed ", seed, " violates ", violation.invariant, ": ", violation.description, " by ",
                  FormatEntry(violation.entry));
     }
   }
