--- a/Makefile
+++ b/Makefile
@@ -53,8 +53,8 @@
 PARTS ?=
 bench-integrity:
 	cmake -B $(BUILD) -DCMAKE_BUILD_TYPE=Release
-	cmake --build $(BUILD) -j $(JOBS) --target walnutspur_main walnutspur_storage_server walnutspur_bench_integrity
-	$(BUILD)/walnutspur_bench_integrity $(BUILD)/walnutspur $(PARTS)
+	cmake --build $(BUILD) -j $(JOBS) --target walnutspur_main walnutspur_lab_program walnutspur_bench_integrity
+	$(BUILD)/walnutspur-bench-integrity $(BUILD)/walnutspur $(PARTS)
 
 # Drawn days of faults on real processes: SEED=N, COUNT=N seeds, PARALLEL=N at a time; about 15 s each.
 SEED ?= 1
@@ -62,21 +62,21 @@
 PARALLEL ?= 4
 soak:
 	cmake -B $(BUILD) -DCMAKE_BUILD_TYPE=Release
-	cmake --build $(BUILD) -j $(JOBS) --target walnutspur_main walnutspur_soak_program walnutspur_fault_shim
-	$(BUILD)/walnutspur-soak --program $(BUILD)/walnutspur --fault-shim $(BUILD)/libwalnutspur_fault_shim.so \
+	cmake --build $(BUILD) -j $(JOBS) --target walnutspur_main walnutspur_lab_program walnutspur_fault_shim
+	$(BUILD)/walnutspur-lab soak --program $(BUILD)/walnutspur --fault-shim $(BUILD)/libwalnutspur_fault_shim.so \
 	  --seed $(SEED) --count $(COUNT) --parallel $(PARALLEL)
 
 # The fleet in virtual time: SEED=N, SHORT=1, PARTS="size worlds signs sizes" are all of it.
 bench-lab:
 	cmake -B $(BUILD) -DCMAKE_BUILD_TYPE=Release
-	cmake --build $(BUILD) -j $(JOBS) --target walnutspur_lab_program walnutspur_bench_lab
-	$(BUILD)/walnutspur_bench_lab $(PARTS)
+	cmake --build $(BUILD) -j $(JOBS) --target walnutspur_lab_program
+	$(BUILD)/walnutspur-lab bench $(PARTS)
 
 # Fleets under faults: SEED=N, SHORT=1, PARTS="loss size view" are all of it.
 bench-fleet:
 	cmake -B $(BUILD) -DCMAKE_BUILD_TYPE=Release
 	cmake --build $(BUILD) -j $(JOBS) --target walnutspur_main walnutspur_bench_fleet
-	$(BUILD)/walnutspur_bench_fleet $(BUILD)/walnutspur $(PARTS)
+	$(BUILD)/walnutspur-bench-fleet $(BUILD)/walnutspur $(PARTS)
 
 # SECONDS_EACH=N fuzzes for longer. New inputs stay in the build folder; the corpus is the tree's.
 SECONDS_EACH ?= 15
--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -300,7 +300,7 @@
 
 int main(int argc, char** argv) {
   if (argc < 2) {
-    std::fprintf(stderr, "usage: walnutspur_bench_fleet PROGRAM [view|size|loss]...\n");
+    std::fprintf(stderr, "usage: walnutspur-bench-fleet PROGRAM [view|size|loss]...\n");
     return 2;
   }
   const std::set<std::string> parts(argv + 2, argv + argc);
--- a/bench/integrity/main.cpp
+++ b/bench/integrity/main.cpp
@@ -19,7 +19,7 @@
 RunOptions ReadOptions(int argc, char** argv) {
   RunOptions options;
   options.program = argv[1];
-  options.storage_server = options.program + "_storage_server";
+  options.laboratory = options.program + "-lab";
   if (const char* seed = std::getenv("SEED")) {
     options.seed = std::strtoull(seed, nullptr, 10);
   }
@@ -49,7 +49,7 @@
 
 int main(int argc, char** argv) {
   if (argc < 2) {
-    std::fprintf(stderr, "usage: walnutspur_bench_integrity PROGRAM [PART...]\n");
+    std::fprintf(stderr, "usage: walnutspur-bench-integrity PROGRAM [PART...]\n");
     return kUsageError;
   }
   std::signal(SIGPIPE, SIG_IGN);  // processes that are killed leave connections behind
--- a/bench/integrity/testbed.cpp
+++ b/bench/integrity/testbed.cpp
@@ -81,7 +81,8 @@
 
 // It listens for HTTP on the port after the one for NBD, and on the same ports each time.
 bool Testbed::StartChildServer() {
-  const std::vector<std::string> command = {run_.options().storage_server,
+  const std::vector<std::string> command = {run_.options().laboratory,
+                                            "storage-server",
                                             "--size",
                                             std::to_string(kDeviceBytes),
                                             "--file",
--- /dev/null
+++ b/src/lab/bench/simulation_bench.h
@@ -0,0 +1,25 @@
+// What the simulated cluster costs, and whether it can be believed: a list of claims with their figures.
+//
+// Called by `walnutspur-lab bench`; on one thread, but for the drawn experiments, which run on four.
+#ifndef WALNUTSPUR_LAB_BENCH_SIMULATION_BENCH_H_
+#define WALNUTSPUR_LAB_BENCH_SIMULATION_BENCH_H_
+
+#include <cstdint>
+#include <set>
+#include <string>
+
+namespace walnutspur::lab {
+
+struct SimulationBenchOptions {
+  std::uint64_t seed = 1;
+  bool brief = false;           // smaller fleets, shorter and fewer runs
+  std::set<std::string> parts;  // "size", "worlds", "signs" and "sizes"; empty: all
+};
+
+// Prints each claim with its figure as it is measured, and one JSON object of all of them last. Returns
+// whether every claim is met.
+bool RunSimulationBench(const SimulationBenchOptions& options);
+
+}  // namespace walnutspur::lab
+
+#endif  // WALNUTSPUR_LAB_BENCH_SIMULATION_BENCH_H_
--- /dev/null
+++ b/src/lab/commands/keys.cpp
@@ -0,0 +1,20 @@
+// walnutspur-lab keys: prints an experiment file of all keys, commented, with their defaults.
+#include <CLI/CLI.hpp>
+#include <cstdio>
+
+#include "config/schema.h"
+#include "lab/commands/command.h"
+#include "lab/experiment_file.h"
+
+namespace walnutspur::lab {
+
+Command DeclareKeys(CLI::App& program) {
+  const CLI::App* const cli =
+      program.add_subcommand("keys", "Print all keys of an experiment file, with their defaults");
+  return {cli, [] {
+            std::fputs(config::Example(ExperimentKeys()).c_str(), stdout);
+            return kExitOk;
+          }};
+}
+
+}  // namespace walnutspur::lab
--- /dev/null
+++ b/src/lab/commands/log_report.h
@@ -0,0 +1,19 @@
+// How violations in an event log are printed.
+#ifndef WALNUTSPUR_LAB_COMMANDS_LOG_REPORT_H_
+#define WALNUTSPUR_LAB_COMMANDS_LOG_REPORT_H_
+
+#include "lab/commands/command.h"
+#include "lab/sim/log_checker.h"
+
+namespace walnutspur::lab {
+
+using Printable = unsigned long long;  // NOLINT(google-runtime-int): what printf's %llu takes
+
+void PrintViolation(const LogViolation& violation);
+
+// Prints the first violation of each invariant.
+ExitCode ReportViolations(const LogChecker& checker);
+
+}  // namespace walnutspur::lab
+
+#endif  // WALNUTSPUR_LAB_COMMANDS_LOG_REPORT_H_
--- a/src/lab/soak/main.cpp
+++ b/src/lab/commands/soak.cpp
@@ -1,41 +1,39 @@
-// walnutspur-soak: plays drawn days of faults on real processes over loopback and checks the platform's
-// rules.
+// walnutspur-lab soak: runs drawn plans of faults on real processes over loopback and judges their records.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <atomic>
+#include <cstdint>
 #include <cstdio>
 #include <exception>
 #include <fstream>
 #include <map>
+#include <memory>
 #include <mutex>
 #include <string>
 #include <thread>
 #include <vector>
 
+#include "lab/commands/command.h"
 #include "lab/invariants/invariant_names.h"
 #include "lab/soak/plan.h"
 #include "lab/soak/run.h"
 
+namespace walnutspur::lab {
 namespace {
 
-using walnutspur::lab::soak::Describe;
-using walnutspur::lab::soak::DrawPlan;
-using walnutspur::lab::soak::Play;
-using walnutspur::lab::soak::Shrink;
-using walnutspur::lab::soak::SoakPlan;
-using walnutspur::lab::soak::SoakPrograms;
-using walnutspur::lab::soak::SoakResult;
-using walnutspur::lab::soak::Violation;
-
-// Exit codes.
-constexpr int kExitOk = 0;
-constexpr int kExitViolation = 1;
-constexpr int kExitUsage = 2;
+using soak::Describe;
+using soak::DrawPlan;
+using soak::Play;
+using soak::Shrink;
+using soak::SoakPlan;
+using soak::SoakPrograms;
+using soak::SoakResult;
+using soak::Violation;
 
 constexpr int kShrinkRuns = 12;
-constexpr walnutspur::Time kMicrosecondsPerMillisecond = 1'000;
+constexpr Time kMicrosecondsPerMillisecond = 1'000;
 
-struct Options {
+struct SoakOptions {
   std::uint64_t seed = 1;
   int count = 1;
   int parallel = 2;
@@ -44,12 +42,12 @@
   SoakPrograms programs;
 };
 
-// Plays the seeds of the options, some at a time, and prints each result.
-class Soak {
+// Runs the plans of the seeds, several at a time, and prints each result.
+class SoakRunner {
  public:
-  explicit Soak(const Options& options) : options_(options) {}
+  explicit SoakRunner(const SoakOptions& options) : options_(options) {}
 
-  int Run() {
+  ExitCode Run() {
     std::vector<std::thread> threads;
     threads.reserve(static_cast<std::size_t>(options_.parallel));
     for (int number = 0; number < options_.parallel; ++number) {
@@ -59,8 +57,8 @@
       thread.join();
     }
     std::printf("seeds %d, broken %zu", options_.count, broken_.size());
-    for (const auto& [rule, count] : rules_) {
-      std::printf(", %s %zu", rule.c_str(), count);
+    for (const auto& [invariant, count] : violations_) {
+      std::printf(", %s %zu", invariant.c_str(), count);
     }
     std::printf("\n");
     return broken_.empty() ? kExitOk : kExitViolation;
@@ -81,7 +79,7 @@
     } catch (const std::exception& error) {
       SoakResult result;
       Violation failed;
-      failed.invariant = walnutspur::lab::invariants::name::kProcessCrash;
+      failed.invariant = invariants::name::kProcessCrash;
       failed.description = error.what();
       result.violations.push_back(failed);
       return result;
@@ -102,7 +100,7 @@
     broken_.push_back(plan);
     WriteLogs(plan, result);
     for (const Violation& violation : result.violations) {
-      ++rules_[violation.invariant];
+      ++violations_[violation.invariant];
     }
     std::printf("%s", Describe(plan).c_str());
     for (std::size_t shown = 0; shown < std::min<std::size_t>(3, result.violations.size()); ++shown) {
@@ -124,34 +122,37 @@
     }
   }
 
-  Options options_;
+  SoakOptions options_;
   std::atomic<int> next_{0};
   std::mutex mutex_;  // guards the two below and standard output
   std::vector<SoakPlan> broken_;
-  std::map<std::string, std::size_t> rules_;
+  std::map<std::string, std::size_t> violations_;  // by invariant
 };
 
-}  // namespace
-
-int main(int argc, char** argv) {
-  Options options;
-  CLI::App app("Plays drawn days of faults on real processes over loopback and checks the platform's rules.");
-  app.add_option("--program", options.programs.program, "path of the walnutspur program")
+void DeclareOptions(CLI::App* cli, SoakOptions* options) {
+  cli->add_option("--program", options->programs.program, "path of the walnutspur program")
       ->required()
       ->check(CLI::ExistingFile);
-  app.add_option("--fault-shim", options.programs.fault_shim,
-                 "path of the library to preload; without it no system call fails")
+  cli->add_option("--fault-shim", options->programs.fault_shim,
+                  "path of the library to preload; without it no system call fails")
       ->check(CLI::ExistingFile);
-  app.add_option("--seed", options.seed, "the first seed");
-  app.add_option("--count", options.count, "how many seeds")->check(CLI::Range(1, 10'000));
-  app.add_option("--parallel", options.parallel, "runs at a time")->check(CLI::Range(1, 16));
-  app.add_option("--logs", options.log_folder, "a folder for the processes' logs of broken runs")
+  cli->add_option("--seed", options->seed, "the first seed");
+  cli->add_option("--count", options->count, "how many seeds")->check(CLI::Range(1, 10'000));
+  cli->add_option("--parallel", options->parallel, "runs at a time")->check(CLI::Range(1, 16));
+  cli->add_option("--logs", options->log_folder, "a folder for the processes' logs of broken runs")
       ->check(CLI::ExistingDirectory);
-  app.add_flag("--shrink", options.shrinks, "drop faults from a plan that breaks a rule while it still does");
-  try {
-    app.parse(argc, argv);
-  } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? kExitOk : kExitUsage;
-  }
-  return Soak(options).Run();
+  cli->add_flag("--shrink", options->shrinks,
+                "drop faults from a plan that violates an invariant while it still does");
 }
+
+}  // namespace
+
+Command DeclareSoak(CLI::App& program) {
+  const auto options = std::make_shared<SoakOptions>();
+  CLI::App* const cli = program.add_subcommand(
+      "soak", "Run drawn plans of faults on real processes over loopback and check the invariants");
+  DeclareOptions(cli, options.get());
+  return {cli, [options] { return SoakRunner(*options).Run(); }};
+}
+
+}  // namespace walnutspur::lab
--- a/src/lab/storage_server/main.cpp
+++ b/src/lab/commands/storage_server.cpp
@@ -1,29 +1,25 @@
-// walnutspur_storage_server: the storage server stand-in as a program, until SIGTERM or SIGINT. SIGUSR2 is a
-// power cut: writes that were not flushed are lost at random, and the process exits at once.
+// walnutspur-lab storage-server: the storage server stand-in as a program, until SIGTERM or SIGINT. SIGUSR2
+// is a power cut: writes that were not flushed are lost at random, and the process exits at once.
+#include "lab/storage_server/storage_server.h"
+
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdio>
-#include <exception>
+#include <memory>
 #include <string>
 #include <vector>
 
-#include "lab/storage_server/storage_server.h"
+#include "lab/commands/command.h"
 
+namespace walnutspur::lab {
 namespace {
 
-using walnutspur::lab::BlockDevice;
-using walnutspur::lab::Fault;
-using walnutspur::lab::kAllDamage;
-using walnutspur::lab::NameOf;
-using walnutspur::lab::StorageServer;
-using walnutspur::lab::StorageServerOptions;
-
 constexpr int kPowerCutSignal = SIGUSR2;
 
 // The command line.
-struct Arguments {
+struct StorageServerArguments {
   StorageServerOptions options;
   std::string damage;  // a kind's name; empty: no fault
   Fault fault;
@@ -44,7 +40,7 @@
       ->capture_default_str();
 }
 
-void AddFaultOptions(CLI::App& cli, Arguments& arguments) {
+void AddFaultOptions(CLI::App& cli, StorageServerArguments& arguments) {
   std::vector<std::string> names;
   names.reserve(kAllDamage.size());
   for (const auto damage : kAllDamage) {
@@ -73,7 +69,7 @@
   return signals;
 }
 
-void InjectFault(StorageServer& server, const Arguments& arguments) {
+void InjectFault(StorageServer& server, const StorageServerArguments& arguments) {
   for (const auto damage : kAllDamage) {
     if (arguments.damage == NameOf(damage)) {
       Fault fault = arguments.fault;
@@ -93,7 +89,7 @@
   std::fflush(stdout);
 }
 
-void Serve(const Arguments& arguments) {
+ExitCode Serve(const StorageServerArguments& arguments) {
   const sigset_t signals = BlockExitSignals();
   std::signal(SIGPIPE, SIG_IGN);
   StorageServer server(arguments.options);
@@ -105,26 +101,21 @@
   if (signal == kPowerCutSignal) {
     server.WithDevice([](BlockDevice& device) {
       device.Crash();
-      _exit(0);  // with the device held, so that no later command reaches it
+      _exit(kExitOk);  // with the device held, so that no later command reaches it
     });
   }
+  return kExitOk;
 }
 
 }  // namespace
 
-int main(int argc, char** argv) {
-  CLI::App cli{
-      "walnutspur_storage_server: a storage server that keeps bytes, speaks NBD and HTTP, and damages on "
-      "demand."};
-  Arguments arguments;
-  AddServerOptions(cli, arguments.options);
-  AddFaultOptions(cli, arguments);
-  CLI11_PARSE(cli, argc, argv);
-  try {
-    Serve(arguments);
-    return 0;
-  } catch (const std::exception& error) {
-    std::fprintf(stderr, "walnutspur_storage_server: %s\n", error.what());
-    return 1;
-  }
+Command DeclareStorageServer(CLI::App& program) {
+  const auto arguments = std::make_shared<StorageServerArguments>();
+  CLI::App* const cli = program.add_subcommand(
+      "storage-server", "A storage server that keeps bytes, speaks NBD and HTTP, and damages on demand");
+  AddServerOptions(*cli, arguments->options);
+  AddFaultOptions(*cli, *arguments);
+  return {cli, [arguments] { return Serve(*arguments); }};
 }
+
+}  // namespace walnutspur::lab
