--- a/src/lab/bench/simulation_bench.cpp
+++ b/src/lab/bench/simulation_bench.cpp
@@ -10,8 +10,8 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
-#include "lab/experiment.h"
-#include "lab/experiment_file.h"
+#include "lab/sim/experiment.h"
+#include "lab/sim/experiment_file.h"
 #include "lab/sim/explore.h"
 #include "lab/sim/log_checker.h"
 #include "lab/sim/simulation.h"
@@ -19,6 +19,15 @@
 namespace walnutspur::lab {
 namespace {
 
+using sim::CheckedRun;
+using sim::Experiment;
+using sim::Explore;
+using sim::FaultKind;
+using sim::LogViolation;
+using sim::ParseExperiment;
+using sim::RunChecked;
+using sim::SimulationResults;
+
 using nlohmann::json;
 
 using Change = std::function<void(Experiment*)>;
--- a/src/lab/commands/check.cpp
+++ b/src/lab/commands/check.cpp
@@ -14,6 +14,11 @@
 namespace walnutspur::lab {
 namespace {
 
+using sim::EventLogError;
+using sim::LogChecker;
+using sim::LogEntry;
+using sim::ParseEntry;
+
 ExitCode CheckLog(const std::string& path) {
   std::ifstream file(path);
   if (!file) {
--- a/src/lab/commands/explore.cpp
+++ b/src/lab/commands/explore.cpp
@@ -14,12 +14,20 @@
 
 #include "lab/commands/command.h"
 #include "lab/commands/log_report.h"
-#include "lab/experiment.h"
-#include "lab/experiment_file.h"
+#include "lab/sim/experiment.h"
+#include "lab/sim/experiment_file.h"
 
 namespace walnutspur::lab {
 namespace {
 
+using sim::CheckedRun;
+using sim::DrawExperiment;
+using sim::Experiment;
+using sim::Explore;
+using sim::FormatExperiment;
+using sim::LoadExperiment;
+using sim::Shrink;
+
 constexpr int kMaxShrinkRuns = 200;
 constexpr std::uint64_t kProgressStep = 10;  // runs between two reports of progress
 
--- a/src/lab/commands/keys.cpp
+++ b/src/lab/commands/keys.cpp
@@ -4,10 +4,12 @@
 
 #include "config/schema.h"
 #include "lab/commands/command.h"
-#include "lab/experiment_file.h"
+#include "lab/sim/experiment_file.h"
 
 namespace walnutspur::lab {
 
+using sim::ExperimentKeys;
+
 Command DeclareKeys(CLI::App& program) {
   const CLI::App* const cli =
       program.add_subcommand("keys", "Print all keys of an experiment file, with their defaults");
--- a/src/lab/commands/log_report.cpp
+++ b/src/lab/commands/log_report.cpp
@@ -4,6 +4,10 @@
 
 namespace walnutspur::lab {
 
+using sim::FormatEntry;
+using sim::LogChecker;
+using sim::LogViolation;
+
 void PrintViolation(const LogViolation& violation) {
   std::printf("broken %s: %s, by: %s", violation.invariant.c_str(), violation.description.c_str(),
               FormatEntry(violation.entry).c_str());
--- a/src/lab/commands/log_report.h
+++ b/src/lab/commands/log_report.h
@@ -9,10 +9,10 @@
 
 using Printable = unsigned long long;  // NOLINT(google-runtime-int): what printf's %llu takes
 
-void PrintViolation(const LogViolation& violation);
+void PrintViolation(const sim::LogViolation& violation);
 
 // Prints the first violation of each invariant.
-ExitCode ReportViolations(const LogChecker& checker);
+ExitCode ReportViolations(const sim::LogChecker& checker);
 
 }  // namespace walnutspur::lab
 
--- a/src/lab/commands/simulate.cpp
+++ b/src/lab/commands/simulate.cpp
@@ -10,15 +10,24 @@
 
 #include "lab/commands/command.h"
 #include "lab/commands/log_report.h"
-#include "lab/experiment.h"
-#include "lab/experiment_file.h"
 #include "lab/sim/event_log.h"
+#include "lab/sim/experiment.h"
+#include "lab/sim/experiment_file.h"
 #include "lab/sim/log_checker.h"
 #include "lab/sim/simulation.h"
 
 namespace walnutspur::lab {
 namespace {
 
+using sim::EventLog;
+using sim::Experiment;
+using sim::LoadExperiment;
+using sim::LogChecker;
+using sim::LogEntry;
+using sim::SecondTotals;
+using sim::Simulation;
+using sim::SimulationResults;
+
 constexpr int kWorstSpan = 10;  // seconds
 
 struct SimulateOptions {
--- a/src/lab/fault_shim/fault_plan.cpp
+++ b/src/lab/fault_shim/fault_plan.cpp
@@ -55,17 +55,17 @@
 
 bool ParseEffect(std::string_view effect, SystemFault* fault) {
   if (fault->call == "clock") {
-    fault->kind = FaultKind::kClockStep;
+    fault->kind = SystemFaultKind::kClockStep;
     const auto step = ParseInteger(effect);
     fault->amount_ms = step.value_or(0);
     return step.has_value();
   }
   if (effect == "short") {
-    fault->kind = FaultKind::kShort;
+    fault->kind = SystemFaultKind::kShort;
     return true;
   }
   if (effect.substr(0, kDelayPrefix.size()) == kDelayPrefix) {
-    fault->kind = FaultKind::kDelay;
+    fault->kind = SystemFaultKind::kDelay;
     const auto delay = ParseInteger(effect.substr(kDelayPrefix.size()));
     fault->amount_ms = delay.value_or(0);
     return delay.has_value() && *delay >= 0;
--- a/src/lab/fault_shim/fault_plan.h
+++ b/src/lab/fault_shim/fault_plan.h
@@ -20,13 +20,13 @@
 
 namespace walnutspur::lab {
 
-enum class FaultKind { kError, kShort, kDelay, kClockStep };
+enum class SystemFaultKind { kError, kShort, kDelay, kClockStep };
 
 struct SystemFault {
   std::string call;
   std::int64_t from_ms = 0;
   std::int64_t until_ms = -1;  // -1: for ever
-  FaultKind kind = FaultKind::kError;
+  SystemFaultKind kind = SystemFaultKind::kError;
   int error = 0;               // kError: the errno
   std::int64_t amount_ms = 0;  // kDelay, kClockStep
   double probability = 1;
--- a/src/lab/fault_shim/fault_shim.cpp
+++ b/src/lab/fault_shim/fault_shim.cpp
@@ -27,9 +27,9 @@
 
 namespace {
 
-using walnutspur::lab::FaultKind;
 using walnutspur::lab::ParseFaultPlan;
 using walnutspur::lab::SystemFault;
+using walnutspur::lab::SystemFaultKind;
 
 constexpr std::int64_t kMillisecondsPerSecond = 1'000;
 constexpr std::int64_t kNanosecondsPerMillisecond = 1'000'000;
@@ -87,7 +87,7 @@
     if (fault.call != call || !fault.IsActive(AgeMs()) || Draw() >= fault.probability) {
       continue;
     }
-    if (fault.kind != FaultKind::kDelay) {
+    if (fault.kind != SystemFaultKind::kDelay) {
       return &fault;
     }
     const timespec pause{fault.amount_ms / kMillisecondsPerSecond,
@@ -122,7 +122,7 @@
 // The fault that a transfer on a socket meets now, or null.
 const SystemFault* TransferFaultOf(std::string_view call, int fd) {
   const SystemFault* fault = FaultOf(call);
-  if (fault == nullptr || fault->kind == FaultKind::kShort || fault->error == EINTR ||
+  if (fault == nullptr || fault->kind == SystemFaultKind::kShort || fault->error == EINTR ||
       fault->error == EAGAIN) {
     return fault;
   }
@@ -133,7 +133,7 @@
 // Whether the call is to fail; errno is set then.
 bool Fails(std::string_view call) {
   const SystemFault* fault = FaultOf(call);
-  if (fault == nullptr || fault->kind != FaultKind::kError) {
+  if (fault == nullptr || fault->kind != SystemFaultKind::kError) {
     return false;
   }
   errno = fault->error;
@@ -143,7 +143,7 @@
 std::int64_t ClockStepMs() {
   std::int64_t step = 0;
   for (const SystemFault& fault : Faults()) {
-    if (fault.kind == FaultKind::kClockStep && fault.IsActive(AgeMs())) {
+    if (fault.kind == SystemFaultKind::kClockStep && fault.IsActive(AgeMs())) {
       step += fault.amount_ms;
     }
   }
@@ -202,7 +202,7 @@
   if (fault == nullptr) {
     return real(fd, pieces, count);
   }
-  if (fault->kind == FaultKind::kShort && count > 0 && pieces->iov_len > 0) {
+  if (fault->kind == SystemFaultKind::kShort && count > 0 && pieces->iov_len > 0) {
     const iovec one{pieces->iov_base, 1};
     return real(fd, &one, 1);
   }
@@ -216,7 +216,7 @@
   if (fault == nullptr) {
     return real(fd, pieces, count);
   }
-  if (fault->kind == FaultKind::kShort && count > 0 && pieces->iov_len > 0) {
+  if (fault->kind == SystemFaultKind::kShort && count > 0 && pieces->iov_len > 0) {
     const iovec one{pieces->iov_base, 1};
     return real(fd, &one, 1);
   }
--- a/src/lab/sim/baseline_policy.cpp
+++ b/src/lab/sim/baseline_policy.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 #include <variant>
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 constexpr int kMaxOutstanding = 16;       // attempts at a server; kLeastOutstanding
@@ -201,4 +201,4 @@
   }
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/sim/baseline_policy.h
+++ b/src/lab/sim/baseline_policy.h
@@ -13,7 +13,7 @@
 #include "lab/random.h"
 #include "walnutspur/scheduler.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // One baseline policy; answers the events of one engine.
 class BaselinePolicy {
@@ -84,6 +84,6 @@
   std::vector<Action> actions_;
 };
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_BASELINE_POLICY_H_
--- a/src/lab/sim/discovery_model.cpp
+++ b/src/lab/sim/discovery_model.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 void DiscoveryModel::Publish(int server, EndpointState state) {
   if (outage_) {
@@ -27,4 +27,4 @@
   }
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/sim/discovery_model.h
+++ b/src/lab/sim/discovery_model.h
@@ -8,7 +8,7 @@
 #include "lab/random.h"
 #include "lab/sim/simulation_context.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // Publishes endpoint states to all initiators.
 class DiscoveryModel {
@@ -34,6 +34,6 @@
   std::vector<HeldUpdate> held_updates_;  // during an outage, in order
 };
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_DISCOVERY_MODEL_H_
--- a/src/lab/sim/event_log.cpp
+++ b/src/lab/sim/event_log.cpp
@@ -8,7 +8,7 @@
 
 #include "integrity/crc32c.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 // Names in the file, in the order of LogEntryType.
@@ -115,4 +115,4 @@
   }
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/sim/event_log.h
+++ b/src/lab/sim/event_log.h
@@ -17,7 +17,7 @@
 
 #include "walnutspur/scheduler.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // An event log that cannot be read or written; what() is one line.
 class EventLogError : public std::runtime_error {
@@ -89,6 +89,6 @@
   std::uint32_t checksum_ = 0;
 };
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_EVENT_LOG_H_
--- a/src/lab/experiment.cpp
+++ b/src/lab/sim/experiment.cpp
@@ -1,8 +1,8 @@
-#include "lab/experiment.h"
+#include "lab/sim/experiment.h"
 
 #include <algorithm>
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 // Safety margin below the load at which a warming server crashes.
@@ -81,4 +81,4 @@
   return settings;
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/experiment.h
+++ b/src/lab/sim/experiment.h
@@ -1,7 +1,7 @@
 // One experiment: a fleet of initiators, their storage servers, the load, and the faults that are injected.
 // Plain data; experiment_file.h reads it from TOML.
-#ifndef WALNUTSPUR_LAB_EXPERIMENT_H_
-#define WALNUTSPUR_LAB_EXPERIMENT_H_
+#ifndef WALNUTSPUR_LAB_SIM_EXPERIMENT_H_
+#define WALNUTSPUR_LAB_SIM_EXPERIMENT_H_
 
 #include <array>
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 #include "walnutspur/scheduler.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // An experiment that cannot be read or run; what() is one line.
 class ExperimentError : public std::runtime_error {
@@ -137,6 +137,6 @@
 // How many targets there are for a fault of this kind: servers, zones or plans.
 int FaultTargetCount(const Experiment& experiment, FaultKind kind);
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
-#endif  // WALNUTSPUR_LAB_EXPERIMENT_H_
+#endif  // WALNUTSPUR_LAB_SIM_EXPERIMENT_H_
--- a/src/lab/experiment_file.cpp
+++ b/src/lab/sim/experiment_file.cpp
@@ -1,4 +1,4 @@
-#include "lab/experiment_file.h"
+#include "lab/sim/experiment_file.h"
 
 #include <cctype>
 #include <cmath>
@@ -7,7 +7,7 @@
 #include <set>
 #include <sstream>
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 using config::Table;
@@ -360,4 +360,4 @@
   return out.str();
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/experiment_keys.cpp
+++ b/src/lab/sim/experiment_keys.cpp
@@ -3,9 +3,9 @@
 #include <utility>
 #include <vector>
 
-#include "lab/experiment_file.h"
+#include "lab/sim/experiment_file.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 using config::Key;
@@ -149,4 +149,4 @@
   return keys;
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/sim/explore.cpp
+++ b/src/lab/sim/explore.cpp
@@ -6,10 +6,10 @@
 #include <thread>
 #include <utility>
 
-#include "lab/experiment_file.h"
 #include "lab/random.h"
+#include "lab/sim/experiment_file.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 constexpr std::uint64_t kFaultCountBound = 5;  // fewer faults than this are drawn
@@ -187,4 +187,4 @@
   return best;
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/sim/explore.h
+++ b/src/lab/sim/explore.h
@@ -9,11 +9,11 @@
 #include <string>
 #include <vector>
 
-#include "lab/experiment.h"
+#include "lab/sim/experiment.h"
 #include "lab/sim/log_checker.h"
 #include "lab/sim/simulation.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // Draws sizes, network, discovery and faults of an experiment from the seed; the rest is as in `base`.
 Experiment DrawExperiment(const Experiment& base, std::uint64_t seed);
@@ -39,6 +39,6 @@
 Experiment Shrink(const Experiment& failing, const std::string& invariant, int max_runs,
                   const TestHooks& hooks = {});
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_EXPLORE_H_
--- a/src/lab/sim/fault_schedule.cpp
+++ b/src/lab/sim/fault_schedule.cpp
@@ -2,7 +2,7 @@
 
 #include <cstddef>
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 FaultSchedule::FaultSchedule(SimulationContext* context, NetworkModel* network, DiscoveryModel* discovery,
                              LoadGenerator* load, StorageServers* servers)
@@ -81,4 +81,4 @@
   }
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/sim/fault_schedule.h
+++ b/src/lab/sim/fault_schedule.h
@@ -9,7 +9,7 @@
 #include "lab/sim/simulation_context.h"
 #include "lab/sim/storage_servers.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // Applies the faults of the experiment.
 class FaultSchedule {
@@ -34,6 +34,6 @@
   StorageServers& servers_;
 };
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_FAULT_SCHEDULE_H_
--- a/src/lab/sim/initiator_fleet.cpp
+++ b/src/lab/sim/initiator_fleet.cpp
@@ -7,7 +7,7 @@
 #include "lab/random.h"
 #include "lab/sim/policies.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 constexpr Time kClockOffset = 1'000'000'000;       // least local time at the start, us
@@ -279,4 +279,4 @@
   Submit(event.initiator, core::EndpointsUpdated{std::move(update)});
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/sim/initiator_fleet.h
+++ b/src/lab/sim/initiator_fleet.h
@@ -16,7 +16,7 @@
 #include "lab/sim/simulation_context.h"
 #include "lab/sim/storage_servers.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // All initiators, by number.
 class InitiatorFleet {
@@ -81,6 +81,6 @@
   std::vector<Initiator> initiators_;
 };
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_INITIATOR_FLEET_H_
--- a/src/lab/sim/load_generator.cpp
+++ b/src/lab/sim/load_generator.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <utility>
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 constexpr std::size_t kMaxRecentObjects = 64;  // remembered for each volume
@@ -173,4 +173,4 @@
 
 void LoadGenerator::SetSurge(std::size_t plan, double multiple) { plans_[plan].surge_multiple = multiple; }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/sim/load_generator.h
+++ b/src/lab/sim/load_generator.h
@@ -15,7 +15,7 @@
 #include "lab/sim/request_table.h"
 #include "lab/sim/simulation_context.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // Draws the requests of all clients.
 class LoadGenerator {
@@ -66,6 +66,6 @@
   std::vector<PlanLoad> plans_;
 };
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_LOAD_GENERATOR_H_
--- a/src/lab/sim/log_checker.cpp
+++ b/src/lab/sim/log_checker.cpp
@@ -1,6 +1,6 @@
 #include "lab/sim/log_checker.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 // The simulation records its events at their own times: only responses have a tolerance, for the way of the
@@ -35,4 +35,4 @@
   first_violations_.push_back(std::move(first));
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/sim/log_checker.h
+++ b/src/lab/sim/log_checker.h
@@ -13,7 +13,7 @@
 #include "lab/sim/event_log.h"
 #include "lab/sim/log_events.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // A violated invariant, and the entry of the log that shows it.
 struct LogViolation : invariants::Violation {
@@ -45,6 +45,6 @@
   std::map<std::string, std::uint64_t> counts_;
 };
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_LOG_CHECKER_H_
--- a/src/lab/sim/log_events.cpp
+++ b/src/lab/sim/log_events.cpp
@@ -1,6 +1,6 @@
 #include "lab/sim/log_events.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 // Whether an attempt with this outcome may have had its effect.
@@ -66,4 +66,4 @@
   return request;
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/sim/log_events.h
+++ b/src/lab/sim/log_events.h
@@ -10,7 +10,7 @@
 #include "lab/invariants/event.h"
 #include "lab/sim/event_log.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 class LogEventReader {
  public:
@@ -29,6 +29,6 @@
   std::map<std::int64_t, RequestClass> classes_;  // by number
 };
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_LOG_EVENTS_H_
--- a/src/lab/sim/network_model.cpp
+++ b/src/lab/sim/network_model.cpp
@@ -1,6 +1,6 @@
 #include "lab/sim/network_model.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 constexpr double kReorderedDelayMultiple = 10;  // of its drawn delay that a reordered message takes
@@ -37,4 +37,4 @@
   return zone_a != zone_b && (partitioned_zones_.contains(zone_a) || partitioned_zones_.contains(zone_b));
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/sim/network_model.h
+++ b/src/lab/sim/network_model.h
@@ -5,10 +5,10 @@
 
 #include <set>
 
-#include "lab/experiment.h"
 #include "lab/random.h"
+#include "lab/sim/experiment.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // Time until both ends of a broken connection know of it, us.
 constexpr Time kResetDetectionTime = 200'000;
@@ -43,6 +43,6 @@
   std::set<int> partitioned_zones_;
 };
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_NETWORK_MODEL_H_
--- a/src/lab/sim/policies.cpp
+++ b/src/lab/sim/policies.cpp
@@ -2,10 +2,10 @@
 
 #include <memory>
 
-#include "lab/experiment.h"
 #include "lab/sim/baseline_policy.h"
+#include "lab/sim/experiment.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 core::DecisionFunction MakeBaseline(BaselinePolicy::Kind kind, const Settings& settings, std::uint64_t seed) {
@@ -32,4 +32,4 @@
   throw ExperimentError("unknown policy '" + name + "'; allowed are walnutspur, at-once, buckets, least-out");
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/sim/request_table.cpp
+++ b/src/lab/sim/request_table.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 RequestState& RequestTable::Add(std::int64_t number, RequestState request) {
   return requests_[number] = std::move(request);
@@ -32,4 +32,4 @@
   }
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/sim/request_table.h
+++ b/src/lab/sim/request_table.h
@@ -12,7 +12,7 @@
 
 #include "walnutspur/scheduler.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // An attempt as its initiator knows it.
 struct AttemptState {
@@ -51,6 +51,6 @@
   std::unordered_map<std::int64_t, RequestState> requests_;
 };
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_REQUEST_TABLE_H_
--- a/src/lab/sim/results.cpp
+++ b/src/lab/sim/results.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 constexpr Time kSecond = 1'000'000;  // us
@@ -55,4 +55,4 @@
   return sorted[index];
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/sim/results.h
+++ b/src/lab/sim/results.h
@@ -10,7 +10,7 @@
 
 #include "walnutspur/scheduler.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // Totals of the requests that arrived within one second of the run.
 struct SecondTotals {
@@ -46,6 +46,6 @@
   double percentile(double part) const;
 };
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_RESULTS_H_
--- a/src/lab/sim/scheduled_event.h
+++ b/src/lab/sim/scheduled_event.h
@@ -8,7 +8,7 @@
 
 #include "walnutspur/scheduler.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // ---- load generator ----
 
@@ -106,6 +106,6 @@
   }
 };
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_SCHEDULED_EVENT_H_
--- a/src/lab/sim/simulation.cpp
+++ b/src/lab/sim/simulation.cpp
@@ -15,7 +15,7 @@
 #include "lab/sim/simulation_context.h"
 #include "lab/sim/storage_servers.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 constexpr Time kDrainTime = 1'000'000;  // after the last deadline, for work that is still at servers, us
@@ -116,4 +116,4 @@
   return impl_->Run(progress);
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/sim/simulation.h
+++ b/src/lab/sim/simulation.h
@@ -12,12 +12,12 @@
 #include <functional>
 #include <memory>
 
-#include "lab/experiment.h"
 #include "lab/sim/event_log.h"
+#include "lab/sim/experiment.h"
 #include "lab/sim/results.h"
 #include "lab/sim/test_hooks.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // One run of an experiment. Used on one thread.
 class Simulation {
@@ -37,6 +37,6 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_SIMULATION_H_
--- a/src/lab/sim/simulation_context.cpp
+++ b/src/lab/sim/simulation_context.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 SimulationContext::SimulationContext(const Experiment& experiment, EventLog* log, TestHooks hooks)
     : experiment_(experiment), log_(log), hooks_(std::move(hooks)) {}
@@ -30,4 +30,4 @@
   log_->Append(entry);
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/sim/simulation_context.h
+++ b/src/lab/sim/simulation_context.h
@@ -9,13 +9,13 @@
 #include <queue>
 #include <vector>
 
-#include "lab/experiment.h"
 #include "lab/sim/event_log.h"
+#include "lab/sim/experiment.h"
 #include "lab/sim/results.h"
 #include "lab/sim/scheduled_event.h"
 #include "lab/sim/test_hooks.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // Virtual time of the first possible request, us. Endpoints are known before it.
 constexpr Time kLoadStart = 1'000'000;
@@ -56,6 +56,6 @@
   std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> queue_;
 };
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_SIMULATION_CONTEXT_H_
--- a/src/lab/sim/storage_servers.cpp
+++ b/src/lab/sim/storage_servers.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 constexpr Time kCrashRestartTime = 2'000'000;  // until a crashed server runs again, us
@@ -323,4 +323,4 @@
   StartProcess(servers_.back());
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/src/lab/sim/storage_servers.h
+++ b/src/lab/sim/storage_servers.h
@@ -14,7 +14,7 @@
 #include "lab/sim/request_table.h"
 #include "lab/sim/simulation_context.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // An attempt that a server has accepted.
 struct AcceptedAttempt {
@@ -122,6 +122,6 @@
   std::vector<int> server_of_shard_;
 };
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_STORAGE_SERVERS_H_
--- a/src/lab/sim/test_hooks.h
+++ b/src/lab/sim/test_hooks.h
@@ -8,7 +8,7 @@
 #include "core/engine.h"
 #include "lab/sim/event_log.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // Optional interventions in a run.
 struct TestHooks {
@@ -20,6 +20,6 @@
   std::function<bool(LogEntry* entry)> entry;
 };
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_TEST_HOOKS_H_
--- a/tests/faults/fault_plan_test.cpp
+++ b/tests/faults/fault_plan_test.cpp
@@ -12,7 +12,7 @@
       lab::ParseFaultPlan("clock@2000=-10000;accept4@1000-1400=ENFILE/0.5;writev@0=short;socket@5=delay150");
   REQUIRE(plan);
   REQUIRE(plan->size() == 4);
-  CHECK(plan->at(0).kind == lab::FaultKind::kClockStep);
+  CHECK(plan->at(0).kind == lab::SystemFaultKind::kClockStep);
   CHECK(plan->at(0).amount_ms == -10'000);
   CHECK_FALSE(plan->at(0).IsActive(1'999));
   CHECK(plan->at(0).IsActive(1'000'000));
@@ -20,8 +20,8 @@
   CHECK(plan->at(1).probability == 0.5);
   CHECK(plan->at(1).IsActive(1'399));
   CHECK_FALSE(plan->at(1).IsActive(1'400));
-  CHECK(plan->at(2).kind == lab::FaultKind::kShort);
-  CHECK(plan->at(3).kind == lab::FaultKind::kDelay);
+  CHECK(plan->at(2).kind == lab::SystemFaultKind::kShort);
+  CHECK(plan->at(3).kind == lab::SystemFaultKind::kDelay);
   CHECK(plan->at(3).amount_ms == 150);
   CHECK(lab::ParseFaultPlan("")->empty());
 }
--- a/tests/lab/base_experiment.h
+++ b/tests/lab/base_experiment.h
@@ -2,10 +2,10 @@
 #ifndef WALNUTSPUR_TESTS_LAB_BASE_EXPERIMENT_H_
 #define WALNUTSPUR_TESTS_LAB_BASE_EXPERIMENT_H_
 
-#include "lab/experiment.h"
-#include "lab/experiment_file.h"
+#include "lab/sim/experiment.h"
+#include "lab/sim/experiment_file.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // 4 s of the default load on 4 initiators and 6 storage servers.
 inline Experiment BaseExperiment() {
@@ -15,6 +15,6 @@
       "base");
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_TESTS_LAB_BASE_EXPERIMENT_H_
--- a/tests/lab/experiment_file_test.cpp
+++ b/tests/lab/experiment_file_test.cpp
@@ -1,11 +1,11 @@
 // Experiment files that are rejected, and the line that says why.
-#include "lab/experiment_file.h"
+#include "lab/sim/experiment_file.h"
 
 #include <doctest/doctest.h>
 
 #include <string>
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 // The error of an experiment file; "nothing" if it is accepted.
@@ -38,4 +38,4 @@
 }
 
 }  // namespace
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/tests/lab/invariant_checker_test.cpp
+++ b/tests/lab/invariant_checker_test.cpp
@@ -13,7 +13,7 @@
 #include "lab/invariants/invariant_names.h"
 #include "lab/sim/explore.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 namespace name = invariants::name;
@@ -75,4 +75,4 @@
 }
 
 }  // namespace
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/tests/lab/invariant_mutations.cpp
+++ b/tests/lab/invariant_mutations.cpp
@@ -9,7 +9,7 @@
 #include "lab/invariants/invariant_names.h"
 #include "lab/sim/policies.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 using core::Output;
@@ -254,4 +254,4 @@
   return all;
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
--- a/tests/lab/invariant_mutations.h
+++ b/tests/lab/invariant_mutations.h
@@ -9,7 +9,7 @@
 
 #include "lab/sim/test_hooks.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 struct Mutation {
   std::string name;
@@ -20,6 +20,6 @@
 // All mutations.
 std::vector<Mutation> Mutations();
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_TESTS_LAB_INVARIANT_MUTATIONS_H_
--- a/tests/lab/simulation_test.cpp
+++ b/tests/lab/simulation_test.cpp
@@ -15,7 +15,7 @@
 #include "lab/sim/explore.h"
 #include "lab/sim/log_checker.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 // Runs an experiment with its log in a file; returns the log's checksum.
@@ -162,4 +162,4 @@
 }
 
 }  // namespace
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
