--- a/src/lab/bench/simulation_bench.h
+++ b/src/lab/bench/simulation_bench.h
@@ -16,7 +16,7 @@
   std::set<std::string> parts;  // "size", "worlds", "signs" and "sizes"; empty: all
 };
 
-// Prints each claim with its figure as it is measured, and one JSON object of all of them last. Returns
+// Prints each claim with its figure, and one JSON object of all of them last. Returns
 // whether every claim is met.
 bool RunSimulationBench(const SimulationBenchOptions& options);
 
--- a/src/lab/commands/command.h
+++ b/src/lab/commands/command.h
@@ -1,4 +1,4 @@
-// The sub-commands of walnutspur-lab, one file each. Each declares its options and tells how to run.
+// The sub-commands of walnutspur-lab, one file each. Each declares its options and the function to run.
 #ifndef WALNUTSPUR_LAB_COMMANDS_COMMAND_H_
 #define WALNUTSPUR_LAB_COMMANDS_COMMAND_H_
 
--- a/src/lab/commands/soak.cpp
+++ b/src/lab/commands/soak.cpp
@@ -23,7 +23,7 @@
 
 using soak::Describe;
 using soak::DrawPlan;
-using soak::Play;
+using soak::RunPlan;
 using soak::Shrink;
 using soak::SoakPlan;
 using soak::SoakPrograms;
@@ -51,7 +51,7 @@
     std::vector<std::thread> threads;
     threads.reserve(static_cast<std::size_t>(options_.parallel));
     for (int number = 0; number < options_.parallel; ++number) {
-      threads.emplace_back([this] { PlaySeeds(); });
+      threads.emplace_back([this] { RunSeeds(); });
     }
     for (std::thread& thread : threads) {
       thread.join();
@@ -65,17 +65,17 @@
   }
 
  private:
-  void PlaySeeds() {
+  void RunSeeds() {
     for (int number = next_++; number < options_.count; number = next_++) {
       const SoakPlan plan = DrawPlan(options_.seed + static_cast<std::uint64_t>(number));
-      Report(plan, PlayOrFail(plan));
+      Report(plan, RunOrFail(plan));
     }
   }
 
-  // A run that cannot be played is broken too.
-  SoakResult PlayOrFail(const SoakPlan& plan) const {
+  // A plan that cannot be run counts as broken.
+  SoakResult RunOrFail(const SoakPlan& plan) const {
     try {
-      return Play(plan, options_.programs);
+      return RunPlan(plan, options_.programs);
     } catch (const std::exception& error) {
       SoakResult result;
       Violation failed;
@@ -90,7 +90,7 @@
     const std::lock_guard lock(mutex_);
     std::printf("seed %llu: %zu requests, %zu attempts, served %.3f, stall %d ms, violations %zu\n",
                 static_cast<unsigned long long>(plan.seed),  // NOLINT(google-runtime-int): printf's %llu
-                result.requests, result.attempts, result.served,
+                result.requests, result.attempts, result.served_fraction,
                 static_cast<int>(result.longest_stall / kMicrosecondsPerMillisecond),
                 result.violations.size());
     std::fflush(stdout);
--- a/src/lab/fault_shim/fault_shim.cpp
+++ b/src/lab/fault_shim/fault_shim.cpp
@@ -140,6 +140,22 @@
   return true;
 }
 
+using VectorTransfer = ssize_t (*)(int, const iovec*, int);
+
+// Performs `call` by the C library's `real`: in full, its first byte only, or not at all with errno set.
+ssize_t Transfer(std::string_view call, VectorTransfer real, int fd, const iovec* pieces, int count) {
+  const SystemFault* fault = TransferFaultOf(call, fd);
+  if (fault == nullptr) {
+    return real(fd, pieces, count);
+  }
+  if (fault->kind == SystemFaultKind::kShort && count > 0 && pieces->iov_len > 0) {
+    const iovec first_byte{pieces->iov_base, 1};
+    return real(fd, &first_byte, 1);
+  }
+  errno = fault->error;
+  return -1;
+}
+
 std::int64_t ClockStepMs() {
   std::int64_t step = 0;
   for (const SystemFault& fault : Faults()) {
@@ -197,31 +213,13 @@
 }
 
 ssize_t readv(int fd, const iovec* pieces, int count) {
-  static const auto real = Real<decltype(&readv)>("readv");
-  const SystemFault* fault = TransferFaultOf("readv", fd);
-  if (fault == nullptr) {
-    return real(fd, pieces, count);
-  }
-  if (fault->kind == SystemFaultKind::kShort && count > 0 && pieces->iov_len > 0) {
-    const iovec one{pieces->iov_base, 1};
-    return real(fd, &one, 1);
-  }
-  errno = fault->error;
-  return -1;
+  static const auto real = Real<VectorTransfer>("readv");
+  return Transfer("readv", real, fd, pieces, count);
 }
 
 ssize_t writev(int fd, const iovec* pieces, int count) {
-  static const auto real = Real<decltype(&writev)>("writev");
-  const SystemFault* fault = TransferFaultOf("writev", fd);
-  if (fault == nullptr) {
-    return real(fd, pieces, count);
-  }
-  if (fault->kind == SystemFaultKind::kShort && count > 0 && pieces->iov_len > 0) {
-    const iovec one{pieces->iov_base, 1};
-    return real(fd, &one, 1);
-  }
-  errno = fault->error;
-  return -1;
+  static const auto real = Real<VectorTransfer>("writev");
+  return Transfer("writev", real, fd, pieces, count);
 }
 
 int epoll_wait(int fd, epoll_event* events, int most, int timeout) {
--- a/src/lab/fleet/simulated_cluster.cpp
+++ b/src/lab/fleet/simulated_cluster.cpp
@@ -12,7 +12,7 @@
 constexpr Time kCheckInterval = 50'000;           // us between checks of a condition
 constexpr int kMembersPerSubnet = 250;
 
-// Stays as it is: its length is part of the sizes that are measured, and with another name of the random
+// Fixed: its length is part of the counted sizes, and with another name of the random
 // stream each seed would give another run.
 constexpr const char* kClusterName = "town";
 
--- a/src/lab/invariants/attempt_invariants.cpp
+++ b/src/lab/invariants/attempt_invariants.cpp
@@ -31,11 +31,11 @@
     return;
   }
   const Disconnect& disconnect = *observation.request->disconnect;
-  const bool has_left =
-      disconnect.reason == DisconnectReason::kClientLeft || disconnect.reason == DisconnectReason::kLost;
-  const Time late = observation.event.at - disconnect.at;
-  if (has_left && late > observation.tolerances.disconnect_slack) {
-    report({"sent " + Milliseconds(late) + " after its client had left"});
+  const bool has_left = disconnect.reason == DisconnectReason::kClientLeft ||
+                        disconnect.reason == DisconnectReason::kNoResponse;
+  const Time since_disconnect = observation.event.at - disconnect.at;
+  if (has_left && since_disconnect > observation.tolerances.disconnect_slack) {
+    report({"sent " + Milliseconds(since_disconnect) + " after its client had left"});
   }
 }
 
@@ -56,7 +56,7 @@
   }
 }
 
-// A server is told no more time than is left until the request's deadline, and no attempt is sent after it.
+// An attempt states no more time than is left until the request's deadline, and none is sent after it.
 // Input: attempts. Tolerance: deadline_slack, for the way of the request and of the attempt.
 void CheckAttemptDeadline(const Observation& observation, const FindingSink& report) {
   const AttemptSent* const sent = SentAttempt(observation);
@@ -65,7 +65,7 @@
   }
   const Time left = observation.request->deadline - observation.event.at;
   if (sent->stated_time_left > left + observation.tolerances.deadline_slack) {
-    report({"told " + Milliseconds(sent->stated_time_left) + " with " + Milliseconds(left) + " left"});
+    report({"stated " + Milliseconds(sent->stated_time_left) + " with " + Milliseconds(left) + " left"});
   }
 }
 
--- a/src/lab/invariants/event.h
+++ b/src/lab/invariants/event.h
@@ -20,7 +20,7 @@
 constexpr int kNoServer = -1;
 constexpr std::int64_t kAnyShard = -1;  // of a new object, which any shard may take
 
-// The first event: limits that hold for the whole run.
+// The first event: limits that hold throughout the run.
 struct RunLimits {
   std::int64_t max_attempts = 1;  // of a request
   Time drain_grace = 0;           // after the notice of a drain, in which attempts may still be sent
@@ -46,7 +46,7 @@
   int attempt = -1;
   int initiator = -1;
   int server = kNoServer;
-  Time stated_time_left = 0;  // until the deadline, as the server is told it; 0 if it is not told
+  Time stated_time_left = 0;  // until the deadline, by the attempt's header; 0: without one
 };
 
 // The initiator knows how an attempt has ended.
@@ -65,7 +65,7 @@
 // Why no response to a request can follow.
 enum class DisconnectReason {
   kClientLeft,   // the client closed its connection before the response
-  kLost,         // the connection ended, or the client's time was over, without a response
+  kNoResponse,   // the connection ended, or the client's time was over, without a response
   kNotAccepted,  // no connection, or one that ended before the request was read: the client may send again
   kStopped       // the run stopped the client
 };
@@ -123,7 +123,7 @@
   int server = kNoServer;
 };
 
-// The life of an initiator's process. A started process has been notified of nothing yet.
+// The lifecycle of an initiator's process. A started process has not been notified of any server yet.
 struct ProcessStarted {
   int initiator = -1;
 };
@@ -133,7 +133,7 @@
 struct ProcessKilled {  // SIGKILL by the run
   int initiator = -1;
 };
-struct ProcessCrashed {  // by nobody's signal
+struct ProcessCrashed {  // without a signal of the run
   std::string description;
 };
 
--- a/src/lab/invariants/invariant.h
+++ b/src/lab/invariants/invariant.h
@@ -18,9 +18,9 @@
 struct Tolerances {
   Time response_grace = 0;    // after a request's deadline, for its response
   Time drain_slack = 0;       // after the drain grace, for an attempt
-  Time deadline_slack = 0;    // by which a server may be told more time than a request has left
+  Time deadline_slack = 0;    // by which a stated time may exceed what a request has left
   Time disconnect_slack = 0;  // after a client has left, for an attempt
-  Time kill_slack = 0;        // after a client has lost its connection, for the kill that explains it
+  Time kill_slack = 0;        // after a client's wait ended without a response, for the kill that explains it
   // After SIGTERM, the time in which a request still has to be answered.
   Time shutdown_service = 0;
   // Whether the drain grace counts from the last notice of an inactive server, in place of the first.
--- a/src/lab/invariants/invariant_checks.h
+++ b/src/lab/invariants/invariant_checks.h
@@ -27,7 +27,7 @@
 
 // response_invariants.cpp
 void CheckOneResponse(const Observation& observation, const FindingSink& report);
-void CheckLateResponse(const Observation& observation, const FindingSink& report);
+void CheckResponseDeadline(const Observation& observation, const FindingSink& report);
 void CheckFalseServed(const Observation& observation, const FindingSink& report);
 void CheckFalseRejected(const Observation& observation, const FindingSink& report);
 void CheckMissingResponse(const Observation& observation, const FindingSink& report);
@@ -35,7 +35,7 @@
 // server_invariants.cpp
 void CheckMisdelivered(const Observation& observation, const FindingSink& report);
 void CheckRepeatedWork(const Observation& observation, const FindingSink& report);
-void CheckLostWork(const Observation& observation, const FindingSink& report);
+void CheckUnaccountedWork(const Observation& observation, const FindingSink& report);
 void CheckSlowStart(const Observation& observation, const FindingSink& report);
 void CheckProcessCrash(const Observation& observation, const FindingSink& report);
 
--- a/src/lab/invariants/invariant_names.h
+++ b/src/lab/invariants/invariant_names.h
@@ -26,7 +26,7 @@
 
 // Responses.
 inline constexpr std::string_view kOneResponse = "one-response";
-inline constexpr std::string_view kLateResponse = "late-response";
+inline constexpr std::string_view kResponseDeadline = "response-deadline";
 inline constexpr std::string_view kFalseServed = "false-served";
 inline constexpr std::string_view kFalseRejected = "false-rejected";
 inline constexpr std::string_view kMissingResponse = "missing-response";
@@ -34,7 +34,7 @@
 // Storage servers and processes.
 inline constexpr std::string_view kMisdelivered = "misdelivered";
 inline constexpr std::string_view kRepeatedWork = "repeated-work";
-inline constexpr std::string_view kLostWork = "lost-work";
+inline constexpr std::string_view kUnaccountedWork = "unaccounted-work";
 inline constexpr std::string_view kSlowStart = "slow-start";
 inline constexpr std::string_view kProcessCrash = "process-crash";
 
--- a/src/lab/invariants/response_invariants.cpp
+++ b/src/lab/invariants/response_invariants.cpp
@@ -20,26 +20,28 @@
 
 // Whether the end of its initiator's process excuses that a request got no response: the process was killed
 // in the meantime, or the request came so late in its graceful shutdown that nothing is promised any more.
-bool IsExcusedByProcessEnd(const RequestState& request, Time lost_at, const Observation& observation) {
-  const ProcessLife* const life = observation.run.FindProcess(request.initiator);
-  if (life == nullptr) {
+bool IsExcusedByProcessEnd(const RequestState& request, Time disconnected_at,
+                           const Observation& observation) {
+  const ProcessHistory* const history = observation.run.FindProcess(request.initiator);
+  if (history == nullptr) {
     return false;
   }
   const Tolerances& tolerances = observation.tolerances;
-  const Time terminated = LatestUntil(life->terminations, request.sent_at);
-  const bool in_shutdown = terminated > LatestUntil(life->starts, request.sent_at);
+  const Time terminated = LatestUntil(history->terminations, request.sent_at);
+  const bool in_shutdown = terminated > LatestUntil(history->starts, request.sent_at);
   if (in_shutdown) {
     // What arrives in time after SIGTERM has to be answered before a kill.
     return request.sent_at - terminated > tolerances.shutdown_service;
   }
-  return std::any_of(life->kills.begin(), life->kills.end(),
-                     [&](Time at) { return at >= request.sent_at && at <= lost_at + tolerances.kill_slack; });
+  return std::any_of(history->kills.begin(), history->kills.end(), [&](Time at) {
+    return at >= request.sent_at && at <= disconnected_at + tolerances.kill_slack;
+  });
 }
 
 // Whether a request, not answered when the run ends, should have been.
 bool MissesResponse(const RequestState& request, const Observation& observation) {
   if (request.disconnect) {
-    return request.disconnect->reason == DisconnectReason::kLost &&
+    return request.disconnect->reason == DisconnectReason::kNoResponse &&
            !IsExcusedByProcessEnd(request, request.disconnect->at, observation);
   }
   return request.deadline + observation.tolerances.response_grace < observation.event.at;
@@ -56,7 +58,7 @@
 }
 
 // A response comes by the request's deadline. Input: requests, responses. Tolerance: response_grace.
-void CheckLateResponse(const Observation& observation, const FindingSink& report) {
+void CheckResponseDeadline(const Observation& observation, const FindingSink& report) {
   if (FirstResponse(observation) != nullptr &&
       observation.event.at > observation.request->deadline + observation.tolerances.response_grace) {
     report({"the response came after the client's deadline"});
@@ -90,8 +92,8 @@
 }
 
 // Each request is answered while its client waits, but where the initiator's process was killed or the
-// request came late in its shutdown. Input: requests, responses, disconnections, the processes' lives; judged
-// when the run ends. Tolerance: response_grace, kill_slack, shutdown_service.
+// request came late in its shutdown. Input: requests, responses, disconnections, the processes' histories;
+// judged when the run ends. Tolerance: response_grace, kill_slack, shutdown_service.
 void CheckMissingResponse(const Observation& observation, const FindingSink& report) {
   if (As<RunEnded>(observation) == nullptr) {
     return;
--- a/src/lab/invariants/run_state.cpp
+++ b/src/lab/invariants/run_state.cpp
@@ -48,7 +48,7 @@
   return Find(endpoints_, EndpointKey(initiator, server));
 }
 
-const ProcessLife* RunState::FindProcess(int initiator) const { return Find(processes_, initiator); }
+const ProcessHistory* RunState::FindProcess(int initiator) const { return Find(processes_, initiator); }
 
 std::int64_t RunState::HeldUnits(int server) const {
   const std::int64_t* const units = Find(held_units_, server);
--- a/src/lab/invariants/run_state.h
+++ b/src/lab/invariants/run_state.h
@@ -1,5 +1,5 @@
 // What a record of events has said so far: the requests, their attempts, the endpoints each initiator knows,
-// the work servers hold and the processes' lives. The invariants read it; it judges nothing.
+// the work servers hold and the processes' histories. The invariants read it; it judges nothing.
 //
 // Owned by an InvariantChecker; used on one thread.
 #ifndef WALNUTSPUR_LAB_INVARIANTS_RUN_STATE_H_
@@ -52,7 +52,7 @@
 };
 
 // When an initiator's process was started and signalled, in order of time.
-struct ProcessLife {
+struct ProcessHistory {
   std::vector<Time> starts;
   std::vector<Time> terminations;
   std::vector<Time> kills;
@@ -77,7 +77,7 @@
   const RequestState* FindRequest(RequestId request) const;
   const AttemptState* FindAttempt(RequestId request, int attempt) const;
   const KnownEndpoint* FindEndpoint(int initiator, int server) const;
-  const ProcessLife* FindProcess(int initiator) const;
+  const ProcessHistory* FindProcess(int initiator) const;
 
   // Work that a server has accepted and neither finished nor dropped, thousandths of a unit.
   std::int64_t HeldUnits(int server) const;
@@ -112,7 +112,7 @@
   std::unordered_map<RequestId, RequestState> requests_;
   std::unordered_map<std::int64_t, KnownEndpoint> endpoints_;  // by EndpointKey
   std::unordered_map<int, std::int64_t> held_units_;           // by server
-  std::map<int, ProcessLife> processes_;                       // by initiator
+  std::map<int, ProcessHistory> processes_;                    // by initiator
 };
 
 }  // namespace walnutspur::lab::invariants
--- a/src/lab/invariants/server_invariants.cpp
+++ b/src/lab/invariants/server_invariants.cpp
@@ -22,7 +22,7 @@
 
 // Units that a server has accepted are finished, dropped or still held at the end. Input: acceptances,
 // finished and dropped work, the work that remains. Tolerance: none.
-void CheckLostWork(const Observation& observation, const FindingSink& report) {
+void CheckUnaccountedWork(const Observation& observation, const FindingSink& report) {
   const auto* const remaining = As<WorkRemaining>(observation);
   if (remaining == nullptr) {
     return;
--- a/src/lab/sim/explore.h
+++ b/src/lab/sim/explore.h
@@ -15,7 +15,7 @@
 
 namespace walnutspur::lab::sim {
 
-// Draws sizes, network, discovery and faults of an experiment from the seed; the rest is as in `base`.
+// Draws sizes, network, discovery and faults of an experiment from the seed; everything else is as in `base`.
 Experiment DrawExperiment(const Experiment& base, std::uint64_t seed);
 
 // A simulated run and the invariants that it violates.
--- a/src/lab/sim/results.h
+++ b/src/lab/sim/results.h
@@ -38,7 +38,7 @@
   // The totals of the second that contains `since_start` (us after the first possible arrival); grows as
   // needed.
   SecondTotals& SecondAt(Time since_start);
-  // Earned over due weight of the whole run, 0 to 1; 1 for a run without requests.
+  // Earned over due weight of the run, 0 to 1; 1 for a run without requests.
   double service() const;
   // The least service within any `span` consecutive seconds.
   double worst_service(int span) const;
--- a/src/lab/sim/simulation_context.h
+++ b/src/lab/sim/simulation_context.h
@@ -20,7 +20,7 @@
 // Virtual time of the first possible request, us. Endpoints are known before it.
 constexpr Time kLoadStart = 1'000'000;
 
-// Work is counted and logged in whole thousandths of a unit.
+// Work is counted and logged in integer thousandths of a unit.
 constexpr double kUnitScale = 1000;
 
 // The shared state of one run; see above.
--- a/src/lab/sim/storage_servers.cpp
+++ b/src/lab/sim/storage_servers.cpp
@@ -86,7 +86,7 @@
   StartQueuedWork(server);
 }
 
-// An error tells nothing about the effect: part of the failed requests have run.
+// An error says nothing of the effect: part of the failed requests have run.
 void StorageServers::FailAttempt(const StorageServer& server, const AcceptedAttempt& attempt) {
   Record(LogEntryType::kAccepted, server, attempt, 0, attempt.units);
   if (error_random_.Chance(kErrorAfterWorkFraction)) {
--- a/src/lab/soak/plan.cpp
+++ b/src/lab/soak/plan.cpp
@@ -12,9 +12,9 @@
 
 constexpr Time kMillisecond = 1'000;
 constexpr Time kSecond = 1'000'000;
-constexpr int kMostProcesses = 6;
-constexpr int kMostEvents = 7;
-constexpr Time kLongestPause = 150 * kMillisecond;
+constexpr int kMaxProcesses = 6;
+constexpr int kMaxEvents = 7;
+constexpr Time kMaxPause = 150 * kMillisecond;
 
 constexpr std::array kDiscoveryFaults = {DiscoveryFault::kGivesUp,       DiscoveryFault::kClosesAtOnce,
                                          DiscoveryFault::kRejectsAtOnce, DiscoveryFault::kRefuses,
@@ -57,10 +57,10 @@
   event.target = static_cast<int>(random->Below(static_cast<std::uint64_t>(plan.targets)));
   event.discovery_fault = Choose(random, kDiscoveryFaults);
   event.target_fault = Choose(random, kTargetFaults);
-  const double longest = event.kind == FaultEventKind::kDiscoveryFault ? 9 : 3;
-  event.duration = static_cast<Time>(random->Between(0.3, longest) * kSecond);
+  const double max_seconds = event.kind == FaultEventKind::kDiscoveryFault ? 9 : 3;
+  event.duration = static_cast<Time>(random->Between(0.3, max_seconds) * kSecond);
   if (event.kind == FaultEventKind::kPause) {
-    event.duration = static_cast<Time>(random->Part() * kLongestPause);
+    event.duration = static_cast<Time>(random->Part() * kMaxPause);
   }
   return event;
 }
@@ -71,7 +71,7 @@
   Random random(seed, "soak");
   SoakPlan plan;
   plan.seed = seed;
-  plan.processes = 1 + static_cast<int>(random.Below(kMostProcesses));
+  plan.processes = 1 + static_cast<int>(random.Below(kMaxProcesses));
   plan.targets = 3 + static_cast<int>(random.Below(6));
   plan.configured_instances = std::array{plan.processes, 20, 300}[static_cast<std::size_t>(random.Below(3))];
   plan.drain_grace =
@@ -90,7 +90,7 @@
   FaultEvent drain = DrawEvent(plan, &random);
   drain.kind = FaultEventKind::kDrain;
   plan.events = {failure, drain};
-  const std::uint64_t more = random.Below(kMostEvents);
+  const std::uint64_t more = random.Below(kMaxEvents);
   for (std::uint64_t number = 0; number < more; ++number) {
     plan.events.push_back(DrawEvent(plan, &random));
   }
@@ -101,11 +101,11 @@
 
 std::string Describe(const SoakPlan& plan) {
   std::ostringstream text;
-  text << "seed " << plan.seed << ": " << plan.processes << " processes told of " << plan.configured_instances
-       << ", " << plan.targets << " targets, grace " << plan.drain_grace / kMillisecond << " ms, deadline "
-       << plan.load.deadline / kMillisecond << " ms, " << plan.load.connections
-       << " connections each, writes " << plan.load.write_fraction << ", system faults \""
-       << plan.system_faults << "\"\n";
+  text << "seed " << plan.seed << ": " << plan.processes << " processes, configured for "
+       << plan.configured_instances << ", " << plan.targets << " targets, grace "
+       << plan.drain_grace / kMillisecond << " ms, deadline " << plan.load.deadline / kMillisecond << " ms, "
+       << plan.load.connections << " connections each, writes " << plan.load.write_fraction
+       << ", system faults \"" << plan.system_faults << "\"\n";
   for (const FaultEvent& event : plan.events) {
     text << "  " << event.at / kMillisecond << " ms " << kKindNames[static_cast<std::size_t>(event.kind)]
          << " process " << event.process << " target " << event.target << " discovery fault "
--- a/src/lab/soak/record_checker.cpp
+++ b/src/lab/soak/record_checker.cpp
@@ -17,7 +17,7 @@
   invariants::Tolerances tolerances;
   tolerances.drain_slack = kDrainSlack;
   tolerances.deadline_slack = kDeadlineSlack;
-  tolerances.disconnect_slack = kDisconnectSlack + options.held_up;
+  tolerances.disconnect_slack = kDisconnectSlack + options.write_delay;
   tolerances.kill_slack = kKillSlack;
   tolerances.shutdown_service = kShutdownService;
   // A process that was paused reads the drain and the removal of a server at once, when it continues.
--- a/src/lab/soak/record_checker.h
+++ b/src/lab/soak/record_checker.h
@@ -16,7 +16,7 @@
 // What the verdict on a run depends on, besides its record.
 struct CheckOptions {
   Time drain_grace = 500'000;  // us, of the processes' settings
-  Time held_up = 0;  // us that a process may be held up between its clock and a write, by the run's faults
+  Time write_delay = 0;        // us by which the run's faults delay a process between its clock and a write
 };
 
 // All violations, in order of time; what is judged at the end of the run comes last.
--- a/src/lab/soak/record_events.cpp
+++ b/src/lab/soak/record_events.cpp
@@ -87,7 +87,7 @@
     case ClientResult::kLeft:
       return invariants::DisconnectReason::kClientLeft;
     case ClientResult::kLost:
-      return invariants::DisconnectReason::kLost;
+      return invariants::DisconnectReason::kNoResponse;
     case ClientResult::kNotAccepted:
       return invariants::DisconnectReason::kNotAccepted;
     default:
@@ -151,7 +151,7 @@
     }
   }
 
-  // Each start of a process is notified anew, of all changes: it begins with the list of the testbed's start.
+  // After each start a process is notified of all changes: it begins with the list of the testbed's start.
   void AddNotifications() {
     for (const auto& [process, starts] : record_.starts) {
       for (std::size_t number = 0; number < starts.size(); ++number) {
@@ -202,7 +202,7 @@
     }
   }
 
-  // A target tells of an attempt that it has not run by its promise alone; any other may have run.
+  // A target promises by its overload response alone that an attempt has not run; any other may have run.
   void AddAttempts() {
     std::map<std::string, int> counts;  // of attempts, by request
     for (const TargetArrival& arrival : record_.arrivals) {
--- a/src/lab/soak/record_events.h
+++ b/src/lab/soak/record_events.h
@@ -24,8 +24,8 @@
 
 // When a process counts as notified of a change: once it was written, and 6 s after discovery had it and
 // could be reached at the latest. A process that started after the change is held to the list that it started
-// with for 6 s, or until its first call of discovery has failed. `sent_at` tells which start of the process
-// is meant: the last one before it.
+// with for 6 s, or until its first call of discovery has failed. The start meant is the last one before
+// `sent_at`.
 Time NotifiedAt(const Record& record, const ListChange& change, int process, Time sent_at);
 
 }  // namespace walnutspur::lab::soak
--- a/src/lab/soak/run.cpp
+++ b/src/lab/soak/run.cpp
@@ -13,24 +13,24 @@
 namespace {
 
 constexpr Time kSecond = 1'000'000;
-constexpr Time kRemovalDelay = 1'000'000;      // us from a drain to the removal from the list
-constexpr Time kLongestKillDelay = 3'000'000;  // us: the most of the longest deadline that counts
-constexpr Time kKillDelay = 700'000;           // us after that
-constexpr Time kRestartDelay = 800'000;        // us from an end to the next start
-constexpr Time kLongestHoldUp = 150'000;       // us, of the platform
-constexpr Time kLastAnswers = 2'500'000;       // us after the last request was sent
-
-// Whether processes are held up between their clock and a write.
-bool HoldsUp(const SoakPlan& plan) {
+constexpr Time kRemovalDelay = 1'000'000;  // us from a drain to the removal from the list
+constexpr Time kMaxKillDelay = 3'000'000;  // us: the most of the longest deadline that counts
+constexpr Time kKillDelay = 700'000;       // us after that
+constexpr Time kRestartDelay = 800'000;    // us from an end to the next start
+constexpr Time kMaxWriteDelay = 150'000;   // us, of the faults that delay a write
+constexpr Time kResponseWait = 2'500'000;  // us after the last request was sent
+
+// Whether faults of the plan delay a process between reading its clock and a write.
+bool DelaysWrites(const SoakPlan& plan) {
   const auto is_pause = [](const FaultEvent& event) { return event.kind == FaultEventKind::kPause; };
   return plan.system_faults.find("delay") != std::string::npos ||
          std::any_of(plan.events.begin(), plan.events.end(), is_pause);
 }
 
-// Plays one plan.
-class Player {
+// Runs one plan.
+class PlanRunner {
  public:
-  Player(const SoakPlan& plan, const SoakPrograms& programs)
+  PlanRunner(const SoakPlan& plan, const SoakPrograms& programs)
       : plan_(plan), testbed_(MakeOptions(plan, programs)) {
     for (const FaultEvent& event : plan.events) {
       Schedule(event);
@@ -48,7 +48,7 @@
     }
     testbed_.RunFor(std::max<Time>(0, began_at + plan_.duration - core::Now()));
     testbed_.StopAllClients();
-    testbed_.RunFor(kLastAnswers);
+    testbed_.RunFor(kResponseWait);
     NoteUnexpectedEnds();
     return Result();
   }
@@ -131,7 +131,7 @@
     if (!busy_[process]) {
       busy_[process] = true;
       testbed_.Terminate(process);
-      const Time delay = std::min(plan_.load.deadline, kLongestKillDelay) + kKillDelay;
+      const Time delay = std::min(plan_.load.deadline, kMaxKillDelay) + kKillDelay;
       testbed_.After(delay, [this, process] { Restart(process); });
     }
   }
@@ -165,14 +165,14 @@
     SoakResult result;
     CheckOptions options;
     options.drain_grace = plan_.drain_grace;
-    options.held_up = HoldsUp(plan_) ? kLongestHoldUp : 0;
+    options.write_delay = DelaysWrites(plan_) ? kMaxWriteDelay : 0;
     result.violations = FindViolations(record, options);
     for (int process = 0; process < plan_.processes && !result.violations.empty(); ++process) {
       result.logs[process] = testbed_.Log(process);
     }
     result.requests = record.requests.size();
     result.attempts = record.arrivals.size();
-    result.served = ServedFraction(record, 0, core::Now());
+    result.served_fraction = ServedFraction(record, 0, core::Now());
     result.longest_stall = testbed_.longest_stall();
     return result;
   }
@@ -183,21 +183,23 @@
   std::map<int, bool> busy_;                            // processes that are ending or starting
 };
 
-bool Breaks(const SoakPlan& plan, const SoakPrograms& programs) {
-  return !Play(plan, programs).violations.empty();
+bool ViolatesInvariant(const SoakPlan& plan, const SoakPrograms& programs) {
+  return !RunPlan(plan, programs).violations.empty();
 }
 
 }  // namespace
 
-SoakResult Play(const SoakPlan& plan, const SoakPrograms& programs) { return Player(plan, programs).Run(); }
+SoakResult RunPlan(const SoakPlan& plan, const SoakPrograms& programs) {
+  return PlanRunner(plan, programs).Run();
+}
 
-SoakPlan Shrink(const SoakPlan& plan, const SoakPrograms& programs, int most_runs) {
+SoakPlan Shrink(const SoakPlan& plan, const SoakPrograms& programs, int max_runs) {
   SoakPlan smallest = plan;
   int runs = 0;
   const auto try_plan = [&](const SoakPlan& candidate) {
-    if (runs < most_runs) {
+    if (runs < max_runs) {
       ++runs;
-      smallest = Breaks(candidate, programs) ? candidate : smallest;
+      smallest = ViolatesInvariant(candidate, programs) ? candidate : smallest;
     }
   };
   for (std::size_t number = plan.events.size(); number-- > 0;) {
--- a/src/lab/soak/run.h
+++ b/src/lab/soak/run.h
@@ -1,4 +1,4 @@
-// Plays soak plans on real processes, checks the rules, and shrinks plans that break one.
+// Runs soak plans on real processes, checks the invariants, and shrinks plans that violate one.
 //
 // Each run has its own processes and stand-ins; runs on several threads do not share anything.
 #ifndef WALNUTSPUR_LAB_SOAK_RUN_H_
@@ -22,19 +22,19 @@
 
 struct SoakResult {
   std::vector<Violation> violations;
-  std::map<int, std::string> logs;  // of the processes, if a rule is broken
+  std::map<int, std::string> logs;  // of the processes, if an invariant is violated
   std::size_t requests = 0;
   std::size_t attempts = 0;
-  double served = 0;       // part of the requests
+  double served_fraction = 0;  // of the requests
   Time longest_stall = 0;  // us that the stand-ins were late at most: a long one makes their times inexact
 };
 
-// Plays a plan, in its duration and some seconds more.
-SoakResult Play(const SoakPlan& plan, const SoakPrograms& programs);
+// Runs a plan, which takes its duration and some seconds more.
+SoakResult RunPlan(const SoakPlan& plan, const SoakPrograms& programs);
 
-// Drops events, system faults and processes for as long as a rule is still broken, in `most_runs` runs at
-// most.
-SoakPlan Shrink(const SoakPlan& plan, const SoakPrograms& programs, int most_runs);
+// Drops events, system faults and processes for as long as an invariant is still violated, in at most
+// `max_runs` runs.
+SoakPlan Shrink(const SoakPlan& plan, const SoakPrograms& programs, int max_runs);
 
 }  // namespace walnutspur::lab::soak
 
--- a/tests/lab/invariant_mutations.cpp
+++ b/tests/lab/invariant_mutations.cpp
@@ -211,7 +211,7 @@
   return {
       {"answers twice", name::kOneResponse, Duplicate<Response>},
       {"drops one response in a hundred", name::kMissingResponse, DropResponses},
-      {"delays responses", name::kLateResponse, DelayResponses},
+      {"delays responses", name::kResponseDeadline, DelayResponses},
       {"retries all failures", name::kUnsafeRetry, RetryAllFailures},
       {"ignores drains", name::kDrainGrace, IgnoreDrains},
       {"starts a fourth attempt", name::kMaxAttempts, AddFourthAttempt},
@@ -239,7 +239,7 @@
 std::vector<Mutation> LogMutations() {
   return {
       {"reports all outcomes as overloaded", name::kFalseNotRun, ReportAllAsOverloaded},
-      {"omits finished work", name::kLostWork, OmitFinishedWork},
+      {"omits finished work", name::kUnaccountedWork, OmitFinishedWork},
       {"sets the clock back", name::kRecordOrder, SetClockBack},
   };
 }
