--- a/src/lab/fault_shim/fault_shim.cpp
+++ b/src/lab/fault_shim/fault_shim.cpp
@@ -27,9 +27,9 @@
 
 namespace {
 
-using walnutspur::lab::FaultKind;
 using walnutspur::lab::ParseFaultPlan;
 using walnutspur::lab::SystemFault;
+using walnutspur::lab::SystemFaultKind;
 
 constexpr std::int64_t kMillisecondsPerSecond = 1'000;
 constexpr std::int64_t kNanosecondsPerMillisecond = 1'000'000;
@@ -87,7 +87,7 @@
     if (fault.call != call || !fault.IsActive(AgeMs()) || Draw() >= fault.probability) {
       continue;
     }
-    if (fault.kind != FaultKind::kDelay) {
+    if (fault.kind != SystemFaultKind::kDelay) {
       return &fault;
     }
     const timespec pause{fault.amount_ms / kMillisecondsPerSecond,
@@ -122,7 +122,7 @@
 // The fault that a transfer on a socket meets now, or null.
 const SystemFault* TransferFaultOf(std::string_view call, int fd) {
   const SystemFault* fault = FaultOf(call);
-  if (fault == nullptr || fault->kind == FaultKind::kShort || fault->error == EINTR ||
+  if (fault == nullptr || fault->kind == SystemFaultKind::kShort || fault->error == EINTR ||
       fault->error == EAGAIN) {
     return fault;
   }
@@ -133,17 +133,33 @@
 // Whether the call is to fail; errno is set then.
 bool Fails(std::string_view call) {
   const SystemFault* fault = FaultOf(call);
-  if (fault == nullptr || fault->kind != FaultKind::kError) {
+  if (fault == nullptr || fault->kind != SystemFaultKind::kError) {
     return false;
   }
   errno = fault->error;
   return true;
 }
 
+using VectorTransfer = ssize_t (*)(int, const iovec*, int);
+
+// Performs `call` by the C library's `real`: in full, its first byte only, or not at all with errno set.
+ssize_t Transfer(std::string_view call, VectorTransfer real, int fd, const iovec* pieces, int count) {
+  const SystemFault* fault = TransferFaultOf(call, fd);
+  if (fault == nullptr) {
+    return real(fd, pieces, count);
+  }
+  if (fault->kind == SystemFaultKind::kShort && count > 0 && pieces->iov_len > 0) {
+    const iovec first_byte{pieces->iov_base, 1};
+    return real(fd, &first_byte, 1);
+  }
+  errno = fault->error;
+  return -1;
+}
+
 std::int64_t ClockStepMs() {
   std::int64_t step = 0;
   for (const SystemFault& fault : Faults()) {
-    if (fault.kind == FaultKind::kClockStep && fault.IsActive(AgeMs())) {
+    if (fault.kind == SystemFaultKind::kClockStep && fault.IsActive(AgeMs())) {
       step += fault.amount_ms;
     }
   }
@@ -197,31 +213,13 @@
 }
 
 ssize_t readv(int fd, const iovec* pieces, int count) {
-  static const auto real = Real<decltype(&readv)>("readv");
-  const SystemFault* fault = TransferFaultOf("readv", fd);
-  if (fault == nullptr) {
-    return real(fd, pieces, count);
-  }
-  if (fault->kind == FaultKind::kShort && count > 0 && pieces->iov_len > 0) {
-    const iovec one{pieces->iov_base, 1};
-    return real(fd, &one, 1);
-  }
-  errno = fault->error;
-  return -1;
+  static const auto real = Real<VectorTransfer>("readv");
+  return Transfer("readv", real, fd, pieces, count);
 }
 
 ssize_t writev(int fd, const iovec* pieces, int count) {
-  static const auto real = Real<decltype(&writev)>("writev");
-  const SystemFault* fault = TransferFaultOf("writev", fd);
-  if (fault == nullptr) {
-    return real(fd, pieces, count);
-  }
-  if (fault->kind == FaultKind::kShort && count > 0 && pieces->iov_len > 0) {
-    const iovec one{pieces->iov_base, 1};
-    return real(fd, &one, 1);
-  }
-  errno = fault->error;
-  return -1;
+  static const auto real = Real<VectorTransfer>("writev");
+  return Transfer("writev", real, fd, pieces, count);
 }
 
 int epoll_wait(int fd, epoll_event* events, int most, int timeout) {
