--- /dev/null
+++ b/src/lab/commands/soak.cpp
@@ -0,0 +1,158 @@
+// walnutspur-lab soak: runs drawn plans of faults on real processes over loopback and judges their records.
+#include <CLI/CLI.hpp>
+#include <algorithm>
+#include <atomic>
+#include <cstdint>
+#include <cstdio>
+#include <exception>
+#include <fstream>
+#include <map>
+#include <memory>
+#include <mutex>
+#include <string>
+#include <thread>
+#include <vector>
+
+#include "lab/commands/command.h"
+#include "lab/invariants/invariant_names.h"
+#include "lab/soak/plan.h"
+#include "lab/soak/run.h"
+
+namespace walnutspur::lab {
+namespace {
+
+using soak::Describe;
+using soak::DrawPlan;
+using soak::RunPlan;
+using soak::Shrink;
+using soak::SoakPlan;
+using soak::SoakPrograms;
+using soak::SoakResult;
+using soak::Violation;
+
+constexpr int kShrinkRuns = 12;
+constexpr Time kMicrosecondsPerMillisecond = 1'000;
+
+struct SoakOptions {
+  std::uint64_t seed = 1;
+  int count = 1;
+  int parallel = 2;
+  bool shrinks = false;
+  std::string log_folder;  // for the processes' logs of broken runs; empty: none
+  SoakPrograms programs;
+};
+
+// Runs the plans of the seeds, several at a time, and prints each result.
+class SoakRunner {
+ public:
+  explicit SoakRunner(const SoakOptions& options) : options_(options) {}
+
+  ExitCode Run() {
+    std::vector<std::thread> threads;
+    threads.reserve(static_cast<std::size_t>(options_.parallel));
+    for (int number = 0; number < options_.parallel; ++number) {
+      threads.emplace_back([this] { RunSeeds(); });
+    }
+    for (std::thread& thread : threads) {
+      thread.join();
+    }
+    std::printf("seeds %d, broken %zu", options_.count, broken_.size());
+    for (const auto& [invariant, count] : violations_) {
+      std::printf(", %s %zu", invariant.c_str(), count);
+    }
+    std::printf("\n");
+    return broken_.empty() ? kExitOk : kExitViolation;
+  }
+
+ private:
+  void RunSeeds() {
+    for (int number = next_++; number < options_.count; number = next_++) {
+      const SoakPlan plan = DrawPlan(options_.seed + static_cast<std::uint64_t>(number));
+      Report(plan, RunOrFail(plan));
+    }
+  }
+
+  // A plan that cannot be run counts as broken.
+  SoakResult RunOrFail(const SoakPlan& plan) const {
+    try {
+      return RunPlan(plan, options_.programs);
+    } catch (const std::exception& error) {
+      SoakResult result;
+      Violation failed;
+      failed.invariant = invariants::name::kProcessCrash;
+      failed.description = error.what();
+      result.violations.push_back(failed);
+      return result;
+    }
+  }
+
+  void Report(const SoakPlan& plan, const SoakResult& result) {
+    const std::lock_guard lock(mutex_);
+    std::printf("seed %llu: %zu requests, %zu attempts, served %.3f, stall %d ms, violations %zu\n",
+                static_cast<unsigned long long>(plan.seed),  // NOLINT(google-runtime-int): printf's %llu
+                result.requests, result.attempts, result.served_fraction,
+                static_cast<int>(result.longest_stall / kMicrosecondsPerMillisecond),
+                result.violations.size());
+    std::fflush(stdout);
+    if (result.violations.empty()) {
+      return;
+    }
+    broken_.push_back(plan);
+    WriteLogs(plan, result);
+    for (const Violation& violation : result.violations) {
+      ++violations_[violation.invariant];
+    }
+    std::printf("%s", Describe(plan).c_str());
+    for (std::size_t shown = 0; shown < std::min<std::size_t>(3, result.violations.size()); ++shown) {
+      const Violation& violation = result.violations[shown];
+      std::printf("  broken %s: %s\n", violation.invariant.c_str(), violation.description.c_str());
+    }
+    if (options_.shrinks) {
+      std::printf("  shrunk: %s", Describe(Shrink(plan, options_.programs, kShrinkRuns)).c_str());
+    }
+  }
+
+  void WriteLogs(const SoakPlan& plan, const SoakResult& result) const {
+    if (options_.log_folder.empty()) {
+      return;
+    }
+    for (const auto& [process, text] : result.logs) {
+      const std::string name = "seed-" + std::to_string(plan.seed) + "-n" + std::to_string(process) + ".log";
+      std::ofstream(options_.log_folder + "/" + name) << text;
+    }
+  }
+
+  SoakOptions options_;
+  std::atomic<int> next_{0};
+  std::mutex mutex_;  // guards the two below and standard output
+  std::vector<SoakPlan> broken_;
+  std::map<std::string, std::size_t> violations_;  // by invariant
+};
+
+void DeclareOptions(CLI::App* cli, SoakOptions* options) {
+  cli->add_option("--program", options->programs.program, "path of the walnutspur program")
+      ->required()
+      ->check(CLI::ExistingFile);
+  cli->add_option("--fault-shim", options->programs.fault_shim,
+                  "path of the library to preload; without it no system call fails")
+      ->check(CLI::ExistingFile);
+  cli->add_option("--seed", options->seed, "the first seed");
+  cli->add_option("--count", options->count, "how many seeds")->check(CLI::Range(1, 10'000));
+  cli->add_option("--parallel", options->parallel, "runs at a time")->check(CLI::Range(1, 16));
+  cli->add_option("--logs", options->log_folder, "a folder for the processes' logs of broken runs")
+      ->check(CLI::ExistingDirectory);
+  cli->add_flag("--shrink", options->shrinks,
+                "drop faults from a plan that violates an invariant while it still does");
+}
+
+}  // namespace
+
+Command DeclareSoak(CLI::App& program) {
+  const auto options = std::make_shared<SoakOptions>();
+  CLI::App* const cli = program.add_subcommand(
+      "soak", "Run drawn plans of faults on real processes over loopback and check the invariants");
+  DeclareOptions(cli, options.get());
+  return {cli, [options] { return SoakRunner(*options).Run(); }};
+}
+
+}  // namespace walnutspur::lab
--- a/src/lab/sim/results.h
+++ b/src/lab/sim/results.h
@@ -10,7 +10,7 @@
 
 #include "walnutspur/scheduler.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 // Totals of the requests that arrived within one second of the run.
 struct SecondTotals {
@@ -38,7 +38,7 @@
   // The totals of the second that contains `since_start` (us after the first possible arrival); grows as
   // needed.
   SecondTotals& SecondAt(Time since_start);
-  // Earned over due weight of the whole run, 0 to 1; 1 for a run without requests.
+  // Earned over due weight of the run, 0 to 1; 1 for a run without requests.
   double service() const;
   // The least service within any `span` consecutive seconds.
   double worst_service(int span) const;
@@ -46,6 +46,6 @@
   double percentile(double part) const;
 };
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_RESULTS_H_
--- a/src/lab/sim/storage_servers.cpp
+++ b/src/lab/sim/storage_servers.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 namespace {
 
 constexpr Time kCrashRestartTime = 2'000'000;  // until a crashed server runs again, us
@@ -86,7 +86,7 @@
   StartQueuedWork(server);
 }
 
-// An error tells nothing about the effect: part of the failed requests have run.
+// An error says nothing of the effect: part of the failed requests have run.
 void StorageServers::FailAttempt(const StorageServer& server, const AcceptedAttempt& attempt) {
   Record(LogEntryType::kAccepted, server, attempt, 0, attempt.units);
   if (error_random_.Chance(kErrorAfterWorkFraction)) {
@@ -323,4 +323,4 @@
   StartProcess(servers_.back());
 }
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
