--- a/tests/fleet/process_cluster_test.cpp
+++ b/tests/fleet/process_cluster_test.cpp
@@ -1,6 +1,6 @@
 // Five real processes lose, duplicate, corrupt and replay datagrams between them, are partitioned, killed,
-// restarted and stopped, and another one takes a name that is in use. They must agree after each fault, and the
-// younger process of that name must end.
+// restarted and stopped, and another one takes a name that is in use. They must agree after each fault, and
+// the younger process of that name must end.
 #include "lab/fleet/process_cluster.h"
 
 #include <doctest/doctest.h>
