--- a/src/fleet/membership/admission.h
+++ b/src/fleet/membership/admission.h
@@ -8,8 +8,7 @@
 // - Two processes with one name: the older one answers messages of the younger one with a conflict, upon
 //   which the younger one terminates. An older one that is no longer reachable does not answer.
 //
-// A component of a Membership, used on the thread of its
-// caller.
+// A component of a Membership, used on the thread of its caller.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_ADMISSION_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_ADMISSION_H_
 
--- a/src/fleet/membership/anti_entropy.h
+++ b/src/fleet/membership/anti_entropy.h
@@ -9,8 +9,7 @@
 //   not probed. Each second one of them, or a configured peer, gets a digest: its reply reconnects the two
 //   sides.
 //
-// A component
-// of a Membership, used on the thread of its caller.
+// A component of a Membership, used on the thread of its caller.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_ANTI_ENTROPY_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_ANTI_ENTROPY_H_
 
--- a/src/fleet/membership/failure_detector.h
+++ b/src/fleet/membership/failure_detector.h
@@ -10,8 +10,7 @@
 // - This member is cut off itself and would suspect all others. Relays reply with a nack when their target
 //   does not answer; missing nacks lower the local health, which lengthens its timeouts.
 //
-// A component of a
-// Membership, used on the thread of its caller.
+// A component of a Membership, used on the thread of its caller.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_FAILURE_DETECTOR_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_FAILURE_DETECTOR_H_
 
