--- a/src/app/configuration_reload.cpp
+++ b/src/app/configuration_reload.cpp
@@ -2,6 +2,7 @@
 
 #include <exception>
 
+#include "log/event_kinds.h"
 #include "log/log.h"
 
 namespace walnutspur::app {
@@ -18,8 +19,8 @@
     config_->discovery = next.discovery;
     discovery_->SwitchServer();
   } catch (const std::exception& error) {
-    log::Event(log::Level::kWarn, "configuration_refused",
-               {{"what", error.what()}, {"stays", "the old one"}});
+    log::Event(log::Level::kWarn, log::kConfigurationRejected,
+               {{"error", error.what()}, {"in_use", "previous"}});
   }
 }
 
--- a/src/app/fleet_publisher.cpp
+++ b/src/app/fleet_publisher.cpp
@@ -1,6 +1,8 @@
 #include "app/fleet_publisher.h"
 
+#include <string_view>
 #include <utility>
+#include <vector>
 
 #include "app/fleet_library.h"
 #include "log/log.h"
@@ -14,13 +16,8 @@
 
 fleet::FleetHooks ToFleetHooks(const FleetPublisher::Hooks& hooks) {
   fleet::FleetHooks result;
-  result.log = [](bool warning, const std::string& kind, const auto& fields) {
-    std::vector<log::Field> converted;
-    converted.reserve(fields.size());
-    for (const auto& [name, value] : fields) {
-      converted.push_back({name, value});
-    }
-    log::Event(warning ? log::Level::kWarn : log::Level::kInfo, kind, converted);
+  result.log = [](bool warning, std::string_view kind, const std::vector<log::Field>& fields) {
+    log::Event(warning ? log::Level::kWarn : log::Level::kInfo, kind, fields);
   };
   result.on_size = [on_size = hooks.on_size](int live, double part) { on_size(FleetSize{live, part}); };
   result.on_end = hooks.on_expelled;
--- a/src/app/initiator.cpp
+++ b/src/app/initiator.cpp
@@ -13,6 +13,7 @@
 #include "core/clock.h"
 #include "integrity/fault_attribution.h"
 #include "integrity/layout.h"
+#include "log/event_kinds.h"
 #include "log/log.h"
 
 namespace walnutspur::app {
@@ -225,7 +226,7 @@
         std::make_unique<Control>(base_.get(), ControlPath(folder),
                                   [this](const Control::Words& words) { return commands_->Execute(words); });
   } catch (const std::exception& error) {
-    log::Event(log::Level::kError, "no_control_socket", {{"what", error.what()}});
+    log::Event(log::Level::kError, log::kControlSocketFailed, {{"error", error.what()}});
   }
 }
 
--- a/src/app/scrub_setup.cpp
+++ b/src/app/scrub_setup.cpp
@@ -8,6 +8,7 @@
 #include "filestore/atomic_file.h"
 #include "integrity/cursor.h"
 #include "integrity/layout.h"
+#include "log/event_kinds.h"
 #include "log/log.h"
 
 namespace walnutspur::app {
@@ -45,12 +46,12 @@
   if (!bytes) {
     return;
   }
-  std::string what;
-  const auto decoded = integrity::DecodeCursors(*bytes, &what);
+  std::string error;
+  const auto decoded = integrity::DecodeCursors(*bytes, &error);
   if (decoded) {
     *cursors = *decoded;
   } else {
-    log::Event(log::Level::kWarn, "scrub_begins_anew", {{"file", path}, {"what", what}});
+    log::Event(log::Level::kWarn, log::kScrubRestarted, {{"file", path}, {"error", error}});
   }
 }
 
--- a/src/checksummed/checksummed_exports.cpp
+++ b/src/checksummed/checksummed_exports.cpp
@@ -6,6 +6,7 @@
 
 #include "core/scheduler_thread.h"
 #include "integrity/layout.h"
+#include "log/event_kinds.h"
 #include "log/log.h"
 
 namespace walnutspur::checksummed {
@@ -149,8 +150,8 @@
   if (std::exchange(exported.failure_logged, true)) {
     return;
   }
-  log::Event(log::Level::kError, "export_not_attached",
-             {{"export", exported.config->front.name}, {"what", exported.volume->error()}});
+  log::Event(log::Level::kError, log::kExportAttachFailed,
+             {{"export", exported.config->front.name}, {"error", exported.volume->error()}});
   exported.attach_backoff = std::clamp(exported.attach_backoff * 2, kMinAttachBackoff, kMaxAttachBackoff);
   if (!exported.suspended) {
     exported.attach_timer.Start(exported.attach_backoff);
@@ -214,10 +215,10 @@
   if ((*flags & nbd::kSendFlush) && (*flags & (nbd::kSendFua | nbd::kCanMultiConn))) {
     return true;
   }
-  log::Event(log::Level::kError, "box_unfit",
-             {{"box", exported.config->target},
+  log::Event(log::Level::kError, log::kTargetRejected,
+             {{"target", exported.config->target},
               {"export", exported.config->front.name},
-              {"what", "checksums need a box that offers FLUSH, and FUA or CAN_MULTI_CONN"}});
+              {"reason", "checksums need a target that offers FLUSH, and FUA or CAN_MULTI_CONN"}});
   return false;
 }
 
--- a/src/checksummed/corruption_tracker.cpp
+++ b/src/checksummed/corruption_tracker.cpp
@@ -3,6 +3,7 @@
 #include <utility>
 
 #include "filestore/atomic_file.h"
+#include "log/event_kinds.h"
 #include "log/log.h"
 
 namespace walnutspur::checksummed {
@@ -12,9 +13,9 @@
 
 void LogStoreStatus(const std::string& error) {
   if (error.empty()) {
-    return log::Event(log::Level::kWarn, "folder_works_again", {});
+    return log::Event(log::Level::kWarn, log::kDirectoryWritable, {});
   }
-  log::Event(log::Level::kError, "folder_not_written", {{"what", error}});
+  log::Event(log::Level::kError, log::kDirectoryWriteFailed, {{"error", error}});
 }
 
 }  // namespace
@@ -42,9 +43,9 @@
 
 void CorruptionTracker::LoadLog() {
   log_file_ = std::make_unique<integrity::CorruptionLogFile>(folder_);
-  std::string what;
-  if (log_file_->Load(&corruption_log_, &what) == integrity::CorruptionLogFile::LoadResult::kRejected) {
-    log::Event(log::Level::kError, "ledger_refused", {{"what", what}});
+  std::string error;
+  if (log_file_->Load(&corruption_log_, &error) == integrity::CorruptionLogFile::LoadResult::kRejected) {
+    log::Event(log::Level::kError, log::kCorruptionLogRejected, {{"error", error}});
   }
 }
 
@@ -65,8 +66,8 @@
   if (attribution) {
     ++attributions_;
     corruption_log_.Record(location, *attribution, now);
-    log::Event(log::Level::kError, "damage",
-               {{"box", location.target},
+    log::Event(log::Level::kError, log::kCorruptionAttributed,
+               {{"target", location.target},
                 {"export", location.remote},
                 {"block", std::to_string(location.block)},
                 {"fault", integrity::NameOf(attribution->fault)},
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -9,6 +9,7 @@
 
 #include <functional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "fleet/membership/member.h"
@@ -33,7 +34,7 @@
 
 // What the library calls back.
 struct FleetHooks {
-  std::function<void(bool warning, const std::string& kind, const std::vector<log::Field>& fields)> log;
+  std::function<void(bool warning, std::string_view kind, const std::vector<log::Field>& fields)> log;
   // The number of live members, or this one's share of the load of all members' clients, has changed.
   std::function<void(int live, double part)> on_size;
   // This process has to terminate.
--- a/src/fleet/transport/gossip_transport.cpp
+++ b/src/fleet/transport/gossip_transport.cpp
@@ -16,6 +16,7 @@
 
 #include "core/clock.h"
 #include "fleet/error.h"
+#include "log/event_kinds.h"
 #include "loop/address.h"
 
 namespace walnutspur::fleet {
@@ -63,7 +64,7 @@
           {"state", NameOf(record)},
           {"incarnation", record.incarnation},
           {"since_us", entry.since},
-          {"by", record.by},
+          {"reported_by", record.by},
           {"building", record.facts.building},
           {"started_at_us", record.facts.started_at},
           {"load", record.facts.load},
@@ -126,9 +127,10 @@
     } else if (const auto* change = std::get_if<MemberChanged>(&action)) {
       Log(*change);
     } else if (const auto* convergence = std::get_if<ConvergenceChanged>(&action)) {
-      hooks_.log(false, "fleet_settled", {{"settled", convergence->converged ? "yes" : "no"}});
+      hooks_.log(false, log::kFleetConvergenceChanged,
+                 {{"converged", convergence->converged ? "yes" : "no"}});
     } else if (const auto* conflict = std::get_if<NameConflict>(&action)) {
-      hooks_.log(true, "fleet_name_in_use", {{"why", conflict->reason}});
+      hooks_.log(true, log::kFleetNameRejected, {{"reason", conflict->reason}});
       hooks_.on_end(conflict->reason);
       return;
     }
@@ -161,11 +163,11 @@
 
 void GossipTransport::Log(const MemberChanged& change) const {
   const Record& record = change.record;
-  hooks_.log(record.state == MemberState::kFailed && record.name != options_.name, "fleet_member",
-             {{"name", record.name},
-              {"is", NameOf(record)},
+  hooks_.log(record.state == MemberState::kFailed && record.name != options_.name, log::kFleetMemberChanged,
+             {{"member", record.name},
+              {"state", NameOf(record)},
               {"incarnation", std::to_string(record.incarnation)},
-              {"by", record.by}});
+              {"reported_by", record.by}});
 }
 
 void GossipTransport::ReportSize() {
--- a/src/http/discovery_client.cpp
+++ b/src/http/discovery_client.cpp
@@ -7,14 +7,15 @@
 
 #include "core/scheduler_thread.h"
 #include "http/response_text.h"
+#include "log/event_kinds.h"
 #include "log/log.h"
 
 namespace walnutspur::http {
 namespace {
 
 // A healthy watch brings at least an empty line every 2 s, and discovery answers or gives up a call within
-// 2 s. With the longest backoff of the next watch (limits/backoff.h, 1 s) and the longest call (2 s) this
-// stays under the 6 s after which drain notifications that a silent watch misses count as delivered.
+// 2 s. With the longest backoff of the next watch (limits/poll_backoff.h, 1 s) and the longest call (2 s)
+// this stays under the 6 s after which drain notifications that a silent watch misses count as delivered.
 constexpr Time kSilenceTimeout = 2'500'000;  // us
 constexpr std::size_t kMaxListBytes = 4 << 20;
 constexpr Time kMicrosecondsPerMillisecond = 1000;
@@ -151,11 +152,11 @@
     return "unknown";
   };
   const Time now = core::Now();
-  log::Event(log::Level::kWarn, "discovery_watch_ended",
-             {{"how", name()},
+  log::Event(log::Level::kWarn, log::kDiscoveryWatchEnded,
+             {{"reason", name()},
               {"open_ms", Milliseconds(now - opened_at_)},
               {"silent_ms", Milliseconds(now - last_received_at_)},
-              {"answered", has_response_ ? "yes" : "no"},
+              {"response_received", has_response_ ? "yes" : "no"},
               {"incomplete_bytes", std::to_string(lists_.held())},
               {"revision", std::to_string(revision_)}});
 }
@@ -174,7 +175,7 @@
     return;
   }
   if (!error.empty()) {
-    log::Event(log::Level::kWarn, "discovery_list_unreadable", {{"what", error}});
+    log::Event(log::Level::kWarn, log::kEndpointListRejected, {{"error", error}});
     OnWatchEnded(WatchEnd::kUnreadable);
     return;
   }
@@ -210,16 +211,16 @@
     has_response_ = true;
     has_partial_list_ = false;
     revision_ = list.revision;
-    log::Event(log::Level::kInfo, "endpoint_list",
+    log::Event(log::Level::kInfo, log::kEndpointListReceived,
                {{"revision", std::to_string(revision_)},
                 {"complete", list.complete ? "yes" : "no"},
                 {"endpoints", std::to_string(list.endpoints.size())},
-                {"call_ms", Milliseconds(core::Now() - opened_at_)}});
+                {"open_ms", Milliseconds(core::Now() - opened_at_)}});
     const auto kind =
         list.complete ? walnutspur::EndpointUpdateKind::kFull : walnutspur::EndpointUpdateKind::kDelta;
     on_list_({kind, list.endpoints}, list);
   } catch (const std::exception& error) {
-    log::Event(log::Level::kWarn, "discovery_list_unreadable", {{"what", error.what()}});
+    log::Event(log::Level::kWarn, log::kEndpointListRejected, {{"error", error.what()}});
     OnWatchEnded(WatchEnd::kUnreadable);
   }
   return is_open_;
--- a/src/http/request_admission.cpp
+++ b/src/http/request_admission.cpp
@@ -6,6 +6,7 @@
 
 #include "http/messages.h"
 #include "http/request_headers.h"
+#include "log/event_kinds.h"
 #include "log/log.h"
 
 namespace walnutspur::http {
@@ -65,7 +66,7 @@
 bool ForwardDigests(const Config& config, const MessageReader& message, Request* payload) {
   const DigestCheck check = CheckDigests(message, payload->body, payload->is_put);
   if (check.match == integrity::Match::kDifferent) {
-    log::Event(log::Level::kWarn, "request_damaged", {{"request", payload->id}});
+    log::Event(log::Level::kWarn, log::kRequestCorrupted, {{"request", payload->id}});
     return false;
   }
   payload->headers += check.headers;
--- a/src/http/target_pool.cpp
+++ b/src/http/target_pool.cpp
@@ -5,6 +5,7 @@
 
 #include "core/scheduler_thread.h"
 #include "http/response_text.h"
+#include "log/event_kinds.h"
 #include "log/log.h"
 
 namespace walnutspur::http {
@@ -262,8 +263,9 @@
 // The target has done the work, but its response was corrupted on the way. No byte of it is forwarded, and
 // the connection, which may be the cause, is not used again.
 void TargetPool::OnCorruptedResponse(TargetConnection& connection) {
-  log::Event(log::Level::kWarn, "answer_damaged",
-             {{"request", std::to_string(connection.attempt()->key.request)}, {"box", connection.target()}});
+  log::Event(
+      log::Level::kWarn, log::kResponseCorrupted,
+      {{"request", std::to_string(connection.attempt()->key.request)}, {"target", connection.target()}});
   ReportOutcome(connection, Outcome::kCorrupted);
   pool_.Discard(connection);
 }
--- /dev/null
+++ b/src/log/event_kinds.h
@@ -0,0 +1,49 @@
+// The kinds of logged events, which operators filter and alert by. docs/operators/logs.md describes each one
+// with its level and its fields; a unit test compares the page with kAllEventKinds.
+//
+// A kind names an object and what happened to it. Constants only: the fleet's library includes this file too.
+#ifndef WALNUTSPUR_LOG_EVENT_KINDS_H_
+#define WALNUTSPUR_LOG_EVENT_KINDS_H_
+
+#include <array>
+#include <string_view>
+
+namespace walnutspur::log {
+
+// The process.
+constexpr std::string_view kConfigurationRejected = "configuration_rejected";
+constexpr std::string_view kControlSocketFailed = "control_socket_failed";
+
+// Discovery.
+constexpr std::string_view kDiscoveryWatchEnded = "discovery_watch_ended";
+constexpr std::string_view kEndpointListReceived = "endpoint_list_received";
+constexpr std::string_view kEndpointListRejected = "endpoint_list_rejected";
+
+// Digests of requests and responses over HTTP.
+constexpr std::string_view kRequestCorrupted = "request_corrupted";
+constexpr std::string_view kResponseCorrupted = "response_corrupted";
+
+// Checksummed exports, the corruption log and the scrub.
+constexpr std::string_view kCorruptionAttributed = "corruption_attributed";
+constexpr std::string_view kCorruptionLogRejected = "corruption_log_rejected";
+constexpr std::string_view kDirectoryWritable = "directory_writable";
+constexpr std::string_view kDirectoryWriteFailed = "directory_write_failed";
+constexpr std::string_view kExportAttachFailed = "export_attach_failed";
+constexpr std::string_view kScrubRestarted = "scrub_restarted";
+constexpr std::string_view kTargetRejected = "target_rejected";
+
+// The fleet.
+constexpr std::string_view kFleetConvergenceChanged = "fleet_convergence_changed";
+constexpr std::string_view kFleetMemberChanged = "fleet_member_changed";
+constexpr std::string_view kFleetNameRejected = "fleet_name_rejected";
+
+inline constexpr std::array kAllEventKinds = {
+    kConfigurationRejected, kControlSocketFailed, kDiscoveryWatchEnded,     kEndpointListReceived,
+    kEndpointListRejected,  kRequestCorrupted,    kResponseCorrupted,       kCorruptionAttributed,
+    kCorruptionLogRejected, kDirectoryWritable,   kDirectoryWriteFailed,    kExportAttachFailed,
+    kScrubRestarted,        kTargetRejected,      kFleetConvergenceChanged, kFleetMemberChanged,
+    kFleetNameRejected};
+
+}  // namespace walnutspur::log
+
+#endif  // WALNUTSPUR_LOG_EVENT_KINDS_H_
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -182,7 +182,7 @@
   }
   std::vector<Field> all_fields = fields;
   if (*suppressed > 0) {
-    all_fields.push_back({"held_back", std::to_string(*suppressed)});
+    all_fields.push_back({"suppressed", std::to_string(*suppressed)});
   }
   sink_->logger->log(level >= Level::kError ? spdlog::level::err : spdlog::level::info, "{}",
                      Format(options_.form, now, level, kind, all_fields));
--- a/tests/unit/log_test.cpp
+++ b/tests/unit/log_test.cpp
@@ -9,9 +9,11 @@
 #include <cstdio>
 #include <fstream>
 #include <nlohmann/json.hpp>
+#include <set>
 #include <string>
 #include <thread>
 
+#include "log/event_kinds.h"
 #include "support/temporary_file.h"
 
 namespace walnutspur::log {
@@ -88,5 +90,22 @@
   CHECK_FALSE(std::getline(file, rest));
 }
 
+// An operator looks a kind up in docs/operators/logs.md; one that the page lacks, or has with another name,
+// is not found there when it counts.
+TEST_CASE("the operators' page has a row for each kind of event and for no other") {
+  std::ifstream page(WALNUTSPUR_ROOT "/docs/operators/logs.md");
+  REQUIRE(page);
+  std::set<std::string> documented;
+  bool in_table = false;
+  for (std::string line; std::getline(page, line);) {
+    if (line.starts_with("## ")) {
+      in_table = line == "## Kinds of events";
+    } else if (in_table && line.starts_with("| `")) {
+      documented.insert(line.substr(3, line.find('`', 3) - 3));
+    }
+  }
+  CHECK(documented == std::set<std::string>(kAllEventKinds.begin(), kAllEventKinds.end()));
+}
+
 }  // namespace
 }  // namespace walnutspur::log
