--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -12,10 +12,8 @@
 constexpr Time kIdleTimeout = 20'000'000;      // us
 constexpr Time kFirstIdleTimeout = 2'000'000;  // us after a first request: many clients send no other
 constexpr Time kWriteTimeout = 10'000'000;     // us in which a client must have read its response
-constexpr Time kLingerTimeout = 500'000;     // us after the last response in which the client may close first
-constexpr Time kRejectPause = 50'000;        // us in which a client that was rejected is not read
-constexpr Time kFirstRequestGrace = 30'000;  // us that a connection has for its first or second request
-constexpr Time kIdleGrace = 250'000;         // us that one is kept while idle after several requests
+constexpr Time kLingerTimeout = 500'000;  // us after the last response in which the client may close first
+constexpr Time kRejectPause = 50'000;     // us in which a client that was rejected is not read
 constexpr std::size_t kMaxReadAhead = 16 << 10;        // bytes read behind the request that is pending
 constexpr std::size_t kMaxDroppedAtClose = 256 << 10;  // bytes read behind the last response
 constexpr std::size_t kMaxDroppedSentAhead = 4 << 20;  // bytes read behind a pending request, over its time
@@ -26,7 +24,8 @@
 
 // Each timer ends a wait that a client could stretch for good.
 ClientConnection::ClientConnection(event_base* base, std::uint64_t number, loop::StreamPtr stream,
-                                   ClientConnectionHandler* handler, const ShutdownState& shutdown)
+                                   ClientConnectionHandler* handler,
+                                   const frontend::ShutdownSequence& shutdown)
     : handler_(handler),
       shutdown_(shutdown),
       number_(number),
@@ -146,7 +145,7 @@
 }
 
 void ClientConnection::Respond(int status, std::string_view body, std::string_view headers) {
-  last_response_ = last_response_ || shutdown_.draining || !reader_.keeps_alive();
+  last_response_ = last_response_ || shutdown_.is_draining() || !reader_.keeps_alive();
   const std::string text = FormatResponse(status, body, headers, last_response_);
   reader_ = MessageReader(MessageReader::Kind::kRequest);
   continue_sent_ = false;
@@ -155,7 +154,7 @@
   if (last_response_) {
     closing_ = true;
     linger_timeout_.Start(kLingerTimeout);
-  } else if (shutdown_.deadline == 0) {
+  } else if (!shutdown_.is_scheduled()) {
     idle_timeout_.Start(requests_read_ > 1 ? kIdleTimeout : kFirstIdleTimeout);
   }
   write_timeout_.Start(kWriteTimeout);
@@ -199,21 +198,26 @@
   return loop::PeerHasClosed(bufferevent_getfd(stream_.get()));
 }
 
-EvictionRank ClientConnection::RankForEviction(Time now) const {
-  if (closing_) {
-    return EvictionRank::kClosing;
+frontend::ConnectionActivity ClientConnection::activity() const {
+  if (pending_request_ != 0) {
+    return frontend::ConnectionActivity::kUnanswered;
   }
-  const Time grace = requests_read_ <= 1 ? kFirstRequestGrace : kIdleGrace;
-  if (now - last_active_ < grace) {
-    return EvictionRank::kNotEvictable;
+  const bool idle = IsIdle() && !HasUnreadBytes();
+  return idle ? frontend::ConnectionActivity::kIdle : frontend::ConnectionActivity::kUnfinished;
+}
+
+frontend::ConnectionStage ClientConnection::stage() const {
+  if (closing_) {
+    return frontend::ConnectionStage::kClosing;
   }
   if (requests_read_ == 0) {
-    return EvictionRank::kNoRequestYet;
+    return frontend::ConnectionStage::kNoRequestYet;
   }
   if (!IsIdle()) {
-    return EvictionRank::kNotEvictable;
+    return frontend::ConnectionStage::kInUse;
   }
-  return requests_read_ == 1 ? EvictionRank::kIdleAfterOne : EvictionRank::kIdleAfterMany;
+  return requests_read_ == 1 ? frontend::ConnectionStage::kIdleAfterOneRequest
+                             : frontend::ConnectionStage::kIdleAfterManyRequests;
 }
 
 }  // namespace walnutspur::http
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -12,18 +12,14 @@
 #include <utility>
 
 #include "core/engine.h"
+#include "frontend/eviction_policy.h"
+#include "frontend/shutdown_sequence.h"
 #include "http/message_reader.h"
 #include "http/response_text.h"
 #include "loop/stream.h"
 
 namespace walnutspur::http {
 
-// How far the front end is with ending; shared with its connections.
-struct ShutdownState {
-  bool draining = false;  // every response is the last one of its connection
-  Time deadline = 0;      // when all requests must have been answered; 0: no shutdown is scheduled
-};
-
 class ClientConnection;
 
 // What a connection needs of its front end.
@@ -40,20 +36,11 @@
   ~ClientConnectionHandler() = default;
 };
 
-// Which connections are closed first to make room for a new one, in this order.
-enum class EvictionRank {
-  kNotEvictable,   // just connected or answered, or with a request
-  kClosing,        // its last response is written
-  kNoRequestYet,   // it has sent no complete request since it connected
-  kIdleAfterOne,   // it has sent one request and no more: many clients never send another
-  kIdleAfterMany,  // it sends requests again and again
-};
-
 class ClientConnection {
  public:
   // Both references must outlive the connection. Call Enable to begin to read.
   ClientConnection(event_base* base, std::uint64_t number, loop::StreamPtr stream,
-                   ClientConnectionHandler* handler, const ShutdownState& shutdown);
+                   ClientConnectionHandler* handler, const frontend::ShutdownSequence& shutdown);
 
   void Enable();
   // The connection may have waited this long (us) before it was accepted, and its first request with it if
@@ -79,7 +66,6 @@
 
   std::uint64_t number() const { return number_; }
   bufferevent* stream() const { return stream_.get(); }
-  Time last_active() const { return last_active_; }
   bool closing() const { return closing_; }
   // No request, and no byte of one or of a response in our buffers.
   bool IsIdle() const;
@@ -87,7 +73,8 @@
   bool HasUnreadBytes() const;
   // Whether the peer has closed, as far as the kernel knows.
   bool IsDisconnected() const;
-  EvictionRank RankForEviction(Time now) const;
+  frontend::ConnectionActivity activity() const;
+  frontend::EvictionCandidate eviction_candidate() const { return {stage(), last_active_}; }
 
   // The request that the front end has taken of this connection; 0: none.
   core::RequestNumber pending_request() const { return pending_request_; }
@@ -101,13 +88,14 @@
   void OnEvent(loop::EventMask what);
 
  private:
+  frontend::ConnectionStage stage() const;
   bool ReadOne();
   bool DropAfterLastResponse(std::size_t size);
   bool DropSentAhead();
   void OnRequestProgress();
 
   ClientConnectionHandler* handler_;
-  const ShutdownState& shutdown_;
+  const frontend::ShutdownSequence& shutdown_;
   std::uint64_t number_;
   MessageReader reader_{MessageReader::Kind::kRequest};
   core::RequestNumber pending_request_ = 0;
--- a/src/http/front_end.cpp
+++ b/src/http/front_end.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <cerrno>
+#include <chrono>
 #include <utility>
 #include <variant>
 
@@ -11,10 +12,19 @@
 namespace walnutspur::http {
 namespace {
 
-constexpr Time kCloseIdleBefore = 100'000;       // us before the shutdown deadline: idle connections close
-constexpr Time kCloseUnfinishedAfter = 50'000;   // us after it: so do those with a part of a request
-constexpr Time kCloseUnansweredAfter = 100'000;  // us after it: so do those that a late loop has not answered
-constexpr Time kDeadlineGuard = 5'000;  // us past a request's deadline: the attempts' own timers come first
+using std::chrono::milliseconds;
+
+// Idle connections stay open for as long as possible: their clients would find no other server. A late event
+// loop may leave requests unanswered after the deadline.
+constexpr frontend::ShutdownLimits kShutdownLimits = {.close_idle_before = milliseconds(100),
+                                                      .close_unfinished_after = milliseconds(50),
+                                                      .close_unanswered_after = milliseconds(100)};
+
+// HTTP has no handshake.
+constexpr frontend::EvictionLimits kEvictionLimits = {.first_request_grace = milliseconds(30),
+                                                      .second_request_grace = milliseconds(30),
+                                                      .idle_grace = milliseconds(250)};
+
 constexpr double kClientSocketShare = 0.36;  // of the descriptors: a third is for clients, all are accepted
 constexpr int kListenBacklog = 1024;
 constexpr std::size_t kUnreadMemoryDivisor = 4;  // part of the memory for responses not yet read
@@ -27,8 +37,11 @@
       config_(config),
       request_numbers_(request_numbers),
       submit_(std::move(submit)),
+      shutdown_(kShutdownLimits),
+      eviction_(kEvictionLimits),
       max_connections_(
           std::max<std::size_t>(1, static_cast<std::size_t>(config.sockets * kClientSocketShare))),
+      pending_(base, submit_),
       turn_clock_(base),
       listener_(base, config.listen, {.backlog = kListenBacklog}, ListenerHooks()) {}
 
@@ -70,31 +83,15 @@
 
 bool FrontEnd::HasCapacity() { return clients_.size() < max_connections_ || EvictConnection(); }
 
-// Protects clients from floods of connections: closes the connection of the lowest rank that has been idle
-// the longest. While none can be closed, new ones wait in the listener's backlog.
+// Bytes that a client has sent may wait for the loop: while the process is short of CPU, all connections age.
 bool FrontEnd::EvictConnection() {
-  const Time now = core::Now();
-  ClientConnection* best = nullptr;
-  EvictionRank best_rank = EvictionRank::kNotEvictable;
-  for (const auto& [number, client] : clients_) {
-    const EvictionRank rank = client->RankForEviction(now);
-    if (rank == EvictionRank::kNotEvictable) {
-      continue;
-    }
-    if (best && (rank > best_rank || (rank == best_rank && client->last_active() >= best->last_active()))) {
-      continue;
-    }
-    // Bytes that it has sent may wait for the loop: while the process is short of CPU, all connections age.
-    if (rank != EvictionRank::kClosing && client->HasUnreadBytes()) {
-      continue;
-    }
-    best = client.get();
-    best_rank = rank;
+  ClientConnection* evicted = eviction_.Choose(clients_, core::Now(), [](const ClientConnection& client) {
+    return !client.closing() && client.HasUnreadBytes();
+  });
+  if (evicted != nullptr) {
+    Close(*evicted);
   }
-  if (best) {
-    Close(*best);
-  }
-  return best != nullptr;
+  return evicted != nullptr;
 }
 
 void FrontEnd::OnRequest(ClientConnection& client) {
@@ -128,31 +125,18 @@
   const Time delay = std::max(turn_clock_.SinceWakeUp(), client.TakeTimeInBacklog());
   const Time elapsed = std::min(delay, admitted.client_timeout);
   request.deadline = core::Now() + admitted.client_timeout - elapsed;
-  AddPending(request, client.number());
+  pending_.Add(request.request, request.deadline, client.number());
   submit_(std::move(request));
 }
 
-void FrontEnd::AddPending(const core::RequestReceived& request, std::uint64_t connection) {
-  const core::RequestNumber number = request.request;
-  PendingRequest& pending = pending_[number];
-  pending.connection = connection;
-  pending.deadline = loop::MakeTimer(base_, [this, number] { submit_(core::DeadlineExpired{number}); });
-  pending.received_at = core::Now();
-  pending.expires_at = request.deadline + kDeadlineGuard;
-  const Time expires_at =
-      shutdown_.deadline > 0 ? std::min(pending.expires_at, shutdown_.deadline) : pending.expires_at;
-  pending.deadline.Start(expires_at - core::Now());
-}
-
 void FrontEnd::Respond(const core::Response& response) {
-  const auto at = pending_.find(response.request);
-  if (at == pending_.end()) {
+  const auto answered = pending_.TakeAnswered(response.request);
+  if (!answered) {
     return;  // the client has disconnected
   }
-  ClientConnection& client = *clients_.at(at->second.connection);
+  ClientConnection& client = *clients_.at(answered->origin);
   client.ClearPendingRequest();
-  shutdown_estimate_.OnResponse(core::Now() - at->second.received_at);
-  pending_.erase(at);
+  shutdown_.OnResponse(answered->latency);
   switch (response.status) {
     case core::ResponseStatus::kServed:
       RespondServed(client, static_cast<const Response&>(*response.payload));
@@ -195,11 +179,11 @@
 }
 
 bool FrontEnd::IsClientConnected(core::RequestNumber request) {
-  const auto at = pending_.find(request);
-  if (at == pending_.end()) {
+  const std::uint64_t* connection = pending_.Find(request);
+  if (connection == nullptr) {
     return false;
   }
-  ClientConnection& client = *clients_.at(at->second.connection);
+  ClientConnection& client = *clients_.at(*connection);
   if (!client.IsDisconnected()) {
     return true;
   }
@@ -214,21 +198,14 @@
   }
   const std::unique_ptr<ClientConnection> closed = std::move(at->second);
   clients_.erase(at);
-  const core::RequestNumber request = closed->pending_request();
-  if (request != 0 && pending_.erase(request) > 0) {
-    submit_(core::ClientClosed{request});
-  }
+  pending_.RemoveDisconnected(closed->pending_request());
 }
 
 // No request may be left unanswered when the process ends. Idle connections stay open until then: a client
 // that lost one now would find no server on a new one.
 void FrontEnd::SetShutdownDeadline(Time deadline) {
-  shutdown_.deadline = deadline;
-  for (auto& [number, pending] : pending_) {
-    if (pending.expires_at > deadline) {
-      pending.deadline.Start(deadline - core::Now());
-    }
-  }
+  shutdown_.Schedule();
+  pending_.SetShutdownDeadline(deadline);
   for (auto& [number, client] : clients_) {
     client->StopIdleTimeout();
   }
@@ -236,25 +213,19 @@
 
 // No connection may end without a response to its request: a busy one ends with its response, an idle one is
 // shut for writing and read until its client has closed it, so that no reset reaches a client that has just
-// sent something. So is, at last, one that holds a part of a request or has unread bytes. Idle ones stay open
-// for as long as possible: their clients would find no other server.
+// sent something. So is, at last, one that holds a part of a request or has unread bytes.
 void FrontEnd::BeginGracefulShutdown(Time left) {
-  if (!shutdown_.draining && shutdown_estimate_.IsLastResponse(left)) {
-    shutdown_.draining = true;
+  if (shutdown_.Advance(left)) {
     listener_.AcceptPending();  // the kernel has accepted them: their requests count as ours
     listener_.Close();
   }
-  if (left > kCloseIdleBefore) {
+  if (!shutdown_.Closes(frontend::ConnectionActivity::kIdle)) {
     return;
   }
   for (const auto& [number, client] : clients_) {
-    if (client->closing() || (client->pending_request() != 0 && left > -kCloseUnansweredAfter)) {
-      continue;
-    }
-    if (left > -kCloseUnfinishedAfter && (!client->IsIdle() || client->HasUnreadBytes())) {
-      continue;
+    if (!client->closing() && shutdown_.Closes(client->activity())) {
+      client->ShutDown();
     }
-    client->ShutDown();
   }
 }
 
--- a/src/http/front_end.h
+++ b/src/http/front_end.h
@@ -14,11 +14,13 @@
 #include <unordered_map>
 
 #include "core/port.h"
+#include "frontend/eviction_policy.h"
+#include "frontend/pending_requests.h"
+#include "frontend/shutdown_sequence.h"
 #include "http/client_connection.h"
 #include "http/config.h"
 #include "http/messages.h"
 #include "http/request_admission.h"
-#include "limits/shutdown_deadline_estimate.h"
 #include "loop/listener.h"
 #include "loop/loop.h"
 #include "loop/turn_clock.h"
@@ -51,14 +53,6 @@
   int port() const { return listener_.port(); }
 
  private:
-  // A request that was taken and has no response yet.
-  struct PendingRequest {
-    std::uint64_t connection = 0;
-    Time received_at = 0;
-    Time expires_at = 0;
-    loop::EventHandle deadline;
-  };
-
   void OnRequest(ClientConnection& client) override;
   void Close(ClientConnection& client) override;
   bool IsOpen(std::uint64_t connection_number) const override { return clients_.contains(connection_number); }
@@ -69,7 +63,6 @@
   bool EvictConnection();
   void RespondToReadinessCheck(ClientConnection& client) const;
   void Submit(ClientConnection& client, AdmittedRequest admitted);
-  void AddPending(const core::RequestReceived& request, std::uint64_t connection);
   void RespondServed(ClientConnection& client, const Response& served) const;
   bool HasMemoryFor(std::size_t size) const;
 
@@ -78,12 +71,12 @@
   core::RequestNumbers* request_numbers_;
   core::SubmitInput submit_;
   bool ready_ = false;
-  ShutdownState shutdown_;
-  limits::ShutdownDeadlineEstimate shutdown_estimate_;
+  frontend::ShutdownSequence shutdown_;
+  frontend::EvictionPolicy eviction_;
   std::size_t max_connections_;
   std::uint64_t next_connection_ = 1;
   std::unordered_map<std::uint64_t, std::unique_ptr<ClientConnection>> clients_;  // by number
-  std::unordered_map<core::RequestNumber, PendingRequest> pending_;
+  frontend::PendingRequests<std::uint64_t> pending_;                              // by connection number
   loop::TurnClock turn_clock_;
   loop::Listener listener_;
 };
--- a/src/nbd/client_connection.cpp
+++ b/src/nbd/client_connection.cpp
@@ -62,6 +62,15 @@
   }
 }
 
+// A connection on which a command was sent is never evicted: a device is mounted on it.
+frontend::ConnectionStage ClientConnection::stage() const {
+  if (has_sent_command_) {
+    return frontend::ConnectionStage::kInUse;
+  }
+  return session_.chosen() == nullptr ? frontend::ConnectionStage::kHandshake
+                                      : frontend::ConnectionStage::kNoRequestYet;
+}
+
 bool ClientConnection::HasCapacity() const {
   return in_flight_.size() < kMaxCommandsInFlight &&
          loop::UnwrittenBytes(stream_.get()) <= kMaxUnwrittenBytes;
--- a/src/nbd/client_connection.h
+++ b/src/nbd/client_connection.h
@@ -11,6 +11,7 @@
 #include <string_view>
 
 #include "core/engine.h"
+#include "frontend/eviction_policy.h"
 #include "loop/loop.h"
 #include "loop/stream.h"
 #include "nbd/config.h"
@@ -62,8 +63,7 @@
   std::uint64_t number() const { return number_; }
   const ServerSession& session() const { return session_; }
   const CommandsInFlight& in_flight() const { return in_flight_; }
-  bool has_sent_command() const { return has_sent_command_; }
-  Time connected_at() const { return connected_at_; }  // us
+  frontend::EvictionCandidate eviction_candidate() const { return {stage(), connected_at_}; }
   bufferevent* stream() const { return stream_.get(); }
   evutil_socket_t fd() const { return bufferevent_getfd(stream_.get()); }
 
@@ -73,6 +73,7 @@
   void OnEvent(loop::EventMask what);
 
  private:
+  frontend::ConnectionStage stage() const;
   bool HasCapacity() const;
   void PauseReading();
   void FeedSession(std::string_view bytes);
@@ -84,7 +85,7 @@
   ServerSession session_;
   CommandsInFlight in_flight_;
   bool has_sent_command_ = false;
-  Time connected_at_ = 0;
+  Time connected_at_ = 0;              // us
   loop::EventHandle handshake_timer_;  // of the handshake, and of reading the last replies
   bool command_timer_runs_ = false;    // a part of a command has been received
   bool write_closed_ = false;          // shut down for writing: input is dropped
--- a/src/nbd/front_end.cpp
+++ b/src/nbd/front_end.cpp
@@ -1,6 +1,7 @@
 #include "nbd/front_end.h"
 
 #include <algorithm>
+#include <chrono>
 #include <string>
 #include <utility>
 #include <vector>
@@ -12,21 +13,12 @@
 namespace walnutspur::nbd {
 namespace {
 
-// How long a connection is safe from eviction: until its handshake is complete, and until its first command.
-constexpr Time kHandshakeGrace = 30'000;      // us
-constexpr Time kFirstCommandGrace = 250'000;  // us
+// Idle connections close as soon as the front end drains, others once they are idle: NBD cannot mark a
+// response as a connection's last.
+constexpr frontend::ShutdownLimits kShutdownLimits = {};
 
-constexpr Time kDeadlineGuard = 5'000;  // us beyond a deadline; as the HTTP front end's
-
-bool InHandshake(const ClientConnection& client) { return client.session().chosen() == nullptr; }
-
-// Connections in their handshake are evicted before others, and among equals the oldest.
-bool IsEvictedBefore(const ClientConnection& client, const ClientConnection& other) {
-  if (InHandshake(client) != InHandshake(other)) {
-    return InHandshake(client);
-  }
-  return client.connected_at() < other.connected_at();
-}
+constexpr frontend::EvictionLimits kEvictionLimits = {.handshake_grace = std::chrono::milliseconds(30),
+                                                      .first_request_grace = std::chrono::milliseconds(250)};
 
 }  // namespace
 
@@ -39,6 +31,9 @@
       max_connections_(max_connections),
       request_numbers_(request_numbers),
       submit_(std::move(submit)),
+      shutdown_(kShutdownLimits),
+      eviction_(kEvictionLimits),
+      pending_(base, submit_),
       listener_(base, loop::ParseAddress(config.listen), loop::ListenerOptions{},
                 loop::ListenerCallbacks{.on_accept = [this](evutil_socket_t fd) { OnAccept(fd); },
                                         .on_error = [this](int /*error*/) { listener_.Pause(); },
@@ -67,25 +62,13 @@
 
 bool FrontEnd::HasCapacity() { return clients_.size() < max_connections_ || EvictConnection(); }
 
-// Keeps floods of connections from shutting others out. A client that has sent a command is never evicted: a
-// device is mounted on it.
 bool FrontEnd::EvictConnection() {
-  const Time now = core::Now();
-  ClientConnection* evicted = nullptr;
-  for (const auto& [number, client] : clients_) {
-    const Time grace = InHandshake(*client) ? kHandshakeGrace : kFirstCommandGrace;
-    if (client->has_sent_command() || now - client->connected_at() < grace) {
-      continue;
-    }
-    if (evicted == nullptr || IsEvictedBefore(*client, *evicted)) {
-      evicted = client.get();
-    }
-  }
-  if (evicted == nullptr) {
-    return false;
+  ClientConnection* evicted =
+      eviction_.Choose(clients_, core::Now(), [](const ClientConnection&) { return false; });
+  if (evicted != nullptr) {
+    OnEnd(*evicted);
   }
-  OnEnd(*evicted);
-  return true;
+  return evicted != nullptr;
 }
 
 void FrontEnd::OnEnd(ClientConnection& connection) {
@@ -96,18 +79,16 @@
   const std::unique_ptr<ClientConnection> ended = std::move(at->second);
   clients_.erase(at);
   for (const auto& [cookie, request] : ended->in_flight()) {
-    if (pending_.erase(request) > 0) {
-      submit_(core::ClientClosed{request});
-    }
+    pending_.RemoveDisconnected(request);
   }
 }
 
 bool FrontEnd::IsClientConnected(core::RequestNumber request) {
-  const auto at = pending_.find(request);
-  if (at == pending_.end()) {
+  const RequestOrigin* origin = pending_.Find(request);
+  if (origin == nullptr) {
     return false;
   }
-  ClientConnection& client = *clients_.at(at->second.client);
+  ClientConnection& client = *clients_.at(origin->connection);
   if (!loop::PeerHasClosed(client.fd())) {
     return true;
   }
@@ -129,13 +110,13 @@
   core::RequestReceived received = MakeRequest(volume, request);
   received.payload = MakePayload(volume, std::move(request));
   connection.AddInFlight(cookie, received.request);
-  AddPending(connection, cookie, received);
+  pending_.Add(received.request, received.deadline, {connection.number(), cookie});
   submit_(std::move(received));
 }
 
 std::optional<CommandError> FrontEnd::Check(const ClientConnection& connection,
                                             const Request& request) const {
-  if (draining_) {
+  if (draining()) {
     return CommandError{kShutdown, "the initiator ends"};
   }
   if (!config_.classes.contains(request.type)) {
@@ -185,30 +166,14 @@
   return payload;
 }
 
-void FrontEnd::AddPending(const ClientConnection& connection, std::uint64_t cookie,
-                          const core::RequestReceived& received) {
-  const core::RequestNumber request = received.request;
-  PendingRequest& pending = pending_[request];
-  pending.client = connection.number();
-  pending.cookie = cookie;
-  pending.deadline_timer =
-      loop::MakeTimer(base_, [this, request] { submit_(core::DeadlineExpired{request}); });
-  pending.received_at = core::Now();
-  pending.deadline = received.deadline + kDeadlineGuard;
-  const Time fires_at =
-      shutdown_deadline_ > 0 ? std::min(pending.deadline, shutdown_deadline_) : pending.deadline;
-  pending.deadline_timer.Start(fires_at - core::Now());
-}
-
 void FrontEnd::Respond(const core::Response& response) {
-  const auto at = pending_.find(response.request);
-  if (at == pending_.end()) {
+  const auto answered = pending_.TakeAnswered(response.request);
+  if (!answered) {
     return;  // the client has disconnected
   }
-  ClientConnection& client = *clients_.at(at->second.client);
-  const std::uint64_t cookie = at->second.cookie;
-  shutdown_estimate_.OnResponse(core::Now() - at->second.received_at);
-  pending_.erase(at);
+  const auto [connection, cookie] = answered->origin;
+  ClientConnection& client = *clients_.at(connection);
+  shutdown_.OnResponse(answered->latency);
   client.RemoveInFlight(cookie);
   client.Write(EncodeResponse(client.session(), cookie, response));
   client.ResumeReading();
@@ -217,23 +182,17 @@
 // ---- shutdown ----
 
 void FrontEnd::SetShutdownDeadline(Time deadline) {
-  shutdown_deadline_ = deadline;
-  for (auto& [request, pending] : pending_) {
-    if (pending.deadline > deadline) {
-      pending.deadline_timer.Start(deadline - core::Now());
-    }
-  }
+  shutdown_.Schedule();
+  pending_.SetShutdownDeadline(deadline);
 }
 
-// NBD cannot mark a response as a connection's last. While the program drains, further commands are rejected
-// without an attempt, and a connection with nothing in flight is shut down for writing; what it still sends
-// is read until the client closes it.
-void FrontEnd::BeginGracefulShutdown(Time remaining) {
-  if (!draining_ && shutdown_estimate_.IsLastResponse(remaining)) {
-    draining_ = true;
+// While the front end drains, further commands are rejected without an attempt, and a connection with nothing
+// in flight is shut down for writing; what it still sends is read until the client closes it.
+void FrontEnd::BeginGracefulShutdown(Time left) {
+  if (shutdown_.Advance(left)) {
     listener_.Close();
   }
-  if (!draining_) {
+  if (!shutdown_.Closes(frontend::ConnectionActivity::kIdle)) {
     return;
   }
   std::vector<ClientConnection*> clients;
--- a/src/nbd/front_end.h
+++ b/src/nbd/front_end.h
@@ -13,7 +13,9 @@
 #include <unordered_map>
 
 #include "core/port.h"
-#include "limits/shutdown_deadline_estimate.h"
+#include "frontend/eviction_policy.h"
+#include "frontend/pending_requests.h"
+#include "frontend/shutdown_sequence.h"
 #include "loop/listener.h"
 #include "loop/loop.h"
 #include "nbd/client_connection.h"
@@ -36,7 +38,7 @@
   std::size_t pending_requests() const override { return pending_.size(); }
   bool IsClientConnected(core::RequestNumber request) override;
   void SetShutdownDeadline(Time deadline) override;
-  void BeginGracefulShutdown(Time remaining) override;
+  void BeginGracefulShutdown(Time left) override;
   std::size_t connections() const override { return clients_.size(); }
 
   // The port that it listens on.
@@ -46,19 +48,16 @@
   std::function<void(bufferevent*)> on_accept;
 
  private:
-  // A request that has no response yet.
-  struct PendingRequest {
-    std::uint64_t client = 0;  // number of the connection
-    std::uint64_t cookie = 0;
-    Time received_at = 0;  // us
-    Time deadline = 0;     // us; when the timer fires at the latest
-    loop::EventHandle deadline_timer;
+  // Where a request came from.
+  struct RequestOrigin {
+    std::uint64_t connection = 0;  // its number
+    std::uint64_t cookie = 0;      // chosen by the client
   };
 
   // ClientConnectionOwner
   void OnCommand(ClientConnection& connection, Request request) override;
   void OnEnd(ClientConnection& connection) override;
-  bool draining() const override { return draining_; }
+  bool draining() const override { return shutdown_.is_draining(); }
 
   void OnAccept(evutil_socket_t fd);
   bool HasCapacity();
@@ -67,8 +66,6 @@
   const Volume& VolumeOf(const ClientConnection& connection) const;
   core::RequestReceived MakeRequest(const Volume& volume, const Request& request);
   std::shared_ptr<CommandPayload> MakePayload(const Volume& volume, Request request) const;
-  void AddPending(const ClientConnection& connection, std::uint64_t cookie,
-                  const core::RequestReceived& received);
 
   event_base* base_;
   const Config& config_;
@@ -76,12 +73,11 @@
   std::size_t max_connections_;
   core::RequestNumbers* request_numbers_;
   core::SubmitInput submit_;
-  bool draining_ = false;
-  Time shutdown_deadline_ = 0;  // us; 0: none is set
-  limits::ShutdownDeadlineEstimate shutdown_estimate_;
+  frontend::ShutdownSequence shutdown_;
+  frontend::EvictionPolicy eviction_;
   std::uint64_t next_client_ = 1;
   std::unordered_map<std::uint64_t, std::unique_ptr<ClientConnection>> clients_;  // by number
-  std::unordered_map<core::RequestNumber, PendingRequest> pending_;
+  frontend::PendingRequests<RequestOrigin> pending_;
   loop::Listener listener_;
 };
 
--- /dev/null
+++ b/tests/unit/frontend_test.cpp
@@ -0,0 +1,146 @@
+// What the front ends share: when a shutdown closes which connections, and which connection is evicted.
+#include <doctest/doctest.h>
+
+#include <chrono>
+#include <cstdint>
+#include <map>
+#include <memory>
+#include <utility>
+#include <vector>
+
+#include "frontend/eviction_policy.h"
+#include "frontend/shutdown_sequence.h"
+
+namespace walnutspur::frontend {
+namespace {
+
+using std::chrono::milliseconds;
+
+constexpr Time kMillisecond = 1'000;  // us
+
+constexpr ShutdownLimits kLimits = {.close_idle_before = milliseconds(100),
+                                    .close_unfinished_after = milliseconds(50),
+                                    .close_unanswered_after = milliseconds(80)};
+
+TEST_CASE("a shutdown passes its phases in order, each at its limit") {
+  ShutdownSequence shutdown(kLimits);
+  CHECK_FALSE(shutdown.is_scheduled());
+  shutdown.Schedule();
+  CHECK(shutdown.phase() == ShutdownPhase::kScheduled);
+  CHECK_FALSE(shutdown.Advance(201 * kMillisecond));  // responses are quick: the shortest lead time holds
+  CHECK(shutdown.phase() == ShutdownPhase::kScheduled);
+  CHECK(shutdown.Advance(200 * kMillisecond));
+  CHECK(shutdown.phase() == ShutdownPhase::kDraining);
+  CHECK_FALSE(shutdown.Advance(100 * kMillisecond + 1));
+  CHECK_FALSE(shutdown.Closes(ConnectionActivity::kIdle));
+  CHECK_FALSE(shutdown.Advance(100 * kMillisecond));
+  CHECK(shutdown.phase() == ShutdownPhase::kClosingIdle);
+  CHECK_FALSE(shutdown.Advance(-50 * kMillisecond + 1));
+  CHECK(shutdown.Closes(ConnectionActivity::kIdle));
+  CHECK_FALSE(shutdown.Closes(ConnectionActivity::kUnfinished));
+  CHECK_FALSE(shutdown.Advance(-50 * kMillisecond));
+  CHECK(shutdown.Closes(ConnectionActivity::kUnfinished));
+  CHECK_FALSE(shutdown.Closes(ConnectionActivity::kUnanswered));
+  CHECK_FALSE(shutdown.Advance(-80 * kMillisecond));
+  CHECK(shutdown.phase() == ShutdownPhase::kClosingUnanswered);
+  CHECK(shutdown.Closes(ConnectionActivity::kUnanswered));
+}
+
+// An event loop that is late calls for the first time after the deadline; and a phase that has begun stays.
+TEST_CASE("a late loop skips phases of a shutdown, and none is left again") {
+  ShutdownSequence shutdown(kLimits);
+  CHECK(shutdown.Advance(-60 * kMillisecond));
+  CHECK(shutdown.phase() == ShutdownPhase::kClosingUnfinished);
+  shutdown.Schedule();
+  CHECK_FALSE(shutdown.Advance(500 * kMillisecond));
+  CHECK(shutdown.phase() == ShutdownPhase::kClosingUnfinished);
+}
+
+TEST_CASE("draining begins as long before the deadline as responses take") {
+  ShutdownSequence shutdown(kLimits);
+  for (int i = 0; i < 1000; ++i) {
+    shutdown.OnResponse(400 * kMillisecond);
+  }
+  CHECK_FALSE(shutdown.Advance(601 * kMillisecond));
+  CHECK(shutdown.Advance(599 * kMillisecond));
+}
+
+TEST_CASE("without limits idle connections close when draining begins, and no others ever") {
+  ShutdownSequence shutdown(ShutdownLimits{});
+  CHECK_FALSE(shutdown.Advance(201 * kMillisecond));
+  CHECK_FALSE(shutdown.Closes(ConnectionActivity::kIdle));
+  CHECK(shutdown.Advance(200 * kMillisecond));
+  CHECK(shutdown.Closes(ConnectionActivity::kIdle));
+  CHECK_FALSE(shutdown.Advance(-3'600'000 * kMillisecond));
+  CHECK_FALSE(shutdown.Closes(ConnectionActivity::kUnfinished));
+  CHECK_FALSE(shutdown.Closes(ConnectionActivity::kUnanswered));
+}
+
+struct FakeClient {
+  EvictionCandidate candidate;
+  bool is_protected = false;
+  EvictionCandidate eviction_candidate() const { return candidate; }
+};
+
+class FullFrontEnd {
+ public:
+  FakeClient* Add(ConnectionStage stage, Time since) {
+    auto client = std::make_unique<FakeClient>(FakeClient{{stage, since}});
+    FakeClient* added = client.get();
+    clients_[clients_.size()] = std::move(client);
+    return added;
+  }
+  FakeClient* Evicted(Time now) const {
+    return policy_.Choose(clients_, now, [](const FakeClient& client) { return client.is_protected; });
+  }
+
+ private:
+  EvictionPolicy policy_{EvictionLimits{.handshake_grace = milliseconds(10),
+                                        .first_request_grace = milliseconds(20),
+                                        .second_request_grace = milliseconds(30),
+                                        .idle_grace = milliseconds(40)}};
+  std::map<std::uint64_t, std::unique_ptr<FakeClient>> clients_;
+};
+
+TEST_CASE("connections are evicted by stage, those in one stage by age, those in use never") {
+  FullFrontEnd front_end;
+  CHECK(front_end.Evicted(0) == nullptr);
+  front_end.Add(ConnectionStage::kInUse, 0);
+  CHECK(front_end.Evicted(3'600'000 * kMillisecond) == nullptr);
+  const Time now = 1'000 * kMillisecond;
+  FakeClient* previous = nullptr;
+  for (const ConnectionStage stage :
+       {ConnectionStage::kIdleAfterManyRequests, ConnectionStage::kIdleAfterOneRequest,
+        ConnectionStage::kNoRequestYet, ConnectionStage::kHandshake, ConnectionStage::kClosing}) {
+    FakeClient* older = front_end.Add(stage, 800 * kMillisecond);
+    CHECK(front_end.Evicted(now) == older);
+    FakeClient* oldest = front_end.Add(stage, 700 * kMillisecond);
+    CHECK(front_end.Evicted(now) == oldest);
+    oldest->is_protected = true;
+    CHECK(front_end.Evicted(now) == older);
+    older->is_protected = true;
+    CHECK(front_end.Evicted(now) == previous);
+    older->is_protected = false;
+    previous = older;
+  }
+}
+
+TEST_CASE("each stage has a grace in which a connection is not evicted") {
+  const std::vector<std::pair<ConnectionStage, Time>> graces = {
+      {ConnectionStage::kClosing, 0},
+      {ConnectionStage::kHandshake, 10 * kMillisecond},
+      {ConnectionStage::kNoRequestYet, 20 * kMillisecond},
+      {ConnectionStage::kIdleAfterOneRequest, 30 * kMillisecond},
+      {ConnectionStage::kIdleAfterManyRequests, 40 * kMillisecond}};
+  for (const auto& [stage, grace] : graces) {
+    FullFrontEnd front_end;
+    FakeClient* client = front_end.Add(stage, 100);
+    CHECK(front_end.Evicted(100 + grace) == client);
+    if (grace > 0) {
+      CHECK(front_end.Evicted(100 + grace - 1) == nullptr);
+    }
+  }
+}
+
+}  // namespace
+}  // namespace walnutspur::frontend
