--- a/src/checksummed/checksummed_exports.cpp
+++ b/src/checksummed/checksummed_exports.cpp
@@ -4,6 +4,7 @@
 #include <set>
 #include <utility>
 
+#include "core/attempt_deadline.h"
 #include "core/scheduler_thread.h"
 #include "integrity/layout.h"
 #include "log/event_kinds.h"
@@ -248,14 +249,15 @@
                                          std::shared_ptr<const nbd::CommandPayload> payload) {
   const auto number = static_cast<std::size_t>(payload->volume);
   const CommandId id = next_command_++;
+  const Time now = core::Now();
   PendingAttempt& pending = attempts_[id];
   pending.key = {attempt.request, attempt.attempt};
   pending.number = number;
-  pending.started = core::Now();
+  pending.started = now;
   pending.path = paths_.Choose(*exports_[number].config, payload->request);
   pending.payload = std::move(payload);
   pending.timeout = loop::MakeTimer(base_, [this, id] { Abandon(id, Outcome::kTimedOut); });
-  pending.timeout.Start(attempt.expires_at > 0 ? attempt.expires_at - core::Now() : attempt.timeout);
+  pending.timeout.Start(core::ExpiresAt(attempt, now) - now);
   commands_[pending.key] = id;
   return id;
 }
--- a/src/http/target_pool.cpp
+++ b/src/http/target_pool.cpp
@@ -3,6 +3,7 @@
 #include <utility>
 #include <vector>
 
+#include "core/attempt_deadline.h"
 #include "core/scheduler_thread.h"
 #include "http/response_text.h"
 #include "log/event_kinds.h"
@@ -37,10 +38,11 @@
   rest += request->body;
 }
 
-bool IsPast(Time not_after) { return not_after > 0 && core::Now() >= not_after; }
-
 // Whether it is too late to send the attempt: what follows from it could not be used, or would do harm.
-bool IsTooLate(const Attempt& attempt) { return IsPast(attempt.not_after) || IsPast(attempt.expires_at); }
+bool IsTooLate(const Attempt& attempt) {
+  const Time now = core::Now();
+  return core::IsPast(attempt.not_after, now) || core::IsPast(attempt.expires_at, now);
+}
 
 }  // namespace
 
@@ -56,7 +58,7 @@
   Attempt launched;
   launched.key = {attempt.request, attempt.attempt};
   launched.not_after = attempt.not_after;
-  launched.expires_at = attempt.expires_at > 0 ? attempt.expires_at : core::Now() + attempt.timeout;
+  launched.expires_at = core::ExpiresAt(attempt, core::Now());
   Launch(std::move(launched), attempt.target, static_cast<const Request*>(attempt.payload.get()));
 }
 
--- a/src/nbd/target_pool.cpp
+++ b/src/nbd/target_pool.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 #include <vector>
 
+#include "core/attempt_deadline.h"
 #include "core/scheduler_thread.h"
 #include "loop/address.h"
 #include "nbd/payload.h"
@@ -22,12 +23,6 @@
   return Outcome::kErrored;
 }
 
-namespace {
-
-bool IsPast(Time not_after) { return not_after > 0 && core::Now() >= not_after; }
-
-}  // namespace
-
 TargetPool::TargetPool(event_base* base, const Config& config, std::size_t max_connections,
                        core::SubmitInput submit)
     : base_(base), config_(config), max_connections_(max_connections), submit_(std::move(submit)) {}
@@ -120,11 +115,11 @@
 void TargetPool::Start(const core::StartAttempt& attempt) {
   const loop::AttemptKey key{attempt.request, attempt.attempt};
   const Time now = core::Now();
-  const Time expires_at = attempt.expires_at > 0 ? attempt.expires_at : now + attempt.timeout;
+  const Time expires_at = core::ExpiresAt(attempt, now);
   PendingAttempt& pending = pending_[key];
   pending.attempt = attempt;
   pending.started_at = now;
-  if (expires_at <= now || IsPast(attempt.not_after)) {
+  if (expires_at <= now || core::IsPast(attempt.not_after, now)) {
     Report(key, Outcome::kNotSent);
     return;
   }
@@ -151,7 +146,7 @@
 
 void TargetPool::OnReady(TargetConnection& connection, const loop::AttemptKey& key) {
   PendingAttempt& pending = pending_.at(key);
-  if (IsPast(pending.attempt.not_after)) {  // the handshake took too long
+  if (core::IsPast(pending.attempt.not_after, core::Now())) {  // the handshake took too long
     Report(key, Outcome::kNotSent);
     return;
   }
