--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -13,9 +13,10 @@
 namespace walnutspur::config {
 namespace {
 
-constexpr std::size_t kMaxEdits = 3;  // a word with more edits is not what was meant
+// A word that differs by more edits from a known one is not taken for a misspelling of it.
+constexpr std::size_t kMaxEdits = 3;
 
-// "box[].id" in the scope "box[]." is "id"; keys of other scopes don't belong to the table.
+// Whether the key belongs to the table of a scope: "box[].id" does to that of "box[].", as "id".
 bool InScope(const Key& key, const std::string& scope) {
   return key.path.starts_with(scope) && key.path.find("[].", scope.size()) == std::string::npos;
 }
@@ -52,10 +53,10 @@
       if (out->Has(path)) {
         continue;
       }
-      if (!key.fallback.empty()) {
-        const toml::table parsed = toml::parse("x = " + key.fallback);
+      if (!key.default_value.empty()) {
+        const toml::table parsed = toml::parse("x = " + key.default_value);
         Store(key, path, *parsed.get("x"), 0, out);
-      } else if (key.needed && !out->lines.contains(path)) {
+      } else if (key.required && !out->lines.contains(path)) {
         problems_.push_back({line, key.path, "is missing; allowed is " + Allowed(key)});
       }
     }
@@ -159,12 +160,12 @@
 
 std::string Nearest(const std::string& word, const std::vector<std::string>& known) {
   std::string best;
-  std::size_t least = kMaxEdits + 1;
+  std::size_t min_edits = kMaxEdits + 1;
   for (const std::string& other : known) {
     const std::size_t edits = EditDistance(word, other);
     // A short word is similar to everything: at least half of it must be unchanged.
-    if (edits < least && edits * 2 <= other.size()) {
-      least = edits;
+    if (edits < min_edits && edits * 2 <= other.size()) {
+      min_edits = edits;
       best = other;
     }
   }
@@ -218,11 +219,11 @@
       out << SectionHeader(section);
     }
     const std::string name = at_root ? key.path : key.path.substr(dot + 1);
-    out << "# " << key.about << "; " << Allowed(key) << "\n";
-    if (key.fallback.empty()) {
+    out << "# " << key.description << "; " << Allowed(key) << "\n";
+    if (key.default_value.empty()) {
       out << "# " << name << " = ...\n";
     } else {
-      out << name << " = " << key.fallback << "\n";
+      out << name << " = " << key.default_value << "\n";
     }
   }
   return out.str();
--- a/src/config/schema.h
+++ b/src/config/schema.h
@@ -22,18 +22,18 @@
 struct Key {
   std::string path;
   Kind kind = Kind::kText;
-  double least = 0;                     // of numbers, and of the length of texts in bytes
-  double most = 0;                      // likewise; 0: texts are unbounded
-  std::string unit = {};                // of numbers: "s", "bytes"; empty: none
-  std::string fallback = {};            // the default, as written in a file; empty: none
-  std::vector<std::string> words = {};  // the only texts allowed; empty: any
-  bool needed = false;                  // missing it is a problem
-  std::string about = {};               // the description in the example
+  double min = 0;                               // of numbers, and of the length of texts in bytes
+  double max = 0;                               // likewise; 0: texts are unbounded
+  std::string unit = {};                        // of numbers: "s", "bytes"; empty: none
+  std::string default_value = {};               // as written in a file; empty: none
+  std::vector<std::string> allowed_words = {};  // the only texts allowed; empty: any
+  bool required = false;                        // a file without the key has a problem
+  std::string description = {};                 // printed by Example
 };
 
 // What is wrong with a document.
 struct Problem {
-  int line = 0;     // from 1; 0: the whole file
+  int line = 0;     // from 1; 0: the file as such
   std::string key;  // its path; empty: no single key
   std::string what;
 };
--- a/src/config/value_reader.cpp
+++ b/src/config/value_reader.cpp
@@ -15,13 +15,14 @@
 ValueResult Invalid(std::string problem) { return {std::nullopt, std::move(problem)}; }
 ValueResult Valid(Value value) { return {std::move(value), ""}; }
 
-bool InRange(const Key& key, double value) { return value >= key.least && value <= key.most; }
+bool InRange(const Key& key, double value) { return value >= key.min && value <= key.max; }
 
 bool IsAllowedText(const Key& key, const std::string& text) {
-  if (key.most > 0 && !InRange(key, static_cast<double>(text.size()))) {
+  if (key.max > 0 && !InRange(key, static_cast<double>(text.size()))) {
     return false;
   }
-  return key.words.empty() || std::find(key.words.begin(), key.words.end(), text) != key.words.end();
+  return key.allowed_words.empty() ||
+         std::find(key.allowed_words.begin(), key.allowed_words.end(), text) != key.allowed_words.end();
 }
 
 ValueResult ReadBool(const toml::node& node) {
@@ -90,7 +91,7 @@
 }
 
 std::string DescribeRange(const Key& key) {
-  return "from " + FormatNumber(key.least) + " to " + FormatNumber(key.most) +
+  return "from " + FormatNumber(key.min) + " to " + FormatNumber(key.max) +
          (key.unit.empty() ? "" : " " + key.unit);
 }
 
@@ -98,8 +99,8 @@
   if (!words.empty()) {
     return "one of " + words;
   }
-  if (key.most > 0) {
-    return "a text of " + FormatNumber(key.least) + " to " + FormatNumber(key.most) + " bytes";
+  if (key.max > 0) {
+    return "a text of " + FormatNumber(key.min) + " to " + FormatNumber(key.max) + " bytes";
   }
   return "a text";
 }
@@ -124,7 +125,7 @@
 
 std::string Allowed(const Key& key) {
   std::string words;
-  for (const std::string& word : key.words) {
+  for (const std::string& word : key.allowed_words) {
     words += (words.empty() ? "\"" : ", \"") + word + "\"";
   }
   switch (key.kind) {
--- a/src/lab/experiment_keys.cpp
+++ b/src/lab/experiment_keys.cpp
@@ -123,7 +123,7 @@
     kinds.emplace_back(NameOf(kind));
   }
   Key kind = Word("fault[].kind", "", std::move(kinds), "what goes wrong");
-  kind.needed = true;
+  kind.required = true;
   return {
       kind,
       Number("fault[].at_s", 0, 86400, "s", "0.0", "when it begins"),
--- a/src/nbd/config_keys.cpp
+++ b/src/nbd/config_keys.cpp
@@ -10,26 +10,29 @@
 using config::Key;
 using config::Kind;
 
-constexpr double kMaxInt64 = 9.2e18;  // below the largest std::int64_t, as a double
-constexpr double kMaxName = 256;      // characters of a name in the settings
-constexpr double kMaxExportName = 4096;
-constexpr double kMinAddress = 3;
-constexpr double kMaxAddress = 64;
+// The largest integer that a key allows; below the largest std::int64_t, as a double.
+constexpr double kMaxInt64 = 9.2e18;
+
+// Lengths of texts, in bytes.
+constexpr double kMaxNameBytes = 256;
+constexpr double kMaxExportNameBytes = 4096;
+constexpr double kMinAddressBytes = 3;
+constexpr double kMaxAddressBytes = 64;
 
 struct Range {
-  double least = 0;
-  double most = 0;
+  double min = 0;
+  double max = 0;
 };
-constexpr Range kNameRange = {1, kMaxName};
-constexpr Range kExportNameRange = {1, kMaxExportName};
-constexpr Range kAddressRange = {kMinAddress, kMaxAddress};
+constexpr Range kNameRange = {1, kMaxNameBytes};
+constexpr Range kExportNameRange = {1, kMaxExportNameBytes};
+constexpr Range kAddressRange = {kMinAddressBytes, kMaxAddressBytes};
 
-Key Required(const char* path, Kind kind, Range range, const char* about) {
-  return {path, kind, range.least, range.most, "", "", {}, true, about};
+Key Required(const char* path, Kind kind, Range range, const char* description) {
+  return {path, kind, range.min, range.max, "", "", {}, true, description};
 }
 
-Key Optional(const char* path, Kind kind, Range range, const char* fallback, const char* about) {
-  return {path, kind, range.least, range.most, "", fallback, {}, false, about};
+Key Optional(const char* path, Kind kind, Range range, const char* default_value, const char* description) {
+  return {path, kind, range.min, range.max, "", default_value, {}, false, description};
 }
 
 Key WithUnit(Key key, const char* unit) {
