--- a/include/walnutspur/events.h
+++ b/include/walnutspur/events.h
@@ -29,7 +29,7 @@
   bool accepts_new_objects = true;  // new objects may be placed there
 };
 
-// The endpoint list has changed, or could not be had.
+// The endpoint list has changed, or could not be fetched.
 struct EndpointUpdate {
   EndpointUpdateKind kind = EndpointUpdateKind::kFull;
   std::vector<Endpoint> endpoints;
@@ -62,8 +62,8 @@
   Time latency = 0;               // us since the attempt was sent
   bool request_finished = false;  // the client has its final response
   int reported_usage = 0;         // 1 + the volume's use everywhere in percent of its rate; 0: not reported
-  double units_served_elsewhere =
-      0;  // of the volume, by this target for other initiators, since the last report
+  // units of the volume that this target served for other initiators since the last report
+  double units_served_elsewhere = 0;
   std::vector<double> load_report;  // values of Settings::load_report_fields
 };
 
--- a/include/walnutspur/scheduler.h
+++ b/include/walnutspur/scheduler.h
@@ -1,9 +1,9 @@
 // walnutspur: the decisions of an initiator-side I/O scheduler for a shared pool of targets.
 //
-// This file and those it includes (settings, events, actions) are the whole interface. One Scheduler serves
-// one initiator. It owns no thread, clock or socket: the initiator hands it each event with the time at which
-// it happened, and carries out the actions that come back, in their order. Equal settings, seed and events
-// give equal actions.
+// This file and those it includes (settings, events, actions) are the complete interface. One Scheduler
+// serves one initiator. It owns no thread, clock or socket: the initiator hands it each event with the time
+// at which it happened, and carries out the actions that come back, in their order. Equal settings, seed and
+// events give equal actions.
 #ifndef WALNUTSPUR_SCHEDULER_H_
 #define WALNUTSPUR_SCHEDULER_H_
 
--- a/include/walnutspur/settings.h
+++ b/include/walnutspur/settings.h
@@ -19,9 +19,9 @@
   Time deadline = 0;           // us that a client waits over all its attempts
   Idempotency idempotency = Idempotency::kIdempotent;
   DeduplicationScope deduplication_scope = DeduplicationScope::kAll;  // for kIdempotentWithKey
-  Time deduplication_window =
-      0;                       // us for which repeats are dropped, from the first attempt that may have run
-  double priority_weight = 1;  // earned by a unit
+  // us for which repeats are dropped, from the first attempt that may have run
+  Time deduplication_window = 0;
+  double priority_weight = 1;       // earned by a unit
   double late_weight_fraction = 0;  // part of the weight that a response after the objective earns
   bool ordered_by_key = false;      // requests with one key are executed in order of arrival
 };
@@ -65,8 +65,8 @@
   bool can_check_health = false;   // CheckHealth is carried out
   bool sends_retry_after = false;  // rejections carry RejectRequest::retry_after
   Time max_retry_after = 0;        // us
-  double slow_start_units =
-      0;  // units that a target in slow start bears from all initiators in overload_window
+  // units that a target in slow start bears from all initiators in overload_window
+  double slow_start_units = 0;
   double mean_request_units = 1;      // mean units of a request
   double max_request_units = 1;       // the most units of a request
   double fair_share_weight = 1;       // part of the weight earned within the fair share, beyond the reserve
--- a/include/walnutspur/types.h
+++ b/include/walnutspur/types.h
@@ -44,16 +44,16 @@
   kDelta,   // the endpoints that have changed
   kFull,    // all endpoints
   kCached,  // all endpoints, as stored before this start: they may have changed since
-  kFailed,  // none: the list could not be had, or the subscription has ended
+  kFailed,  // none: the list could not be fetched, or the subscription has ended
   kBegun,   // none: the first part of an update has arrived
-  kMoved    // none: another discovery service is asked from now on
+  kMoved    // none: another discovery service is used from now on
 };
 
 // Why discovery brought no endpoints.
 enum class DiscoveryFailure {
   kNoResponse,   // no list came: a call was refused, rejected or given up, or a subscription has ended
   kBroken,       // the connection broke, so that what discovery had written may be lost
-  kUnreachable,  // nobody listened at discovery's address
+  kUnreachable,  // no connection to discovery came about
 };
 
 // How an attempt ended.
--- a/src/app/command_line.h
+++ b/src/app/command_line.h
@@ -1,4 +1,4 @@
-// The command line: the action to perform and its arguments.
+// The command line: the action to perform and its arguments. Read once by main.
 #ifndef WALNUTSPUR_APP_COMMAND_LINE_H_
 #define WALNUTSPUR_APP_COMMAND_LINE_H_
 
--- a/src/app/configuration_reload.h
+++ b/src/app/configuration_reload.h
@@ -14,7 +14,7 @@
 
 class ConfigurationReload {
  public:
-  // Reads and checks the whole configuration; throws std::exception if it is invalid.
+  // Reads and checks the complete configuration; throws std::exception if it is invalid.
   using Reader = std::function<http::Config()>;
 
   // Updates `config` and `discovery`, which have to outlive this object.
--- a/src/app/control.cpp
+++ b/src/app/control.cpp
@@ -20,13 +20,25 @@
 namespace walnutspur::app {
 namespace {
 
+// Clients that are served at a time; further ones are closed at once.
 constexpr std::size_t kMaxClients = 4;
+
+// Bytes of a command.
 constexpr std::size_t kMaxLineBytes = 512;
-constexpr Time kClientTimeout = 2'000'000;  // us from a client's connection to its end
-constexpr int kBacklog = 8;                 // connections not accepted yet
-constexpr mode_t kOwnerOnly = 0177;         // as umask
+
+// From a client's connection to its end, us.
+constexpr Time kClientTimeout = 2'000'000;
+
+// Connections that the kernel completes before they are accepted.
+constexpr int kBacklog = 8;
+
+// The umask that leaves the socket to its owner alone.
+constexpr mode_t kOwnerOnlyUmask = 0177;
+
 constexpr int kMillisPerSecond = 1000;
 constexpr suseconds_t kMicrosPerMilli = 1000;
+
+// Bytes of a response that are received at a time.
 constexpr std::size_t kReadBytes = 4096;
 
 sockaddr_un AddressOf(const std::string& path) {
@@ -81,7 +93,7 @@
   if (fd < 0) {
     ThrowErrno("cannot make a socket for", path);
   }
-  const mode_t previous_mask = umask(kOwnerOnly);
+  const mode_t previous_mask = umask(kOwnerOnlyUmask);
   const bool bound = bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
   umask(previous_mask);
   if (!bound) {
--- a/src/app/fleet_publisher.cpp
+++ b/src/app/fleet_publisher.cpp
@@ -12,7 +12,9 @@
 
 constexpr Time kPublishInterval = 1'000'000;  // us
 constexpr double kMicrosPerSecond = 1e6;
-constexpr double kLoadGain = 0.2;  // weight of the newest interval in the published load
+
+// Weight of the newest interval in the published load.
+constexpr double kLoadGain = 0.2;
 
 fleet::FleetHooks ToFleetHooks(const FleetPublisher::Hooks& hooks) {
   fleet::FleetHooks result;
--- a/src/app/fleet_publisher.h
+++ b/src/app/fleet_publisher.h
@@ -32,7 +32,7 @@
   void CountResponse() { ++responses_; }
   // Publishes now, and then once a period.
   void Publish();
-  // Tells the other members that this one leaves.
+  // Announces to the other members that this one leaves.
   void Leave() { fleet_->Leave(); }
   // Executes an operator's command; returns JSON, or a line that starts with "error: ".
   std::string Execute(const std::vector<std::string>& words) { return fleet_->Execute(words); }
--- a/src/app/fleet_settings.h
+++ b/src/app/fleet_settings.h
@@ -1,4 +1,4 @@
-// The [fleet] table of the settings file.
+// The [fleet] table of the settings file. Called while the file is read, on the thread that reads it.
 #ifndef WALNUTSPUR_APP_FLEET_SETTINGS_H_
 #define WALNUTSPUR_APP_FLEET_SETTINGS_H_
 
--- a/src/app/graceful_shutdown.cpp
+++ b/src/app/graceful_shutdown.cpp
@@ -10,10 +10,14 @@
 namespace walnutspur::app {
 namespace {
 
-constexpr Time kAcceptNewClients =
-    450'000;                               // us after SIGTERM in which the platform still routes clients here
-constexpr Time kResponseMargin = 100'000;  // us between the last response and the end
-constexpr Time kCloseIdleInterval = 50'000;  // us
+// After SIGTERM the platform still routes new clients here for this long, us.
+constexpr Time kAcceptNewClients = 450'000;
+
+// From the last response to the end of the event loop, us.
+constexpr Time kResponseMargin = 100'000;
+
+// Time between two calls of FrontEnd::BeginGracefulShutdown, us.
+constexpr Time kCloseIdleInterval = 50'000;
 
 }  // namespace
 
--- a/src/app/initiator.cpp
+++ b/src/app/initiator.cpp
@@ -19,10 +19,17 @@
 namespace walnutspur::app {
 namespace {
 
-constexpr std::size_t kMaxNbdConnections = 64;       // of clients, and to targets
-constexpr int kSocketsPerNbdConnection = 16;         // each of both gets one in so many of all sockets
-constexpr std::size_t kMaxRecordedBytes = 64 << 20;  // files count as memory on the platform
-constexpr int kRetainedHeapBytes = 4 << 20;          // freed memory that is not returned to the kernel
+// Connections of NBD clients, and likewise to NBD targets.
+constexpr std::size_t kMaxNbdConnections = 64;
+
+// Descriptors of the process for each NBD connection that it allows: each of the two gets a sixteenth.
+constexpr int kSocketsPerNbdConnection = 16;
+
+// Bytes of recorded traffic; the platform counts files as memory.
+constexpr std::size_t kMaxRecordedBytes = 64 << 20;
+
+// Freed memory that is not returned to the kernel, bytes.
+constexpr int kRetainedHeapBytes = 4 << 20;
 
 loop::EventBasePtr MakeEventBase() {
   static const int result = evthread_use_pthreads();
@@ -102,7 +109,7 @@
   http_front_end_ = std::make_unique<http::FrontEnd>(base_.get(), config_, &request_numbers_, submit_);
 }
 
-// A target has one path by HTTP, and an object is corrupted or not as a whole: it counts as block 0.
+// Over HTTP a target has one path, and a digest covers all of an object, which counts as block 0.
 void Initiator::OnObjectRead(const TargetId& target, const std::string& uri, bool good,
                              const std::string& body) {
   if (good && corruption_->has_no_known_corruption()) {
@@ -169,7 +176,7 @@
   if (!config_.known.is_object()) {
     return;
   }
-  // The endpoints known at the last start may be outdated: discovery is asked for what followed them.
+  // The endpoints known at the last start may be outdated: the watch requests the changes since.
   discovery_->SetCachedList(known);
   OnEndpointList({EndpointUpdateKind::kCached, known.endpoints}, known);
 }
--- a/src/app/integrity_tool.cpp
+++ b/src/app/integrity_tool.cpp
@@ -24,11 +24,19 @@
 using integrity::Superblock;
 using integrity::SuperblockState;
 
-constexpr std::uint32_t kReadBytes = 256 << 10;  // of one read or write
-constexpr std::uint64_t kTagBlockSlots = 2;      // copies of a tag block, written in turn
-constexpr std::uint64_t kSuperblockCopies = 2;   // the last blocks of the export
+// Bytes of one read or write.
+constexpr std::uint32_t kReadBytes = 256 << 10;
+
+// Copies of a tag block, written in turn.
+constexpr std::uint64_t kTagBlockSlots = 2;
+
+// Copies of the superblock; they are the last blocks of the export.
+constexpr std::uint64_t kSuperblockCopies = 2;
+
 constexpr std::int64_t kMicrosPerSecond = 1'000'000;
-constexpr int kRandomBits = 32;  // of one draw from the device
+
+// Bits of one draw from the random device.
+constexpr int kRandomBits = 32;
 constexpr std::string_view kErrorPrefix = "error: ";
 
 std::string ReadRange(nbd::BlockingClient& client, std::uint64_t offset, std::uint64_t length) {
--- a/src/app/scrub_setup.cpp
+++ b/src/app/scrub_setup.cpp
@@ -14,9 +14,14 @@
 namespace walnutspur::app {
 namespace {
 
-constexpr Time kScrubDeadline = 5'000'000;           // us that a read of the scrub may be queued
-constexpr double kScrubPriorityWeight = 0.01;        // of its request class and of its plan: next to none
-constexpr const char* kCursorFile = "scrub.cursor";  // in the folder of the corruption ledger
+// How long a read of the scrub may be queued, us.
+constexpr Time kScrubDeadline = 5'000'000;
+
+// Weight of the scrub's request class and of its plan: next to none, so that clients' requests come first.
+constexpr double kScrubPriorityWeight = 0.01;
+
+// The file of the cursors, in the folder of the corruption log.
+constexpr const char* kCursorFile = "scrub.cursor";
 
 int AddScrubClass(walnutspur::Settings* settings) {
   RequestClass request_class;
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr double kMicrosPerDay = 86400e6;
-// Any of these tables tells the configuration of an NBD front end from a settings file.
+// A file with one of these tables is the configuration of an NBD front end, any other a settings file.
 constexpr std::array<const char*, 3> kNbdTables = {"\n[commands]", "\n[[box]]", "\n[[export]]"};
 
 log::Options ReadLog(const config::Table& root) {
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -48,7 +48,7 @@
 
 void Engine::HandleInput(const RequestReceived& input) {
   // A client's id stays in use until the last attempt of its request has an outcome: a target that received
-  // the id twice could not tell the two requests apart.
+  // the id twice could not distinguish the two requests.
   if (!input.client_request_id.empty() && !client_request_ids_.insert(input.client_request_id).second) {
     outputs_.emplace_back(Response{input.request, input.protocol, ResponseStatus::kDuplicate, 0, nullptr});
     return;
--- a/src/core/queue.h
+++ b/src/core/queue.h
@@ -1,4 +1,5 @@
-// The queue between the scheduler thread and the event-loop thread; the only state they share.
+// The queue between the scheduler thread and the event-loop thread, which share no other state.
+// SchedulerThread owns one for each direction.
 #ifndef WALNUTSPUR_CORE_QUEUE_H_
 #define WALNUTSPUR_CORE_QUEUE_H_
 
--- a/src/core/scheduler_thread.h
+++ b/src/core/scheduler_thread.h
@@ -1,4 +1,4 @@
-// The thread that owns the engine, and with it the Scheduler.
+// The thread that owns the engine, and with it the Scheduler. Owned by the Initiator.
 #ifndef WALNUTSPUR_CORE_SCHEDULER_THREAD_H_
 #define WALNUTSPUR_CORE_SCHEDULER_THREAD_H_
 
--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -8,21 +8,36 @@
 namespace walnutspur::http {
 namespace {
 
-constexpr Time kRequestTimeout = 2'500'000;    // us from a request's start by which it must be complete
-constexpr Time kIdleTimeout = 20'000'000;      // us
-constexpr Time kFirstIdleTimeout = 2'000'000;  // us after a first request: many clients send no other
-constexpr Time kWriteTimeout = 10'000'000;     // us in which a client must have read its response
-constexpr Time kLingerTimeout = 500'000;  // us after the last response in which the client may close first
-constexpr Time kRejectPause = 50'000;     // us in which a client that was rejected is not read
-constexpr std::size_t kMaxReadAhead = 16 << 10;        // bytes read behind the request that is pending
-constexpr std::size_t kMaxDroppedAtClose = 256 << 10;  // bytes read behind the last response
-constexpr std::size_t kMaxDroppedSentAhead = 4 << 20;  // bytes read behind a pending request, over its time
+// From connecting, or from a request's first byte, until the request must be complete, us.
+constexpr Time kRequestTimeout = 2'500'000;
+
+// How long a connection may be idle, us. After a first request for less long: many clients send no other.
+constexpr Time kIdleTimeout = 20'000'000;
+constexpr Time kFirstIdleTimeout = 2'000'000;
+
+// How long a client may take to read its response, us.
+constexpr Time kWriteTimeout = 10'000'000;
+
+// How long a client has after its last response to close the connection itself, us.
+constexpr Time kLingerTimeout = 500'000;
+
+// How long a client that was rejected is not read, us.
+constexpr Time kRejectPause = 50'000;
+
+// Bytes that are read ahead of the end of the pending request.
+constexpr std::size_t kMaxReadAhead = 16 << 10;
+
+// Bytes after the last response that are read and dropped before the connection closes.
+constexpr std::size_t kMaxDroppedAtClose = 256 << 10;
+
+// Bytes after a pending request, over all its time, that are read and dropped before the connection closes.
+constexpr std::size_t kMaxDroppedSentAhead = 4 << 20;
 
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
 }  // namespace
 
-// Each timer ends a wait that a client could stretch for good.
+// Each timer bounds a wait that a client could extend without end.
 ClientConnection::ClientConnection(event_base* base, std::uint64_t number, loop::StreamPtr stream,
                                    ClientConnectionHandler* handler,
                                    const frontend::ShutdownSequence& shutdown)
--- a/src/http/config.h
+++ b/src/http/config.h
@@ -31,7 +31,7 @@
   return at == names.end() ? -1 : static_cast<int>(at - names.begin());
 }
 
-// Digest fields (RFC 9530), from our own settings; off on the platform.
+// Digest fields (RFC 9530), from the settings file; off on the platform.
 struct DigestOptions {
   bool on = false;
   // Computed over a client's write that has none, and wanted of targets for reads; empty: neither.
--- a/src/http/connection_pool.cpp
+++ b/src/http/connection_pool.cpp
@@ -9,9 +9,15 @@
 namespace walnutspur::http {
 namespace {
 
-constexpr double kTargetSocketShare = 0.35;  // of the descriptors
-constexpr double kIdleTimeoutShare = 0.8;    // of the time after which targets close idle connections
-constexpr Time kSpareTimeout = 2'000'000;    // us that a connection without an attempt may take to connect
+// Fraction of the process's descriptors that connections to targets may use.
+constexpr double kTargetSocketFraction = 0.35;
+
+// Idle connections close after this fraction of the time after which targets close them: a request that
+// crosses with the target's close could have run or not.
+constexpr double kIdleTimeoutFraction = 0.8;
+
+// How long a connection without an attempt may take to connect, us.
+constexpr Time kSpareTimeout = 2'000'000;
 
 }  // namespace
 
@@ -19,7 +25,7 @@
     : base_(base),
       config_(config),
       handler_(handler),
-      max_connections_(static_cast<std::size_t>(config.sockets * kTargetSocketShare)),
+      max_connections_(static_cast<std::size_t>(config.sockets * kTargetSocketFraction)),
       free_discarded_(loop::MakeTimer(base, [this] { discarded_.clear(); })) {}
 
 void ConnectionPool::SetAddress(const TargetId& target, const std::string& address) {
@@ -140,7 +146,7 @@
   connection.MarkIdle();
   idle_[connection.target()].push_back(&connection);
   connection.StartIdleTimeout(
-      static_cast<Time>(kIdleTimeoutShare * static_cast<double>(config_.idle_timeout)));
+      static_cast<Time>(kIdleTimeoutFraction * static_cast<double>(config_.idle_timeout)));
 }
 
 void ConnectionPool::KeepSpare(TargetConnection& connection) {
--- a/src/http/connection_pool.h
+++ b/src/http/connection_pool.h
@@ -1,7 +1,7 @@
 // The connections to all targets, within a bound of descriptors: idle ones to be used again, spare ones that
 // are still being set up, and those that carry an attempt.
 //
-// Owned by the attempt client (target_pool.h); runs on the loop's thread.
+// Owned by the TargetPool; runs on the loop's thread.
 #ifndef WALNUTSPUR_HTTP_CONNECTION_POOL_H_
 #define WALNUTSPUR_HTTP_CONNECTION_POOL_H_
 
@@ -27,14 +27,14 @@
 
   // Where a target listens, "host:port". If that changes, its idle and spare connections close.
   void SetAddress(const TargetId& target, const std::string& address);
-  // Forgets a target and closes its idle and spare connections.
+  // Removes a target and closes its idle and spare connections.
   void Remove(const TargetId& target);
-  // Forgets all targets but these.
+  // Removes all targets but these.
   void RetainOnly(const std::set<TargetId>& targets);
   // Closes the connections to a target that carry no attempt.
   void CloseIdle(const TargetId& target);
 
-  // An idle connection to the target, taken out of the pool's hands; null: none.
+  // Removes an idle connection to the target from the idle ones and returns it; null: there is none.
   TargetConnection* TakeIdle(const TargetId& target);
   // Begins a new connection; null: no address that can be reached, or no descriptor.
   TargetConnection* Open(const TargetId& target);
--- a/src/http/discovery_client.cpp
+++ b/src/http/discovery_client.cpp
@@ -17,11 +17,14 @@
 // 2 s. With the longest backoff of the next watch (limits/poll_backoff.h, 1 s) and the longest call (2 s)
 // this stays under the 6 s after which drain notifications that a silent watch misses count as delivered.
 constexpr Time kSilenceTimeout = 2'500'000;  // us
+
+// A longer list is rejected, so that the service cannot exhaust the process's memory.
 constexpr std::size_t kMaxListBytes = 4 << 20;
+
 constexpr Time kMicrosecondsPerMillisecond = 1000;
 
 // Whether the last error of a socket says that its connection is broken, so that bytes may be missing. After
-// an end in order it is that of another call: none at all, or that there was nothing to read.
+// an end in order it is left from another call: none at all, or that there was nothing to read.
 bool IsBroken(int error) { return error != 0 && error != EAGAIN && error != EINPROGRESS && error != EINTR; }
 
 std::string Milliseconds(Time duration) { return std::to_string(duration / kMicrosecondsPerMillisecond); }
@@ -116,8 +119,8 @@
   LogWatchEnd(end);
   Close();
   walnutspur::EndpointUpdate failure{walnutspur::EndpointUpdateKind::kFailed, {}};
-  // Until the service ended the watch, what it had to tell has arrived: TCP hands over all that was sent
-  // before an end, and takes a reset only in its place.
+  // A watch that the service ended was current until then: TCP delivers all that was sent before the end, and
+  // accepts a reset only at that position of the stream.
   const bool ended_by_service =
       end == WatchEnd::kClosedInOrder || end == WatchEnd::kReset || end == WatchEnd::kFinished;
   failure.received_at = ended_by_service ? core::Now() : last_received_at_;
--- a/src/http/discovery_client.h
+++ b/src/http/discovery_client.h
@@ -37,7 +37,7 @@
  private:
   using ConnectionPtr = std::unique_ptr<evhttp_connection, loop::Deleter<evhttp_connection_free>>;
 
-  // How a watch ended; logged, since each kind tells something else about the service.
+  // How a watch ended; logged as discovery_watch_ended (docs/operators/logs.md).
   enum class WatchEnd {
     kNotConnected,   // the connection was refused or did not come up
     kClosedInOrder,  // by the service, in the middle of a response
@@ -46,7 +46,7 @@
     kFinished,       // a response of status 200 that has ended
     kSilent,         // nothing within the silence timeout
     kUnreadable,     // what came is no endpoint list
-    kOlderRevision   // the service has lost what it told before
+    kOlderRevision   // the service has restarted without the lists that it sent before
   };
 
   void SendWatchRequest();
--- a/src/http/front_end.cpp
+++ b/src/http/front_end.cpp
@@ -25,9 +25,14 @@
                                                       .second_request_grace = milliseconds(30),
                                                       .idle_grace = milliseconds(250)};
 
-constexpr double kClientSocketShare = 0.36;  // of the descriptors: a third is for clients, all are accepted
+// Fraction of the process's descriptors that clients' connections may use.
+constexpr double kClientSocketFraction = 0.36;
+
+// Connections that the kernel completes before they are accepted.
 constexpr int kListenBacklog = 1024;
-constexpr std::size_t kUnreadMemoryDivisor = 4;  // part of the memory for responses not yet read
+
+// The part of the process's memory, as a divisor, that responses may use which clients have not read yet.
+constexpr std::size_t kUnreadMemoryDivisor = 4;
 
 }  // namespace
 
@@ -40,7 +45,7 @@
       shutdown_(kShutdownLimits),
       eviction_(kEvictionLimits),
       max_connections_(
-          std::max<std::size_t>(1, static_cast<std::size_t>(config.sockets * kClientSocketShare))),
+          std::max<std::size_t>(1, static_cast<std::size_t>(config.sockets * kClientSocketFraction))),
       pending_(base, submit_),
       turn_clock_(base),
       listener_(base, config.listen, {.backlog = kListenBacklog}, ListenerHooks()) {}
@@ -51,7 +56,8 @@
   loop::ListenerCallbacks hooks;
   hooks.on_accept = [this](evutil_socket_t fd) { OnAccept(fd); };
   hooks.on_error = [this](int error) {
-    // Of what the whole machine lacks, ending a connection of ours would free too little to matter.
+    // Only for the limit of this process: where the machine is out of descriptors or memory, closing one
+    // connection would free too little to matter.
     if (error == EMFILE) {
       EvictConnection();
     }
--- a/src/http/message_reader.cpp
+++ b/src/http/message_reader.cpp
@@ -9,8 +9,11 @@
 namespace walnutspur::http {
 namespace {
 
-constexpr std::size_t kMaxLineBytes = 16 << 10;  // of head, chunk sizes and trailers together
-constexpr std::size_t kMaxDigits = 18;           // fits 64 bits, and is beyond any body that is taken
+// Bytes of head, chunk sizes and trailers together.
+constexpr std::size_t kMaxLineBytes = 16 << 10;
+
+// Digits of a length. Their number fits 64 bits, and exceeds any body that is accepted.
+constexpr std::size_t kMaxDigits = 18;
 
 // The status line: "HTTP/1.1 200 OK", the reason being optional.
 constexpr std::size_t kVersionSize = 8;
--- a/src/http/message_reader.h
+++ b/src/http/message_reader.h
@@ -24,8 +24,8 @@
   explicit MessageReader(Kind kind, std::size_t max_body_bytes = kProtocolBodyBytes)
       : kind_(kind), max_body_bytes_(max_body_bytes) {}
 
-  // Takes bytes up to the end of the message at most; returns how many it took. The rest belongs to the next
-  // message.
+  // Takes bytes up to the end of the message at most; returns how many it took. The bytes after them belong
+  // to the next message.
   std::size_t Feed(std::string_view bytes);
   // The sender has closed the connection in order, which is where a response without a length ends. Not to be
   // called for a reset.
--- a/src/http/messages.cpp
+++ b/src/http/messages.cpp
@@ -11,7 +11,10 @@
 
 using nlohmann::json;
 
-constexpr double kMaxUnitsElsewhere = 1e6;  // units; no target serves more between two responses
+// Units that a target may report as served elsewhere; none serves more between two responses.
+constexpr double kMaxUnitsElsewhere = 1e6;
+
+// Percent of a volume's rate that a target may report as used.
 constexpr double kMaxUsagePercent = 1e9;
 
 void ReadLoadReport(const std::vector<std::string>& fields, const char* text, core::AttemptResult* result) {
@@ -21,7 +24,7 @@
   }
   for (const std::string& field : fields) {
     const auto value = report.find(field);
-    if (value != report.end() && !value->is_number()) {  // one malformed figure voids the report
+    if (value != report.end() && !value->is_number()) {  // a report with a malformed value is ignored
       result->load_report.clear();
       return;
     }
--- a/src/http/number.h
+++ b/src/http/number.h
@@ -13,7 +13,7 @@
 // Headers have times in seconds; a Time is in microseconds.
 constexpr double kMicrosecondsPerSecond = 1e6;
 
-// The number that the whole text is, or nothing.
+// Parses a number; nothing unless all of the text is one.
 template <typename Number>
 std::optional<Number> ParseNumber(std::string_view text) {
   Number value{};
--- a/src/http/request_admission.cpp
+++ b/src/http/request_admission.cpp
@@ -40,8 +40,8 @@
   return payload;
 }
 
-// Forwards what digest the client wants of a read, or asks for one of our own choice, so that the response is
-// covered by one on its way to us.
+// Forwards the digest that the client wants of a read, or requests the configured one, so that the response
+// is covered on its way from the target.
 void ForwardWantedDigests(const Config& config, const MessageReader& message, Request* payload) {
   bool client_wants_digest = false;
   for (const char* name : {"Want-Content-Digest", "Want-Repr-Digest"}) {
--- a/src/http/request_headers.cpp
+++ b/src/http/request_headers.cpp
@@ -9,7 +9,10 @@
 namespace walnutspur::http {
 namespace {
 
-constexpr double kMaxTimeoutSeconds = 3600;  // a client that says it waits longer is not believed
+// The longest timeout that a client may state; a longer one is rejected as invalid.
+constexpr double kMaxTimeoutSeconds = 3600;
+
+// Hexadecimal digits of a request id.
 constexpr std::size_t kIdDigits = 16;
 
 // The X-IO header.
--- a/src/http/response_text.h
+++ b/src/http/response_text.h
@@ -29,8 +29,8 @@
   std::string reason;
 };
 
-// The whole message. `headers`: further header lines, each with its CR LF. `close`: the connection ends with
-// it, and says so.
+// Formats a complete message. `headers`: further header lines, each with its CR LF. `close`: the connection
+// ends with it, and its header says so.
 std::string FormatResponse(int status, std::string_view body, std::string_view headers, bool close);
 
 // "Content-Digest: VALUE" and the like, with its CR LF.
--- a/src/http/target_connection.h
+++ b/src/http/target_connection.h
@@ -1,5 +1,5 @@
 // One connection to a target: its state, its attempt, its timers and its stream. Carries one attempt at a
-// time and parses its response; what its events mean for attempts is its handler's business.
+// time and parses its response; its handler, the target pool, decides what its events mean for attempts.
 //
 // Owned by the connection pool; runs on the loop's thread.
 #ifndef WALNUTSPUR_HTTP_TARGET_CONNECTION_H_
@@ -32,8 +32,8 @@
   std::optional<integrity::Algorithm> wanted_digest;  // the digest that the client wants
 };
 
-// A late duplicate of a response carries no name of its request: on a connection that was used again by then
-// it would be taken for the next one's response. So a connection rests for this long, in us.
+// How long a connection is not used after a response, us. A late duplicate of a response does not identify
+// its request: on a connection that was used again by then it would be taken for the next request's response.
 constexpr Time kSettleTime = 8'000;
 
 class TargetConnection;
@@ -90,8 +90,8 @@
   void MarkSpare() { state_ = State::kSpare; }
   void MarkIdle() { state_ = State::kIdle; }
 
-  // Parses input up to the end of the response; `keep_reading` is asked after each piece. Returns whether the
-  // response is complete or malformed.
+  // Parses input up to the end of the response; `keep_reading()` is called after each piece. Returns whether
+  // the response is complete or malformed.
   enum class ParseResult { kIncomplete, kDone, kStopped };
   template <typename KeepReading>
   ParseResult ParseInput(KeepReading keep_reading);
--- a/src/http/target_pool.cpp
+++ b/src/http/target_pool.cpp
@@ -14,9 +14,13 @@
 
 using State = TargetConnection::State;
 
-constexpr Time kHealthCheckTimeout = 250'000;           // us
-constexpr core::RequestNumber kHealthCheckRequest = 0;  // in an attempt's key
-constexpr std::size_t kLargeResponseMemoryDivisor = 8;  // part of the memory for all bodies beyond that
+constexpr Time kHealthCheckTimeout = 250'000;  // us
+
+// The request number of health checks in attempts' keys.
+constexpr core::RequestNumber kHealthCheckRequest = 0;
+
+// The part of the process's memory, as a divisor, for all response bodies longer than the protocol's.
+constexpr std::size_t kLargeResponseMemoryDivisor = 8;
 
 // The request as it is sent, up to its deadline and from there on; null: a health check.
 void FormatRequest(const Request* request, const std::string& host, Attempt* attempt) {
@@ -190,8 +194,8 @@
   if (result == TargetConnection::ParseResult::kIncomplete) {
     return;
   }
-  // A response to a request that is not all sent is not this request's, and one that is malformed is
-  // nobody's: the request may have run, and nothing that follows on the connection can be told apart.
+  // A response to a request that is not all sent belongs to another request. After a malformed one the
+  // request may have run, and where the next response begins is unknown.
   const bool stopped = result == TargetConnection::ParseResult::kStopped;
   if (stopped || response.malformed() || !connection.IsRequestSent()) {
     Fail(connection, Outcome::kConnectionReset);
@@ -272,8 +276,8 @@
   pool_.Discard(connection);
 }
 
-// The attempt is timed out or cancelled. A connection that is still being set up has been paid for, and the
-// next attempt would begin another: it is kept as a spare, one for each target.
+// The attempt is timed out or cancelled. A connection that is still being set up is kept as a spare, one for
+// each target, so that the next attempt need not begin another.
 void TargetPool::Abandon(TargetConnection& connection, Outcome outcome) {
   const State state = connection.state();
   if (state == State::kSpare) {  // it did not connect in time
--- a/src/http/target_pool.h
+++ b/src/http/target_pool.h
@@ -31,9 +31,9 @@
 
   // Where a target listens, "host:port"; it may move.
   void SetAddress(const TargetId& target, const std::string& address) { pool_.SetAddress(target, address); }
-  // Forgets a target that is terminated.
+  // Removes a target that is terminated.
   void Remove(const TargetId& target) { pool_.Remove(target); }
-  // Forgets all targets but those of a full endpoint list.
+  // Removes all targets but those of a full endpoint list.
   void RetainOnly(const std::set<TargetId>& targets) { pool_.RetainOnly(targets); }
 
   void Start(const core::StartAttempt& attempt) override;
@@ -42,8 +42,8 @@
   void Drain(const TargetId& target) override;
   void CheckHealth(const TargetId& target);
 
-  // Asked before an attempt is written to a connection: its client may have disconnected while the connection
-  // was being set up.
+  // Called before an attempt is written to a connection: its client may have disconnected while the
+  // connection was being set up.
   std::function<bool(core::RequestNumber)> is_client_connected = [](core::RequestNumber) { return true; };
   // Called with each read whose response has a digest: whether its content fits.
   std::function<void(const TargetId& target, const std::string& uri, bool good, const std::string& body)>
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -16,7 +16,9 @@
 namespace walnutspur::log {
 namespace {
 
-constexpr double kBurstSeconds = 2;  // of the rate, which a kind may use at once
+// The seconds of its rate that a kind may use at once.
+constexpr double kBurstSeconds = 2;
+
 constexpr std::int64_t kMicrosPerSecond = 1'000'000;
 constexpr std::int64_t kMicrosPerMilli = 1000;
 constexpr unsigned char kFirstPrintable = 0x20;
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -2,7 +2,8 @@
 //
 // Asynchronous and bounded, by spdlog: the logging thread formats a line, a thread of the logger writes it. A
 // full queue drops its oldest line and counts it, so that logging never blocks. Repeated events are
-// rate-limited by kind; the next line of the kind says how many were suppressed.
+// rate-limited by kind; the next line of the kind says how many were suppressed. main owns the logger of the
+// process; Event may be called from any thread.
 #ifndef WALNUTSPUR_LOG_LOG_H_
 #define WALNUTSPUR_LOG_LOG_H_
 
@@ -97,7 +98,7 @@
 // standard error; a process that never logs starts no thread.
 void Use(Logger* logger);
 
-// Logs an event by the logger of the process.
+// Logs an event by the logger of the process. `kind` is one of event_kinds.h.
 void Event(Level level, std::string_view kind, const std::vector<Field>& fields = {});
 
 }  // namespace walnutspur::log
--- a/src/loop/attempt_key.h
+++ b/src/loop/attempt_key.h
@@ -1,4 +1,4 @@
-// Names one attempt of one request, as a key of tables. Plain data.
+// Identifies one attempt of one request, as a key of tables. Plain data.
 #ifndef WALNUTSPUR_LOOP_ATTEMPT_KEY_H_
 #define WALNUTSPUR_LOOP_ATTEMPT_KEY_H_
 
--- a/src/loop/listener.cpp
+++ b/src/loop/listener.cpp
@@ -12,8 +12,11 @@
 namespace walnutspur::loop {
 namespace {
 
-constexpr Time kPauseDuration = 20'000;    // us
-constexpr Time kBacklogDuration = 50'000;  // us after a pause in which the backlog may hold what came in it
+constexpr Time kPauseDuration = 20'000;  // us
+
+// For how long after a pause the backlog may hold connections that came during it, us.
+constexpr Time kBacklogDuration = 50'000;
+
 constexpr unsigned kSocketFlags = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC;
 
 int BoundPort(evutil_socket_t fd) {
--- a/src/loop/listener.h
+++ b/src/loop/listener.h
@@ -39,7 +39,7 @@
   std::function<void(evutil_socket_t fd)> on_accept;
   // accept() has failed with this errno, out of descriptors or the like. Empty: libevent logs it.
   std::function<void(int error)> on_error;
-  // Whether another connection can be accepted, asked when a pause is over. Empty: always.
+  // Whether another connection can be accepted; called when a pause is over. Empty: always.
   std::function<bool()> has_capacity;
 };
 
--- a/src/loop/stream.h
+++ b/src/loop/stream.h
@@ -1,6 +1,6 @@
 // A stream: a socket with libevent's buffers (bufferevent). RAII, socket options, callbacks, buffer lengths.
 //
-// A stream belongs to the thread of its event loop.
+// Owned by the connection that it carries; a stream belongs to the thread of its event loop.
 #ifndef WALNUTSPUR_LOOP_STREAM_H_
 #define WALNUTSPUR_LOOP_STREAM_H_
 
@@ -18,7 +18,7 @@
 
 using StreamPtr = std::unique_ptr<bufferevent, Deleter<bufferevent_free>>;
 
-// Sends small messages at once (TCP_NODELAY): each of ours is a whole request or response.
+// Sends small messages at once (TCP_NODELAY): each is a complete request or response.
 void DisableNagle(evutil_socket_t fd);
 
 // A stream on an accepted socket, which it closes when freed. Null where it cannot be made; the socket is
--- a/src/loop/turn_clock.h
+++ b/src/loop/turn_clock.h
@@ -1,8 +1,8 @@
 // How long ago an event loop woke up, by the monotonic clock.
 //
-// libevent tells the time of the wake-up as wall time only: its monotonic reading plus an offset of its own,
+// libevent has the time of the wake-up as wall time only: its monotonic reading plus an offset of its own,
 // which follows steps of the wall clock some seconds late. A timer whose monotonic expiry is known shows that
-// offset. Belongs to the thread of its event loop.
+// offset. Owned by a front end; belongs to the thread of its event loop.
 #ifndef WALNUTSPUR_LOOP_TURN_CLOCK_H_
 #define WALNUTSPUR_LOOP_TURN_CLOCK_H_
 
@@ -13,7 +13,7 @@
 
 namespace walnutspur::loop {
 
-// Of the timer that shows libevent's offset: it never fires.
+// The delay of the timer that shows libevent's offset: longer than the process runs.
 constexpr Time kTurnClockProbeDelay = Time{365} * 24 * 3600 * kMicrosecondsPerSecond;
 
 class TurnClock {
--- a/src/nbd/blocking_client.h
+++ b/src/nbd/blocking_client.h
@@ -13,6 +13,7 @@
 
 namespace walnutspur::nbd {
 
+// How long a call waits for each of the server's messages unless the caller says otherwise, ms.
 constexpr int kDefaultTimeoutMs = 5000;
 
 class BlockingClient {
--- a/src/nbd/client_connection.cpp
+++ b/src/nbd/client_connection.cpp
@@ -13,12 +13,15 @@
 namespace walnutspur::nbd {
 namespace {
 
-// Beyond either, a client's input is not read: what it can make the initiator hold is bounded.
+// Beyond either limit a client's input is not read, so that a client cannot make the initiator buffer more.
 constexpr std::size_t kMaxCommandsInFlight = 32;
 constexpr std::size_t kMaxUnwrittenBytes = 256 << 10;
 
-constexpr std::size_t kReadBytes = 4096;     // processed at a time
-constexpr Time kCommandTimeout = 2'500'000;  // us from a command's first byte to its last
+// Bytes of input that are processed at a time.
+constexpr std::size_t kReadBytes = 4096;
+
+// From a command's first byte to its last, us.
+constexpr Time kCommandTimeout = 2'500'000;
 
 // Devices on poor links disappear without closing their connections.
 void EnableKeepAlive(evutil_socket_t fd) {
@@ -76,7 +79,7 @@
          loop::UnwrittenBytes(stream_.get()) <= kMaxUnwrittenBytes;
 }
 
-// The command timer stops as well: the client is not the one that delays the rest of its command.
+// The command timer stops as well: it is not the client that delays the remaining bytes of its command.
 void ClientConnection::PauseReading() {
   bufferevent_disable(stream_.get(), EV_READ);
   command_timer_.Stop();
--- a/src/nbd/client_connection.h
+++ b/src/nbd/client_connection.h
@@ -89,7 +89,7 @@
   loop::EventHandle handshake_timer_;  // of the handshake, and of reading the last replies
   bool command_timer_runs_ = false;    // a part of a command has been received
   bool write_closed_ = false;          // shut down for writing: input is dropped
-  loop::EventHandle command_timer_;    // of receiving the rest of a command
+  loop::EventHandle command_timer_;    // of receiving a command that has begun
   loop::StreamPtr stream_;
 };
 
--- a/src/nbd/codec.h
+++ b/src/nbd/codec.h
@@ -1,4 +1,4 @@
-// Both sides of the NBD protocol without sockets, for those that use the protocol as a whole. Each part can
+// Both sides of the NBD protocol without sockets, as one include for code that uses all of it. Each part can
 // be included alone:
 //   protocol.h        constants and messages as plain data
 //   byte_buffer.h     integers in network byte order, received bytes
--- a/src/nbd/config.cpp
+++ b/src/nbd/config.cpp
@@ -12,10 +12,13 @@
 namespace walnutspur::nbd {
 namespace {
 
-constexpr double kMaxCommandBytes = 1 << 20;  // of one command, whatever the size of a unit
 constexpr double kMicrosecondsPerSecond = 1e6;
-constexpr std::uint64_t kMinDataBlocks =
-    16;  // named in the message about an export without room for its tags
+
+// Bytes of one command, whatever the size of a unit.
+constexpr double kMaxCommandBytes = 1 << 20;
+
+// Data blocks in the size that is suggested for an export without room for its tags and journal.
+constexpr std::uint64_t kMinDataBlocks = 16;
 
 int Index(const std::vector<std::string>& names, const std::string& name) {
   const auto at = std::find(names.begin(), names.end(), name);
@@ -65,9 +68,9 @@
   volume->journal_bytes = static_cast<std::uint64_t>(table.Integer("journal"));
   const auto geometry = integrity::FitGeometry(volume->raw_bytes, volume->journal_bytes);
   if (!geometry) {
-    const std::uint64_t least = volume->journal_bytes + kMinDataBlocks * integrity::kBlockBytes;
+    const std::uint64_t min_bytes = volume->journal_bytes + kMinDataBlocks * integrity::kBlockBytes;
     throw ConfigError("export '" + volume->front.name +
-                      "' is smaller than its tags and journal; allowed are " + std::to_string(least) +
+                      "' is smaller than its tags and journal; allowed are " + std::to_string(min_bytes) +
                       " bytes or more");
   }
   volume->front.size = geometry->data_size();
--- a/src/nbd/front_end.h
+++ b/src/nbd/front_end.h
@@ -1,5 +1,8 @@
 // The NBD front end: accepts clients, submits their commands to the scheduler thread, and sends each response
-// once. It runs on the thread of the event loop, which it is used on alone.
+// once.
+//
+// Owned by the initiator; runs on the loop's thread. Requests go out through `submit`; responses come in by
+// Respond.
 #ifndef WALNUTSPUR_NBD_FRONT_END_H_
 #define WALNUTSPUR_NBD_FRONT_END_H_
 
--- a/src/nbd/option_handler.cpp
+++ b/src/nbd/option_handler.cpp
@@ -10,8 +10,9 @@
 namespace walnutspur::nbd {
 namespace {
 
-constexpr std::uint32_t kMinimumBlockSize = 1;      // bytes; commands need no alignment
-constexpr std::uint32_t kPreferredBlockSize = 512;  // bytes
+// The block sizes that NBD_INFO_BLOCK_SIZE states, in bytes. Commands need no alignment.
+constexpr std::uint32_t kMinBlockSize = 1;
+constexpr std::uint32_t kPreferredBlockSize = 512;
 
 // The name in the data of NBD_OPT_INFO or NBD_OPT_GO: its length, itself, and a counted list of the kinds of
 // information wanted, which is not heeded. Empty optional: the data is malformed.
@@ -44,7 +45,7 @@
 void PutBlockSizeInfo(std::uint32_t option, const Export& offered, std::string* out) {
   std::string info;
   Put<std::uint16_t>(kInfoBlockSize, &info);
-  Put(kMinimumBlockSize, &info);
+  Put(kMinBlockSize, &info);
   Put(std::min(kPreferredBlockSize, offered.largest), &info);
   Put(offered.largest, &info);
   PutOptionReply(option, kRepInfo, info, out);
--- a/src/nbd/option_handler.h
+++ b/src/nbd/option_handler.h
@@ -19,8 +19,8 @@
   enum class Next {
     kOption,         // another option
     kTransmission,   // commands: chosen() is set
-    kAborted,        // the end: the client has asked for it
-    kUnknownExport,  // the end: NBD_OPT_EXPORT_NAME has no reply for an error
+    kAborted,        // the session ends: the client has sent NBD_OPT_ABORT
+    kUnknownExport,  // the session ends: NBD_OPT_EXPORT_NAME has no reply for an error
   };
 
   // `exports` must outlive the handler.
--- a/src/nbd/reply_assembler.cpp
+++ b/src/nbd/reply_assembler.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kOffsetSize = 8;
 constexpr std::size_t kHoleSize = 12;         // offset and length
 constexpr std::size_t kErrorSize = 6;         // error and length of the message
-constexpr std::size_t kErrorOffsetSize = 14;  // the same, and the offset behind the message
+constexpr std::size_t kErrorOffsetSize = 14;  // error, length of the message, and the offset behind it
 
 }  // namespace
 
--- a/src/nbd/reply_encoder.h
+++ b/src/nbd/reply_encoder.h
@@ -21,7 +21,7 @@
 void EncodeStatus(ReplyForm form, std::uint64_t cookie, Error error, const std::string& message,
                   std::string* out);
 
-// A read of a range with damaged blocks: the good pieces, and an error with the offset of each bad block. A
+// A read of a range with corrupted blocks: the good pieces, and an error with the offset of each bad block. A
 // simple reply holds an error and no data.
 void EncodePartialData(ReplyForm form, std::uint64_t cookie, const std::vector<Piece>& pieces,
                        const std::vector<std::uint64_t>& bad, std::string* out);
--- a/src/nbd/server_session.h
+++ b/src/nbd/server_session.h
@@ -27,7 +27,7 @@
   // The export in use; null until transmission begins.
   const Export* chosen() const { return options_.chosen(); }
   bool ended() const { return state_ == State::kEnded; }
-  // A part of a command has been received, and its rest has not.
+  // Whether a command has been received in part.
   bool unfinished() const {
     return state_ == State::kData || state_ == State::kSkip ||
            (state_ == State::kHeader && input_.size() > 0);
--- a/src/nbd/target_connection.cpp
+++ b/src/nbd/target_connection.cpp
@@ -10,13 +10,18 @@
 namespace walnutspur::nbd {
 namespace {
 
-constexpr std::size_t kMaxAttempts = 16;      // of one connection; beyond them another one is opened
-constexpr double kIdleFraction = 0.8;         // of the time after which the target closes an idle connection
-constexpr std::size_t kMinSharedSize = 2048;  // bytes; less is cheaper to copy than to share
+// Attempts that use one connection at a time; beyond them another one is opened.
+constexpr std::size_t kMaxAttempts = 16;
+
+// An idle connection closes after this fraction of the time after which its target closes it.
+constexpr double kIdleTimeoutFraction = 0.8;
+
+// Bytes from which a slice is shared with the stream; fewer are cheaper to copy.
+constexpr std::size_t kMinSharedBytes = 2048;
 
 // Appends a slice, a large one without a copy of its bytes.
 void AppendSlice(evbuffer* output, const integrity::Slice& slice) {
-  if (slice.bytes.size() < kMinSharedSize) {
+  if (slice.bytes.size() < kMinSharedBytes) {
     evbuffer_add(output, slice.bytes.data(), slice.bytes.size());
     return;
   }
@@ -106,7 +111,7 @@
   if (retired_) {
     idle_timer_.Start(0);
   } else if (session_.ready()) {
-    idle_timer_.Start(static_cast<Time>(kIdleFraction * static_cast<double>(config_.idle_timeout)));
+    idle_timer_.Start(static_cast<Time>(kIdleTimeoutFraction * static_cast<double>(config_.idle_timeout)));
   }
 }
 
--- a/src/nbd/target_pool.h
+++ b/src/nbd/target_pool.h
@@ -1,5 +1,8 @@
 // Carries out attempts over NBD: a pool of connections to storage servers, each used by several attempts at a
-// time. Belongs to the thread of the event loop.
+// time.
+//
+// Owned by ChecksummedExports, which passes the attempts on; runs on the loop's thread. Results go out
+// through `submit`.
 #ifndef WALNUTSPUR_NBD_TARGET_POOL_H_
 #define WALNUTSPUR_NBD_TARGET_POOL_H_
 
