--- a/bench/integrity/run.h
+++ b/bench/integrity/run.h
@@ -13,15 +13,15 @@
 
 namespace walnutspur::bench {
 
-// A part of the benchmark cannot go on.
+// A part of the benchmark cannot continue.
 class BenchError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 struct RunOptions {
-  std::string program;         // the initiator
-  std::string storage_server;  // the stand-in, which is built beside it
+  std::string program;     // the initiator
+  std::string laboratory;  // path of walnutspur-lab, which is built beside it
   std::uint64_t seed = 1;
   bool brief = false;
   std::set<std::string> parts;  // empty: all
