--- a/src/http/message_reader.h
+++ b/src/http/message_reader.h
@@ -32,7 +32,6 @@
   void End();
 
   bool started() const { return line_bytes_ > 0; }
-  bool head_complete() const { return state_ > State::kFields; }
   bool complete() const { return state_ == State::kComplete; }
   bool malformed() const { return state_ == State::kMalformed; }
   // Of a malformed message: the HTTP status that says how, and why in a few words.
