--- a/src/http/request_admission.cpp
+++ b/src/http/request_admission.cpp
@@ -6,6 +6,7 @@
 
 #include "http/messages.h"
 #include "http/request_headers.h"
+#include "log/event_kinds.h"
 #include "log/log.h"
 
 namespace walnutspur::http {
@@ -39,8 +40,8 @@
   return payload;
 }
 
-// Forwards what digest the client wants of a read, or asks for one of our own choice, so that the response is
-// covered by one on its way to us.
+// Forwards the digest that the client wants of a read, or requests the configured one, so that the response
+// is covered on its way from the target.
 void ForwardWantedDigests(const Config& config, const MessageReader& message, Request* payload) {
   bool client_wants_digest = false;
   for (const char* name : {"Want-Content-Digest", "Want-Repr-Digest"}) {
@@ -65,7 +66,7 @@
 bool ForwardDigests(const Config& config, const MessageReader& message, Request* payload) {
   const DigestCheck check = CheckDigests(message, payload->body, payload->is_put);
   if (check.match == integrity::Match::kDifferent) {
-    log::Event(log::Level::kWarn, "request_damaged", {{"request", payload->id}});
+    log::Event(log::Level::kWarn, log::kRequestCorrupted, {{"request", payload->id}});
     return false;
   }
   payload->headers += check.headers;
--- a/src/lab/sim/experiment_keys.cpp
+++ b/src/lab/sim/experiment_keys.cpp
@@ -139,7 +139,7 @@
     kinds.emplace_back(NameOf(kind));
   }
   Key kind = Word("fault[].kind", "", std::move(kinds), "what goes wrong");
-  kind.needed = true;
+  kind.required = true;
   return {
       kind,
       Seconds("fault[].at_s", 86400, "0.0", "when it begins"),
