--- a/src/app/command_line.cpp
+++ b/src/app/command_line.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint64_t kMaxJournalBytes = std::uint64_t{1} << 30;
 
 constexpr const char* kDescription =
-    "walnutspur: an initiator for a shared pool of disk boxes.\n"
+    "walnutspur: an initiator for a shared pool of storage targets.\n"
     "Without a command it serves, as BALANCER_CONFIG describes.\n";
 
 constexpr const char* kFooter =
@@ -102,7 +102,7 @@
     format->add_flag("--force", command_.integrity.force, "Even if it is formatted already");
     AddOnExport(integrity, "show", "Print the superblock", Action::kShowSuperblock);
     AddOnExport(integrity, "verify",
-                "Read every block and hold it against its tag; exit code 1 if one is damaged",
+                "Read every block and compare it with its tag; exit code 1 if one is corrupted",
                 Action::kVerify);
     AddOnFolder(integrity, "ledger", "Print the damage ledger of a folder", "The settings' integrity.folder",
                 Action::kShowLedger);
@@ -117,9 +117,9 @@
   CLI::App* AddOnExport(CLI::App* parent, const std::string& name, const std::string& description,
                         Action action) {
     CLI::App* app = Add(parent, name, description, action);
-    app->add_option("ADDRESS", command_.integrity.address, "Where the box speaks NBD: 127.0.0.1:10810")
+    app->add_option("ADDRESS", command_.integrity.address, "Where the target speaks NBD: 127.0.0.1:10810")
         ->required();
-    app->add_option("EXPORT", command_.integrity.remote, "The export's name at the box")->required();
+    app->add_option("EXPORT", command_.integrity.remote, "The export's name at the target")->required();
     return app;
   }
 
--- a/src/app/integrity_tool.cpp
+++ b/src/app/integrity_tool.cpp
@@ -45,7 +45,7 @@
     const auto size = static_cast<std::uint32_t>(std::min<std::uint64_t>(kReadBytes, length - data.size()));
     const nbd::Reply reply = client.Read(offset + data.size(), size);
     if (reply.error != nbd::kOk) {
-      throw IntegrityToolError("the box cannot read " + std::to_string(size) + " bytes at " +
+      throw IntegrityToolError("the target cannot read " + std::to_string(size) + " bytes at " +
                                std::to_string(offset + data.size()));
     }
     data += nbd::DataOf(reply);
@@ -247,7 +247,7 @@
   for (const integrity::IoRequest& step :
        integrity::FormatPlan(client.size(), options.journal, id, kReadBytes)) {
     if (!Perform(client, step)) {
-      throw IntegrityToolError("the box did not write at " + std::to_string(step.offset) +
+      throw IntegrityToolError("the target did not write at " + std::to_string(step.offset) +
                                ": nothing is formatted");
     }
   }
--- a/src/app/settings_keys.cpp
+++ b/src/app/settings_keys.cpp
@@ -48,7 +48,7 @@
        .max = 10000,
        .unit = "lines a second",
        .default_value = "5.0",
-       .description = "lines of one kind of event; what is held back is counted in the next"},
+       .description = "lines of one kind of event; suppressed ones are counted in its next line"},
   };
 }
 
@@ -57,14 +57,14 @@
       {.path = "integrity.digests",
        .kind = Kind::kBool,
        .default_value = "false",
-       .description = "digest fields (RFC 9530) of requests and answers are verified and passed on"},
+       .description = "digest fields (RFC 9530) of requests and responses are verified and forwarded"},
       {.path = "integrity.compute",
        .kind = Kind::kText,
        .default_value = "\"crc32c\"",
        .allowed_words = {"crc32c", "sha-256", "sha-512", "none"},
-       .description = "the digest given to writes that come without one, and asked of boxes"},
+       .description = "the digest added to writes that have none, and requested of targets"},
       TextKey("integrity.folder", kMaxPathBytes,
-              "keeps the damage ledger, the scrub's cursors and the control socket; empty: the ledger is "
+              "holds the corruption log, the scrub's cursors and the control socket; empty: the log is "
               "in memory"),
   };
 }
@@ -81,21 +81,21 @@
        .max = 1e10,
        .unit = "bytes a second",
        .default_value = "8388608.0",
-       .description = "at most, at a box"},
+       .description = "at most, at a target"},
       {.path = "scrub.requests",
        .kind = Kind::kNumber,
        .min = 0.1,
        .max = 1e5,
        .unit = "requests a second",
        .default_value = "100.0",
-       .description = "at most, at a box"},
+       .description = "at most, at a target"},
       {.path = "scrub.in_flight",
        .kind = Kind::kInteger,
        .min = 1,
        .max = 16,
        .unit = "requests",
        .default_value = "1",
-       .description = "at a box"},
+       .description = "at most, at a target"},
   };
 }
 
@@ -107,43 +107,45 @@
        .max = 1000,
        .unit = "requests a second",
        .default_value = "1.0",
-       .description = "kept up whatever live work needs; 0: the scrub may stand still"},
+       .description = "guaranteed whatever the load; 0: the scrub may stop"},
       {.path = "scrub.wish",
        .kind = Kind::kNumber,
        .min = 0,
        .max = 3650,
        .unit = "days",
        .default_value = "7.0",
-       .description = "every block within this time; 0: no wish"},
+       .description = "every block is to be read within this time; 0: no such goal"},
       {.path = "scrub.most_missed",
        .kind = Kind::kNumber,
        .min = 0,
        .max = 1,
        .default_value = "0.02",
-       .description = "part of live requests that may miss their aim before the scrub falls to its floor"},
+       .description = "fraction of live requests that may miss their latency objective before the scrub "
+                      "slows to its floor"},
   };
 }
 
 std::vector<config::Key> NbdKeys() {
   return {
-      TextKey("nbd.file", kMaxPathBytes, "the NBD front's own file, as --nbd; empty: there is no such front"),
+      TextKey("nbd.file", kMaxPathBytes,
+              "the NBD front end's file, as --nbd; empty: there is no such front end"),
   };
 }
 
 std::vector<config::Key> FleetKeys() {
   return {
       TextKey("fleet.id", kMaxNameBytes, "the fleet's name; empty: there is no fleet"),
-      TextKey("fleet.name", kMaxNameBytes, "this initiator's, unlike all others'"),
+      TextKey("fleet.name", kMaxNameBytes, "this initiator's, unique in the fleet"),
       TextKey("fleet.listen", kMaxNameBytes, "host:port, UDP, numeric"),
       TextKey("fleet.advertise", kMaxNameBytes, "host:port where others reach it; empty: as listen"),
-      TextKey("fleet.building", kMaxNameBytes, "where it stands"),
+      TextKey("fleet.building", kMaxNameBytes, "where it runs"),
       TextKey("fleet.key_file", kMaxPathBytes,
               "holds the fleet's key of 16 to 4096 bytes; empty: datagrams carry no tag"),
       {.path = "fleet.peers",
        .kind = Kind::kTexts,
        .max = kMaxNameBytes,
        .default_value = "[]",
-       .description = "host:port of members that are asked first"},
+       .description = "host:port of members that are contacted first"},
       {.path = "fleet.roster",
        .kind = Kind::kTexts,
        .min = 1,
