--- a/src/frontend/eviction_policy.cpp
+++ b/src/frontend/eviction_policy.cpp
@@ -2,30 +2,29 @@
 
 namespace walnutspur::frontend {
 
-Duration EvictionPolicy::GraceOf(ConnectionStage stage) const {
-  switch (stage) {
-    case ConnectionStage::kHandshake:
+Duration EvictionPolicy::GraceOf(EvictionRank rank) const {
+  switch (rank) {
+    case EvictionRank::kHandshake:
       return limits_.handshake_grace;
-    case ConnectionStage::kNoRequestYet:
+    case EvictionRank::kNoRequestYet:
       return limits_.first_request_grace;
-    case ConnectionStage::kIdleAfterOneRequest:
+    case EvictionRank::kIdleAfterOneRequest:
       return limits_.second_request_grace;
-    case ConnectionStage::kIdleAfterManyRequests:
+    case EvictionRank::kIdleAfterManyRequests:
       return limits_.idle_grace;
-    case ConnectionStage::kClosing:
-    case ConnectionStage::kInUse:
+    case EvictionRank::kClosing:
+    case EvictionRank::kInUse:
       break;
   }
   return Duration::zero();
 }
 
 bool EvictionPolicy::IsEvictable(const EvictionCandidate& candidate, Time now) const {
-  return candidate.stage != ConnectionStage::kInUse &&
-         Elapsed(candidate.since, now) >= GraceOf(candidate.stage);
+  return candidate.rank != EvictionRank::kInUse && Elapsed(candidate.since, now) >= GraceOf(candidate.rank);
 }
 
 bool EvictionPolicy::IsBefore(const EvictionCandidate& left, const EvictionCandidate& right) {
-  return left.stage != right.stage ? left.stage < right.stage : left.since < right.since;
+  return left.rank != right.rank ? left.rank < right.rank : left.since < right.since;
 }
 
 }  // namespace walnutspur::frontend
--- a/src/frontend/eviction_policy.h
+++ b/src/frontend/eviction_policy.h
@@ -12,7 +12,7 @@
 namespace walnutspur::frontend {
 
 // How far a connection has come, in the order in which connections are evicted.
-enum class ConnectionStage {
+enum class EvictionRank {
   kClosing,                // its last response is written
   kHandshake,              // its client has not completed the protocol's handshake
   kNoRequestYet,           // its client has sent no complete request
@@ -21,7 +21,7 @@
   kInUse,                  // never evicted
 };
 
-// How long a connection is safe in each stage.
+// How long a connection of each rank is safe.
 struct EvictionLimits {
   Duration handshake_grace = Duration::zero();
   Duration first_request_grace = Duration::zero();
@@ -31,8 +31,8 @@
 
 // A connection as the policy sees it.
 struct EvictionCandidate {
-  ConnectionStage stage = ConnectionStage::kInUse;
-  Time since = 0;  // when the grace of the stage began, us
+  EvictionRank rank = EvictionRank::kInUse;
+  Time since = 0;  // when its grace began, us
 };
 
 class EvictionPolicy {
@@ -41,7 +41,8 @@
 
   // Whether the connection may be evicted at `now`: its grace is over.
   bool IsEvictable(const EvictionCandidate& candidate, Time now) const;
-  // Whether `left` is evicted before `right`: it is in an earlier stage, or in the same stage for longer.
+  // Whether `left` is evicted before `right`: its rank is lower, or the ranks are equal and its grace began
+  // earlier.
   static bool IsBefore(const EvictionCandidate& left, const EvictionCandidate& right);
 
   // Returns the client that is to be evicted, null if there is none. `clients` maps numbers to owned clients;
@@ -64,7 +65,7 @@
   }
 
  private:
-  Duration GraceOf(ConnectionStage stage) const;
+  Duration GraceOf(EvictionRank rank) const;
 
   EvictionLimits limits_;
 };
--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -221,18 +221,18 @@
   return idle ? frontend::ConnectionActivity::kIdle : frontend::ConnectionActivity::kUnfinished;
 }
 
-frontend::ConnectionStage ClientConnection::stage() const {
+frontend::EvictionRank ClientConnection::eviction_rank() const {
   if (closing_) {
-    return frontend::ConnectionStage::kClosing;
+    return frontend::EvictionRank::kClosing;
   }
   if (requests_read_ == 0) {
-    return frontend::ConnectionStage::kNoRequestYet;
+    return frontend::EvictionRank::kNoRequestYet;
   }
   if (!IsIdle()) {
-    return frontend::ConnectionStage::kInUse;
+    return frontend::EvictionRank::kInUse;
   }
-  return requests_read_ == 1 ? frontend::ConnectionStage::kIdleAfterOneRequest
-                             : frontend::ConnectionStage::kIdleAfterManyRequests;
+  return requests_read_ == 1 ? frontend::EvictionRank::kIdleAfterOneRequest
+                             : frontend::EvictionRank::kIdleAfterManyRequests;
 }
 
 }  // namespace walnutspur::http
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -74,7 +74,7 @@
   // Whether the peer has closed, as far as the kernel knows.
   bool IsDisconnected() const;
   frontend::ConnectionActivity activity() const;
-  frontend::EvictionCandidate eviction_candidate() const { return {stage(), last_active_}; }
+  frontend::EvictionCandidate eviction_candidate() const { return {eviction_rank(), last_active_}; }
 
   // The request that the front end has taken of this connection; 0: none.
   core::RequestNumber pending_request() const { return pending_request_; }
@@ -88,7 +88,7 @@
   void OnEvent(loop::EventMask what);
 
  private:
-  frontend::ConnectionStage stage() const;
+  frontend::EvictionRank eviction_rank() const;
   bool ReadOne();
   bool DropAfterLastResponse(std::size_t size);
   bool DropSentAhead();
--- a/src/http/front_end.cpp
+++ b/src/http/front_end.cpp
@@ -128,7 +128,7 @@
   request.request = request_numbers_->next++;
   client.SetPendingRequest(request.request);
   // The client's timeout began when it sent the request.
-  const Time delay = std::max(turn_clock_.SinceWakeUp(), client.TakeTimeInBacklog());
+  const Time delay = std::max(turn_clock_.SinceTurnBegan(), client.TakeTimeInBacklog());
   const Time elapsed = std::min(delay, admitted.client_timeout);
   request.deadline = core::Now() + admitted.client_timeout - elapsed;
   pending_.Add(request.request, request.deadline, client.number());
--- a/src/http/target_pool.cpp
+++ b/src/http/target_pool.cpp
@@ -42,8 +42,9 @@
   rest += request->body;
 }
 
-// Whether it is too late to send the attempt: what follows from it could not be used, or would do harm.
-bool IsTooLate(const Attempt& attempt) {
+// Whether a time limit of the attempt has passed, so that its response could not be used or sending would do
+// harm.
+bool IsExpired(const Attempt& attempt) {
   const Time now = core::Now();
   return core::IsPast(attempt.not_after, now) || core::IsPast(attempt.expires_at, now);
 }
@@ -74,7 +75,7 @@
 }
 
 void TargetPool::Launch(Attempt attempt, const TargetId& target, const Request* request) {
-  if (IsTooLate(attempt)) {
+  if (IsExpired(attempt)) {
     ReportNotSent(attempt.key, target, Outcome::kNotSent);
     return;
   }
@@ -111,7 +112,7 @@
 void TargetPool::SendOrAbort(TargetConnection& connection) {
   const Attempt& attempt = *connection.attempt();
   const core::RequestNumber request = attempt.key.request;
-  if (IsTooLate(attempt) || (request != kHealthCheckRequest && !is_client_connected(request))) {
+  if (IsExpired(attempt) || (request != kHealthCheckRequest && !is_client_connected(request))) {
     ReportOutcome(connection, Outcome::kNotSent);
     pool_.Return(connection);
     return;
--- a/src/loop/turn_clock.h
+++ b/src/loop/turn_clock.h
@@ -1,6 +1,6 @@
-// How long ago an event loop woke up, by the monotonic clock.
+// How long ago the present turn of an event loop began, by the monotonic clock.
 //
-// libevent has the time of the wake-up as wall time only: its monotonic reading plus an offset of its own,
+// libevent has the begin of the turn as wall time only: its monotonic reading plus an offset of its own,
 // which follows steps of the wall clock some seconds late. A timer whose monotonic expiry is known shows that
 // offset. Owned by a front end; belongs to the thread of its event loop.
 #ifndef WALNUTSPUR_LOOP_TURN_CLOCK_H_
@@ -25,10 +25,10 @@
   }
 
   // Time since the loop's present turn began, us; 0 outside of its callbacks.
-  Time SinceWakeUp() const {
-    timeval woke_at{};
-    event_base_gettimeofday_cached(base_, &woke_at);
-    const Time until_probe = ToMicroseconds(probe_.ExpiryOnWallClock()) - ToMicroseconds(woke_at);
+  Time SinceTurnBegan() const {
+    timeval turn_began_at{};
+    event_base_gettimeofday_cached(base_, &turn_began_at);
+    const Time until_probe = ToMicroseconds(probe_.ExpiryOnWallClock()) - ToMicroseconds(turn_began_at);
     return std::max<Time>(0, until_probe - (probe_expiry_ - core::Now()));
   }
 
--- a/src/nbd/client_connection.cpp
+++ b/src/nbd/client_connection.cpp
@@ -66,12 +66,12 @@
 }
 
 // A connection on which a command was sent is never evicted: a device is mounted on it.
-frontend::ConnectionStage ClientConnection::stage() const {
+frontend::EvictionRank ClientConnection::eviction_rank() const {
   if (has_sent_command_) {
-    return frontend::ConnectionStage::kInUse;
+    return frontend::EvictionRank::kInUse;
   }
-  return session_.chosen() == nullptr ? frontend::ConnectionStage::kHandshake
-                                      : frontend::ConnectionStage::kNoRequestYet;
+  return session_.chosen() == nullptr ? frontend::EvictionRank::kHandshake
+                                      : frontend::EvictionRank::kNoRequestYet;
 }
 
 bool ClientConnection::HasCapacity() const {
--- a/src/nbd/client_connection.h
+++ b/src/nbd/client_connection.h
@@ -63,7 +63,7 @@
   std::uint64_t number() const { return number_; }
   const ServerSession& session() const { return session_; }
   const CommandsInFlight& in_flight() const { return in_flight_; }
-  frontend::EvictionCandidate eviction_candidate() const { return {stage(), connected_at_}; }
+  frontend::EvictionCandidate eviction_candidate() const { return {eviction_rank(), connected_at_}; }
   bufferevent* stream() const { return stream_.get(); }
   evutil_socket_t fd() const { return bufferevent_getfd(stream_.get()); }
 
@@ -73,7 +73,7 @@
   void OnEvent(loop::EventMask what);
 
  private:
-  frontend::ConnectionStage stage() const;
+  frontend::EvictionRank eviction_rank() const;
   bool HasCapacity() const;
   void PauseReading();
   void FeedSession(std::string_view bytes);
--- a/tests/unit/frontend_test.cpp
+++ b/tests/unit/frontend_test.cpp
@@ -84,8 +84,8 @@
 
 class FullFrontEnd {
  public:
-  FakeClient* Add(ConnectionStage stage, Time since) {
-    auto client = std::make_unique<FakeClient>(FakeClient{{stage, since}});
+  FakeClient* Add(EvictionRank rank, Time since) {
+    auto client = std::make_unique<FakeClient>(FakeClient{{rank, since}});
     FakeClient* added = client.get();
     clients_[clients_.size()] = std::move(client);
     return added;
@@ -102,19 +102,19 @@
   std::map<std::uint64_t, std::unique_ptr<FakeClient>> clients_;
 };
 
-TEST_CASE("connections are evicted by stage, those in one stage by age, those in use never") {
+TEST_CASE("connections are evicted by rank, those in one rank by age, those in use never") {
   FullFrontEnd front_end;
   CHECK(front_end.Evicted(0) == nullptr);
-  front_end.Add(ConnectionStage::kInUse, 0);
+  front_end.Add(EvictionRank::kInUse, 0);
   CHECK(front_end.Evicted(3'600'000 * kMillisecond) == nullptr);
   const Time now = 1'000 * kMillisecond;
   FakeClient* previous = nullptr;
-  for (const ConnectionStage stage :
-       {ConnectionStage::kIdleAfterManyRequests, ConnectionStage::kIdleAfterOneRequest,
-        ConnectionStage::kNoRequestYet, ConnectionStage::kHandshake, ConnectionStage::kClosing}) {
-    FakeClient* older = front_end.Add(stage, 800 * kMillisecond);
+  for (const EvictionRank rank :
+       {EvictionRank::kIdleAfterManyRequests, EvictionRank::kIdleAfterOneRequest, EvictionRank::kNoRequestYet,
+        EvictionRank::kHandshake, EvictionRank::kClosing}) {
+    FakeClient* older = front_end.Add(rank, 800 * kMillisecond);
     CHECK(front_end.Evicted(now) == older);
-    FakeClient* oldest = front_end.Add(stage, 700 * kMillisecond);
+    FakeClient* oldest = front_end.Add(rank, 700 * kMillisecond);
     CHECK(front_end.Evicted(now) == oldest);
     oldest->is_protected = true;
     CHECK(front_end.Evicted(now) == older);
@@ -125,16 +125,16 @@
   }
 }
 
-TEST_CASE("each stage has a grace in which a connection is not evicted") {
-  const std::vector<std::pair<ConnectionStage, Time>> graces = {
-      {ConnectionStage::kClosing, 0},
-      {ConnectionStage::kHandshake, 10 * kMillisecond},
-      {ConnectionStage::kNoRequestYet, 20 * kMillisecond},
-      {ConnectionStage::kIdleAfterOneRequest, 30 * kMillisecond},
-      {ConnectionStage::kIdleAfterManyRequests, 40 * kMillisecond}};
-  for (const auto& [stage, grace] : graces) {
+TEST_CASE("each rank has a grace in which a connection is not evicted") {
+  const std::vector<std::pair<EvictionRank, Time>> graces = {
+      {EvictionRank::kClosing, 0},
+      {EvictionRank::kHandshake, 10 * kMillisecond},
+      {EvictionRank::kNoRequestYet, 20 * kMillisecond},
+      {EvictionRank::kIdleAfterOneRequest, 30 * kMillisecond},
+      {EvictionRank::kIdleAfterManyRequests, 40 * kMillisecond}};
+  for (const auto& [rank, grace] : graces) {
     FullFrontEnd front_end;
-    FakeClient* client = front_end.Add(stage, 100);
+    FakeClient* client = front_end.Add(rank, 100);
     CHECK(front_end.Evicted(100 + grace) == client);
     if (grace > 0) {
       CHECK(front_end.Evicted(100 + grace - 1) == nullptr);
