--- a/bench/integrity/configuration.h
+++ b/bench/integrity/configuration.h
@@ -6,6 +6,8 @@
 #include <string>
 #include <vector>
 
+#include "lab/standins/platform_config.h"
+
 namespace walnutspur::bench {
 
 struct DeployOptions {
@@ -17,8 +19,8 @@
 
 // The deploy file (TOML).
 std::string FormatDeployFile(const DeployOptions& options);
-// The instance's configuration with its settings (JSON).
-std::string FormatInstanceConfig(int http_port, int discovery_port);
+// The platform's configuration.
+lab::PlatformConfig InitiatorConfig(int http_port, int discovery_port);
 
 }  // namespace walnutspur::bench
 
--- a/bench/integrity/testbed.cpp
+++ b/bench/integrity/testbed.cpp
@@ -12,15 +12,16 @@
 #include "core/scheduler_thread.h"
 #include "integrity/corruption_log_file.h"
 #include "integrity/volume.h"
+#include "lab/standins/loopback.h"
 
 namespace walnutspur::bench {
 namespace {
 
 constexpr Time kAttachTimeout = 10'000'000;  // us
-constexpr int kListenTimeout = 5000;         // ms
+constexpr Time kListenTimeout = 5'000'000;   // us
 constexpr int kAttachPollInterval = 2;       // ms
 constexpr int kServerStartAttempts = 500;
-constexpr int kServerStartInterval = 10;  // ms
+constexpr Time kServerStartInterval = 10'000;  // us
 constexpr int kLogWriteDelay = 1200;      // ms: more than the initiator waits before it writes the log's file
 constexpr int kCheckpointInterval = 280;  // ms
 constexpr std::uint64_t kScrubCommands = 200;  // of the scrub in one such interval, at most
@@ -35,11 +36,11 @@
   StartServer();
   lab::Member member;
   member.id = "a";
-  member.host_port = "127.0.0.1:" + std::to_string(server_http_port_);
+  member.host_port = lab::FormatLoopbackAddress(server_http_port_);
   discovery_.Set(member);
   nbd_port_ = lab::FreePort();
   http_port_ = lab::FreePort();
-  WriteFiles();
+  initiator_options_ = InitiatorSetup();
   StartInitiator();
 }
 
@@ -94,14 +95,14 @@
   child_server_ =
       std::make_unique<lab::Process>(command, std::map<std::string, std::string>{}, folder() + "/box.log");
   for (int i = 0; i < kServerStartAttempts && child_server_->running(); ++i) {
-    if (lab::WaitForPort(server_nbd_port_ + 1, kServerStartInterval)) {
+    if (lab::WaitForListener(server_nbd_port_ + 1, kServerStartInterval)) {
       return true;
     }
   }
   return false;
 }
 
-void Testbed::WriteFiles() {
+lab::InitiatorOptions Testbed::InitiatorSetup() const {
   DeployOptions deploy;
   deploy.nbd_port = nbd_port_;
   deploy.server_ports = {server_nbd_port_};
@@ -110,18 +111,17 @@
   }
   deploy.size = kDeviceBytes;
   deploy.plain = options_.plain;
-  deploy_file_ = folder_.Put("nbd.toml", FormatDeployFile(deploy));
-  config_file_ = folder_.Put("config.json", FormatInstanceConfig(http_port_, discovery_.port()));
-  settings_file_ = folder_.Put(
-      "settings.toml", "[integrity]\ndigests = true\nfolder = \"" + folder() + "\"\n" + options_.settings);
+  lab::InitiatorOptions initiator;
+  initiator.program = run_.options().program;
+  initiator.config = InitiatorConfig(http_port_, discovery_.port());
+  initiator.settings = "[integrity]\ndigests = true\nfolder = \"" + folder() + "\"\n" + options_.settings;
+  initiator.nbd_deploy_file = FormatDeployFile(deploy);
+  return initiator;
 }
 
 void Testbed::StartInitiator() {
-  const std::vector<std::string> command = {run_.options().program, "--config", config_file_, "--settings",
-                                            settings_file_,         "--nbd",    deploy_file_};
-  initiator_ =
-      std::make_unique<lab::Process>(command, std::map<std::string, std::string>{}, folder() + "/log");
-  if (!lab::WaitForPort(nbd_port_, kListenTimeout)) {
+  initiator_ = lab::StartInitiator(folder_, initiator_options_);
+  if (!lab::WaitForListener(nbd_port_, kListenTimeout)) {
     throw BenchError("the program does not start");
   }
   const Time end = core::Now() + kAttachTimeout;
@@ -143,7 +143,7 @@
 }
 
 std::unique_ptr<nbd::BlockingClient> Testbed::Connect(const std::string& export_name) const {
-  return std::make_unique<nbd::BlockingClient>("127.0.0.1:" + std::to_string(nbd_port_), export_name);
+  return std::make_unique<nbd::BlockingClient>(lab::FormatLoopbackAddress(nbd_port_), export_name);
 }
 
 void Testbed::WaitForCheckpoint() {
--- a/bench/integrity/testbed.h
+++ b/bench/integrity/testbed.h
@@ -14,7 +14,9 @@
 #include "integrity/corruption_log.h"
 #include "integrity/layout.h"
 #include "lab/discovery.h"
-#include "lab/process.h"
+#include "lab/standins/initiator_process.h"
+#include "lab/standins/process.h"
+#include "lab/standins/temporary_folder.h"
 #include "lab/storage_server/storage_server.h"
 #include "nbd/blocking_client.h"
 #include "run.h"
@@ -65,13 +67,13 @@
   void StartServer();
   void StartServerInProcess();
   void FormatDevice(lab::BlockDevice& device) const;
-  void WriteFiles();
+  lab::InitiatorOptions InitiatorSetup() const;
   bool IsAttached() const;
   std::string DeviceFile() const { return folder() + "/disk"; }
 
   const Run& run_;
   TestbedOptions options_;
-  lab::Folder folder_;
+  lab::TemporaryFolder folder_;
   std::mutex random_mutex_;
   pcg64 random_;
   std::unique_ptr<lab::StorageServer> server_;  // null if it is a child process
@@ -81,9 +83,7 @@
   lab::Discovery discovery_;
   int nbd_port_ = 0;
   int http_port_ = 0;
-  std::string deploy_file_;
-  std::string config_file_;
-  std::string settings_file_;
+  lab::InitiatorOptions initiator_options_;
   std::unique_ptr<lab::Process> initiator_;
 };
 
--- a/src/lab/discovery.h
+++ b/src/lab/discovery.h
@@ -12,7 +12,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "lab/event_loop_thread.h"
+#include "lab/standins/event_loop_thread.h"
 #include "loop/listener.h"
 #include "loop/loop.h"
 
--- a/src/lab/fault_proxy/fault_proxy.cpp
+++ b/src/lab/fault_proxy/fault_proxy.cpp
@@ -10,6 +10,7 @@
 #include <utility>
 
 #include "core/scheduler_thread.h"
+#include "lab/standins/loopback.h"
 
 namespace walnutspur::lab {
 namespace {
@@ -23,17 +24,9 @@
   int port = 0;
 };
 
-sockaddr_in Loopback(int port) {
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  address.sin_port = htons(static_cast<std::uint16_t>(port));
-  return address;
-}
-
 BoundSocket BindAnyPort() {
   const int fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  sockaddr_in address = Loopback(0);
+  sockaddr_in address = LoopbackAddress(0);
   socklen_t size = sizeof address;
   if (bind(fd, reinterpret_cast<sockaddr*>(&address), size) != 0 ||
       getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) != 0) {
@@ -134,7 +127,7 @@
     const Datagram datagram = scheduled_.top();
     scheduled_.pop();
     const Link& link = links_[static_cast<std::size_t>(datagram.receiver)];
-    const sockaddr_in address = Loopback(link.member_port);
+    const sockaddr_in address = LoopbackAddress(link.member_port);
     sendto(link.fd, datagram.bytes.data(), datagram.bytes.size(), MSG_NOSIGNAL,
            reinterpret_cast<const sockaddr*>(&address), sizeof address);
     ++forwarded_datagrams_;
--- a/src/lab/fleet/process_cluster.cpp
+++ b/src/lab/fleet/process_cluster.cpp
@@ -3,12 +3,12 @@
 #include <poll.h>
 
 #include <algorithm>
-#include <map>
 #include <sstream>
 #include <utility>
 
 #include "app/control.h"
 #include "core/scheduler_thread.h"
+#include "lab/standins/loopback.h"
 
 namespace walnutspur::lab {
 namespace {
@@ -20,34 +20,13 @@
 constexpr int kShutdownTimeoutMs = 6'000;  // after SIGTERM
 constexpr const char* kKey = "a key of our own for this fleet\n";
 
-json DeployFile(int discovery_port) {
-  const json read_class = {{"name", "read"},   {"aim", 400000}, {"deadline", 1200000},
-                           {"effect", "safe"}, {"worth", 3.0},  {"lateWorth", 0.1}};
-  return {{"name", "n0"},
-          {"listen", "127.0.0.1:0"},
-          {"discovery", "127.0.0.1:" + std::to_string(discovery_port)},
-          {"seed", "8c1f30d27a5be964"},
-          {"limits", {{"sockets", 256}}},
-          {"settings",
-           {{"nInstances", 9},
-            {"discovery", "subscribe"},
-            {"classes", {read_class}},
-            {"policies", {{{"name", "basic"}, {"rate", 50.0}, {"floorRate", 50.0}}}},
-            {"rules",
-             {{"askEvery", 10000000},
-              {"drainGrace", 500000},
-              {"graceToAnswer", 8000},
-              {"coldShare", 0.2},
-              {"warmUp", 1000000},
-              {"tipMultiple", 2.0},
-              {"overloadFor", 1000000}}},
-            {"limits",
-             {{"tryLimit", 3},
-              {"cancel", true},
-              {"maxRetryAfter", 500000},
-              {"connIdle", 3000000},
-              {"dialTimeout", 250000}}},
-            {"extra", {{"largest", 16}, {"usualUnits", 1.0}, {"shards", 4}, {"coldUnits", 20.0}}}}}};
+PlatformConfig MemberConfig(int discovery_port) {
+  PlatformConfig config;
+  config.discovery = FormatLoopbackAddress(discovery_port);
+  config.max_sockets = 256;
+  config.instances = 9;
+  config.idle_timeout = 3'000'000;
+  return config;
 }
 
 // A TOML array of strings.
@@ -92,11 +71,11 @@
 ProcessCluster::ProcessCluster(std::string program, int members, std::uint64_t seed)
     : program_(std::move(program)), proxy_(members, seed), members_(static_cast<std::size_t>(members)) {
   for (Member& member : members_) {
-    member.folder = std::make_unique<Folder>();
+    member.folder = std::make_unique<TemporaryFolder>();
   }
 }
 
-std::string ProcessCluster::SettingsText(const Folder& folder, int member, int address_of) const {
+std::string ProcessCluster::SettingsText(const TemporaryFolder& folder, int member, int address_of) const {
   std::vector<std::string> peers;
   std::vector<std::string> roster;
   for (int i = 0; i < std::min<int>(kPeers, static_cast<int>(members_.size())); ++i) {
@@ -117,25 +96,24 @@
   return text.str();
 }
 
-std::vector<std::string> ProcessCluster::PrepareCommand(const Folder& folder, int member,
-                                                        int address_of) const {
-  const std::string settings = folder.Put("settings.toml", SettingsText(folder, member, address_of));
-  const std::string config = folder.Put("config.json", DeployFile(discovery_.port()).dump());
-  return {program_, "--config", config, "--settings", settings};
+std::unique_ptr<Process> ProcessCluster::StartMember(const TemporaryFolder& folder, int member,
+                                                     int address_of) const {
+  InitiatorOptions options;
+  options.program = program_;
+  options.config = MemberConfig(discovery_.port());
+  options.settings = SettingsText(folder, member, address_of);
+  return StartInitiator(folder, options);
 }
 
 void ProcessCluster::Start(int member) {
   Member& started = at(member);
   started.stopped = false;
-  started.process =
-      std::make_unique<Process>(PrepareCommand(*started.folder, member, member),
-                                std::map<std::string, std::string>{}, started.folder->path() + "/log");
+  started.process = StartMember(*started.folder, member, member);
 }
 
 int ProcessCluster::RunDuplicate(int member, int address_of, int timeout_ms) {
-  const Folder folder;
-  Process process(PrepareCommand(folder, member, address_of), {}, folder.path() + "/log");
-  return process.Wait(timeout_ms);
+  const TemporaryFolder folder;
+  return StartMember(folder, member, address_of)->Wait(timeout_ms);
 }
 
 void ProcessCluster::Kill(int member) { at(member).process.reset(); }
--- a/src/lab/fleet/process_cluster.h
+++ b/src/lab/fleet/process_cluster.h
@@ -14,7 +14,9 @@
 
 #include "lab/discovery.h"
 #include "lab/fault_proxy/fault_proxy.h"
-#include "lab/process.h"
+#include "lab/standins/initiator_process.h"
+#include "lab/standins/process.h"
+#include "lab/standins/temporary_folder.h"
 
 namespace walnutspur::lab {
 
@@ -45,7 +47,7 @@
 
  private:
   struct Member {
-    std::unique_ptr<Folder> folder;
+    std::unique_ptr<TemporaryFolder> folder;
     std::unique_ptr<Process> process;  // null: not started, or ended
     bool stopped = false;
   };
@@ -53,9 +55,9 @@
   Member& at(int member) { return members_[static_cast<std::size_t>(member)]; }
   void Signal(int member, int number);
   std::set<std::string> RunningNames() const;
-  // Writes the member's configuration and returns its command line.
-  std::vector<std::string> PrepareCommand(const Folder& folder, int member, int address_of) const;
-  std::string SettingsText(const Folder& folder, int member, int address_of) const;
+  // Starts a process under the name of `member` at the address of `address_of`.
+  std::unique_ptr<Process> StartMember(const TemporaryFolder& folder, int member, int address_of) const;
+  std::string SettingsText(const TemporaryFolder& folder, int member, int address_of) const;
 
   std::string program_;
   FaultProxy proxy_;
--- a/src/lab/soak/testbed.cpp
+++ b/src/lab/soak/testbed.cpp
@@ -1,82 +1,31 @@
 #include "lab/soak/testbed.h"
 
-#include <sys/socket.h>
-#include <unistd.h>
-
 #include <algorithm>
-#include <atomic>
-#include <chrono>
 #include <csignal>
 #include <fstream>
 #include <sstream>
-#include <thread>
 #include <utility>
 
 #include "core/clock.h"
+#include "lab/standins/loopback.h"
 
 namespace walnutspur::lab::soak {
 namespace {
 
-using nlohmann::json;
-
 constexpr Time kBeatInterval = 10'000;      // us
 constexpr Time kStartTimeout = 10'000'000;  // us until a process listens
-constexpr unsigned kHosts = 250;            // in each part of an address
-
-// An address on which nothing else listens. A port that is free on 127.0.0.1 may be taken by another stand-in
-// or test before the process has it, so each has a loopback address of its own.
-loop::Address OwnAddress() {
-  static std::atomic<unsigned> count{0};
-  const unsigned number = ++count;
-  const unsigned test = 1 + static_cast<unsigned>(getpid()) % kHosts;
-  const std::string host = "127." + std::to_string(test) + "." +
-                           std::to_string(1 + number / kHosts % kHosts) + "." +
-                           std::to_string(1 + number % kHosts);
-  return {host, static_cast<std::uint16_t>(FreePort())};
-}
-
-bool CanConnect(const loop::Address& address) {
-  const sockaddr_in socket_address = loop::ToSocket(address);
-  const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  const bool connected =
-      connect(fd, reinterpret_cast<const sockaddr*>(&socket_address), sizeof socket_address) == 0;
-  close(fd);
-  return connected;
-}
-
-// Whether something listens at the address soon.
-bool WaitForListener(const loop::Address& address) {
-  const Time end = core::Now() + kStartTimeout;
-  while (!CanConnect(address)) {
-    if (core::Now() > end) {
-      return false;
-    }
-    std::this_thread::sleep_for(std::chrono::milliseconds(2));
-  }
-  return true;
-}
-
-json RequestClass(const char* name, const char* effect, Time deadline) {
-  return {{"name", name},     {"aim", deadline / 3}, {"deadline", deadline},
-          {"effect", effect}, {"worth", 3.0},        {"lateWorth", 0.1}};
-}
-
-json Rules(Time drain_grace) {
-  return {{"askEvery", 10000000}, {"drainGrace", drain_grace}, {"graceToAnswer", 8000}, {"coldShare", 0.2},
-          {"warmUp", 1000000},    {"tipMultiple", 2.0},        {"overloadFor", 1000000}};
-}
 
-json AttemptLimits() {
-  return {{"tryLimit", 3},           {"cancel", true},       {"probing", false},
-          {"maxRetryAfter", 500000}, {"connIdle", 30000000}, {"dialTimeout", 250000}};
-}
+std::string NameOf(int process) { return "n" + std::to_string(process); }
 
-json Capacity(int shards) {
-  return {{"largest", 16},
-          {"usualUnits", 1.0},
-          {"shards", shards},
-          {"coldUnits", 20.0},
-          {"changesData", {false, true}}};
+// Requests of class "read" may be sent twice, those of class "write" must not.
+std::vector<PlatformRequestClass> RequestClasses(Time deadline) {
+  PlatformRequestClass read;
+  read.latency_objective = deadline / 3;
+  read.deadline = deadline;
+  PlatformRequestClass write = read;
+  write.name = "write";
+  write.is_idempotent = false;
+  return {read, write};
 }
 
 }  // namespace
@@ -86,11 +35,11 @@
   discovery_ = std::make_unique<DiscoveryService>(base_.get(), options.processes, &record_);
   for (int number = 0; number < options.targets; ++number) {
     targets_.push_back(std::make_unique<HttpTarget>(base_.get(), "t" + std::to_string(number), &record_));
-    discovery_->SetInitially({targets_.back()->name(), "127.0.0.1:" + std::to_string(targets_.back()->port()),
+    discovery_->SetInitially({targets_.back()->name(), FormatLoopbackAddress(targets_.back()->port()),
                               "SERVING", number, options.up_since_ms});
   }
   for (Member& each : members_) {
-    each.listen = OwnAddress();
+    each.listen = UniqueLoopbackAddress();
     each.known_list = discovery_->FullList();
   }
 }
@@ -108,51 +57,39 @@
   calls_.back().Start(delay);
 }
 
-json Testbed::Configuration(int process) const {
+PlatformConfig Testbed::Configuration(int process) const {
   const Member& configured = members_[static_cast<std::size_t>(process)];
-  const int instances =
-      options_.configured_instances > 0 ? options_.configured_instances : options_.processes;
-  return {{"name", "n" + std::to_string(process)},
-          {"listen", loop::ToString(configured.listen)},
-          {"discovery", "127.0.0.1:" + std::to_string(discovery_->port(process))},
-          {"seed", "8c1f30d27a5be964"},
-          {"limits", {{"sockets", 1024}, {"memory_mb", 192}}},
-          {"known", json::parse(configured.known_list)},
-          {"settings",
-           {{"nInstances", instances},
-            {"discovery", "subscribe"},
-            {"classes",
-             {RequestClass("read", "safe", options_.load.deadline),
-              RequestClass("write", "unsafe", options_.load.deadline)}},
-            {"policies", {{{"name", "basic"}, {"rate", 2000.0}, {"floorRate", 2000.0}}}},
-            {"rules", Rules(options_.drain_grace)},
-            {"limits", AttemptLimits()},
-            {"extra", Capacity(options_.targets)},
-            {"telemetry", {{"fields", json::array()}}}}}};
-}
-
-std::string Testbed::LogPath(int process) const {
-  return folder_.path() + "/n" + std::to_string(process) + ".log";
+  PlatformConfig config;
+  config.name = NameOf(process);
+  config.listen = loop::ToString(configured.listen);
+  config.discovery = FormatLoopbackAddress(discovery_->port(process));
+  config.cached_endpoints = nlohmann::json::parse(configured.known_list);
+  config.instances = options_.configured_instances > 0 ? options_.configured_instances : options_.processes;
+  config.classes = RequestClasses(options_.load.deadline);
+  config.rate = 2000.0;
+  config.drain_grace = options_.drain_grace;
+  config.shards = options_.targets;
+  return config;
 }
 
 void Testbed::Start(int process, StartMode mode) {
   Member& started = member(process);
-  const std::string name = "n" + std::to_string(process);
-  const std::string config = folder_.Put(name + ".json", Configuration(process).dump());
-  const std::string settings = folder_.Put("settings.toml", "[log]\nlevel = \"info\"\nper_kind = 1000.0\n");
-  std::map<std::string, std::string> environment = options_.environment;
+  InitiatorOptions initiator;
+  initiator.program = options_.program;
+  initiator.name = NameOf(process);
+  initiator.config = Configuration(process);
+  initiator.settings = "[log]\nlevel = \"info\"\nper_kind = 1000.0\n";
+  initiator.environment = options_.environment;
   if (!options_.preload.empty()) {
-    environment["LD_PRELOAD"] = options_.preload;
+    initiator.environment["LD_PRELOAD"] = options_.preload;
     // A program built with the address sanitizer would refuse to start behind another preloaded library.
-    environment["ASAN_OPTIONS"] = "verify_asan_link_order=0";
+    initiator.environment["ASAN_OPTIONS"] = "verify_asan_link_order=0";
   }
   record_.starts[process].push_back(core::Now());
   ++started.starts;
-  started.process = std::make_unique<Process>(
-      std::vector<std::string>{options_.program, "--config", config, "--settings", settings}, environment,
-      LogPath(process));
-  if (mode == StartMode::kListening && !WaitForListener(started.listen)) {
-    throw ProcessError(name + " does not listen");
+  started.process = StartInitiator(folder_, initiator);
+  if (mode == StartMode::kListening && !WaitForListener(started.listen, kStartTimeout)) {
+    throw ProcessError(initiator.name + " does not listen");
   }
 }
 
@@ -209,12 +146,12 @@
 
 void Testbed::SetPhase(int target_number, const std::string& phase) {
   const HttpTarget& changed = target(target_number);
-  discovery_->Set({changed.name(), "127.0.0.1:" + std::to_string(changed.port()), phase, target_number,
-                   options_.up_since_ms});
+  discovery_->Set(
+      {changed.name(), FormatLoopbackAddress(changed.port()), phase, target_number, options_.up_since_ms});
 }
 
 std::string Testbed::Log(int process) const {
-  std::ifstream file(LogPath(process));
+  std::ifstream file(InitiatorLogPath(folder_, NameOf(process)));
   std::ostringstream text;
   text << file.rdbuf();
   return text.str();
--- a/src/lab/soak/testbed.h
+++ b/src/lab/soak/testbed.h
@@ -9,15 +9,16 @@
 #include <list>
 #include <map>
 #include <memory>
-#include <nlohmann/json.hpp>
 #include <string>
 #include <vector>
 
-#include "lab/process.h"
 #include "lab/soak/discovery_service.h"
 #include "lab/soak/http_target.h"
 #include "lab/soak/load_client.h"
 #include "lab/soak/record.h"
+#include "lab/standins/initiator_process.h"
+#include "lab/standins/process.h"
+#include "lab/standins/temporary_folder.h"
 #include "loop/loop.h"
 
 namespace walnutspur::lab::soak {
@@ -84,19 +85,17 @@
     std::unique_ptr<LoadClient> clients;
   };
 
-  nlohmann::json Configuration(int process) const;
+  PlatformConfig Configuration(int process) const;
+  void NoteStall();
   Member& member(int process) { return members_[static_cast<std::size_t>(process)]; }
-  std::string LogPath(int process) const;
 
   TestbedOptions options_;
-  Folder folder_;
+  TemporaryFolder folder_;
   Record record_;
   loop::EventBasePtr base_;
   std::unique_ptr<DiscoveryService> discovery_;
   std::vector<std::unique_ptr<HttpTarget>> targets_;
   std::vector<Member> members_;
-  void NoteStall();
-
   Time longest_stall_ = 0;
   Time next_beat_at_ = 0;  // of the timer that shows stalls
   loop::EventHandle beat_;
--- /dev/null
+++ b/src/lab/standins/initiator_process.h
@@ -0,0 +1,34 @@
+// Starts the program under test, a stand-alone initiator, with its files in a temporary folder.
+//
+// Called by the owner of the folder and of the process, a test or a testbed, on its thread.
+#ifndef WALNUTSPUR_LAB_STANDINS_INITIATOR_PROCESS_H_
+#define WALNUTSPUR_LAB_STANDINS_INITIATOR_PROCESS_H_
+
+#include <map>
+#include <memory>
+#include <string>
+
+#include "lab/standins/platform_config.h"
+#include "lab/standins/process.h"
+#include "lab/standins/temporary_folder.h"
+
+namespace walnutspur::lab {
+
+struct InitiatorOptions {
+  std::string program;                             // path of the walnutspur program
+  std::string name = "n0";                         // prefix of its files' names
+  PlatformConfig config;                           // its --config
+  std::string settings;                            // text of its --settings (TOML)
+  std::string nbd_deploy_file;                     // text of its --nbd (TOML); empty: NBD is off
+  std::map<std::string, std::string> environment;  // added to the caller's
+};
+
+// Writes the files and starts the process; does not wait until it listens. Throws ProcessError.
+std::unique_ptr<Process> StartInitiator(const TemporaryFolder& folder, const InitiatorOptions& options);
+
+// The file that the process's output is appended to, over all its starts.
+std::string InitiatorLogPath(const TemporaryFolder& folder, const std::string& name);
+
+}  // namespace walnutspur::lab
+
+#endif  // WALNUTSPUR_LAB_STANDINS_INITIATOR_PROCESS_H_
--- a/src/lab/process.cpp
+++ b/src/lab/standins/process.cpp
@@ -1,10 +1,8 @@
-#include "lab/process.h"
+#include "lab/standins/process.h"
 
-#include <arpa/inet.h>
 #include <fcntl.h>
 #include <poll.h>
 #include <sys/prctl.h>
-#include <sys/socket.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -17,29 +15,10 @@
 namespace {
 
 constexpr int kExitPollInterval = 5;  // ms
-constexpr int kPortPollInterval = 2;  // ms
 constexpr int kExecFailed = 127;      // exit code, as of a shell
 constexpr mode_t kLogMode = 0640;
 constexpr double kNanosecondsPerSecond = 1e9;
 
-sockaddr_in LoopbackAddress(int port) {
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  address.sin_port = htons(static_cast<std::uint16_t>(port));
-  return address;
-}
-
-int MakeSocket() { return socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0); }
-
-bool CanConnect(int port) {
-  const sockaddr_in address = LoopbackAddress(port);
-  const int fd = MakeSocket();
-  const bool connected = connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
-  close(fd);
-  return connected;
-}
-
 // Runs in the child.
 [[noreturn]] void Execute(char* const* arguments, const std::map<std::string, std::string>& environment,
                           const std::string& log) {
@@ -57,23 +36,6 @@
 
 }  // namespace
 
-Folder::Folder() : path_(std::filesystem::temp_directory_path() / "walnutspur-lab-XXXXXX") {
-  if (!mkdtemp(path_.data())) {
-    throw ProcessError("cannot make a folder for temporary files");
-  }
-}
-
-Folder::~Folder() {
-  std::error_code ignored;
-  std::filesystem::remove_all(path_, ignored);
-}
-
-std::string Folder::Put(const std::string& name, const std::string& text) const {
-  std::string path = path_ + "/" + name;
-  std::ofstream(path, std::ios::binary) << text;
-  return path;
-}
-
 Process::Process(const std::vector<std::string>& command,
                  const std::map<std::string, std::string>& environment, const std::string& log) {
   std::vector<char*> arguments;
@@ -147,27 +109,4 @@
   return resident_pages * sysconf(_SC_PAGESIZE);
 }
 
-bool WaitForPort(int port, int ms) {
-  for (; ms > 0; ms -= kPortPollInterval) {
-    if (CanConnect(port)) {
-      return true;
-    }
-    poll(nullptr, 0, kPortPollInterval);
-  }
-  return false;
-}
-
-int FreePort() {
-  sockaddr_in address = LoopbackAddress(0);
-  socklen_t length = sizeof address;
-  const int fd = MakeSocket();
-  const bool bound = bind(fd, reinterpret_cast<sockaddr*>(&address), length) == 0 &&
-                     getsockname(fd, reinterpret_cast<sockaddr*>(&address), &length) == 0;
-  close(fd);
-  if (!bound) {
-    throw ProcessError("there is no free port");
-  }
-  return ntohs(address.sin_port);
-}
-
 }  // namespace walnutspur::lab
--- a/src/lab/process.h
+++ b/src/lab/standins/process.h
@@ -1,10 +1,8 @@
-// A program of this project as a child process, a temporary folder for what it reads and writes, and TCP
-// ports.
+// A program of this project as a child process.
 //
-// A child and a folder end with their owner. Nothing here has a thread of its own; a Process is used by one
-// thread at a time.
-#ifndef WALNUTSPUR_LAB_PROCESS_H_
-#define WALNUTSPUR_LAB_PROCESS_H_
+// The child ends with its owner, a test or a testbed. Used by one thread at a time.
+#ifndef WALNUTSPUR_LAB_STANDINS_PROCESS_H_
+#define WALNUTSPUR_LAB_STANDINS_PROCESS_H_
 
 #include <sys/types.h>
 
@@ -16,28 +14,12 @@
 
 namespace walnutspur::lab {
 
-// The system refuses a process, a folder or a port.
+// The system refuses a process, or the process does not start to serve.
 class ProcessError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// A temporary folder, removed with all files in it on destruction.
-class Folder {
- public:
-  Folder();  // throws ProcessError
-  ~Folder();
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
-
-  const std::string& path() const { return path_; }
-  // Writes a file into the folder and returns its path.
-  std::string Put(const std::string& name, const std::string& text) const;
-
- private:
-  std::string path_;
-};
-
 class Process {
  public:
   // Starts the command, whose first word is the program's path, with these variables added to its
@@ -68,11 +50,6 @@
   int status_ = 0;  // of waitpid, once reaped
 };
 
-// Whether something listens on a port of 127.0.0.1 within `ms` milliseconds.
-bool WaitForPort(int port, int ms);
-// A port of 127.0.0.1 that is free now. Throws ProcessError.
-int FreePort();
-
 }  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_PROCESS_H_
+#endif  // WALNUTSPUR_LAB_STANDINS_PROCESS_H_
--- /dev/null
+++ b/src/lab/standins/temporary_folder.h
@@ -0,0 +1,36 @@
+// A temporary folder for what a process under test reads and writes.
+//
+// Removed on destruction by its owner, a test or a testbed. Used by one thread at a time.
+#ifndef WALNUTSPUR_LAB_STANDINS_TEMPORARY_FOLDER_H_
+#define WALNUTSPUR_LAB_STANDINS_TEMPORARY_FOLDER_H_
+
+#include <stdexcept>
+#include <string>
+
+namespace walnutspur::lab {
+
+// The system refuses the folder.
+class TemporaryFolderError : public std::runtime_error {
+ public:
+  using std::runtime_error::runtime_error;
+};
+
+// A new folder with a unique name, removed with all files in it on destruction.
+class TemporaryFolder {
+ public:
+  TemporaryFolder();  // throws TemporaryFolderError
+  ~TemporaryFolder();
+  TemporaryFolder(const TemporaryFolder&) = delete;
+  TemporaryFolder& operator=(const TemporaryFolder&) = delete;
+
+  const std::string& path() const { return path_; }
+  // Writes a file into the folder and returns its path.
+  std::string Put(const std::string& name, const std::string& text) const;
+
+ private:
+  std::string path_;
+};
+
+}  // namespace walnutspur::lab
+
+#endif  // WALNUTSPUR_LAB_STANDINS_TEMPORARY_FOLDER_H_
--- a/src/lab/storage_server/storage_server.h
+++ b/src/lab/storage_server/storage_server.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "http/message_reader.h"
-#include "lab/event_loop_thread.h"
+#include "lab/standins/event_loop_thread.h"
 #include "lab/storage_server/block_device.h"
 #include "lab/storage_server/damage.h"
 #include "lab/storage_server/error.h"
--- a/tests/lab/simulation_test.cpp
+++ b/tests/lab/simulation_test.cpp
@@ -11,9 +11,9 @@
 #include <string>
 
 #include "base_experiment.h"
-#include "lab/process.h"
 #include "lab/sim/explore.h"
 #include "lab/sim/invariant_checker.h"
+#include "lab/standins/temporary_folder.h"
 
 namespace walnutspur::lab {
 namespace {
@@ -42,7 +42,7 @@
 
 TEST_CASE("the same seed gives the same log to the byte, another seed a different one") {
   const Experiment experiment = DrawExperiment(BaseExperiment(), 7);
-  const Folder folder;
+  const TemporaryFolder folder;
   const std::uint32_t first = RunWithLog(experiment, folder.path() + "/a");
   CHECK(RunWithLog(experiment, folder.path() + "/b") == first);
   Experiment other = experiment;
--- a/tests/net/checksummed_export_test.cpp
+++ b/tests/net/checksummed_export_test.cpp
@@ -13,7 +13,7 @@
 #include "filestore/atomic_file.h"
 #include "integrity/cursor.h"
 #include "lab/discovery.h"
-#include "lab/process.h"
+#include "lab/standins/temporary_folder.h"
 #include "lab/storage_server/storage_server.h"
 #include "nbd/blocking_client.h"
 #include "scenario_runner.h"
@@ -175,7 +175,7 @@
   }
 
   bool server_is_suitable = true;  // whether it has the flags that checksummed exports need
-  lab::Folder folder;
+  lab::TemporaryFolder folder;
   lab::StorageServer server;
   lab::Discovery discovery;
   app::Options options;
@@ -350,7 +350,7 @@
 }
 
 TEST_CASE("a stale control socket is replaced, and a file of another kind is not") {
-  const lab::Folder folder;
+  const lab::TemporaryFolder folder;
   const std::string path = app::ControlPath(folder.path());
   const loop::EventBasePtr base(event_base_new());
   sockaddr_un address{};
--- a/tests/net/loopback_socket.cpp
+++ b/tests/net/loopback_socket.cpp
@@ -7,22 +7,17 @@
 #include <unistd.h>
 
 #include <array>
-#include <cstdint>
+
+#include "lab/standins/loopback.h"
 
 namespace walnutspur::test {
 namespace {
 
+using lab::LoopbackAddress;
+
 constexpr int kListenBacklog = 64;
 constexpr std::size_t kReadBytes = 65536;
 
-sockaddr_in LoopbackAddress(int port) {
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  address.sin_port = htons(static_cast<std::uint16_t>(port));
-  return address;
-}
-
 }  // namespace
 
 Socket& Socket::operator=(Socket&& other) noexcept {
--- a/tests/unit/file_store_test.cpp
+++ b/tests/unit/file_store_test.cpp
@@ -10,7 +10,7 @@
 
 #include "filestore/atomic_file.h"
 #include "integrity/cursor.h"
-#include "lab/process.h"
+#include "lab/standins/temporary_folder.h"
 
 namespace walnutspur::filestore {
 namespace {
@@ -18,7 +18,7 @@
 using std::chrono::milliseconds;
 
 TEST_CASE("a file that cannot be replaced stays as it was") {
-  const lab::Folder folder;
+  const lab::TemporaryFolder folder;
   std::string what;
   REQUIRE(WriteFileAtomically(folder.path(), "a", "old", &what));
   std::filesystem::create_directory(folder.path() + "/a.new");  // where the replacement would be written
