--- a/bench/integrity/testbed.cpp
+++ b/bench/integrity/testbed.cpp
@@ -34,10 +34,10 @@
 Testbed::Testbed(const Run& run, TestbedOptions options)
     : run_(run), options_(std::move(options)), random_(run.seed()) {
   StartServer();
-  lab::Member member;
-  member.id = "a";
-  member.host_port = lab::FormatLoopbackAddress(server_http_port_);
-  discovery_.Set(member);
+  lab::ListedEndpoint endpoint;
+  endpoint.id = "a";
+  endpoint.address = lab::FormatLoopbackAddress(server_http_port_);
+  discovery_.Set(endpoint);
   nbd_port_ = lab::FreePort();
   http_port_ = lab::FreePort();
   initiator_options_ = InitiatorSetup();
--- a/bench/integrity/testbed.h
+++ b/bench/integrity/testbed.h
@@ -13,7 +13,7 @@
 
 #include "integrity/corruption_log.h"
 #include "integrity/layout.h"
-#include "lab/discovery.h"
+#include "lab/standins/discovery_thread.h"
 #include "lab/standins/initiator_process.h"
 #include "lab/standins/process.h"
 #include "lab/standins/temporary_folder.h"
@@ -80,7 +80,7 @@
   std::unique_ptr<lab::Process> child_server_;
   int server_nbd_port_ = 0;
   int server_http_port_ = 0;
-  lab::Discovery discovery_;
+  lab::DiscoveryThread discovery_;
   int nbd_port_ = 0;
   int http_port_ = 0;
   lab::InitiatorOptions initiator_options_;
--- a/src/lab/fleet/process_cluster.h
+++ b/src/lab/fleet/process_cluster.h
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
-#include "lab/discovery.h"
 #include "lab/fault_proxy/fault_proxy.h"
+#include "lab/standins/discovery_thread.h"
 #include "lab/standins/initiator_process.h"
 #include "lab/standins/process.h"
 #include "lab/standins/temporary_folder.h"
@@ -61,7 +61,7 @@
 
   std::string program_;
   FaultProxy proxy_;
-  Discovery discovery_;
+  DiscoveryThread discovery_;
   std::vector<Member> members_;
 };
 
--- /dev/null
+++ b/src/lab/soak/discovery_recorder.h
@@ -0,0 +1,28 @@
+// Writes what the discovery service does into the record of a run.
+//
+// Owned by a testbed; called on the thread of its event loop.
+#ifndef WALNUTSPUR_LAB_SOAK_DISCOVERY_RECORDER_H_
+#define WALNUTSPUR_LAB_SOAK_DISCOVERY_RECORDER_H_
+
+#include "lab/soak/record.h"
+#include "lab/standins/discovery_service.h"
+
+namespace walnutspur::lab::soak {
+
+class DiscoveryRecorder : public DiscoveryObserver {
+ public:
+  // `record` must outlive it.
+  explicit DiscoveryRecorder(Record* record) : record_(record) {}
+
+  void OnEndpointSet(int revision, const ListedEndpoint& endpoint) override;
+  void OnListWritten(int client, int revision) override;
+  void OnCallFailed(int client) override;
+  void OnOutageEnded(Time began_at) override;
+
+ private:
+  Record* record_;
+};
+
+}  // namespace walnutspur::lab::soak
+
+#endif  // WALNUTSPUR_LAB_SOAK_DISCOVERY_RECORDER_H_
--- a/src/lab/soak/http_target.h
+++ b/src/lab/soak/http_target.h
@@ -10,8 +10,8 @@
 #include <memory>
 #include <string>
 
-#include "lab/soak/http_connection.h"
 #include "lab/soak/record.h"
+#include "lab/standins/http_connection.h"
 #include "loop/listener.h"
 
 namespace walnutspur::lab::soak {
--- a/src/lab/soak/plan.h
+++ b/src/lab/soak/plan.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/soak/discovery_service.h"
 #include "lab/soak/http_target.h"
 #include "lab/soak/load_client.h"
+#include "lab/standins/discovery_service.h"
 
 namespace walnutspur::lab::soak {
 
--- a/src/lab/soak/run.cpp
+++ b/src/lab/soak/run.cpp
@@ -84,11 +84,12 @@
         At(event.at, [this] { testbed_.discovery().EndWatches(); });
         break;
       case FaultEventKind::kDrain:
-        At(event.at, [this, target] { testbed_.SetPhase(target, "DRAINING"); });
-        At(event.at + kRemovalDelay, [this, target] { testbed_.SetPhase(target, "DELETED"); });
+        At(event.at, [this, target] { testbed_.SetEndpointState(target, EndpointState::kDraining); });
+        At(event.at + kRemovalDelay,
+           [this, target] { testbed_.SetEndpointState(target, EndpointState::kTerminated); });
         break;
       case FaultEventKind::kReturn:
-        At(event.at, [this, target] { testbed_.SetPhase(target, "SERVING"); });
+        At(event.at, [this, target] { testbed_.SetEndpointState(target, EndpointState::kActive); });
         break;
       case FaultEventKind::kTargetFault:
         At(event.at, [this, event] { testbed_.target(event.target).SetFault(event.target_fault); });
--- a/src/lab/soak/testbed.cpp
+++ b/src/lab/soak/testbed.cpp
@@ -32,11 +32,14 @@
 
 Testbed::Testbed(const TestbedOptions& options)
     : options_(options), base_(event_base_new()), members_(static_cast<std::size_t>(options.processes)) {
-  discovery_ = std::make_unique<DiscoveryService>(base_.get(), options.processes, &record_);
+  DiscoveryOptions discovery;
+  discovery.clients = options.processes;
+  discovery.observer = &discovery_recorder_;
+  discovery_ = std::make_unique<DiscoveryService>(base_.get(), discovery);
   for (int number = 0; number < options.targets; ++number) {
     targets_.push_back(std::make_unique<HttpTarget>(base_.get(), "t" + std::to_string(number), &record_));
     discovery_->SetInitially({targets_.back()->name(), FormatLoopbackAddress(targets_.back()->port()),
-                              "SERVING", number, options.up_since_ms});
+                              EndpointState::kActive, number, options.up_since_ms});
   }
   for (Member& each : members_) {
     each.listen = UniqueLoopbackAddress();
@@ -144,10 +147,10 @@
 
 bool Testbed::IsRunning(int process) { return member(process).process && member(process).process->running(); }
 
-void Testbed::SetPhase(int target_number, const std::string& phase) {
+void Testbed::SetEndpointState(int target_number, EndpointState state) {
   const HttpTarget& changed = target(target_number);
   discovery_->Set(
-      {changed.name(), FormatLoopbackAddress(changed.port()), phase, target_number, options_.up_since_ms});
+      {changed.name(), FormatLoopbackAddress(changed.port()), state, target_number, options_.up_since_ms});
 }
 
 std::string Testbed::Log(int process) const {
--- a/src/lab/soak/testbed.h
+++ b/src/lab/soak/testbed.h
@@ -12,10 +12,11 @@
 #include <string>
 #include <vector>
 
-#include "lab/soak/discovery_service.h"
+#include "lab/soak/discovery_recorder.h"
 #include "lab/soak/http_target.h"
 #include "lab/soak/load_client.h"
 #include "lab/soak/record.h"
+#include "lab/standins/discovery_service.h"
 #include "lab/standins/initiator_process.h"
 #include "lab/standins/process.h"
 #include "lab/standins/temporary_folder.h"
@@ -64,8 +65,8 @@
   void Signal(int process, int number);
   bool IsRunning(int process);
 
-  // Changes the phase of a target in the endpoint list.
-  void SetPhase(int target, const std::string& phase);
+  // Changes the state of a target in the endpoint list.
+  void SetEndpointState(int target, EndpointState state);
 
   DiscoveryService& discovery() { return *discovery_; }
   HttpTarget& target(int number) { return *targets_[static_cast<std::size_t>(number)]; }
@@ -93,6 +94,7 @@
   TemporaryFolder folder_;
   Record record_;
   loop::EventBasePtr base_;
+  DiscoveryRecorder discovery_recorder_{&record_};
   std::unique_ptr<DiscoveryService> discovery_;
   std::vector<std::unique_ptr<HttpTarget>> targets_;
   std::vector<Member> members_;
--- /dev/null
+++ b/src/lab/standins/discovery_thread.h
@@ -0,0 +1,44 @@
+// A discovery service on a thread of its own, for tests and testbeds that run no event loop.
+//
+// Serves one client port from construction to destruction. Set may be called from any thread.
+#ifndef WALNUTSPUR_LAB_STANDINS_DISCOVERY_THREAD_H_
+#define WALNUTSPUR_LAB_STANDINS_DISCOVERY_THREAD_H_
+
+#include <mutex>
+#include <vector>
+
+#include "lab/standins/discovery_service.h"
+#include "lab/standins/endpoint_list.h"
+#include "lab/standins/event_loop_thread.h"
+#include "loop/loop.h"
+
+namespace walnutspur::lab {
+
+class DiscoveryThread {
+ public:
+  // Listens on a free port of 127.0.0.1. Throws loop::ListenError, or EventLoopError.
+  DiscoveryThread();
+  ~DiscoveryThread();
+  DiscoveryThread(const DiscoveryThread&) = delete;
+  DiscoveryThread& operator=(const DiscoveryThread&) = delete;
+
+  int port() const { return service_.port(); }
+  // Adds or replaces the endpoint with this id. It is in the answer to every call that is made after this
+  // returns, and is written to the open watches.
+  void Set(const ListedEndpoint& endpoint);
+
+ private:
+  void ApplyChanges();
+
+  std::mutex mutex_;                     // guards changes_
+  std::vector<ListedEndpoint> changes_;  // set and not yet given to the service
+
+  // Used by the loop's thread alone once it runs. The loop is destroyed last.
+  EventLoopThread loop_;
+  loop::EventHandle changes_added_;
+  DiscoveryService service_;
+};
+
+}  // namespace walnutspur::lab
+
+#endif  // WALNUTSPUR_LAB_STANDINS_DISCOVERY_THREAD_H_
--- a/src/lab/soak/http_connection.cpp
+++ b/src/lab/standins/http_connection.cpp
@@ -1,10 +1,10 @@
-#include "lab/soak/http_connection.h"
+#include "lab/standins/http_connection.h"
 
 #include <sys/socket.h>
 
 #include "core/clock.h"
 
-namespace walnutspur::lab::soak {
+namespace walnutspur::lab {
 
 HttpConnection::HttpConnection(event_base* base, evutil_socket_t fd, std::uint64_t number,
                                HttpConnectionHandler* handler)
@@ -61,4 +61,4 @@
   }
 }
 
-}  // namespace walnutspur::lab::soak
+}  // namespace walnutspur::lab
--- a/src/lab/soak/http_connection.h
+++ b/src/lab/standins/http_connection.h
@@ -1,8 +1,8 @@
 // A connection that a stand-in has accepted and that carries HTTP requests one after another.
 //
 // Owned by the stand-in; runs on the thread of its event loop.
-#ifndef WALNUTSPUR_LAB_SOAK_HTTP_CONNECTION_H_
-#define WALNUTSPUR_LAB_SOAK_HTTP_CONNECTION_H_
+#ifndef WALNUTSPUR_LAB_STANDINS_HTTP_CONNECTION_H_
+#define WALNUTSPUR_LAB_STANDINS_HTTP_CONNECTION_H_
 
 #include <cstdint>
 #include <string>
@@ -12,7 +12,7 @@
 #include "loop/loop.h"
 #include "loop/stream.h"
 
-namespace walnutspur::lab::soak {
+namespace walnutspur::lab {
 
 class HttpConnection;
 
@@ -60,6 +60,6 @@
   loop::StreamPtr stream_;
 };
 
-}  // namespace walnutspur::lab::soak
+}  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_SOAK_HTTP_CONNECTION_H_
+#endif  // WALNUTSPUR_LAB_STANDINS_HTTP_CONNECTION_H_
--- a/tests/faults/endpoint_lease_test.cpp
+++ b/tests/faults/endpoint_lease_test.cpp
@@ -12,7 +12,7 @@
 namespace walnutspur::test {
 namespace {
 
-using lab::soak::DiscoveryFault;
+using lab::DiscoveryFault;
 using lab::soak::FindViolations;
 using lab::soak::RuleViolation;
 using lab::soak::ServedFraction;
@@ -48,7 +48,7 @@
   const Time failed_at = core::Now();
   testbed.discovery().SetFault(fault);
   testbed.RunFor(kSecond / 4);
-  testbed.SetPhase(0, "DRAINING");
+  testbed.SetEndpointState(0, EndpointState::kDraining);
   testbed.RunFor(9 * kSecond);
   testbed.discovery().SetFault(DiscoveryFault::kNone);
   testbed.RunFor(10 * kSecond);
@@ -114,7 +114,7 @@
 TEST_CASE("a process that starts with an old list sends nothing by it once its first call has failed") {
   Testbed testbed(Options(kLargeFleet));
   testbed.discovery().SetFault(DiscoveryFault::kGivesUp);
-  testbed.SetPhase(0, "DRAINING");
+  testbed.SetEndpointState(0, EndpointState::kDraining);
   testbed.RunFor(7 * kSecond);
   testbed.StartAll();
   testbed.StartAllClients();
--- a/tests/net/checksummed_export_test.cpp
+++ b/tests/net/checksummed_export_test.cpp
@@ -12,7 +12,7 @@
 #include "app/control.h"
 #include "filestore/atomic_file.h"
 #include "integrity/cursor.h"
-#include "lab/discovery.h"
+#include "lab/standins/discovery_thread.h"
 #include "lab/standins/temporary_folder.h"
 #include "lab/storage_server/storage_server.h"
 #include "nbd/blocking_client.h"
@@ -51,7 +51,7 @@
       }
     });
     server.Start();
-    ListTarget("SERVING");
+    ListTarget(EndpointState::kActive);
     options.nbd = folder.Put("nbd.toml", DeployFile(paths));
     options.folder = folder.path();
     options.scrub.enabled = scrub;
@@ -85,13 +85,13 @@
     options.flags = flags;
     return options;
   }
-  // Lists the target in the given phase.
-  void ListTarget(const std::string& phase) {
-    lab::Member member;
-    member.id = "a";
-    member.host_port = "127.0.0.1:1";
-    member.phase = phase;
-    discovery.Set(member);
+  // Lists the target in the given state.
+  void ListTarget(EndpointState state) {
+    lab::ListedEndpoint endpoint;
+    endpoint.id = "a";
+    endpoint.address = "127.0.0.1:1";
+    endpoint.state = state;
+    discovery.Set(endpoint);
   }
   // Starts the initiator and attaches the client.
   void StartInitiator() {
@@ -177,7 +177,7 @@
   bool server_is_suitable = true;  // whether it has the flags that checksummed exports need
   lab::TemporaryFolder folder;
   lab::StorageServer server;
-  lab::Discovery discovery;
+  lab::DiscoveryThread discovery;
   app::Options options;
   std::unique_ptr<app::Initiator> initiator;
   std::thread thread;
@@ -261,7 +261,7 @@
 TEST_CASE("a draining target gets nothing new, not even checkpoint writes, and resumes afterwards") {
   ExportFixture fixture(1);
   fixture.Write(0, 8);
-  fixture.ListTarget("DRAINING");
+  fixture.ListTarget(EndpointState::kDraining);
   // Ten rejections in a row: a single one may have other causes.
   for (int i = 0, refused = 0; i < 400 && refused < 10; ++i) {
     refused = fixture.client->Read(0, 512).error == nbd::kOk ? 0 : refused + 1;
@@ -272,7 +272,7 @@
   CHECK(fixture.client->Write(0, std::string(kBlockBytes, 'x')).error ==
         nbd::kNoMemory);  // rejected: it never ran
   CHECK(fixture.server.commands() == commands_before);
-  fixture.ListTarget("SERVING");
+  fixture.ListTarget(EndpointState::kActive);
   for (int i = 0; i < 200 && fixture.client->Read(0, 512).error != nbd::kOk; ++i) {
     poll(nullptr, 0, 5);
   }
--- a/tests/net/discovery_server.cpp
+++ b/tests/net/discovery_server.cpp
@@ -1,19 +1,15 @@
 #include "discovery_server.h"
 
-#include <array>
-#include <cstdio>
-#include <nlohmann/json.hpp>
 #include <utility>
 
 #include "core/scheduler_thread.h"
 #include "http_message.h"
+#include "lab/standins/chunked_response.h"
 #include "scenario_limits.h"
 
 namespace walnutspur::test {
 namespace {
 
-using nlohmann::json;
-
 constexpr std::size_t kListChunkBytes = 20;
 
 }  // namespace
@@ -38,15 +34,8 @@
   return request.start_line;
 }
 
-void DiscoveryServer::SendList(const std::vector<DiscoveryMember>& members, bool complete) {
-  json list = {{"revision", ++revision_}, {"complete", complete}, {"members", json::array()}};
-  for (const DiscoveryMember& member : members) {
-    list["members"].push_back({{"id", member.id},
-                               {"host_port", "127.0.0.1:" + std::to_string(member.port)},
-                               {"phase", member.state},
-                               {"cell", member.shard}});
-  }
-  Write(list.dump() + "\n", kListChunkBytes);
+void DiscoveryServer::SendList(const std::vector<lab::ListedEndpoint>& endpoints, bool complete) {
+  Write(lab::FormatEndpointList(++revision_, complete, endpoints) + "\n", kListChunkBytes);
 }
 
 void DiscoveryServer::Reject() {
@@ -57,13 +46,10 @@
 void DiscoveryServer::Write(const std::string& text, std::size_t chunk_size) {
   std::string out;
   if (!std::exchange(response_started_, true)) {
-    out += "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    out += lab::kChunkedResponseHead;
   }
   for (std::size_t at = 0; at < text.size(); at += chunk_size) {
-    const std::string part = text.substr(at, chunk_size);
-    std::array<char, 16> size;
-    std::snprintf(size.data(), size.size(), "%zx\r\n", part.size());
-    out += size.data() + part + "\r\n";
+    out += lab::FormatChunk(text.substr(at, chunk_size));
   }
   watch_.Send(out);
 }
--- a/tests/net/discovery_server.h
+++ b/tests/net/discovery_server.h
@@ -1,5 +1,8 @@
 // The discovery service that a scenario plays: it answers the initiator's watches with endpoint lists.
 //
+// Unlike lab::DiscoveryService it does nothing by itself: each answer is a step of the scenario, which may be
+// no valid answer, and there are no heartbeats. It shares the format of the list and of chunks with it.
+//
 // Owner: the ScenarioRunner. Thread: the test's own; only port() is read by the initiator's thread.
 #ifndef WALNUTSPUR_TESTS_NET_DISCOVERY_SERVER_H_
 #define WALNUTSPUR_TESTS_NET_DISCOVERY_SERVER_H_
@@ -8,18 +11,11 @@
 #include <string>
 #include <vector>
 
+#include "lab/standins/endpoint_list.h"
 #include "loopback_socket.h"
 
 namespace walnutspur::test {
 
-// An endpoint as discovery lists it.
-struct DiscoveryMember {
-  std::string id;
-  int port = 0;
-  std::string state;  // SERVING, DRAINING or DELETED
-  int shard = 0;
-};
-
 // Holds at most one open watch.
 class DiscoveryServer {
  public:
@@ -28,7 +24,7 @@
   // Waits up to `ms` milliseconds for a watch; returns its request line, or "nothing".
   std::string WaitForWatch(int ms);
   // Sends the next revision of the list on the open watch.
-  void SendList(const std::vector<DiscoveryMember>& members, bool complete);
+  void SendList(const std::vector<lab::ListedEndpoint>& endpoints, bool complete);
   // Rejects the open watch with status 503. The revision that it would have sent is skipped.
   void Reject();
   // Sends text on the open watch in chunks of `chunk_size` bytes.
--- a/tests/net/scenario_runner.cpp
+++ b/tests/net/scenario_runner.cpp
@@ -9,6 +9,7 @@
 #include <stdexcept>
 
 #include "core/scheduler_thread.h"
+#include "lab/standins/loopback.h"
 #include "scenario_limits.h"
 
 namespace walnutspur::test {
@@ -45,6 +46,18 @@
   return exports;
 }
 
+// The state that the scenario language writes as the endpoint list does.
+EndpointState ParseState(const std::string& word) {
+  if (word == "SERVING") {
+    return EndpointState::kActive;
+  }
+  if (word == "DELETED") {
+    return EndpointState::kTerminated;
+  }
+  REQUIRE(word == "DRAINING");
+  return EndpointState::kDraining;
+}
+
 }  // namespace
 
 ScenarioRunner::ScenarioRunner(core::Protocol protocol, const json& config, app::Options options,
@@ -280,7 +293,7 @@
 void ScenarioRunner::SendEndpoints(const ScenarioStep& step) {
   constexpr std::size_t kFirstArgument = 2;
   bool complete = true;
-  std::vector<DiscoveryMember> members;
+  std::vector<lab::ListedEndpoint> endpoints;
   for (std::size_t i = kFirstArgument; i < step.words.size(); ++i) {
     const std::string& word = step.words[i];
     if (word == "503") {
@@ -293,9 +306,10 @@
     }
     const std::string name = word.substr(0, word.find('='));
     const StorageServer& target = *targets_.at(name);
-    members.push_back({name, target.port(), word.substr(name.size() + 1), target.shard()});
+    endpoints.push_back({name, lab::FormatLoopbackAddress(target.port()),
+                         ParseState(word.substr(name.size() + 1)), target.shard()});
   }
-  discovery_.SendList(members, complete);
+  discovery_.SendList(endpoints, complete);
 }
 
 }  // namespace walnutspur::test
