--- a/bench/integrity/http_client.cpp
+++ b/bench/integrity/http_client.cpp
@@ -4,11 +4,9 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include <array>
-#include <cstdio>
-
 #include "http/message_reader.h"
-#include "loop/address.h"
+#include "lab/standins/loopback.h"
+#include "lab/standins/platform_request.h"
 #include "run.h"
 
 namespace walnutspur::bench {
@@ -17,23 +15,17 @@
 constexpr std::size_t kMaxBodyBytes = 1 << 20;
 constexpr std::size_t kReceiveBytes = 65536;
 constexpr int kPutAttempts = 50;
-constexpr int kRetryInterval = 5;  // ms
+constexpr int kRetryInterval = 5;      // ms
+constexpr Time kDeadline = 2'000'000;  // us
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
 
-// 16 hexadecimal digits.
-std::string FormatHex(std::uint64_t number) {
-  std::array<char, 17> text{};
-  std::snprintf(text.data(), text.size(), "%016llx", static_cast<unsigned long long>(number));
-  return text.data();
-}
-
 }  // namespace
 
-std::string ObjectPath(std::uint64_t key) { return "/api/00000003b4d60021/" + FormatHex(key); }
+std::string ObjectPath(std::uint64_t key) { return "/api/00000003b4d60021/" + lab::FormatId(key); }
 
 HttpClient::HttpClient(int port) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-  const sockaddr_in address = loop::ToSocket({"127.0.0.1", static_cast<std::uint16_t>(port)});
+  const sockaddr_in address = lab::LoopbackAddress(port);
   if (connect(fd_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
     close(fd_);
     throw BenchError("no HTTP");
@@ -56,13 +48,16 @@
   return false;
 }
 
-HttpResponse HttpClient::Request(const char* method, const char* request_class, std::uint64_t key,
-                                 const std::string& body) {
-  ++id_;
-  SendAll(std::string(method) + " " + ObjectPath(key) + " HTTP/1.1\r\nX-Request-Id: " + FormatHex(id_) +
-          "\r\nX-Class: " + request_class +
-          "\r\nX-Plan: p\r\nX-Deadline: 2.0\r\nX-IO: units=1,shard=0,hosts=1\r\nContent-Length: " +
-          std::to_string(body.size()) + "\r\n\r\n" + body);
+HttpResponse HttpClient::Request(bool is_put, std::uint64_t key, const std::string& body) {
+  lab::PlatformRequest request;
+  request.is_put = is_put;
+  request.path = ObjectPath(key);
+  request.id = ++id_;
+  request.request_class = is_put ? "write" : "read";
+  request.plan = "p";
+  request.deadline = kDeadline;
+  request.body = body;
+  SendAll(lab::FormatPlatformRequest(request));
   return Receive();
 }
 
--- a/bench/integrity/http_client.h
+++ b/bench/integrity/http_client.h
@@ -27,14 +27,13 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  HttpResponse Get(std::uint64_t key) { return Request("GET", "read", key, ""); }
-  HttpResponse Put(std::uint64_t key, const std::string& body) { return Request("PUT", "write", key, body); }
+  HttpResponse Get(std::uint64_t key) { return Request(false, key, ""); }
+  HttpResponse Put(std::uint64_t key, const std::string& body) { return Request(true, key, body); }
   // Writes until the write is accepted. False if it fails.
   bool PutWithRetry(std::uint64_t key, const std::string& body);
 
  private:
-  HttpResponse Request(const char* method, const char* request_class, std::uint64_t key,
-                       const std::string& body);
+  HttpResponse Request(bool is_put, std::uint64_t key, const std::string& body);
   void SendAll(const std::string& text) const;
   HttpResponse Receive() const;
 
--- a/bench/integrity/http_corruption.cpp
+++ b/bench/integrity/http_corruption.cpp
@@ -13,8 +13,8 @@
 
 using lab::Damage;
 
-constexpr std::array kKinds = {Damage::kFlipPath, Damage::kLost, Damage::kTorn, Damage::kStale,
-                               Damage::kAstray};
+constexpr std::array kKinds = {Damage::kTransitBitFlip, Damage::kLostWrite, Damage::kTornWrite,
+                               Damage::kStaleRead, Damage::kMisdirectedWrite};
 constexpr std::size_t kObjectBytes = 300;
 constexpr int kRereads = 2;
 constexpr int kOk = 200;
@@ -22,7 +22,7 @@
 constexpr std::uint64_t kOverwrittenKey = 0;
 
 bool IsWriteFault(Damage damage) {
-  return damage == Damage::kLost || damage == Damage::kTorn || damage == Damage::kAstray;
+  return damage == Damage::kLostWrite || damage == Damage::kTornWrite || damage == Damage::kMisdirectedWrite;
 }
 
 class Measurement {
--- a/bench/integrity/nbd_corruption.cpp
+++ b/bench/integrity/nbd_corruption.cpp
@@ -20,8 +20,8 @@
 constexpr std::uint64_t kFaultsPerKind = 16;       // of one round
 constexpr std::uint64_t kMisdirectedDistance = 2;  // blocks
 constexpr int kReadsPerBlock = 3;
-constexpr std::array kKinds = {Damage::kLost,     Damage::kAstray, Damage::kTorn,
-                               Damage::kFlipRest, Damage::kStale,  Damage::kFlipPath};
+constexpr std::array kKinds = {Damage::kLostWrite,     Damage::kMisdirectedWrite, Damage::kTornWrite,
+                               Damage::kStoredBitFlip, Damage::kStaleRead,        Damage::kTransitBitFlip};
 
 struct Tally {
   int injected = 0;
@@ -33,20 +33,20 @@
 };
 
 bool IsWriteFault(Damage damage) {
-  return damage == Damage::kLost || damage == Damage::kAstray || damage == Damage::kTorn;
+  return damage == Damage::kLostWrite || damage == Damage::kMisdirectedWrite || damage == Damage::kTornWrite;
 }
 
-bool IsReadFault(Damage damage) { return damage == Damage::kStale || damage == Damage::kFlipPath; }
+bool IsReadFault(Damage damage) { return damage == Damage::kStaleRead || damage == Damage::kTransitBitFlip; }
 
 integrity::Fault ExpectedFault(Damage damage) {
   switch (damage) {
-    case Damage::kLost:
+    case Damage::kLostWrite:
       return integrity::Fault::kLostWrite;
-    case Damage::kAstray:
+    case Damage::kMisdirectedWrite:
       return integrity::Fault::kMisdirectedWrite;
-    case Damage::kStale:
+    case Damage::kStaleRead:
       return integrity::Fault::kStaleRead;
-    case Damage::kFlipPath:
+    case Damage::kTransitBitFlip:
       return integrity::Fault::kPath;
     default:
       return integrity::Fault::kAtRest;
@@ -105,7 +105,7 @@
       }
       lab::Fault fault = FaultAt(block, damage);
       fault.elsewhere = (block + kMisdirectedDistance) * kBlockBytes;
-      if (damage == Damage::kAstray) {
+      if (damage == Damage::kMisdirectedWrite) {
         overwritten_.insert(block + kMisdirectedDistance);
       }
       testbed_.server().AddFault(fault);
@@ -118,7 +118,7 @@
 
   void InjectStoredFaults() {
     for (const auto& [block, damage] : corrupt_) {
-      if (damage == Damage::kFlipRest) {
+      if (damage == Damage::kStoredBitFlip) {
         testbed_.server().AddFault(FaultAt(block, damage));
       }
     }
@@ -171,7 +171,7 @@
     for (const auto& [block, damage] : corrupt_) {
       const auto* entry = log.Find({"a", "disk", block});
       tally_->detected += entry != nullptr ? 1 : 0;
-      const bool path_named = damage != Damage::kFlipPath || (entry != nullptr && entry->path >= 0);
+      const bool path_named = damage != Damage::kTransitBitFlip || (entry != nullptr && entry->path >= 0);
       if (entry && entry->fault == ExpectedFault(damage) && path_named) {
         ++tally_->attributed;
         continue;
--- a/src/lab/soak/load_client.cpp
+++ b/src/lab/soak/load_client.cpp
@@ -1,7 +1,5 @@
 #include "lab/soak/load_client.h"
 
-#include <array>
-#include <cstdio>
 #include <utility>
 
 #include "core/clock.h"
@@ -15,16 +13,9 @@
 constexpr int kStatusOk = 200;
 constexpr int kStatusTooManyRequests = 429;
 constexpr int kStatusUnavailable = 503;
-constexpr double kMicroseconds = 1e6;
 
-using IdParts = unsigned long long;  // NOLINT(google-runtime-int): what printf's %llx takes
-
-// 16 hexadecimal digits: the process, then the number of the request.
-std::string FormatId(int process, std::uint64_t number) {
-  std::array<char, 32> text{};
-  std::snprintf(text.data(), text.size(), "%04x%012llx", static_cast<unsigned>(process), IdParts{number});
-  return text.data();
-}
+// Part of a request's id that counts the requests of one process; the process stands above it.
+constexpr unsigned kRequestNumberBits = 48;
 
 ClientResult ResultOf(int status) {
   if (status == kStatusOk) {
@@ -52,9 +43,9 @@
     connection.number = number;
     connection.next_request = loop::MakeTimer(base, [this, &connection] { SendNext(connection); });
     connection.deadline =
-        loop::MakeTimer(base, [this, &connection] { Finish(connection, ClientResult::kLost); });
+        loop::MakeTimer(base, [this, &connection] { Finish(connection, ClientResult::kNoResponse); });
     connection.leave =
-        loop::MakeTimer(base, [this, &connection] { Finish(connection, ClientResult::kLeft); });
+        loop::MakeTimer(base, [this, &connection] { Finish(connection, ClientResult::kDisconnected); });
     ThinkThenSend(connection);
   }
 }
@@ -75,16 +66,16 @@
   loop::Connect(connection.stream.get(), loop::ToSocket(server_));
 }
 
-std::string LoadClient::FormatRequest(const std::string& id, bool is_write) {
-  const std::string deadline = std::to_string(static_cast<double>(options_.deadline) / kMicroseconds);
-  const std::uint64_t shard = random_.Below(static_cast<std::uint64_t>(options_.shards));
-  std::string text = is_write ? "PUT" : "GET";
-  text += " /api/00000003b4d6000" + std::to_string(shard % 10) + "/" + id + " HTTP/1.1\r\n";
-  text += "Host: service.internal\r\nX-Request-Id: " + id + "\r\n";
-  text += std::string("X-Class: ") + (is_write ? "write" : "read") + "\r\nX-Plan: basic\r\n";
-  text += "X-Deadline: " + deadline + "\r\nX-IO: units=1,shard=" + std::to_string(shard) + ",hosts=1\r\n";
-  text += is_write ? "Content-Length: 4\r\n\r\ndata" : "\r\n";
-  return text;
+PlatformRequest LoadClient::NextRequest(bool is_write) {
+  PlatformRequest request;
+  request.is_put = is_write;
+  request.id = (static_cast<std::uint64_t>(process_) << kRequestNumberBits) + next_request_++;
+  request.request_class = is_write ? "write" : "read";
+  request.deadline = options_.deadline;
+  request.shard = random_.Below(static_cast<std::uint64_t>(options_.shards));
+  request.path = "/api/00000003b4d6000" + std::to_string(request.shard % 10) + "/" + FormatId(request.id);
+  request.body = is_write ? "data" : "";
+  return request;
 }
 
 void LoadClient::SendNext(Connection& connection) {
@@ -93,8 +84,9 @@
       return;
     }
     const bool is_write = random_.Chance(options_.write_fraction);
-    connection.request_id = FormatId(process_, next_request_++);
-    connection.request_text = FormatRequest(connection.request_id, is_write);
+    const PlatformRequest next = NextRequest(is_write);
+    connection.request_id = FormatId(next.id);
+    connection.request_text = FormatPlatformRequest(next);
     connection.is_retry = false;
     ClientRequest& request = record_->requests[connection.request_id];
     request.process = process_;
@@ -169,7 +161,7 @@
     SendNext(connection);
     return;
   }
-  Finish(connection, was_connected ? ClientResult::kLost : ClientResult::kNotAccepted);
+  Finish(connection, was_connected ? ClientResult::kNoResponse : ClientResult::kNotAccepted);
 }
 
 void LoadClient::Finish(Connection& connection, ClientResult result) {
@@ -183,7 +175,7 @@
   connection.request_id.clear();
   connection.deadline.Stop();
   connection.leave.Stop();
-  if (result == ClientResult::kLeft || result == ClientResult::kLost ||
+  if (result == ClientResult::kDisconnected || result == ClientResult::kNoResponse ||
       result == ClientResult::kNotAccepted) {
     connection.stream.reset();
   }
--- a/src/lab/soak/load_client.h
+++ b/src/lab/soak/load_client.h
@@ -13,6 +13,7 @@
 #include "http/message_reader.h"
 #include "lab/random.h"
 #include "lab/soak/record.h"
+#include "lab/standins/platform_request.h"
 #include "loop/address.h"
 #include "loop/loop.h"
 #include "loop/stream.h"
@@ -69,7 +70,7 @@
   void OnEnd(Connection& connection);
   void Finish(Connection& connection, ClientResult result);
   void ThinkThenSend(Connection& connection);
-  std::string FormatRequest(const std::string& id, bool is_write);
+  PlatformRequest NextRequest(bool is_write);
 
   event_base* base_;
   int process_;
--- a/src/lab/soak/plan.cpp
+++ b/src/lab/soak/plan.cpp
@@ -19,8 +19,8 @@
 constexpr std::array kDiscoveryFaults = {DiscoveryFault::kGivesUp,       DiscoveryFault::kClosesAtOnce,
                                          DiscoveryFault::kRejectsAtOnce, DiscoveryFault::kRefuses,
                                          DiscoveryFault::kSilent,        DiscoveryFault::kCutsAnswers};
-constexpr std::array kTargetFaults = {TargetFault::kHangs, TargetFault::kErrors, TargetFault::kTurnsAway,
-                                      TargetFault::kResetsRequests, TargetFault::kGone};
+constexpr std::array kTargetFaults = {TargetFault::kHangs, TargetFault::kErrors, TargetFault::kOverloaded,
+                                      TargetFault::kResetsRequests, TargetFault::kDown};
 constexpr std::array kKinds = {FaultEventKind::kDiscoveryFault, FaultEventKind::kEndWatches,
                                FaultEventKind::kDrain,          FaultEventKind::kReturn,
                                FaultEventKind::kTargetFault,    FaultEventKind::kCloseIdle,
--- a/src/lab/soak/record.h
+++ b/src/lab/soak/record.h
@@ -25,13 +25,13 @@
 
 // How a client's request ended.
 enum class ClientResult {
-  kOpen,         // not yet
-  kServed,       // 200
-  kRejected,     // 429 or 503
-  kFailed,       // any other status
-  kLeft,         // the client closed its connection first
-  kLost,         // the connection ended, or the time was over, without a response
-  kNotAccepted,  // no connection, or one that ended before the request was read: the client may send again
+  kOpen,          // not yet
+  kServed,        // 200
+  kRejected,      // 429 or 503
+  kFailed,        // any other status
+  kDisconnected,  // the client closed its connection first
+  kNoResponse,    // the connection ended, or the time was over, without a response
+  kNotAccepted,   // no connection, or one that ended before the request was read: the client may send again
 };
 
 // A request of a client, by its id.
--- a/src/lab/soak/rules.cpp
+++ b/src/lab/soak/rules.cpp
@@ -153,7 +153,8 @@
           "request " + id + " told " + Ms(arrival.stated_deadline) + " to " + arrival.target + " with " +
               Ms(left) + " left");
     }
-    const bool has_left = request.result == ClientResult::kLeft || request.result == ClientResult::kLost;
+    const bool has_left =
+        request.result == ClientResult::kDisconnected || request.result == ClientResult::kNoResponse;
     if (has_left && arrival.at > request.finished_at + kLeaveSlack + settings_.held_up) {
       Add("left", arrival.at,
           "request " + id + " went to " + arrival.target + " " + Ms(arrival.at - request.finished_at) +
@@ -166,7 +167,7 @@
       if (request.responses > 1) {
         Add("lost", request.finished_at, "request " + id + " had more than one response");
       }
-      if (request.result == ClientResult::kLost && !MayLoseRequest(record_, request)) {
+      if (request.result == ClientResult::kNoResponse && !MayLoseRequest(record_, request)) {
         Add("lost", request.finished_at,
             "request " + id + " had no response, " + Ms(request.finished_at - request.sent_at) + " after it");
       }
@@ -204,7 +205,7 @@
   double all = 0;
   double served = 0;
   for (const auto& [id, request] : record.requests) {
-    if (request.sent_at >= from && request.sent_at < until && request.result != ClientResult::kLeft) {
+    if (request.sent_at >= from && request.sent_at < until && request.result != ClientResult::kDisconnected) {
       ++all;
       served += request.result == ClientResult::kServed ? 1 : 0;
     }
--- /dev/null
+++ b/src/lab/soak/target_recorder.h
@@ -0,0 +1,25 @@
+// Writes the requests that reach the targets into the record of a run.
+//
+// Owned by a testbed; called on the thread of its event loop.
+#ifndef WALNUTSPUR_LAB_SOAK_TARGET_RECORDER_H_
+#define WALNUTSPUR_LAB_SOAK_TARGET_RECORDER_H_
+
+#include "lab/soak/record.h"
+#include "lab/standins/http_target.h"
+
+namespace walnutspur::lab::soak {
+
+class TargetRecorder : public HttpTargetObserver {
+ public:
+  // `record` must outlive it.
+  explicit TargetRecorder(Record* record) : record_(record) {}
+
+  void OnRequest(const HttpTarget& target, const HttpConnection& connection) override;
+
+ private:
+  Record* record_;
+};
+
+}  // namespace walnutspur::lab::soak
+
+#endif  // WALNUTSPUR_LAB_SOAK_TARGET_RECORDER_H_
--- a/src/lab/soak/testbed.cpp
+++ b/src/lab/soak/testbed.cpp
@@ -37,7 +37,8 @@
   discovery.observer = &discovery_recorder_;
   discovery_ = std::make_unique<DiscoveryService>(base_.get(), discovery);
   for (int number = 0; number < options.targets; ++number) {
-    targets_.push_back(std::make_unique<HttpTarget>(base_.get(), "t" + std::to_string(number), &record_));
+    targets_.push_back(
+        std::make_unique<HttpTarget>(base_.get(), "t" + std::to_string(number), &target_recorder_));
     discovery_->SetInitially({targets_.back()->name(), FormatLoopbackAddress(targets_.back()->port()),
                               EndpointState::kActive, number, options.up_since_ms});
   }
--- a/src/lab/soak/testbed.h
+++ b/src/lab/soak/testbed.h
@@ -13,10 +13,11 @@
 #include <vector>
 
 #include "lab/soak/discovery_recorder.h"
-#include "lab/soak/http_target.h"
 #include "lab/soak/load_client.h"
 #include "lab/soak/record.h"
+#include "lab/soak/target_recorder.h"
 #include "lab/standins/discovery_service.h"
+#include "lab/standins/http_target.h"
 #include "lab/standins/initiator_process.h"
 #include "lab/standins/process.h"
 #include "lab/standins/temporary_folder.h"
@@ -95,6 +96,7 @@
   Record record_;
   loop::EventBasePtr base_;
   DiscoveryRecorder discovery_recorder_{&record_};
+  TargetRecorder target_recorder_{&record_};
   std::unique_ptr<DiscoveryService> discovery_;
   std::vector<std::unique_ptr<HttpTarget>> targets_;
   std::vector<Member> members_;
--- a/src/lab/standins/http_connection.cpp
+++ b/src/lab/standins/http_connection.cpp
@@ -3,6 +3,7 @@
 #include <sys/socket.h>
 
 #include "core/clock.h"
+#include "lab/standins/http_response.h"
 
 namespace walnutspur::lab {
 
@@ -15,11 +16,7 @@
 }
 
 void HttpConnection::Respond(int status, std::string_view body, std::string_view headers) {
-  std::string text = "HTTP/1.1 " + std::to_string(status) + " Status\r\n";
-  text += headers;
-  text += "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n";
-  text += body;
-  Write(text);
+  Write(FormatHttpResponse(status, body, headers));
 }
 
 void HttpConnection::ReadNext() {
--- a/src/lab/soak/http_target.cpp
+++ b/src/lab/standins/http_target.cpp
@@ -1,23 +1,22 @@
-#include "lab/soak/http_target.h"
+#include "lab/standins/http_target.h"
 
-#include <cstdlib>
 #include <utility>
-#include <vector>
 
-#include "core/clock.h"
-
-namespace walnutspur::lab::soak {
+namespace walnutspur::lab {
 namespace {
 
 constexpr int kBacklog = 512;
-constexpr double kMicroseconds = 1e6;  // in a second
+constexpr Time kServiceTime = 3'000;  // us from a request to its response
+constexpr int kOk = 200;
+constexpr int kInternalError = 500;
+constexpr int kUnavailable = 503;
 
 }  // namespace
 
-HttpTarget::HttpTarget(event_base* base, std::string name, Record* record)
+HttpTarget::HttpTarget(event_base* base, std::string name, HttpTargetObserver* observer)
     : base_(base),
       name_(std::move(name)),
-      record_(record),
+      observer_(observer),
       free_closed_(loop::MakeTimer(base, [this] { closed_.reset(); })) {
   Listen(0);
 }
@@ -35,7 +34,7 @@
 
 void HttpTarget::SetFault(TargetFault fault) {
   fault_ = fault;
-  if (fault == TargetFault::kGone) {
+  if (fault == TargetFault::kDown) {
     listener_.reset();
     ResetAll();
   } else if (!listener_) {
@@ -63,18 +62,9 @@
 }
 
 void HttpTarget::OnRequest(HttpConnection& connection) {
-  const http::MessageReader& request = connection.request();
-  TargetArrival arrival;
-  arrival.at = connection.request_started_at();
-  arrival.target = name_;
-  if (const char* id = request.Find("X-Request-Id")) {
-    arrival.request_id = id;
-  }
-  if (const char* deadline = request.Find("X-Deadline")) {
-    arrival.stated_deadline = static_cast<Time>(std::strtod(deadline, nullptr) * kMicroseconds);
+  if (observer_) {
+    observer_->OnRequest(*this, connection);
   }
-  arrival.was_overloaded = fault_ == TargetFault::kTurnsAway;
-  record_->arrivals.push_back(std::move(arrival));
   Served& served = connections_.at(connection.number());
   served.is_busy = true;
   served.fault = fault_;
@@ -82,7 +72,7 @@
     connection.ResetOnClose();
     OnClosed(connection);
   } else if (fault_ != TargetFault::kHangs) {
-    served.response_timer.Start(service_time_);
+    served.response_timer.Start(kServiceTime);
   }
 }
 
@@ -95,11 +85,11 @@
   const TargetFault fault = at->second.fault;
   at->second.is_busy = false;
   if (fault == TargetFault::kErrors) {
-    connection.Respond(500, "error\n");
-  } else if (fault == TargetFault::kTurnsAway) {
-    connection.Respond(503, "busy\n", "X-Not-Run: 1\r\n");
+    connection.Respond(kInternalError, "error\n");
+  } else if (fault == TargetFault::kOverloaded) {
+    connection.Respond(kUnavailable, "busy\n", "X-Not-Run: 1\r\n");
   } else {
-    connection.Respond(200, connection.request().uri());
+    connection.Respond(kOk, connection.request().uri());
   }
   connection.ReadNext();
 }
@@ -114,4 +104,4 @@
   connections_.erase(at);
 }
 
-}  // namespace walnutspur::lab::soak
+}  // namespace walnutspur::lab
--- a/src/lab/soak/http_target.h
+++ b/src/lab/standins/http_target.h
@@ -1,44 +1,55 @@
-// A storage server that speaks the platform's HTTP and misbehaves on demand. It records each request that
-// reaches it.
+// A storage server that speaks the platform's HTTP and misbehaves on demand: it is slow, overloaded, resets
+// connections or is down. An observer sees each request that reaches it.
 //
-// Owned by a testbed; runs on the thread of its event loop.
-#ifndef WALNUTSPUR_LAB_SOAK_HTTP_TARGET_H_
-#define WALNUTSPUR_LAB_SOAK_HTTP_TARGET_H_
+// Owned by a testbed; runs on the thread of its event loop. It stores nothing: lab::StorageServer stores data
+// and corrupts it on demand, over NBD as well. test::HttpStorageServer acts only as a scenario says.
+#ifndef WALNUTSPUR_LAB_STANDINS_HTTP_TARGET_H_
+#define WALNUTSPUR_LAB_STANDINS_HTTP_TARGET_H_
 
 #include <cstdint>
 #include <map>
 #include <memory>
 #include <string>
 
-#include "lab/soak/record.h"
 #include "lab/standins/http_connection.h"
 #include "loop/listener.h"
 
-namespace walnutspur::lab::soak {
+namespace walnutspur::lab {
 
 // What a target does with requests.
 enum class TargetFault {
   kNone,
   kHangs,           // takes requests and never responds
   kErrors,          // status 500
-  kTurnsAway,       // status 503, not run
+  kOverloaded,      // status 503, with the promise that the request has not run
   kResetsRequests,  // resets the connection under each request
-  kGone,            // no process: connections are reset, new ones refused
+  kDown,            // no process: connections are reset, new ones refused
+};
+
+class HttpTarget;
+
+// Takes note of what a target does. Called on the target's thread.
+class HttpTargetObserver {
+ public:
+  // The connection's request is complete, and has not been answered.
+  virtual void OnRequest(const HttpTarget& target, const HttpConnection& connection) = 0;
+
+ protected:
+  ~HttpTargetObserver() = default;
 };
 
 class HttpTarget : private HttpConnectionHandler {
  public:
-  // Listens on a free port of 127.0.0.1. `record` must outlive it.
-  HttpTarget(event_base* base, std::string name, Record* record);
+  // Listens on a free port of 127.0.0.1. `observer` must outlive it; null: none. Throws loop::ListenError.
+  HttpTarget(event_base* base, std::string name, HttpTargetObserver* observer);
   ~HttpTarget();
   HttpTarget(const HttpTarget&) = delete;
   HttpTarget& operator=(const HttpTarget&) = delete;
 
   const std::string& name() const { return name_; }
   int port() const { return port_; }
+  TargetFault fault() const { return fault_; }
   void SetFault(TargetFault fault);
-  // Time from a request to its response, us.
-  void set_service_time(Time service_time) { service_time_ = service_time; }
   // Closes all connections that carry no request.
   void CloseIdleConnections();
 
@@ -59,17 +70,16 @@
 
   event_base* base_;
   std::string name_;
-  Record* record_;
+  HttpTargetObserver* observer_;
   int port_ = 0;
   TargetFault fault_ = TargetFault::kNone;
-  Time service_time_ = 3'000;
   std::uint64_t next_connection_ = 1;
-  std::unique_ptr<loop::Listener> listener_;  // null while the process is gone
+  std::unique_ptr<loop::Listener> listener_;  // null while kDown
   std::map<std::uint64_t, Served> connections_;
   std::unique_ptr<HttpConnection> closed_;  // freed in the next turn: it may be on the stack
   loop::EventHandle free_closed_;
 };
 
-}  // namespace walnutspur::lab::soak
+}  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_SOAK_HTTP_TARGET_H_
+#endif  // WALNUTSPUR_LAB_STANDINS_HTTP_TARGET_H_
--- a/src/lab/storage_server/block_device.cpp
+++ b/src/lab/storage_server/block_device.cpp
@@ -108,11 +108,11 @@
 }
 
 void BlockDevice::Revert(const CachedWrite& write) {
-  enum class Fate { kAllLost, kAllDurable, kBySector };
+  enum class Fate { kNoneDurable, kAllDurable, kBySector };
   const auto fate = static_cast<Fate>(Draw(3));
   const std::string_view before = write.before;
   ForEachSectorPart(write.offset, write.before.size(), [&](std::uint64_t start, std::uint64_t length) {
-    if (fate == Fate::kAllLost || (fate == Fate::kBySector && Draw(2) == 0)) {
+    if (fate == Fate::kNoneDurable || (fate == Fate::kBySector && Draw(2) == 0)) {
       Store(write.offset + start, before.substr(start, length));
     }
   });
--- a/src/lab/storage_server/damage.cpp
+++ b/src/lab/storage_server/damage.cpp
@@ -7,17 +7,17 @@
 
 const char* NameOf(Damage damage) {
   switch (damage) {
-    case Damage::kFlipPath:
+    case Damage::kTransitBitFlip:
       return "flip-path";
-    case Damage::kFlipRest:
+    case Damage::kStoredBitFlip:
       return "flip-rest";
-    case Damage::kLost:
+    case Damage::kLostWrite:
       return "lost";
-    case Damage::kAstray:
+    case Damage::kMisdirectedWrite:
       return "astray";
-    case Damage::kStale:
+    case Damage::kStaleRead:
       return "stale";
-    case Damage::kTorn:
+    case Damage::kTornWrite:
       return "torn";
   }
   return "";
--- a/src/lab/storage_server/damage.h
+++ b/src/lab/storage_server/damage.h
@@ -12,16 +12,17 @@
 namespace walnutspur::lab {
 
 enum class Damage {
-  kFlipPath,  // bit flips in one response, on one path
-  kFlipRest,  // bit flips in the stored data
-  kLost,      // lost write: acknowledged and not carried out
-  kAstray,    // misdirected write: carried out at another place
-  kStale,     // stale read: returns the content before the last write
-  kTorn       // torn write: only some of its sectors are written
+  kTransitBitFlip,    // bit flips in one response, on one path
+  kStoredBitFlip,     // bit flips in the stored data
+  kLostWrite,         // lost write: acknowledged and not carried out
+  kMisdirectedWrite,  // misdirected write: carried out at another place
+  kStaleRead,         // stale read: returns the content before the last write
+  kTornWrite          // torn write: only some of its sectors are written
 };
 
-inline constexpr std::array kAllDamage = {Damage::kFlipPath, Damage::kFlipRest, Damage::kLost,
-                                          Damage::kAstray,   Damage::kStale,    Damage::kTorn};
+inline constexpr std::array kAllDamage = {Damage::kTransitBitFlip, Damage::kStoredBitFlip,
+                                          Damage::kLostWrite,      Damage::kMisdirectedWrite,
+                                          Damage::kStaleRead,      Damage::kTornWrite};
 
 // The name on the command line and in reports.
 const char* NameOf(Damage damage);
--- a/src/lab/storage_server/fault_plan.h
+++ b/src/lab/storage_server/fault_plan.h
@@ -19,11 +19,11 @@
 
 // A fault is injected into commands that overlap its range.
 struct Fault {
-  Damage damage = Damage::kFlipPath;
-  int path = kAnyPath;                   // kFlipPath, kStale: the listener whose commands are affected
-  std::uint64_t from = 0;                // the range, in bytes of the device; all objects by HTTP are at 0
+  Damage damage = Damage::kTransitBitFlip;
+  int path = kAnyPath;     // kTransitBitFlip, kStaleRead: the listener whose commands are affected
+  std::uint64_t from = 0;  // the range, in bytes of the device; all objects by HTTP are at 0
   std::uint64_t to = ~std::uint64_t{0};  // one past its end
-  std::uint64_t elsewhere = 0;           // kAstray: the offset of the misdirected bytes
+  std::uint64_t elsewhere = 0;           // kMisdirectedWrite: the offset of the misdirected bytes
   int times = 1;                         // injections that remain, or kWithoutLimit
 };
 
--- a/src/lab/storage_server/faulty_device.cpp
+++ b/src/lab/storage_server/faulty_device.cpp
@@ -15,14 +15,14 @@
 
 std::string FaultyDevice::Read(int path, std::uint64_t offset, std::uint32_t length) {
   std::string data = device_->Read(offset, length);
-  Fault* fault = plan_->Match({Damage::kFlipPath, Damage::kStale}, path, offset, length);
+  Fault* fault = plan_->Match({Damage::kTransitBitFlip, Damage::kStaleRead}, path, offset, length);
   if (!fault) {
     return data;
   }
   const std::uint64_t from = std::max(fault->from, offset);
   const std::uint64_t end = std::min(fault->to, offset + length);
   std::string part;
-  if (fault->damage == Damage::kStale) {
+  if (fault->damage == Damage::kStaleRead) {
     part = device_->Before(from, static_cast<std::uint32_t>(end - from));
   } else {
     part = data.substr(from - offset, end - from);
@@ -34,7 +34,8 @@
 }
 
 void FaultyDevice::Write(std::uint64_t offset, const std::string& data, bool fua) {
-  Fault* fault = plan_->Match({Damage::kLost, Damage::kAstray, Damage::kTorn}, kAnyPath, offset, data.size());
+  Fault* fault = plan_->Match({Damage::kLostWrite, Damage::kMisdirectedWrite, Damage::kTornWrite}, kAnyPath,
+                              offset, data.size());
   if (!fault) {
     device_->Write(offset, data, fua);
     return;
@@ -44,10 +45,10 @@
   const std::string part = data.substr(from - offset, end - from);
   device_->Write(offset, data.substr(0, from - offset), fua);
   device_->Write(end, data.substr(end - offset), fua);
-  if (fault->damage == Damage::kAstray) {
+  if (fault->damage == Damage::kMisdirectedWrite) {
     device_->Write(fault->elsewhere, part, fua);
   }
-  if (fault->damage == Damage::kTorn) {
+  if (fault->damage == Damage::kTornWrite) {
     const std::uint64_t sectors = part.size() / kSectorBytes;
     const std::uint64_t written = 1 + device_->Draw(sectors > 1 ? sectors - 1 : 1);
     device_->Write(from, part.substr(0, written * kSectorBytes), fua);
--- a/src/lab/storage_server/object_store.cpp
+++ b/src/lab/storage_server/object_store.cpp
@@ -24,18 +24,18 @@
 }
 
 StoredObject ObjectStore::InjectWriteFault(const std::string& key, const StoredObject& object) {
-  Fault* fault =
-      plan_->Match({Damage::kLost, Damage::kAstray, Damage::kTorn}, kAnyPath, kObjectOffset, kObjectLength);
+  Fault* fault = plan_->Match({Damage::kLostWrite, Damage::kMisdirectedWrite, Damage::kTornWrite}, kAnyPath,
+                              kObjectOffset, kObjectLength);
   if (!fault) {
     return object;
   }
   plan_->RecordInjection(*fault);
-  if (fault->damage == Damage::kTorn) {
+  if (fault->damage == Damage::kTornWrite) {
     return {object.digest, object.body.substr(0, object.body.size() / 2)};
   }
   const auto old = objects_.find(key);
   const std::string old_body = old == objects_.end() ? "" : old->second.body;
-  if (fault->damage == Damage::kAstray) {
+  if (fault->damage == Damage::kMisdirectedWrite) {
     OverwriteAnother(key, object.body);
   }
   return {object.digest, old_body};
@@ -62,12 +62,13 @@
 }
 
 void ObjectStore::InjectReadFault(const std::string& key, std::string* body) {
-  Fault* fault = plan_->Match({Damage::kFlipPath, Damage::kStale}, kAnyPath, kObjectOffset, kObjectLength);
+  Fault* fault =
+      plan_->Match({Damage::kTransitBitFlip, Damage::kStaleRead}, kAnyPath, kObjectOffset, kObjectLength);
   if (!fault) {
     return;
   }
   const auto old = previous_.find(key);
-  if (fault->damage == Damage::kStale && old != previous_.end()) {
+  if (fault->damage == Damage::kStaleRead && old != previous_.end()) {
     *body = old->second.body;
   } else {
     FlipBits(body, DrawFlippedBits(*device_), &device_->random());
--- a/src/lab/storage_server/storage_server.cpp
+++ b/src/lab/storage_server/storage_server.cpp
@@ -5,6 +5,7 @@
 #include <utility>
 
 #include "core/scheduler_thread.h"
+#include "lab/standins/http_response.h"
 #include "loop/stream.h"
 
 namespace walnutspur::lab {
@@ -13,6 +14,7 @@
 constexpr std::uint32_t kMaxCommandBytes = 2 << 20;
 constexpr std::size_t kMaxBodyBytes = 1 << 20;
 constexpr int kBacklog = 256;
+constexpr int kOk = 200;
 constexpr std::string_view kHealthCheckPath = "/-/healthy";
 constexpr int kClosedOrFailed = BEV_EVENT_EOF | BEV_EVENT_ERROR;
 
@@ -69,7 +71,7 @@
       listeners_.push_back(std::make_unique<loop::Listener>(
           loop_.base(), address, loop::ListenerOptions{kBacklog, true}, callbacks));
     } catch (const loop::ListenError& error) {
-      throw StorageServerError("the box cannot listen: " + error.reason());
+      throw StorageServerError("the storage server cannot listen: " + error.reason());
     }
   }
 }
@@ -80,7 +82,7 @@
 
 void StorageServer::AddFault(const Fault& fault) {
   const std::lock_guard lock(mutex_);
-  if (fault.damage == Damage::kFlipRest) {
+  if (fault.damage == Damage::kStoredBitFlip) {
     faulty_device_.FlipStoredBits(fault);
     return;
   }
@@ -208,8 +210,7 @@
       headers = "Content-Digest: " + object->digest + "\r\n";
     }
   }
-  const std::string size = std::to_string(body.size());
-  return "HTTP/1.1 200 OK\r\n" + headers + "Content-Length: " + size + "\r\n\r\n" + body;
+  return FormatHttpResponse(kOk, body, headers);
 }
 
 void StorageServer::Respond(Connection& connection, std::string bytes) {
--- a/src/lab/storage_server/storage_server.h
+++ b/src/lab/storage_server/storage_server.h
@@ -1,5 +1,6 @@
 // A stand-in for a storage server: stores data, speaks NBD and the platform's HTTP on any number of
-// listeners, and corrupts data on demand. It knows nothing of checksums.
+// listeners, and corrupts data on demand. It knows nothing of checksums. HttpTarget stores nothing, and fails
+// as a process does; test::StorageServer acts only as a scenario says.
 //
 // Its event loop runs on a thread of its own from Start to destruction. The public methods may be called from
 // any thread; a mutex guards the data and the faults. Every injected fault is counted.
@@ -56,7 +57,7 @@
   int port(int path) const { return listeners_[static_cast<std::size_t>(path)]->port(); }
   int http_port() const { return listeners_.back()->port(); }
 
-  // Injects a fault into later commands; kFlipRest takes effect at once.
+  // Injects a fault into later commands; kStoredBitFlip takes effect at once.
   void AddFault(const Fault& fault);
   void ClearFaults();
   // How often a kind of fault has been injected.
--- a/tests/integrity/corruption_test.cpp
+++ b/tests/integrity/corruption_test.cpp
@@ -99,10 +99,10 @@
     }
     ++*injected;
     *executed = false;
-    if (damage == Damage::kAstray) {
+    if (damage == Damage::kMisdirectedWrite) {
       disk.Write(other * kBlockBytes, io.AllBytes(), false);
     }
-    if (damage == Damage::kTorn) {
+    if (damage == Damage::kTornWrite) {
       const auto sectors = 1 + disk.Draw(7);
       disk.Write(io.offset, io.AllBytes().substr(0, sectors * kSectorBytes), false);
     }
@@ -116,7 +116,7 @@
 // Makes reads bring previous content once, or flipped bits: once by the only path, always by path 0 of
 // several.
 void InjectAtRead(CorruptionFixture& fixture, Damage damage, std::uint64_t block, int* injected) {
-  if (damage == Damage::kStale) {
+  if (damage == Damage::kStaleRead) {
     fixture.Write(block);
     fixture.Checkpoint();
   }
@@ -125,11 +125,11 @@
     if (io.purpose != IoPurpose::kData) {
       return IoStatus::kCompleted;
     }
-    if (damage == Damage::kStale && *injected == 0) {
+    if (damage == Damage::kStaleRead && *injected == 0) {
       *data = disk.Before(io.offset, io.length);
       ++*injected;
     }
-    if (damage == Damage::kFlipPath && (fixture.path_count == 1 ? *injected == 0 : fixture.path == 0)) {
+    if (damage == Damage::kTransitBitFlip && (fixture.path_count == 1 ? *injected == 0 : fixture.path == 0)) {
       *data = disk.Read(io.offset, io.length);
       lab::FlipBits(data, 3, &disk.random());
       ++*injected;
@@ -141,9 +141,9 @@
 // Injects the damage, and counts in `injected` how often.
 void Inject(CorruptionFixture& fixture, Damage damage, std::uint64_t block, std::uint64_t other,
             int* injected) {
-  if (damage == Damage::kLost || damage == Damage::kAstray || damage == Damage::kTorn) {
+  if (damage == Damage::kLostWrite || damage == Damage::kMisdirectedWrite || damage == Damage::kTornWrite) {
     InjectAtWrite(fixture, damage, block, other, injected);
-  } else if (damage == Damage::kFlipRest) {
+  } else if (damage == Damage::kStoredBitFlip) {
     lab::BlockDevice& disk = fixture.driver.disk();
     disk.Flip(block * kBlockBytes, kBlockBytes, 1 + static_cast<int>(disk.Draw(9)));
     ++*injected;
@@ -154,15 +154,15 @@
 
 Fault ExpectedFault(Damage damage, int path_count) {
   switch (damage) {
-    case Damage::kFlipPath:
+    case Damage::kTransitBitFlip:
       return path_count > 1 ? Fault::kPath : Fault::kMemory;
-    case Damage::kStale:
+    case Damage::kStaleRead:
       return Fault::kStaleRead;
-    case Damage::kLost:
-    case Damage::kAstray:  // looks lost until its other end has been read
+    case Damage::kLostWrite:
+    case Damage::kMisdirectedWrite:  // looks lost until its other end has been read
       return Fault::kLostWrite;
-    case Damage::kFlipRest:
-    case Damage::kTorn:
+    case Damage::kStoredBitFlip:
+    case Damage::kTornWrite:
       break;
   }
   return Fault::kAtRest;
@@ -194,12 +194,12 @@
   }
   REQUIRE(injected > 0);
   REQUIRE(attribution);
-  if (damage == Damage::kAstray) {
+  if (damage == Damage::kMisdirectedWrite) {
     CheckBothEndsAreMisdirected(fixture, block, other);
   } else {
     CHECK(attribution->fault == ExpectedFault(damage, path_count));
   }
-  if (damage == Damage::kFlipPath && path_count > 1) {
+  if (damage == Damage::kTransitBitFlip && path_count > 1) {
     CHECK(attribution->path == 0);
   }
   // Writing the blocks again repairs them.
@@ -212,8 +212,8 @@
 }
 
 TEST_CASE("each kind of damage is detected and attributed to the component at fault") {
-  for (const Damage damage : {Damage::kFlipPath, Damage::kFlipRest, Damage::kLost, Damage::kAstray,
-                              Damage::kStale, Damage::kTorn}) {
+  for (const Damage damage : {Damage::kTransitBitFlip, Damage::kStoredBitFlip, Damage::kLostWrite,
+                              Damage::kMisdirectedWrite, Damage::kStaleRead, Damage::kTornWrite}) {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
       for (const int paths : {1, 2, 3}) {
         CheckDamageIsAttributed(damage, seed, paths);
--- a/tests/net/checksummed_export_test.cpp
+++ b/tests/net/checksummed_export_test.cpp
@@ -219,9 +219,9 @@
     fixture.WaitForCheckpoint();
     fixture.Write(0, 16);  // a second generation, so that there is stale content
     fixture.WaitForCheckpoint();
-    lab::Fault lost_write{Damage::kLost, -1, 2 * kBlockBytes, 3 * kBlockBytes};
-    lab::Fault astray{Damage::kAstray, -1, 5 * kBlockBytes, 6 * kBlockBytes, 9 * kBlockBytes};
-    lab::Fault torn{Damage::kTorn, -1, 12 * kBlockBytes, 13 * kBlockBytes};
+    lab::Fault lost_write{Damage::kLostWrite, -1, 2 * kBlockBytes, 3 * kBlockBytes};
+    lab::Fault astray{Damage::kMisdirectedWrite, -1, 5 * kBlockBytes, 6 * kBlockBytes, 9 * kBlockBytes};
+    lab::Fault torn{Damage::kTornWrite, -1, 12 * kBlockBytes, 13 * kBlockBytes};
     for (const auto& fault : {lost_write, astray, torn}) {
       fixture.server.AddFault(fault);
     }
@@ -229,8 +229,8 @@
     fixture.Write(5);
     fixture.Write(12);
     fixture.WaitForCheckpoint();
-    REQUIRE(fixture.server.injections(Damage::kAstray) == 1);
-    fixture.server.AddFault({Damage::kFlipRest, -1, 14 * kBlockBytes, 15 * kBlockBytes});
+    REQUIRE(fixture.server.injections(Damage::kMisdirectedWrite) == 1);
+    fixture.server.AddFault({Damage::kStoredBitFlip, -1, 14 * kBlockBytes, 15 * kBlockBytes});
     CHECK(fixture.FindCorruption(2)->fault == Fault::kLostWrite);
     CHECK(fixture.FindCorruption(12)->fault == Fault::kAtRest);
     CHECK(fixture.FindCorruption(14)->fault == Fault::kAtRest);
@@ -238,9 +238,10 @@
     CHECK(fixture.FindCorruption(9)->fault == Fault::kMisdirectedWrite);
     CHECK(fixture.FindCorruption(5)->fault ==
           Fault::kMisdirectedWrite);  // now that the misplaced block is known
-    fixture.server.AddFault({Damage::kStale, -1, 7 * kBlockBytes, 8 * kBlockBytes});
+    fixture.server.AddFault({Damage::kStaleRead, -1, 7 * kBlockBytes, 8 * kBlockBytes});
     CHECK(fixture.FindCorruption(7)->fault == Fault::kStaleRead);
-    fixture.server.AddFault({Damage::kFlipPath, 0, 1 * kBlockBytes, 2 * kBlockBytes, 0, paths == 1 ? 1 : -1});
+    fixture.server.AddFault(
+        {Damage::kTransitBitFlip, 0, 1 * kBlockBytes, 2 * kBlockBytes, 0, paths == 1 ? 1 : -1});
     CHECK(fixture.FindCorruption(1)->fault == (paths == 1 ? Fault::kMemory : Fault::kPath));
     fixture.server.ClearFaults();
     // A read of all blocks returns the intact pieces and the offsets of the corrupted blocks.
@@ -283,7 +284,7 @@
   ExportFixture fixture(1, true);
   fixture.Write(0, 16);
   fixture.WaitForCheckpoint();
-  fixture.server.AddFault({Damage::kFlipRest, -1, 11 * kBlockBytes, 12 * kBlockBytes});
+  fixture.server.AddFault({Damage::kStoredBitFlip, -1, 11 * kBlockBytes, 12 * kBlockBytes});
   integrity::CorruptionLog ledger;
   std::string what;
   for (int i = 0; i < 100 && !ledger.IsDamaged({"a", "disk", 11}); ++i) {
--- a/tests/net/scenario_client.cpp
+++ b/tests/net/scenario_client.cpp
@@ -2,22 +2,13 @@
 
 #include <doctest/doctest.h>
 
-#include <array>
-#include <cstdio>
-
 #include "core/scheduler_thread.h"
-#include "http/messages.h"
+#include "lab/standins/platform_request.h"
 #include "scenario_limits.h"
 
 namespace walnutspur::test {
 namespace {
 
-std::string RequestIdText(std::uint32_t id) {
-  std::array<char, 17> text;
-  std::snprintf(text.data(), text.size(), "%016x", id);
-  return text.data();
-}
-
 std::uint16_t NbdCommand(const std::string& request_class) {
   if (request_class == "write") {
     return nbd::kWrite;
@@ -74,13 +65,15 @@
 }
 
 void HttpScenarioClient::WriteRequest(const ClientRequest& request) {
-  const std::string method = request.request_class == "write" ? "PUT" : "GET";
-  const std::string shard = request.target == "b" ? "1" : "0";
-  REQUIRE(socket_.Send(
-      method + " " + kObjectPath + " HTTP/1.1\r\nHost: s\r\n" + "X-Request-Id: " + RequestIdText(request.id) +
-      "\r\nX-Class: " + request.request_class + "\r\nX-Plan: basic\r\n" +
-      "X-Deadline: " + http::Seconds(request.deadline) + "\r\nX-IO: units=1,shard=" + shard +
-      ",hosts=1\r\nContent-Length: " + std::to_string(request.body.size()) + "\r\n\r\n" + request.body));
+  lab::PlatformRequest message;
+  message.is_put = request.request_class == "write";
+  message.path = kObjectPath;
+  message.id = request.id;
+  message.request_class = request.request_class;
+  message.deadline = request.deadline;
+  message.shard = request.target == "b" ? 1 : 0;
+  message.body = request.body;
+  REQUIRE(socket_.Send(lab::FormatPlatformRequest(message)));
 }
 
 void NbdScenarioClient::Negotiate(const std::string& export_name) {
--- a/tests/net/storage_server.h
+++ b/tests/net/storage_server.h
@@ -1,5 +1,8 @@
 // Storage servers that a scenario plays: the targets of the initiator's attempts, over HTTP or NBD.
 //
+// Unlike lab::HttpTarget and lab::StorageServer they store nothing and do nothing by themselves: each
+// response is a step of the scenario, and may violate the protocol.
+//
 // Owner: the ScenarioRunner, one object per target. Thread: the test's own; a test may serve the listener on
 // a thread of its own instead, as long as the scenario leaves that target alone.
 #ifndef WALNUTSPUR_TESTS_NET_STORAGE_SERVER_H_
