--- a/src/lab/soak/load_client.h
+++ b/src/lab/soak/load_client.h
@@ -24,7 +24,7 @@
 struct LoadOptions {
   int connections = 4;
   Time think_time = 50'000;       // mean, us
-  Time deadline = 1'200'000;      // us, as told to the process
+  Time deadline = 1'200'000;      // us, as stated to the process
   double write_fraction = 0.2;    // of class "write", which may not be repeated
   double leave_fraction = 0;      // closes its connection at a random time before its deadline
   double reconnect_fraction = 0;  // closes its connection after a response
--- a/src/lab/soak/testbed.h
+++ b/src/lab/soak/testbed.h
@@ -49,10 +49,10 @@
   // Runs the event loop for this long, us.
   void RunFor(Time duration);
 
-  // Calls a function once, so many us from now, while RunFor runs.
+  // Calls a function once, `delay` us from now, while RunFor runs.
   void After(Time delay, std::function<void()> call);
 
-  // kListening: waits until the process listens, while the stand-ins stand still.
+  // kListening: waits until the process listens, while the stand-ins do not act.
   enum class StartMode { kListening, kAtOnce };
   // Starts a process that knows the list as of the testbed's start, however often it changed since.
   void Start(int process, StartMode mode = StartMode::kListening);
--- a/src/lab/standins/discovery_service.h
+++ b/src/lab/standins/discovery_service.h
@@ -1,6 +1,6 @@
 // The platform's discovery service: answers each watch with the complete endpoint list, then with a line for
 // each change and an empty line as heartbeat. Fails on demand. Each client, an initiator, has a port of its
-// own, so that an observer can tell what was written to whom.
+// own, so that an observer sees what was written to which client.
 //
 // Owned by a testbed; runs on the thread of its event loop. DiscoveryThread runs one on a thread of its own;
 // tests/net/discovery_server.h is the one that acts only as a scenario says, step by step.
--- a/tests/faults/clock_step_test.cpp
+++ b/tests/faults/clock_step_test.cpp
@@ -4,29 +4,19 @@
 #include <chrono>
 #include <cstdint>
 #include <string>
-#include <thread>
 #include <vector>
 
-#include "core/clock.h"
-#include "lab/soak/rules.h"
-#include "lab/soak/testbed.h"
+#include "fault_fixture.h"
 
 namespace walnutspur::test {
 namespace {
 
-using lab::soak::FindViolations;
-using lab::soak::RuleViolation;
-using lab::soak::ServedFraction;
-using lab::soak::Testbed;
-using lab::soak::TestbedOptions;
-
-constexpr Time kSecond = 1'000'000;
 constexpr std::int64_t kMillisecondsPerMinute = 60'000;
 
 // Part of the requests that a process serves, and the rules that it breaks.
 struct StepResult {
   double served = 0;
-  std::vector<RuleViolation> violations;
+  std::vector<lab::soak::RuleViolation> violations;
 };
 
 struct StepCase {
@@ -43,38 +33,15 @@
   return duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-StepResult Play(const StepCase& step) {
-  TestbedOptions options;
-  options.program = WALNUTSPUR_PROGRAM;
-  options.preload = WALNUTSPUR_FAULT_SHIM;
+void Play(StepCase& step) {
   const std::string sign = step.step_ms < 0 ? "" : "+";
-  options.environment["WALNUTSPUR_FAULTS"] =
-      "clock@" + std::to_string(step.step_at_ms) + "=" + sign + std::to_string(step.step_ms);
+  lab::soak::TestbedOptions options = FaultyProcessOptions("clock@" + std::to_string(step.step_at_ms) + "=" +
+                                                           sign + std::to_string(step.step_ms));
   options.up_since_ms = UnixMilliseconds() - step.targets_up_ms;
   options.load.connections = 8;
   options.load.think_time = 15'000;
-  Testbed testbed(options);
-  testbed.StartAll();
-  testbed.StartAllClients();
-  const Time began_at = core::Now();
-  testbed.RunFor(6 * kSecond);
-  const Time ended_at = core::Now();
-  testbed.StopAllClients();
-  testbed.RunFor(2 * kSecond);
-  return {ServedFraction(testbed.record(), began_at + step.settle, ended_at),
-          FindViolations(testbed.record(), {})};
-}
-
-// Each case on a thread of its own: they wait most of their time.
-void PlayAll(std::vector<StepCase>& cases) {
-  std::vector<std::thread> threads;
-  threads.reserve(cases.size());
-  for (StepCase& each : cases) {
-    threads.emplace_back([&each] { each.result = Play(each); });
-  }
-  for (std::thread& thread : threads) {
-    thread.join();
-  }
+  LoadRun run(options, 6 * kSecond);
+  step.result = {run.ServedFraction(step.settle), run.FindViolations()};
 }
 
 void CheckServed(const std::vector<StepCase>& cases) {
@@ -82,7 +49,7 @@
     CAPTURE(each.step_ms);
     CAPTURE(each.targets_up_ms);
     CHECK(each.result.served > 0.98);
-    CHECK(each.result.violations.empty());
+    CHECK_MESSAGE(each.result.violations.empty(), FirstOf(each.result.violations));
   }
 }
 
@@ -93,17 +60,17 @@
   for (const std::int64_t step_ms : {-3'600'000, -10'000, -1'000, 1'000, 10'000, 3'600'000}) {
     cases.push_back({step_ms, 2'000, 10 * kMillisecondsPerMinute, 0, {}});
   }
-  PlayAll(cases);
+  PlayAll(cases, Play);
   CheckServed(cases);
 }
 
 TEST_CASE("a wall clock that is wrong at the start keeps no target in slow start for longer than it lasts") {
   std::vector<StepCase> cases;
   for (const std::int64_t step_ms : {-3'600'000, -10'000, 10'000, 3'600'000}) {
-    cases.push_back({step_ms, 0, 500, 3 * kSecond, {}});                          // cold ones
-    cases.push_back({step_ms, 0, 10 * kMillisecondsPerMinute, 3 * kSecond, {}});  // warm ones
+    cases.push_back({step_ms, 0, 500, 3 * kSecond, {}});                          // targets in slow start
+    cases.push_back({step_ms, 0, 10 * kMillisecondsPerMinute, 3 * kSecond, {}});  // past it
   }
-  PlayAll(cases);
+  PlayAll(cases, Play);
   CheckServed(cases);
 }
 
--- a/tests/faults/endpoint_lease_test.cpp
+++ b/tests/faults/endpoint_lease_test.cpp
@@ -2,12 +2,10 @@
 #include <doctest/doctest.h>
 
 #include <string>
-#include <thread>
 #include <vector>
 
 #include "core/clock.h"
-#include "lab/soak/rules.h"
-#include "lab/soak/testbed.h"
+#include "fault_fixture.h"
 
 namespace walnutspur::test {
 namespace {
@@ -19,7 +17,6 @@
 using lab::soak::Testbed;
 using lab::soak::TestbedOptions;
 
-constexpr Time kSecond = 1'000'000;
 constexpr int kLargeFleet = 300;
 
 struct FaultResult {
@@ -30,8 +27,7 @@
 };
 
 TestbedOptions Options(int configured_instances) {
-  TestbedOptions options;
-  options.program = WALNUTSPUR_PROGRAM;
+  TestbedOptions options = ProcessOptions();
   options.configured_instances = configured_instances;
   options.load.write_fraction = 0.1;
   return options;
@@ -53,8 +49,7 @@
   testbed.discovery().SetFault(DiscoveryFault::kNone);
   testbed.RunFor(10 * kSecond);
   const Time ended_at = core::Now();
-  testbed.StopAllClients();
-  testbed.RunFor(2 * kSecond);
+  StopClients(testbed);
   FaultResult result;
   result.violations = FindViolations(testbed.record(), {});
   result.served_before = ServedFraction(testbed.record(), began_at, failed_at);
@@ -71,17 +66,7 @@
   FaultResult result;
 };
 
-// Each case on a thread of its own: they wait most of their time.
-void PlayAll(std::vector<FaultCase>& cases) {
-  std::vector<std::thread> threads;
-  threads.reserve(cases.size());
-  for (FaultCase& each : cases) {
-    threads.emplace_back([&each] { each.result = PlayDrainDuring(each.fault, each.configured_instances); });
-  }
-  for (std::thread& thread : threads) {
-    thread.join();
-  }
-}
+void Play(FaultCase& played) { played.result = PlayDrainDuring(played.fault, played.configured_instances); }
 
 }  // namespace
 
@@ -95,13 +80,13 @@
     cases.push_back({"cuts answers", DiscoveryFault::kCutsAnswers, instances, {}});
     cases.push_back({"refuses", DiscoveryFault::kRefuses, instances, {}});
   }
-  PlayAll(cases);
+  PlayAll(cases, Play);
   for (const FaultCase& each : cases) {
     CAPTURE(each.name);
     CAPTURE(each.configured_instances);
     const FaultResult& result = each.result;
-    const std::string first = result.violations.empty() ? "" : result.violations.front().description;
-    CHECK_MESSAGE(result.violations.empty(), result.violations.size(), " violations, first: ", first);
+    CHECK_MESSAGE(result.violations.empty(), result.violations.size(),
+                  " violations, first: ", FirstOf(result.violations));
     CHECK(result.served_before > 0.95);
     // Three of four targets serve once the list is back.
     CHECK(result.served_after > 0.6);
@@ -122,11 +107,9 @@
   testbed.discovery().SetFault(DiscoveryFault::kNone);
   testbed.RunFor(10 * kSecond);
   const Time ended_at = core::Now();
-  testbed.StopAllClients();
-  testbed.RunFor(2 * kSecond);
+  StopClients(testbed);
   const std::vector<RuleViolation> violations = FindViolations(testbed.record(), {});
-  const std::string first = violations.empty() ? "" : violations.front().description;
-  CHECK_MESSAGE(violations.empty(), violations.size(), " violations, first: ", first);
+  CHECK_MESSAGE(violations.empty(), violations.size(), " violations, first: ", FirstOf(violations));
   CHECK(ServedFraction(testbed.record(), ended_at - 2 * kSecond, ended_at) > 0.6);
 }
 
--- a/tests/faults/system_call_test.cpp
+++ b/tests/faults/system_call_test.cpp
@@ -2,64 +2,32 @@
 #include <doctest/doctest.h>
 
 #include <string>
-#include <thread>
 #include <vector>
 
-#include "core/clock.h"
-#include "lab/soak/rules.h"
-#include "lab/soak/testbed.h"
+#include "fault_fixture.h"
 
 namespace walnutspur::test {
 namespace {
 
-using lab::soak::FindViolations;
-using lab::soak::RuleViolation;
-using lab::soak::ServedFraction;
-using lab::soak::Testbed;
-using lab::soak::TestbedOptions;
-
-constexpr Time kSecond = 1'000'000;
-
 struct CallCase {
   std::string faults;
-  double least_served;  // of the requests, over the whole run
+  double least_served;  // part of the requests, over the run
   double served = 0;
   int idle_ends = 0;  // connections that ended between requests
-  std::vector<RuleViolation> violations = {};
+  std::vector<lab::soak::RuleViolation> violations = {};
   bool runs_on = false;
 };
 
-void Play(CallCase* played) {
-  TestbedOptions options;
-  options.program = WALNUTSPUR_PROGRAM;
-  options.preload = WALNUTSPUR_FAULT_SHIM;
-  options.environment["WALNUTSPUR_FAULTS"] = played->faults;
+void Play(CallCase& played) {
+  lab::soak::TestbedOptions options = FaultyProcessOptions(played.faults);
   options.load.connections = 8;
   options.load.think_time = 200'000;
   options.load.reconnect_fraction = 0.2;
-  Testbed testbed(options);
-  testbed.StartAll();
-  testbed.StartAllClients();
-  const Time began_at = core::Now();
-  testbed.RunFor(6 * kSecond);
-  const Time ended_at = core::Now();
-  played->idle_ends = testbed.record().idle_ends;
-  testbed.StopAllClients();
-  testbed.RunFor(2 * kSecond);
-  played->runs_on = testbed.IsRunning(0);
-  played->served = ServedFraction(testbed.record(), began_at, ended_at);
-  played->violations = FindViolations(testbed.record(), {});
-}
-
-void PlayAll(std::vector<CallCase>& cases) {
-  std::vector<std::thread> threads;
-  threads.reserve(cases.size());
-  for (CallCase& each : cases) {
-    threads.emplace_back([&each] { Play(&each); });
-  }
-  for (std::thread& thread : threads) {
-    thread.join();
-  }
+  LoadRun run(options, 6 * kSecond);
+  played.idle_ends = run.idle_ends();
+  played.runs_on = run.IsRunning();
+  played.served = run.ServedFraction();
+  played.violations = run.FindViolations();
 }
 
 }  // namespace
@@ -80,13 +48,11 @@
   cases.push_back({"readv@500=ECONNRESET/0.02;writev@500=EPIPE/0.02", 0.8});
   cases.push_back({"readv@500=ETIMEDOUT/0.02;writev@500=EHOSTUNREACH/0.02", 0.8});
   cases.push_back({"writev@500=delay150/0.02", 0.9});
-  PlayAll(cases);
+  PlayAll(cases, Play);
   for (const CallCase& each : cases) {
     CAPTURE(each.faults);
-    const std::string first = each.violations.empty()
-                                  ? ""
-                                  : each.violations.front().rule + ": " + each.violations.front().description;
-    CHECK_MESSAGE(each.violations.empty(), each.violations.size(), " violations, first: ", first);
+    CHECK_MESSAGE(each.violations.empty(), each.violations.size(),
+                  " violations, first: ", FirstOf(each.violations));
     CHECK(each.served > each.least_served);
     CHECK(each.runs_on);
     if (each.faults.rfind("accept4", 0) == 0) {  // no idle connection makes room for what cannot be accepted
