--- a/bench/integrity/testbed.cpp
+++ b/bench/integrity/testbed.cpp
@@ -22,9 +22,12 @@
 constexpr int kAttachPollInterval = 2;       // ms
 constexpr int kServerStartAttempts = 500;
 constexpr Time kServerStartInterval = 10'000;  // us
-constexpr int kLogWriteDelay = 1200;      // ms: more than the initiator waits before it writes the log's file
-constexpr int kCheckpointInterval = 280;  // ms
-constexpr std::uint64_t kScrubCommands = 200;  // of the scrub in one such interval, at most
+// Delay after which the initiator has written the corruption log's file, ms: longer than its save delay.
+constexpr int kLogWriteDelay = 1200;
+// Interval in which an idle volume has finished a checkpoint, ms.
+constexpr int kCheckpointInterval = 280;
+// Upper bound of the scrub's commands in one such interval.
+constexpr std::uint64_t kScrubCommands = 200;
 constexpr int kWriteAttempts = 50;
 constexpr int kRetryInterval = 10;  // ms
 constexpr std::uint32_t kAttachReadBytes = 512;
@@ -82,7 +85,8 @@
 
 // It listens for HTTP on the port after the one for NBD, and on the same ports each time.
 bool Testbed::StartChildServer() {
-  const std::vector<std::string> command = {run_.options().storage_server,
+  const std::vector<std::string> command = {run_.options().laboratory,
+                                            "storage-server",
                                             "--size",
                                             std::to_string(kDeviceBytes),
                                             "--file",
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -148,7 +148,7 @@
   }
 
   // The response is under way to the client: no other final response is due.
-  void On(const ResponseStarted& event) {
+  void On(const ResponseStarted& event) const {
     if (const RequestRef request = state_.requests.Find(event.id)) {
       request->finished = true;
     }
--- a/tests/faults/clock_step_test.cpp
+++ b/tests/faults/clock_step_test.cpp
@@ -16,7 +16,7 @@
 // Part of the requests that a process serves, and the rules that it breaks.
 struct StepResult {
   double served = 0;
-  std::vector<lab::soak::RuleViolation> violations;
+  std::vector<lab::soak::Violation> violations;
 };
 
 struct StepCase {
--- a/tests/faults/endpoint_lease_test.cpp
+++ b/tests/faults/endpoint_lease_test.cpp
@@ -12,15 +12,15 @@
 
 using lab::DiscoveryFault;
 using lab::soak::FindViolations;
-using lab::soak::RuleViolation;
 using lab::soak::ServedFraction;
 using lab::soak::Testbed;
 using lab::soak::TestbedOptions;
+using lab::soak::Violation;
 
 constexpr int kLargeFleet = 300;
 
 struct FaultResult {
-  std::vector<RuleViolation> violations;
+  std::vector<Violation> violations;
   double served_before = 0;     // part of the requests, before discovery failed
   double served_in_outage = 0;  // from 7 s to 9 s after discovery failed
   double served_after = 0;      // in the last 2 s
@@ -108,7 +108,7 @@
   testbed.RunFor(10 * kSecond);
   const Time ended_at = core::Now();
   StopClients(testbed);
-  const std::vector<RuleViolation> violations = FindViolations(testbed.record(), {});
+  const std::vector<Violation> violations = FindViolations(testbed.record(), {});
   CHECK_MESSAGE(violations.empty(), violations.size(), " violations, first: ", FirstOf(violations));
   CHECK(ServedFraction(testbed.record(), ended_at - 2 * kSecond, ended_at) > 0.6);
 }
--- a/tests/faults/fault_fixture.h
+++ b/tests/faults/fault_fixture.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "core/clock.h"
-#include "lab/soak/rules.h"
+#include "lab/soak/record_checker.h"
 #include "lab/soak/testbed.h"
 
 namespace walnutspur::test {
@@ -59,7 +59,7 @@
   // Connections that ended between requests while the clients were sending.
   int idle_ends() const { return idle_ends_; }
   bool IsRunning() { return testbed_.IsRunning(0); }
-  std::vector<lab::soak::RuleViolation> FindViolations() {
+  std::vector<lab::soak::Violation> FindViolations() {
     return lab::soak::FindViolations(testbed_.record(), {});
   }
 
@@ -71,8 +71,8 @@
 };
 
 // The first violation in words, for the message of a check; empty where there is none.
-inline std::string FirstOf(const std::vector<lab::soak::RuleViolation>& violations) {
-  return violations.empty() ? "" : violations.front().rule + ": " + violations.front().description;
+inline std::string FirstOf(const std::vector<lab::soak::Violation>& violations) {
+  return violations.empty() ? "" : violations.front().invariant + ": " + violations.front().description;
 }
 
 // Calls `play(case)` for all cases at the same time: they wait most of their time.
--- a/tests/faults/system_call_test.cpp
+++ b/tests/faults/system_call_test.cpp
@@ -14,7 +14,7 @@
   double least_served;  // part of the requests, over the run
   double served = 0;
   int idle_ends = 0;  // connections that ended between requests
-  std::vector<lab::soak::RuleViolation> violations = {};
+  std::vector<lab::soak::Violation> violations = {};
   bool runs_on = false;
 };
 
--- a/tests/lab/invariant_mutations.h
+++ b/tests/lab/invariant_mutations.h
@@ -4,21 +4,22 @@
 
 #include <functional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "lab/sim/test_hooks.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
 struct Mutation {
   std::string name;
-  std::string rule;                  // the invariant that it violates
+  std::string_view invariant;        // that it violates
   std::function<TestHooks()> hooks;  // made anew for each run: some have state
 };
 
 // All mutations.
 std::vector<Mutation> Mutations();
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_TESTS_LAB_INVARIANT_MUTATIONS_H_
