--- a/bench/integrity/testbed.cpp
+++ b/bench/integrity/testbed.cpp
@@ -97,7 +97,7 @@
                                             "--seed",
                                             std::to_string(random_())};
   child_server_ =
-      std::make_unique<lab::Process>(command, std::map<std::string, std::string>{}, folder() + "/box.log");
+      std::make_unique<lab::Process>(command, std::map<std::string, std::string>{}, folder() + "/storage_server.log");
   for (int i = 0; i < kServerStartAttempts && child_server_->running(); ++i) {
     if (lab::WaitForListener(server_nbd_port_ + 1, kServerStartInterval)) {
       return true;
