--- a/src/app/scrub_setup.cpp
+++ b/src/app/scrub_setup.cpp
@@ -8,14 +8,20 @@
 #include "filestore/atomic_file.h"
 #include "integrity/cursor.h"
 #include "integrity/layout.h"
+#include "log/event_kinds.h"
 #include "log/log.h"
 
 namespace walnutspur::app {
 namespace {
 
-constexpr Time kScrubDeadline = 5'000'000;           // us that a read of the scrub may be queued
-constexpr double kScrubPriorityWeight = 0.01;        // of its request class and of its plan: next to none
-constexpr const char* kCursorFile = "scrub.cursor";  // in the folder of the corruption ledger
+// How long a read of the scrub may be queued, us.
+constexpr Time kScrubDeadline = 5'000'000;
+
+// Weight of the scrub's request class and of its plan: next to none, so that clients' requests come first.
+constexpr double kScrubPriorityWeight = 0.01;
+
+// The file of the cursors, in the folder of the corruption log.
+constexpr const char* kCursorFile = "scrub.cursor";
 
 int AddScrubClass(walnutspur::Settings* settings) {
   RequestClass request_class;
@@ -45,12 +51,12 @@
   if (!bytes) {
     return;
   }
-  std::string what;
-  const auto decoded = integrity::DecodeCursors(*bytes, &what);
+  std::string error;
+  const auto decoded = integrity::DecodeCursors(*bytes, &error);
   if (decoded) {
     *cursors = *decoded;
   } else {
-    log::Event(log::Level::kWarn, "scrub_begins_anew", {{"file", path}, {"what", what}});
+    log::Event(log::Level::kWarn, log::kScrubRestarted, {{"file", path}, {"error", error}});
   }
 }
 
--- a/src/checksummed/checksummed_exports.cpp
+++ b/src/checksummed/checksummed_exports.cpp
@@ -4,8 +4,10 @@
 #include <set>
 #include <utility>
 
+#include "core/attempt_deadline.h"
 #include "core/scheduler_thread.h"
 #include "integrity/layout.h"
+#include "log/event_kinds.h"
 #include "log/log.h"
 
 namespace walnutspur::checksummed {
@@ -153,8 +155,8 @@
   if (std::exchange(exported.failure_logged, true)) {
     return;
   }
-  log::Event(log::Level::kError, "export_not_attached",
-             {{"export", exported.config->front.name}, {"what", exported.volume->error()}});
+  log::Event(log::Level::kError, log::kExportAttachFailed,
+             {{"export", exported.config->front.name}, {"error", exported.volume->error()}});
   exported.attach_backoff = std::clamp(exported.attach_backoff * 2, kMinAttachBackoff, kMaxAttachBackoff);
   if (!exported.suspended) {
     exported.attach_timer.Start(exported.attach_backoff);
@@ -218,10 +220,10 @@
   if ((*flags & nbd::kSendFlush) && (*flags & (nbd::kSendFua | nbd::kCanMultiConn))) {
     return true;
   }
-  log::Event(log::Level::kError, "box_unfit",
-             {{"box", exported.config->target},
+  log::Event(log::Level::kError, log::kTargetRejected,
+             {{"target", exported.config->target},
               {"export", exported.config->front.name},
-              {"what", "checksums need a box that offers FLUSH, and FUA or CAN_MULTI_CONN"}});
+              {"reason", "checksums need a target that offers FLUSH, and FUA or CAN_MULTI_CONN"}});
   return false;
 }
 
@@ -251,14 +253,15 @@
                                          std::shared_ptr<const nbd::CommandPayload> payload) {
   const auto number = static_cast<std::size_t>(payload->volume);
   const CommandId id = next_command_++;
+  const Time now = core::Now();
   PendingAttempt& pending = attempts_[id];
   pending.key = {attempt.request, attempt.attempt};
   pending.number = number;
-  pending.started = core::Now();
+  pending.started = now;
   pending.path = paths_.Choose(*exports_[number].config, payload->request);
   pending.payload = std::move(payload);
   pending.timeout = loop::MakeTimer(base_, [this, id] { Abandon(id, Outcome::kTimedOut); });
-  pending.timeout.Start(attempt.expires_at > 0 ? attempt.expires_at - core::Now() : attempt.timeout);
+  pending.timeout.Start(core::ExpiresAt(attempt, now) - now);
   commands_[pending.key] = id;
   return id;
 }
--- a/src/http/discovery_client.cpp
+++ b/src/http/discovery_client.cpp
@@ -7,20 +7,24 @@
 
 #include "core/scheduler_thread.h"
 #include "http/response_text.h"
+#include "log/event_kinds.h"
 #include "log/log.h"
 
 namespace walnutspur::http {
 namespace {
 
 // A healthy watch brings at least an empty line every 2 s, and discovery answers or gives up a call within
-// 2 s. With the longest backoff of the next watch (limits/backoff.h, 1 s) and the longest call (2 s) this
-// stays under the 6 s after which drain notifications that a silent watch misses count as delivered.
+// 2 s. With the longest backoff of the next watch (limits/poll_backoff.h, 1 s) and the longest call (2 s)
+// this stays under the 6 s after which drain notifications that a silent watch misses count as delivered.
 constexpr Time kSilenceTimeout = 2'500'000;  // us
+
+// A longer list is rejected, so that the service cannot exhaust the process's memory.
 constexpr std::size_t kMaxListBytes = 4 << 20;
+
 constexpr Time kMicrosecondsPerMillisecond = 1000;
 
 // Whether the last error of a socket says that its connection is broken, so that bytes may be missing. After
-// an end in order it is that of another call: none at all, or that there was nothing to read.
+// an end in order it is left from another call: none at all, or that there was nothing to read.
 bool IsBroken(int error) { return error != 0 && error != EAGAIN && error != EINPROGRESS && error != EINTR; }
 
 std::string Milliseconds(Time duration) { return std::to_string(duration / kMicrosecondsPerMillisecond); }
@@ -115,8 +119,8 @@
   LogWatchEnd(end);
   Close();
   walnutspur::EndpointUpdate failure{walnutspur::EndpointUpdateKind::kFailed, {}};
-  // Until the service ended the watch, what it had to tell has arrived: TCP hands over all that was sent
-  // before an end, and takes a reset only in its place.
+  // A watch that the service ended was current until then: TCP delivers all that was sent before the end, and
+  // accepts a reset only at that position of the stream.
   const bool ended_by_service =
       end == WatchEnd::kClosedInOrder || end == WatchEnd::kReset || end == WatchEnd::kFinished;
   failure.received_at = ended_by_service ? core::Now() : last_received_at_;
@@ -151,11 +155,11 @@
     return "unknown";
   };
   const Time now = core::Now();
-  log::Event(log::Level::kWarn, "discovery_watch_ended",
-             {{"how", name()},
+  log::Event(log::Level::kWarn, log::kDiscoveryWatchEnded,
+             {{"reason", name()},
               {"open_ms", Milliseconds(now - opened_at_)},
               {"silent_ms", Milliseconds(now - last_received_at_)},
-              {"answered", has_response_ ? "yes" : "no"},
+              {"response_received", has_response_ ? "yes" : "no"},
               {"incomplete_bytes", std::to_string(lists_.held())},
               {"revision", std::to_string(revision_)}});
 }
@@ -174,7 +178,7 @@
     return;
   }
   if (!error.empty()) {
-    log::Event(log::Level::kWarn, "discovery_list_unreadable", {{"what", error}});
+    log::Event(log::Level::kWarn, log::kEndpointListRejected, {{"error", error}});
     OnWatchEnded(WatchEnd::kUnreadable);
     return;
   }
@@ -210,16 +214,16 @@
     has_response_ = true;
     has_partial_list_ = false;
     revision_ = list.revision;
-    log::Event(log::Level::kInfo, "endpoint_list",
+    log::Event(log::Level::kInfo, log::kEndpointListReceived,
                {{"revision", std::to_string(revision_)},
                 {"complete", list.complete ? "yes" : "no"},
                 {"endpoints", std::to_string(list.endpoints.size())},
-                {"call_ms", Milliseconds(core::Now() - opened_at_)}});
+                {"open_ms", Milliseconds(core::Now() - opened_at_)}});
     const auto kind =
         list.complete ? walnutspur::EndpointUpdateKind::kFull : walnutspur::EndpointUpdateKind::kDelta;
     on_list_({kind, list.endpoints}, list);
   } catch (const std::exception& error) {
-    log::Event(log::Level::kWarn, "discovery_list_unreadable", {{"what", error.what()}});
+    log::Event(log::Level::kWarn, log::kEndpointListRejected, {{"error", error.what()}});
     OnWatchEnded(WatchEnd::kUnreadable);
   }
   return is_open_;
--- a/src/http/target_pool.cpp
+++ b/src/http/target_pool.cpp
@@ -3,8 +3,10 @@
 #include <utility>
 #include <vector>
 
+#include "core/attempt_deadline.h"
 #include "core/scheduler_thread.h"
 #include "http/response_text.h"
+#include "log/event_kinds.h"
 #include "log/log.h"
 
 namespace walnutspur::http {
@@ -12,9 +14,13 @@
 
 using State = TargetConnection::State;
 
-constexpr Time kHealthCheckTimeout = 250'000;           // us
-constexpr core::RequestNumber kHealthCheckRequest = 0;  // in an attempt's key
-constexpr std::size_t kLargeResponseMemoryDivisor = 8;  // part of the memory for all bodies beyond that
+constexpr Time kHealthCheckTimeout = 250'000;  // us
+
+// The request number of health checks in attempts' keys.
+constexpr core::RequestNumber kHealthCheckRequest = 0;
+
+// The part of the process's memory, as a divisor, for all response bodies longer than the protocol's.
+constexpr std::size_t kLargeResponseMemoryDivisor = 8;
 
 // The request as it is sent, up to its deadline and from there on; null: a health check.
 void FormatRequest(const Request* request, const std::string& host, Attempt* attempt) {
@@ -36,10 +42,11 @@
   rest += request->body;
 }
 
-bool IsPast(Time not_after) { return not_after > 0 && core::Now() >= not_after; }
-
 // Whether it is too late to send the attempt: what follows from it could not be used, or would do harm.
-bool IsTooLate(const Attempt& attempt) { return IsPast(attempt.not_after) || IsPast(attempt.expires_at); }
+bool IsTooLate(const Attempt& attempt) {
+  const Time now = core::Now();
+  return core::IsPast(attempt.not_after, now) || core::IsPast(attempt.expires_at, now);
+}
 
 }  // namespace
 
@@ -55,7 +62,7 @@
   Attempt launched;
   launched.key = {attempt.request, attempt.attempt};
   launched.not_after = attempt.not_after;
-  launched.expires_at = attempt.expires_at > 0 ? attempt.expires_at : core::Now() + attempt.timeout;
+  launched.expires_at = core::ExpiresAt(attempt, core::Now());
   Launch(std::move(launched), attempt.target, static_cast<const Request*>(attempt.payload.get()));
 }
 
@@ -187,8 +194,8 @@
   if (result == TargetConnection::ParseResult::kIncomplete) {
     return;
   }
-  // A response to a request that is not all sent is not this request's, and one that is malformed is
-  // nobody's: the request may have run, and nothing that follows on the connection can be told apart.
+  // A response to a request that is not all sent belongs to another request. After a malformed one the
+  // request may have run, and where the next response begins is unknown.
   const bool stopped = result == TargetConnection::ParseResult::kStopped;
   if (stopped || response.malformed() || !connection.IsRequestSent()) {
     Fail(connection, Outcome::kConnectionReset);
@@ -262,14 +269,15 @@
 // The target has done the work, but its response was corrupted on the way. No byte of it is forwarded, and
 // the connection, which may be the cause, is not used again.
 void TargetPool::OnCorruptedResponse(TargetConnection& connection) {
-  log::Event(log::Level::kWarn, "answer_damaged",
-             {{"request", std::to_string(connection.attempt()->key.request)}, {"box", connection.target()}});
+  log::Event(
+      log::Level::kWarn, log::kResponseCorrupted,
+      {{"request", std::to_string(connection.attempt()->key.request)}, {"target", connection.target()}});
   ReportOutcome(connection, Outcome::kCorrupted);
   pool_.Discard(connection);
 }
 
-// The attempt is timed out or cancelled. A connection that is still being set up has been paid for, and the
-// next attempt would begin another: it is kept as a spare, one for each target.
+// The attempt is timed out or cancelled. A connection that is still being set up is kept as a spare, one for
+// each target, so that the next attempt need not begin another.
 void TargetPool::Abandon(TargetConnection& connection, Outcome outcome) {
   const State state = connection.state();
   if (state == State::kSpare) {  // it did not connect in time
