--- a/src/lab/soak/record_events.cpp
+++ b/src/lab/soak/record_events.cpp
@@ -84,9 +84,9 @@
 // Why a request without a response has none.
 invariants::DisconnectReason ReasonOf(ClientResult result) {
   switch (result) {
-    case ClientResult::kLeft:
+    case ClientResult::kDisconnected:
       return invariants::DisconnectReason::kClientLeft;
-    case ClientResult::kLost:
+    case ClientResult::kNoResponse:
       return invariants::DisconnectReason::kNoResponse;
     case ClientResult::kNotAccepted:
       return invariants::DisconnectReason::kNotAccepted;
--- a/src/lab/soak/testbed.h
+++ b/src/lab/soak/testbed.h
@@ -9,15 +9,18 @@
 #include <list>
 #include <map>
 #include <memory>
-#include <nlohmann/json.hpp>
 #include <string>
 #include <vector>
 
-#include "lab/process.h"
-#include "lab/soak/discovery_service.h"
-#include "lab/soak/http_target.h"
+#include "lab/soak/discovery_recorder.h"
 #include "lab/soak/load_client.h"
 #include "lab/soak/record.h"
+#include "lab/soak/target_recorder.h"
+#include "lab/standins/discovery_service.h"
+#include "lab/standins/http_target.h"
+#include "lab/standins/initiator_process.h"
+#include "lab/standins/process.h"
+#include "lab/standins/temporary_folder.h"
 #include "loop/loop.h"
 
 namespace walnutspur::lab::soak {
@@ -46,10 +49,10 @@
   // Runs the event loop for this long, us.
   void RunFor(Time duration);
 
-  // Calls a function once, so many us from now, while RunFor runs.
+  // Calls a function once, `delay` us from now, while RunFor runs.
   void After(Time delay, std::function<void()> call);
 
-  // kListening: waits until the process listens, while the stand-ins stand still.
+  // kListening: waits until the process listens, while the stand-ins do not act.
   enum class StartMode { kListening, kAtOnce };
   // Starts a process that knows the list as of the testbed's start, however often it changed since.
   void Start(int process, StartMode mode = StartMode::kListening);
@@ -63,8 +66,8 @@
   void Signal(int process, int number);
   bool IsRunning(int process);
 
-  // Changes the phase of a target in the endpoint list.
-  void SetPhase(int target, const std::string& phase);
+  // Changes the state of a target in the endpoint list.
+  void SetEndpointState(int target, EndpointState state);
 
   DiscoveryService& discovery() { return *discovery_; }
   HttpTarget& target(int number) { return *targets_[static_cast<std::size_t>(number)]; }
@@ -84,19 +87,19 @@
     std::unique_ptr<LoadClient> clients;
   };
 
-  nlohmann::json Configuration(int process) const;
+  PlatformConfig Configuration(int process) const;
+  void NoteStall();
   Member& member(int process) { return members_[static_cast<std::size_t>(process)]; }
-  std::string LogPath(int process) const;
 
   TestbedOptions options_;
-  Folder folder_;
+  TemporaryFolder folder_;
   Record record_;
   loop::EventBasePtr base_;
+  DiscoveryRecorder discovery_recorder_{&record_};
+  TargetRecorder target_recorder_{&record_};
   std::unique_ptr<DiscoveryService> discovery_;
   std::vector<std::unique_ptr<HttpTarget>> targets_;
   std::vector<Member> members_;
-  void NoteStall();
-
   Time longest_stall_ = 0;
   Time next_beat_at_ = 0;  // of the timer that shows stalls
   loop::EventHandle beat_;
