--- a/src/lab/soak/load_client.h
+++ b/src/lab/soak/load_client.h
@@ -13,6 +13,7 @@
 #include "http/message_reader.h"
 #include "lab/random.h"
 #include "lab/soak/record.h"
+#include "lab/standins/platform_request.h"
 #include "loop/address.h"
 #include "loop/loop.h"
 #include "loop/stream.h"
@@ -23,7 +24,7 @@
 struct LoadOptions {
   int connections = 4;
   Time think_time = 50'000;       // mean, us
-  Time deadline = 1'200'000;      // us, as told to the process
+  Time deadline = 1'200'000;      // us, as stated to the process
   double write_fraction = 0.2;    // of class "write", which may not be repeated
   double leave_fraction = 0;      // closes its connection at a random time before its deadline
   double reconnect_fraction = 0;  // closes its connection after a response
@@ -69,7 +70,7 @@
   void OnEnd(Connection& connection);
   void Finish(Connection& connection, ClientResult result);
   void ThinkThenSend(Connection& connection);
-  std::string FormatRequest(const std::string& id, bool is_write);
+  PlatformRequest NextRequest(bool is_write);
 
   event_base* base_;
   int process_;
--- a/src/lab/soak/record_checker.cpp
+++ b/src/lab/soak/record_checker.cpp
@@ -57,7 +57,7 @@
   double all = 0;
   double served = 0;
   for (const auto& [id, request] : record.requests) {
-    if (request.sent_at >= from && request.sent_at < until && request.result != ClientResult::kLeft) {
+    if (request.sent_at >= from && request.sent_at < until && request.result != ClientResult::kDisconnected) {
       ++all;
       served += request.result == ClientResult::kServed ? 1 : 0;
     }
--- a/tests/lab/record_checker_test.cpp
+++ b/tests/lab/record_checker_test.cpp
@@ -60,7 +60,7 @@
 
 void Lose(Record* record, const char* request_id) {
   ClientRequest& request = record->requests[request_id];
-  request.result = ClientResult::kLost;
+  request.result = ClientResult::kNoResponse;
   request.responses = 0;
 }
 
@@ -84,7 +84,7 @@
        }},
       {name::kAttemptAfterDisconnect,
        [](Record* record) {
-         record->requests[kRead].result = ClientResult::kLeft;
+         record->requests[kRead].result = ClientResult::kDisconnected;
          record->requests[kRead].responses = 0;
          record->arrivals[0].at = record->requests[kRead].finished_at + 101'000;
        }},
@@ -128,7 +128,7 @@
   CHECK(ViolatedBy(record).empty());
 
   record = CleanRecord();
-  record.requests[kRead].result = ClientResult::kLeft;
+  record.requests[kRead].result = ClientResult::kDisconnected;
   record.requests[kRead].responses = 0;
   record.arrivals[0].at = record.requests[kRead].finished_at + 100'000;  // 100 ms after the client left
   CHECK(ViolatedBy(record).empty());
--- a/tests/net/checksummed_export_test.cpp
+++ b/tests/net/checksummed_export_test.cpp
@@ -12,8 +12,8 @@
 #include "app/control.h"
 #include "filestore/atomic_file.h"
 #include "integrity/cursor.h"
-#include "lab/discovery.h"
-#include "lab/process.h"
+#include "lab/standins/discovery_thread.h"
+#include "lab/standins/temporary_folder.h"
 #include "lab/storage_server/storage_server.h"
 #include "nbd/blocking_client.h"
 #include "scenario_runner.h"
@@ -51,7 +51,7 @@
       }
     });
     server.Start();
-    ListTarget("SERVING");
+    ListTarget(EndpointState::kActive);
     options.nbd = folder.Put("nbd.toml", DeployFile(paths));
     options.folder = folder.path();
     options.scrub.enabled = scrub;
@@ -85,13 +85,13 @@
     options.flags = flags;
     return options;
   }
-  // Lists the target in the given phase.
-  void ListTarget(const std::string& phase) {
-    lab::Member member;
-    member.id = "a";
-    member.host_port = "127.0.0.1:1";
-    member.phase = phase;
-    discovery.Set(member);
+  // Lists the target in the given state.
+  void ListTarget(EndpointState state) {
+    lab::ListedEndpoint endpoint;
+    endpoint.id = "a";
+    endpoint.address = "127.0.0.1:1";
+    endpoint.state = state;
+    discovery.Set(endpoint);
   }
   // Starts the initiator and attaches the client.
   void StartInitiator() {
@@ -175,9 +175,9 @@
   }
 
   bool server_is_suitable = true;  // whether it has the flags that checksummed exports need
-  lab::Folder folder;
+  lab::TemporaryFolder folder;
   lab::StorageServer server;
-  lab::Discovery discovery;
+  lab::DiscoveryThread discovery;
   app::Options options;
   std::unique_ptr<app::Initiator> initiator;
   std::thread thread;
@@ -219,9 +219,9 @@
     fixture.WaitForCheckpoint();
     fixture.Write(0, 16);  // a second generation, so that there is stale content
     fixture.WaitForCheckpoint();
-    lab::Fault lost_write{Damage::kLost, -1, 2 * kBlockBytes, 3 * kBlockBytes};
-    lab::Fault astray{Damage::kAstray, -1, 5 * kBlockBytes, 6 * kBlockBytes, 9 * kBlockBytes};
-    lab::Fault torn{Damage::kTorn, -1, 12 * kBlockBytes, 13 * kBlockBytes};
+    lab::Fault lost_write{Damage::kLostWrite, -1, 2 * kBlockBytes, 3 * kBlockBytes};
+    lab::Fault astray{Damage::kMisdirectedWrite, -1, 5 * kBlockBytes, 6 * kBlockBytes, 9 * kBlockBytes};
+    lab::Fault torn{Damage::kTornWrite, -1, 12 * kBlockBytes, 13 * kBlockBytes};
     for (const auto& fault : {lost_write, astray, torn}) {
       fixture.server.AddFault(fault);
     }
@@ -229,8 +229,8 @@
     fixture.Write(5);
     fixture.Write(12);
     fixture.WaitForCheckpoint();
-    REQUIRE(fixture.server.injections(Damage::kAstray) == 1);
-    fixture.server.AddFault({Damage::kFlipRest, -1, 14 * kBlockBytes, 15 * kBlockBytes});
+    REQUIRE(fixture.server.injections(Damage::kMisdirectedWrite) == 1);
+    fixture.server.AddFault({Damage::kStoredBitFlip, -1, 14 * kBlockBytes, 15 * kBlockBytes});
     CHECK(fixture.FindCorruption(2)->fault == Fault::kLostWrite);
     CHECK(fixture.FindCorruption(12)->fault == Fault::kAtRest);
     CHECK(fixture.FindCorruption(14)->fault == Fault::kAtRest);
@@ -238,9 +238,10 @@
     CHECK(fixture.FindCorruption(9)->fault == Fault::kMisdirectedWrite);
     CHECK(fixture.FindCorruption(5)->fault ==
           Fault::kMisdirectedWrite);  // now that the misplaced block is known
-    fixture.server.AddFault({Damage::kStale, -1, 7 * kBlockBytes, 8 * kBlockBytes});
+    fixture.server.AddFault({Damage::kStaleRead, -1, 7 * kBlockBytes, 8 * kBlockBytes});
     CHECK(fixture.FindCorruption(7)->fault == Fault::kStaleRead);
-    fixture.server.AddFault({Damage::kFlipPath, 0, 1 * kBlockBytes, 2 * kBlockBytes, 0, paths == 1 ? 1 : -1});
+    fixture.server.AddFault(
+        {Damage::kTransitBitFlip, 0, 1 * kBlockBytes, 2 * kBlockBytes, 0, paths == 1 ? 1 : -1});
     CHECK(fixture.FindCorruption(1)->fault == (paths == 1 ? Fault::kMemory : Fault::kPath));
     fixture.server.ClearFaults();
     // A read of all blocks returns the intact pieces and the offsets of the corrupted blocks.
@@ -261,7 +262,7 @@
 TEST_CASE("a draining target gets nothing new, not even checkpoint writes, and resumes afterwards") {
   ExportFixture fixture(1);
   fixture.Write(0, 8);
-  fixture.ListTarget("DRAINING");
+  fixture.ListTarget(EndpointState::kDraining);
   // Ten rejections in a row: a single one may have other causes.
   for (int i = 0, refused = 0; i < 400 && refused < 10; ++i) {
     refused = fixture.client->Read(0, 512).error == nbd::kOk ? 0 : refused + 1;
@@ -272,7 +273,7 @@
   CHECK(fixture.client->Write(0, std::string(kBlockBytes, 'x')).error ==
         nbd::kNoMemory);  // rejected: it never ran
   CHECK(fixture.server.commands() == commands_before);
-  fixture.ListTarget("SERVING");
+  fixture.ListTarget(EndpointState::kActive);
   for (int i = 0; i < 200 && fixture.client->Read(0, 512).error != nbd::kOk; ++i) {
     poll(nullptr, 0, 5);
   }
@@ -283,7 +284,7 @@
   ExportFixture fixture(1, true);
   fixture.Write(0, 16);
   fixture.WaitForCheckpoint();
-  fixture.server.AddFault({Damage::kFlipRest, -1, 11 * kBlockBytes, 12 * kBlockBytes});
+  fixture.server.AddFault({Damage::kStoredBitFlip, -1, 11 * kBlockBytes, 12 * kBlockBytes});
   integrity::CorruptionLog ledger;
   std::string what;
   for (int i = 0; i < 100 && !ledger.IsCorrupt({"a", "disk", 11}); ++i) {
@@ -350,7 +351,7 @@
 }
 
 TEST_CASE("a stale control socket is replaced, and a file of another kind is not") {
-  const lab::Folder folder;
+  const lab::TemporaryFolder folder;
   const std::string path = app::ControlPath(folder.path());
   const loop::EventBasePtr base(event_base_new());
   sockaddr_un address{};
