--- a/src/lab/soak/load_client.cpp
+++ b/src/lab/soak/load_client.cpp
@@ -78,6 +78,7 @@
 std::string LoadClient::FormatRequest(const std::string& id, bool is_write) {
   const std::string deadline = std::to_string(static_cast<double>(options_.deadline) / kMicroseconds);
   const std::uint64_t shard = random_.Below(static_cast<std::uint64_t>(options_.shards));
+  record_->requests[id].shard = static_cast<int>(shard);
   std::string text = is_write ? "PUT" : "GET";
   text += " /api/00000003b4d6000" + std::to_string(shard % 10) + "/" + id + " HTTP/1.1\r\n";
   text += "Host: service.internal\r\nX-Request-Id: " + id + "\r\n";
--- a/src/lab/soak/record.h
+++ b/src/lab/soak/record.h
@@ -37,6 +37,7 @@
 // A request of a client, by its id.
 struct ClientRequest {
   int process = 0;
+  int shard = 0;
   bool is_idempotent = true;
   Time sent_at = 0;
   Time deadline = 0;     // span from sent_at that the client waits, us
--- a/tests/faults/endpoint_lease_test.cpp
+++ b/tests/faults/endpoint_lease_test.cpp
@@ -1,4 +1,10 @@
 // A real process whose discovery fails: what it does with an endpoint list that may be out of date.
+//
+// In a run of about 300 processes discovery failed for some seconds while targets began to drain. Processes
+// without a working watch went on by their last list, and requests reached targets that had been draining for
+// seconds: the platform's rule "drain" was violated. The tests make discovery fail in each way that a process
+// can see, drain a target meanwhile, and check on the storage servers' record that no request reaches it
+// late, that requests are rejected rather than lost, and that service resumes once discovery has sent a list.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -12,8 +18,10 @@
 namespace walnutspur::test {
 namespace {
 
+using lab::soak::ClientResult;
 using lab::soak::DiscoveryFault;
 using lab::soak::FindViolations;
+using lab::soak::Record;
 using lab::soak::RuleViolation;
 using lab::soak::ServedFraction;
 using lab::soak::Testbed;
@@ -21,14 +29,51 @@
 
 constexpr Time kSecond = 1'000'000;
 constexpr int kLargeFleet = 300;
+constexpr int kDrainedTarget = 0;  // the only one of the shard with the same number
+constexpr int kMinRequests = 8;    // sent in 2 s by four clients whose every request waits for its rejection
+
+// What became of the requests of a span of time, by whether their shard has an active target.
+struct ShardService {
+  int active_sent = 0;
+  int active_served = 0;
+  int drained_sent = 0;
+  int drained_served = 0;
+
+  double active_fraction() const { return active_sent > 0 ? 1.0 * active_served / active_sent : 0; }
+};
 
 struct FaultResult {
   std::vector<RuleViolation> violations;
   double served_before = 0;     // part of the requests, before discovery failed
   double served_in_outage = 0;  // from 7 s to 9 s after discovery failed
-  double served_after = 0;      // in the last 2 s
+  ShardService after;           // in the last 2 s
 };
 
+// Requests sent from `from` until `until`. Which shards the clients draw decides how many of them can be
+// served, so each kind of shard is counted by itself.
+ShardService ServiceByShard(const Record& record, Time from, Time until) {
+  ShardService service;
+  for (const auto& [id, request] : record.requests) {
+    if (request.sent_at < from || request.sent_at >= until) {
+      continue;
+    }
+    const bool is_drained = request.shard == kDrainedTarget;
+    const int served = request.result == ClientResult::kServed ? 1 : 0;
+    ++(is_drained ? service.drained_sent : service.active_sent);
+    (is_drained ? service.drained_served : service.active_served) += served;
+  }
+  return service;
+}
+
+// Service has resumed on every shard but the drained target's.
+void CheckResumed(const ShardService& service) {
+  CAPTURE(service.active_sent);
+  CAPTURE(service.drained_sent);
+  CHECK(service.active_sent + service.drained_sent >= kMinRequests);
+  CHECK(service.active_fraction() > 0.95);
+  CHECK(service.drained_served == 0);
+}
+
 TestbedOptions Options(int configured_instances) {
   TestbedOptions options;
   options.program = WALNUTSPUR_PROGRAM;
@@ -48,7 +93,7 @@
   const Time failed_at = core::Now();
   testbed.discovery().SetFault(fault);
   testbed.RunFor(kSecond / 4);
-  testbed.SetPhase(0, "DRAINING");
+  testbed.SetPhase(kDrainedTarget, "DRAINING");
   testbed.RunFor(9 * kSecond);
   testbed.discovery().SetFault(DiscoveryFault::kNone);
   testbed.RunFor(10 * kSecond);
@@ -60,12 +105,12 @@
   result.served_before = ServedFraction(testbed.record(), began_at, failed_at);
   result.served_in_outage =
       ServedFraction(testbed.record(), failed_at + 7 * kSecond, failed_at + 9 * kSecond);
-  result.served_after = ServedFraction(testbed.record(), ended_at - 2 * kSecond, ended_at);
+  result.after = ServiceByShard(testbed.record(), ended_at - 2 * kSecond, ended_at);
   return result;
 }
 
 struct FaultCase {
-  const char* name;
+  std::string name;
   DiscoveryFault fault;
   int configured_instances;
   FaultResult result;
@@ -103,8 +148,7 @@
     const std::string first = result.violations.empty() ? "" : result.violations.front().description;
     CHECK_MESSAGE(result.violations.empty(), result.violations.size(), " violations, first: ", first);
     CHECK(result.served_before > 0.95);
-    // Three of four targets serve once the list is back.
-    CHECK(result.served_after > 0.6);
+    CheckResumed(result.after);
     if (each.fault == DiscoveryFault::kRefuses) {  // nothing can be announced meanwhile
       CHECK(result.served_in_outage > 0.9);
     }
@@ -114,7 +158,7 @@
 TEST_CASE("a process that starts with an old list sends nothing by it once its first call has failed") {
   Testbed testbed(Options(kLargeFleet));
   testbed.discovery().SetFault(DiscoveryFault::kGivesUp);
-  testbed.SetPhase(0, "DRAINING");
+  testbed.SetPhase(kDrainedTarget, "DRAINING");
   testbed.RunFor(7 * kSecond);
   testbed.StartAll();
   testbed.StartAllClients();
@@ -127,7 +171,7 @@
   const std::vector<RuleViolation> violations = FindViolations(testbed.record(), {});
   const std::string first = violations.empty() ? "" : violations.front().description;
   CHECK_MESSAGE(violations.empty(), violations.size(), " violations, first: ", first);
-  CHECK(ServedFraction(testbed.record(), ended_at - 2 * kSecond, ended_at) > 0.6);
+  CheckResumed(ServiceByShard(testbed.record(), ended_at - 2 * kSecond, ended_at));
 }
 
 }  // namespace walnutspur::test
