--- a/src/app/scrub_setup.cpp
+++ b/src/app/scrub_setup.cpp
@@ -8,14 +8,20 @@
 #include "filestore/atomic_file.h"
 #include "integrity/cursor.h"
 #include "integrity/layout.h"
+#include "log/event_kinds.h"
 #include "log/log.h"
 
 namespace walnutspur::app {
 namespace {
 
-constexpr Time kScrubDeadline = 5'000'000;           // us that a read of the scrub may be queued
-constexpr double kScrubPriorityWeight = 0.01;        // of its request class and of its plan: next to none
-constexpr const char* kCursorFile = "scrub.cursor";  // in the folder of the corruption ledger
+// How long a read of the scrub may be queued, us.
+constexpr Time kScrubDeadline = 5'000'000;
+
+// Weight of the scrub's request class and of its plan: next to none, so that clients' requests come first.
+constexpr double kScrubPriorityWeight = 0.01;
+
+// The file of the cursors, in the folder of the corruption log.
+constexpr const char* kCursorFile = "scrub.cursor";
 
 int AddScrubClass(walnutspur::Settings* settings) {
   RequestClass request_class;
@@ -32,8 +38,8 @@
                  walnutspur::Settings* settings) {
   const double units = nbd::UnitsOf(nbd, static_cast<std::uint32_t>(options.chunk * integrity::kBlockBytes));
   Plan plan;
-  plan.rate = options.job.requests_a_second * units;
-  plan.reserved_rate = std::min(options.job.floor_a_second * units, plan.rate);
+  plan.rate = options.job.max_requests_per_second * units;
+  plan.reserved_rate = std::min(options.job.min_requests_per_second * units, plan.rate);
   plan.weight = kScrubPriorityWeight;
   plan.priority_factor = kScrubPriorityWeight;
   settings->plans.push_back(plan);
@@ -41,16 +47,16 @@
 }
 
 void LoadCursors(const std::string& path, integrity::Cursors* cursors) {
-  const auto bytes = filestore::ReadWholeFile(path);
+  const auto bytes = filestore::ReadFile(path);
   if (!bytes) {
     return;
   }
-  std::string what;
-  const auto decoded = integrity::DecodeCursors(*bytes, &what);
+  std::string error;
+  const auto decoded = integrity::DecodeCursors(*bytes, &error);
   if (decoded) {
     *cursors = *decoded;
   } else {
-    log::Event(log::Level::kWarn, "scrub_begins_anew", {{"file", path}, {"what", what}});
+    log::Event(log::Level::kWarn, log::kScrubRestarted, {{"file", path}, {"error", error}});
   }
 }
 
--- a/src/filestore/file_store.cpp
+++ b/src/filestore/file_store.cpp
@@ -45,7 +45,7 @@
   return failed_;
 }
 
-// The caller holds the lock.
+// The caller must hold the lock.
 FileStore::PendingFile FileStore::TakePending() {
   const auto first = pending_.begin();
   PendingFile file{first->first, std::move(first->second)};
@@ -84,7 +84,7 @@
       return;
     }
     pending_.try_emplace(file.name, std::move(file.bytes));  // unless newer content is pending
-    // Neither new content nor a retry may keep a failing disk busy.
+    // New content does not shorten the backoff, so that a failing disk is not kept busy.
     changed_.wait_for(lock, backoff, [this] { return stopping_; });
     backoff = std::min(2 * backoff, max_backoff_);
   }
--- a/src/fleet/transport/gossip_transport.cpp
+++ b/src/fleet/transport/gossip_transport.cpp
@@ -16,18 +16,23 @@
 
 #include "core/clock.h"
 #include "fleet/error.h"
+#include "log/event_kinds.h"
 #include "loop/address.h"
 
 namespace walnutspur::fleet {
 namespace {
 
-constexpr int kReadBatch = 64;             // datagrams that are read before other events get their turn
-constexpr std::size_t kReadBuffer = 2048;  // bytes; longer datagrams are truncated and dropped
-constexpr std::size_t kMinKeySize = 16;    // bytes
+// Datagrams that are read before other events are processed.
+constexpr int kReadBatch = 64;
+// Bytes of the read buffer; longer datagrams are truncated and dropped.
+constexpr std::size_t kReadBuffer = 2048;
+// Bytes of a key.
+constexpr std::size_t kMinKeySize = 16;
 constexpr std::size_t kMaxKeySize = 4096;
-constexpr double kReportedChange = 0.1;  // of the load share: a change by more than that is reported
+// Relative change of the load share from which it is reported.
+constexpr double kReportedChange = 0.1;
 
-using core::Now;  // incarnations begin as it
+using core::Now;  // the time from which incarnations start
 
 std::string ReadKey(const std::string& path) {
   if (path.empty()) {
@@ -63,7 +68,7 @@
           {"state", NameOf(record)},
           {"incarnation", record.incarnation},
           {"since_us", entry.since},
-          {"by", record.by},
+          {"reported_by", record.by},
           {"building", record.facts.building},
           {"started_at_us", record.facts.started_at},
           {"load", record.facts.load},
@@ -126,9 +131,10 @@
     } else if (const auto* change = std::get_if<MemberChanged>(&action)) {
       Log(*change);
     } else if (const auto* convergence = std::get_if<ConvergenceChanged>(&action)) {
-      hooks_.log(false, "fleet_settled", {{"settled", convergence->converged ? "yes" : "no"}});
+      hooks_.log(false, log::kFleetConvergenceChanged,
+                 {{"converged", convergence->converged ? "yes" : "no"}});
     } else if (const auto* conflict = std::get_if<NameConflict>(&action)) {
-      hooks_.log(true, "fleet_name_in_use", {{"why", conflict->reason}});
+      hooks_.log(true, log::kFleetNameRejected, {{"reason", conflict->reason}});
       hooks_.on_end(conflict->reason);
       return;
     }
@@ -141,7 +147,7 @@
   try {
     address = loop::ToSocket(loop::ParseAddress(datagram.address));
   } catch (const std::exception&) {
-    ++unsent_;  // the address came from another member
+    ++unsent_;  // an invalid address in an update of another member
     return;
   }
   const std::string bytes = codec_.Encode(datagram.message);
@@ -161,11 +167,11 @@
 
 void GossipTransport::Log(const MemberChanged& change) const {
   const Record& record = change.record;
-  hooks_.log(record.state == MemberState::kFailed && record.name != options_.name, "fleet_member",
-             {{"name", record.name},
-              {"is", NameOf(record)},
+  hooks_.log(record.state == MemberState::kFailed && record.name != options_.name, log::kFleetMemberChanged,
+             {{"member", record.name},
+              {"state", NameOf(record)},
               {"incarnation", std::to_string(record.incarnation)},
-              {"by", record.by}});
+              {"reported_by", record.by}});
 }
 
 void GossipTransport::ReportSize() {
@@ -203,7 +209,7 @@
                            {"members", nlohmann::json::array()},
                            {"datagrams", {{"received", received_}, {"sent", sent_}, {"unsent", unsent_}}},
                            {"dropped",
-                            {{"damaged", dropped.damaged},
+                            {{"damaged", dropped.corrupt},
                              {"untagged", dropped.untagged},
                              {"other_fleet", dropped.other_fleet},
                              {"other_major", dropped.other_major},
--- a/src/integrity/digest.cpp
+++ b/src/integrity/digest.cpp
@@ -10,7 +10,8 @@
 namespace walnutspur::integrity {
 namespace {
 
-constexpr std::int64_t kMaxWeight = 10;  // RFC 9530, 4
+// Highest weight of an algorithm in a Want-* field (RFC 9530, 4).
+constexpr std::int64_t kMaxWeight = 10;
 
 std::string EncodeBase64(std::string_view bytes) {
   std::string out((bytes.size() + 2) / 3 * 4 + 1, '\0');
@@ -91,7 +92,7 @@
   return match;
 }
 
-std::optional<Algorithm> Wanted(std::string_view field) {
+std::optional<Algorithm> PreferredAlgorithm(std::string_view field) {
   std::optional<Algorithm> best;
   std::int64_t highest_weight = 0;
   const auto members = ReadDictionary(field);
--- a/src/lab/sim/explore.h
+++ b/src/lab/sim/explore.h
@@ -9,20 +9,20 @@
 #include <string>
 #include <vector>
 
-#include "lab/experiment.h"
-#include "lab/sim/invariant_checker.h"
+#include "lab/sim/experiment.h"
+#include "lab/sim/log_checker.h"
 #include "lab/sim/simulation.h"
 
-namespace walnutspur::lab {
+namespace walnutspur::lab::sim {
 
-// Draws sizes, network, discovery and faults of an experiment from the seed; the rest is as in `base`.
+// Draws sizes, network, discovery and faults of an experiment from the seed; everything else is as in `base`.
 Experiment DrawExperiment(const Experiment& base, std::uint64_t seed);
 
 // A simulated run and the invariants that it violates.
 struct CheckedRun {
   std::uint64_t seed = 0;
   SimulationResults results;
-  std::vector<Violation> violations;
+  std::vector<LogViolation> violations;
   std::uint32_t log_checksum = 0;  // CRC32C
 };
 
@@ -35,10 +35,10 @@
 void Explore(const Experiment& base, std::uint64_t first, std::uint64_t last, int jobs, bool until_violation,
              const std::function<void(const CheckedRun&)>& each, const TestHooks& hooks = {});
 
-// The smallest experiment found in at most `max_runs` runs that still violates the invariant `rule`.
-Experiment Shrink(const Experiment& failing, const std::string& rule, int max_runs,
+// The smallest experiment found in at most `max_runs` runs that still violates the invariant of this name.
+Experiment Shrink(const Experiment& failing, const std::string& invariant, int max_runs,
                   const TestHooks& hooks = {});
 
-}  // namespace walnutspur::lab
+}  // namespace walnutspur::lab::sim
 
 #endif  // WALNUTSPUR_LAB_SIM_EXPLORE_H_
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -16,7 +16,9 @@
 namespace walnutspur::log {
 namespace {
 
-constexpr double kBurstSeconds = 2;  // of the rate, which a kind may use at once
+// The seconds of its rate that a kind may use at once.
+constexpr double kBurstSeconds = 2;
+
 constexpr std::int64_t kMicrosPerSecond = 1'000'000;
 constexpr std::int64_t kMicrosPerMilli = 1000;
 constexpr unsigned char kFirstPrintable = 0x20;
@@ -182,7 +184,7 @@
   }
   std::vector<Field> all_fields = fields;
   if (*suppressed > 0) {
-    all_fields.push_back({"held_back", std::to_string(*suppressed)});
+    all_fields.push_back({"suppressed", std::to_string(*suppressed)});
   }
   sink_->logger->log(level >= Level::kError ? spdlog::level::err : spdlog::level::info, "{}",
                      Format(options_.form, now, level, kind, all_fields));
