--- a/src/lab/soak/load_client.cpp
+++ b/src/lab/soak/load_client.cpp
@@ -90,6 +90,7 @@
     connection.is_retry = false;
     ClientRequest& request = record_->requests[connection.request_id];
     request.process = process_;
+    request.shard = static_cast<int>(next.shard);
     request.is_idempotent = !is_write;
     request.deadline = options_.deadline;
     request.sent_at = core::Now();
--- a/tests/lab/invariant_mutations.h
+++ b/tests/lab/invariant_mutations.h
@@ -14,7 +14,7 @@
 struct Mutation {
   std::string name;
   std::string_view invariant;        // that it violates
-  std::function<TestHooks()> hooks;  // made anew for each run: some have state
+  std::function<TestHooks()> hooks;  // constructed for each run: some have state
 };
 
 // All mutations.
