--- a/src/lab/soak/load_client.cpp
+++ b/src/lab/soak/load_client.cpp
@@ -156,7 +156,6 @@
   }
   if (was_idle && !connection.is_retry) {
     connection.is_retry = true;
-    ++record_->requests[connection.request_id].crossings;
     connection.deadline.Stop();
     connection.leave.Stop();
     SendNext(connection);
--- a/src/lab/soak/record.h
+++ b/src/lab/soak/record.h
@@ -44,7 +44,6 @@
   Time finished_at = 0;  // of the last byte of the response, or of the end otherwise
   ClientResult result = ClientResult::kOpen;
   int responses = 0;
-  int crossings = 0;  // of an idle connection's end with this request
 };
 
 // A change of the endpoint list, as discovery has it.
