--- a/src/filestore/file_store.cpp
+++ b/src/filestore/file_store.cpp
@@ -35,11 +35,6 @@
   return idle_.wait_for(lock, timeout, [this] { return pending_.empty() && !writing_; });
 }
 
-std::uint64_t FileStore::written() const {
-  const std::lock_guard lock(mutex_);
-  return written_;
-}
-
 std::uint64_t FileStore::failed() const {
   const std::lock_guard lock(mutex_);
   return failed_;
@@ -74,7 +69,6 @@
     lock.lock();
     writing_ = false;
     if (written) {
-      ++written_;
       backoff = backoff_;
       idle_.notify_all();
       continue;
--- a/src/filestore/file_store.h
+++ b/src/filestore/file_store.h
@@ -38,7 +38,6 @@
   void Put(const std::string& name, std::string bytes);
   // Waits until nothing is pending or being written; false after the timeout.
   bool Flush(std::chrono::milliseconds timeout);
-  std::uint64_t written() const;
   std::uint64_t failed() const;
 
  private:
@@ -60,7 +59,6 @@
   std::map<std::string, std::string> pending_;  // content by name
   bool writing_ = false;
   bool stopping_ = false;
-  std::uint64_t written_ = 0;
   std::uint64_t failed_ = 0;
   std::thread thread_;
 };
--- a/src/lab/fault_proxy/fault_proxy.cpp
+++ b/src/lab/fault_proxy/fault_proxy.cpp
@@ -130,7 +130,6 @@
     const sockaddr_in address = LoopbackAddress(link.member_port);
     sendto(link.fd, datagram.bytes.data(), datagram.bytes.size(), MSG_NOSIGNAL,
            reinterpret_cast<const sockaddr*>(&address), sizeof address);
-    ++forwarded_datagrams_;
     forwarded_bytes_ += datagram.bytes.size();
   }
   if (scheduled_.empty()) {
--- a/src/lab/fault_proxy/fault_proxy.h
+++ b/src/lab/fault_proxy/fault_proxy.h
@@ -54,8 +54,7 @@
   // Drops all datagrams for which `passes` is false; null: none.
   void SetPartition(std::function<bool(int sender, int receiver)> passes);
   void SetFaults(const DatagramFaults& faults);
-  // Totals of what was forwarded.
-  std::uint64_t forwarded_datagrams() const { return forwarded_datagrams_; }
+  // Bytes forwarded so far.
   std::uint64_t forwarded_bytes() const { return forwarded_bytes_; }
 
  private:
@@ -90,7 +89,6 @@
   std::vector<Datagram> history_;  // that may be replayed
   std::priority_queue<Datagram, std::vector<Datagram>, std::greater<>> scheduled_;
   std::uint64_t next_order_ = 0;
-  std::atomic<std::uint64_t> forwarded_datagrams_ = 0;
   std::atomic<std::uint64_t> forwarded_bytes_ = 0;
   std::atomic<bool> stop_ = false;
   std::thread thread_;
--- a/src/lab/soak/testbed.h
+++ b/src/lab/soak/testbed.h
@@ -71,7 +71,6 @@
 
   DiscoveryService& discovery() { return *discovery_; }
   HttpTarget& target(int number) { return *targets_[static_cast<std::size_t>(number)]; }
-  int target_count() const { return static_cast<int>(targets_.size()); }
   Record& record() { return record_; }
   // How late the stand-ins have acted at most, us, since the clients' start.
   Time longest_stall() const { return longest_stall_; }
--- a/src/lab/standins/process.cpp
+++ b/src/lab/standins/process.cpp
@@ -101,12 +101,4 @@
   return total;
 }
 
-std::int64_t Process::memory() const {
-  std::ifstream file(ProcPath("statm"));
-  std::int64_t total_pages = 0;
-  std::int64_t resident_pages = 0;
-  file >> total_pages >> resident_pages;
-  return resident_pages * sysconf(_SC_PAGESIZE);
-}
-
 }  // namespace walnutspur::lab
--- a/src/lab/standins/process.h
+++ b/src/lab/standins/process.h
@@ -6,7 +6,6 @@
 
 #include <sys/types.h>
 
-#include <cstdint>
 #include <map>
 #include <stdexcept>
 #include <string>
@@ -39,8 +38,6 @@
 
   // Processor time that all its threads have used, in seconds.
   double cpu() const;
-  // Resident memory in bytes.
-  std::int64_t memory() const;
 
  private:
   std::string ProcPath(const std::string& name) const;
