--- a/include/walnutspur/events.h
+++ b/include/walnutspur/events.h
@@ -33,7 +33,7 @@
 struct EndpointUpdate {
   EndpointUpdateKind kind = EndpointUpdateKind::kFull;
   std::vector<Endpoint> endpoints;
-  // kFailed: until when the subscription has brought everything: its end, or its last sign of life if it fell
+  // kFailed: until when the subscription has brought everything: its end, or its last heartbeat if it fell
   // silent. kBegun: when that part arrived. 0: now.
   Time received_at = 0;
   DiscoveryFailure failure = DiscoveryFailure::kNoResponse;  // kFailed
--- a/include/walnutspur/types.h
+++ b/include/walnutspur/types.h
@@ -51,9 +51,9 @@
 
 // Why discovery brought no endpoints.
 enum class DiscoveryFailure {
-  kNoResponse,   // no list came: a call was refused, rejected or given up, or a subscription has ended
+  kNoResponse,   // no list came: a call was rejected, closed or given up, or a subscription has ended
   kBroken,       // the connection broke, so that what discovery had written may be lost
-  kUnreachable,  // no connection to discovery came about
+  kUnreachable,  // the connection was refused: there is no listener at discovery's address
 };
 
 // How an attempt ended.
--- a/src/app/graceful_shutdown.cpp
+++ b/src/app/graceful_shutdown.cpp
@@ -16,7 +16,7 @@
 // From the last response to the end of the event loop, us.
 constexpr Time kResponseMargin = 100'000;
 
-// Time between two calls of FrontEnd::BeginGracefulShutdown, us.
+// Time between two calls of FrontEnd::AdvanceShutdown, us.
 constexpr Time kCloseIdleInterval = 50'000;
 
 }  // namespace
@@ -46,7 +46,7 @@
 void GracefulShutdown::CloseIdle() {
   std::size_t remaining = 0;
   for (core::FrontEnd* front_end : front_ends_()) {
-    front_end->BeginGracefulShutdown(ends_at_ - kResponseMargin - core::Now());
+    front_end->AdvanceShutdown(ends_at_ - kResponseMargin - core::Now());
     remaining += front_end->pending_requests() + front_end->connections();
   }
   if (remaining == 0) {
@@ -60,7 +60,7 @@
 // bytes would reset the connection.
 void GracefulShutdown::End() {
   for (core::FrontEnd* front_end : front_ends_()) {
-    front_end->BeginGracefulShutdown(-kResponseMargin);
+    front_end->AdvanceShutdown(-kResponseMargin);
   }
   event_base_loopbreak(base_);
 }
--- a/src/checksummed/checksummed_exports.cpp
+++ b/src/checksummed/checksummed_exports.cpp
@@ -149,8 +149,8 @@
   }
 }
 
-// Logs the failure once and schedules another attempt with a backoff: a target that did not answer may
-// recover, and an operator may restore the export.
+// Logs the failure once for each attempt to attach, and schedules another one with a backoff: a target that
+// did not answer may recover, and an operator may restore the export.
 void ChecksummedExports::OnAttachFailed(Export& exported) {
   if (std::exchange(exported.failure_logged, true)) {
     return;
--- a/src/checksummed/scrub.h
+++ b/src/checksummed/scrub.h
@@ -50,7 +50,7 @@
   void Respond(const core::Response& response) override;
   std::size_t pending_requests() const override { return 0; }  // no client waits for a scrub
   void SetShutdownDeadline(Time) override { stopped_ = true; }
-  void BeginGracefulShutdown(Time) override { stopped_ = true; }
+  void AdvanceShutdown(Time) override { stopped_ = true; }
   std::size_t connections() const override { return 0; }
 
   // Called with each response to a live request, from which the pressure on live requests is computed.
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -90,6 +90,8 @@
     return;
   }
   SendResponse(input.request, ResponseStatus::kTimedOut, 0, nullptr);
+  // To the scheduler it is the same as a disconnect: no response is due any more, and attempts may be
+  // cancelled.
   ProcessEvent(ClientDisconnected{std::to_string(input.request)});
   EraseIfClosed(input.request);
 }
@@ -195,7 +197,8 @@
   RequestState& request = position->second;
   const int attempt = request.attempts;
   const Time remaining = request.deadline - now_;
-  // A send that can't matter any more is not transmitted and doesn't count against the maximum of attempts.
+  // An attempt that cannot matter any more is not transmitted. It uses up its number, since the scheduler has
+  // counted it as well.
   if (request.answered || attempt >= max_attempts_ || remaining <= 0 || action.timeout < 0) {
     AttemptFinished finished;
     finished.id = action.id;
--- a/src/core/port.h
+++ b/src/core/port.h
@@ -26,14 +26,14 @@
   // Requests accepted and not answered yet.
   virtual std::size_t pending_requests() const = 0;
   // Whether the client of a request is still connected, as far as the kernel knows: the end of the connection
-  // may not have been read yet.
+  // may not have been read yet. A connection that turns out to be closed is ended here.
   virtual bool IsClientConnected(RequestNumber /*request*/) { return true; }
   // Requests that are unanswered at `end` (us) are timed out then.
   virtual void SetShutdownDeadline(Time end) = 0;
   // Called repeatedly during shutdown with the time left until all requests have to be answered (us). Once
   // another request could not be served in that time, connections close after their next response and no new
   // ones are accepted.
-  virtual void BeginGracefulShutdown(Time left) = 0;
+  virtual void AdvanceShutdown(Time left) = 0;
   virtual std::size_t connections() const = 0;
 };
 
--- a/src/decision/concurrency_limit.h
+++ b/src/decision/concurrency_limit.h
@@ -11,7 +11,9 @@
 // Limits of a target without any samples. All instances may start at once.
 limits::AdaptiveLimits InitialConcurrencyLimits(const Settings& settings);
 
-// Ends an adjustment interval: raises or lowers all limits by the latencies since the last one.
+// Ends an adjustment interval: removes attempts that are no longer presumed in flight, counts stuck ones as
+// samples, raises or lowers all limits by the latencies since the last interval, and updates the rate served
+// to this instance. How the constants came about: docs/capacity.md.
 void AdjustConcurrencyLimits(SchedulerState& state);
 
 // An attempt was rejected since the target is overloaded: halves its limits and expects its queue to take at
--- a/src/decision/endpoint_lease.cpp
+++ b/src/decision/endpoint_lease.cpp
@@ -7,12 +7,13 @@
 namespace walnutspur::decision {
 namespace {
 
-// Notification deadline: a change counts as notified this long after discovery had it and could be reached.
+// Notification deadline, a rule of the platform: a change counts as notified this long after discovery had it
+// and could be reached.
 constexpr Time kNotificationDeadline = ToTime(std::chrono::seconds(6));
-// The same after a new configuration has named another discovery service.
+// The same after a new configuration has named another discovery service; a rule of the platform as well.
 constexpr Time kServiceChangeDeadline = ToTime(std::chrono::seconds(4));
-// Longest time between the reading of the clock and the write of an attempt: an instance may be held up for
-// 0.15 s.
+// Longest time between the reading of the clock and the write of an attempt. The platform may hold an
+// instance up for 0.15 s; 0.05 s are for the way from the scheduler to the socket.
 constexpr Time kMaxWriteDelay = ToTime(std::chrono::milliseconds(200));
 // Refused connections no further apart than this show that discovery was unreachable between them as well.
 constexpr Time kMaxUnreachableGap = ToTime(std::chrono::seconds(3));
--- a/src/decision/in_flight.cpp
+++ b/src/decision/in_flight.cpp
@@ -7,7 +7,8 @@
 namespace walnutspur::decision {
 namespace {
 
-// Times its age that an attempt which ended without a response is presumed in flight.
+// Times its age that an attempt which ended without a response is presumed in flight: a target that has not
+// answered for some time is likely to need a multiple of it.
 constexpr double kPresumedInFlightAges = 3;
 
 }  // namespace
@@ -36,8 +37,8 @@
   if (ended == target.attempts.end()) {
     return;
   }
-  const bool may_run_on = outcome == Outcome::kTimedOut || outcome == Outcome::kCancelled;
-  if (may_run_on && !IsPresumedLost(state, target, *ended)) {
+  const bool may_occupy_target = outcome == Outcome::kTimedOut || outcome == Outcome::kCancelled;
+  if (may_occupy_target && !IsPresumedLost(state, target, *ended)) {
     const Duration remaining = kPresumedInFlightAges * state.Since(ended->sent_at);
     ended->presumed_in_flight_until = state.now + ToTime(remaining) + 1;
   } else {
--- a/src/decision/key_order.cpp
+++ b/src/decision/key_order.cpp
@@ -21,9 +21,11 @@
 
 void KeyOrder::OnAttemptEnded(const RequestState& request, Outcome outcome, std::optional<Time> quarantine,
                               Time now) {
-  const bool may_run_on =
+  // A connection reset leaves open whether the target runs on. Here the careful answer is that it does; a
+  // target's capacity (in_flight.cpp) is rather taken as free.
+  const bool may_take_effect_later =
       outcome == Outcome::kTimedOut || outcome == Outcome::kConnectionReset || outcome == Outcome::kCancelled;
-  if (may_run_on && quarantine) {
+  if (may_take_effect_later && quarantine) {
     Time& until = chains_[request.key].quarantined_until;
     until = std::max(until, now + *quarantine);
   }
--- a/src/decision/loss_detection.cpp
+++ b/src/decision/loss_detection.cpp
@@ -3,7 +3,7 @@
 namespace walnutspur::decision {
 namespace {
 
-// Service times of the attempt itself that are part of the margin.
+// Service times of the attempt itself that are part of the margin: service of equal work varies by less.
 constexpr double kMarginServiceTimes = 4;
 // Fraction of the tightest latency objective in the margin of an attempt that is presumed lost.
 constexpr double kLostObjectiveFraction = 0.25;
--- a/src/decision/request.h
+++ b/src/decision/request.h
@@ -25,7 +25,7 @@
 struct RequestState : std::enable_shared_from_this<RequestState> {
   RequestId id;
   int class_index = 0;
-  std::string key;
+  std::string key;  // of the data, by which requests are ordered (key_order.h); not the idempotency key
   double units = 1;
   Time arrived_at = 0;
   Time objective_at = 0;  // end of the latency objective
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -33,6 +33,8 @@
 }  // namespace
 
 bool MayRetry(SchedulerState& state, const RequestState& request, Outcome outcome) {
+  // The scope is compared with itself: the target of the retry is not known yet, so that only the window
+  // counts here. Dispatch checks the target.
   const PossibleEffect& effect = request.possible_effect;
   const bool is_useful = state.now < request.objective_at && !IsDeadlineNear(state, request);
   return is_useful && request.attempts < state.settings.max_attempts && outcome != Outcome::kNotSent &&
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -11,8 +11,8 @@
 
 // Whether a request may be attempted again after an attempt with this outcome: its objective and deadline are
 // still ahead, it has attempts left (settings), the retry budget allows it, and no effect can take place
-// twice. Not after an attempt that was never sent (kNotSent): the time by which it had to be written has
-// passed.
+// twice. Not after an attempt that was never sent (kNotSent): the time by which it had to be written or
+// its own timeout has passed, its client has disconnected, or its attempts are used up.
 bool MayRetry(SchedulerState& state, const RequestState& request, Outcome outcome);
 
 // Cancels the attempts at a target that later ones have overtaken (loss_detection.h), if their requests are
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -147,7 +147,8 @@
     }
   }
 
-  // The response is under way to the client: no other final response is due.
+  // The response is under way to the client: no other final response is due. How long the client waited is
+  // recorded when the attempt ends.
   void On(const ResponseStarted& event) const {
     if (const RequestRef request = state_.requests.Find(event.id)) {
       request->finished = true;
--- a/src/http/discovery_client.cpp
+++ b/src/http/discovery_client.cpp
@@ -14,8 +14,9 @@
 namespace {
 
 // A healthy watch brings at least an empty line every 2 s, and discovery answers or gives up a call within
-// 2 s. With the longest backoff of the next watch (limits/poll_backoff.h, 1 s) and the longest call (2 s)
-// this stays under the 6 s after which drain notifications that a silent watch misses count as delivered.
+// 2 s. With the first backoff of the next watch (limits/poll_backoff.h, 1 s at most) and the longest call (2
+// s) this stays under the 6 s after which a drain that a silent watch misses counts as notified. Where
+// further calls fail, the endpoint lease (decision/endpoint_lease.h) ends the use of the list.
 constexpr Time kSilenceTimeout = 2'500'000;  // us
 
 // A longer list is rejected, so that the service cannot exhaust the process's memory.
--- a/src/http/front_end.cpp
+++ b/src/http/front_end.cpp
@@ -220,7 +220,7 @@
 // No connection may end without a response to its request: a busy one ends with its response, an idle one is
 // shut for writing and read until its client has closed it, so that no reset reaches a client that has just
 // sent something. So is, at last, one that holds a part of a request or has unread bytes.
-void FrontEnd::BeginGracefulShutdown(Time left) {
+void FrontEnd::AdvanceShutdown(Time left) {
   if (shutdown_.Advance(left)) {
     listener_.AcceptPending();  // the kernel has accepted them: their requests count as ours
     listener_.Close();
--- a/src/http/front_end.h
+++ b/src/http/front_end.h
@@ -41,7 +41,7 @@
   std::size_t pending_requests() const override { return pending_.size(); }
   bool IsClientConnected(core::RequestNumber request) override;
   void SetShutdownDeadline(Time deadline) override;
-  void BeginGracefulShutdown(Time left) override;
+  void AdvanceShutdown(Time left) override;
   std::size_t connections() const override { return clients_.size(); }
 
   // From now on readiness checks succeed.
--- a/src/lab/invariants/event.h
+++ b/src/lab/invariants/event.h
@@ -26,7 +26,8 @@
   Time drain_grace = 0;           // after the notice of a drain, in which attempts may still be sent
 };
 
-// What a request was promised by its class.
+// What a request was promised by its class. Classes with an idempotency key count as not idempotent: that a
+// repeat falls within its deduplication scope and window is not judged.
 struct RequestTerms {
   bool is_idempotent = true;
   Time deadline = 0;  // absolute
--- a/src/limits/backoff.h
+++ b/src/limits/jittered_backoff.h
@@ -4,8 +4,8 @@
 // faster than it responds: the next in turn times out while it is handled. So the delay doubles with each
 // failure until all callers together are slow enough, and is drawn from a wide range, since callers that
 // failed together would otherwise return together. No I/O, clock, thread or randomness: draws are passed in.
-#ifndef WALNUTSPUR_LIMITS_BACKOFF_H_
-#define WALNUTSPUR_LIMITS_BACKOFF_H_
+#ifndef WALNUTSPUR_LIMITS_JITTERED_BACKOFF_H_
+#define WALNUTSPUR_LIMITS_JITTERED_BACKOFF_H_
 
 #include <algorithm>
 
@@ -19,10 +19,10 @@
 constexpr double kMinDelayFraction = 0.25;
 
 // Delays before the retries of one caller.
-class Backoff {
+class JitteredBackoff {
  public:
   // The longest delay after the first failure, and after any, us.
-  Backoff(Time first, Time longest) : first_(first), longest_(longest) {}
+  JitteredBackoff(Time first, Time longest) : first_(first), longest_(longest) {}
 
   // Counts a failure and returns the delay after it, us. `random` is drawn evenly from [0, 1).
   Time NextDelay(double random) {
@@ -50,4 +50,4 @@
 
 }  // namespace walnutspur::limits
 
-#endif  // WALNUTSPUR_LIMITS_BACKOFF_H_
+#endif  // WALNUTSPUR_LIMITS_JITTERED_BACKOFF_H_
--- a/src/limits/poll_backoff.h
+++ b/src/limits/poll_backoff.h
@@ -8,7 +8,7 @@
 #ifndef WALNUTSPUR_LIMITS_POLL_BACKOFF_H_
 #define WALNUTSPUR_LIMITS_POLL_BACKOFF_H_
 
-#include "limits/backoff.h"
+#include "limits/jittered_backoff.h"
 #include "walnutspur/types.h"
 
 namespace walnutspur::limits {
@@ -39,8 +39,8 @@
  private:
   Time longest_;
   Time polled_at_ = -1;  // of the call that has had no response yet; -1: none
-  Backoff refused_;
-  Backoff timed_out_;
+  JitteredBackoff refused_;
+  JitteredBackoff timed_out_;
 };
 
 }  // namespace walnutspur::limits
--- a/src/limits/rate_meter.h
+++ b/src/limits/rate_meter.h
@@ -20,8 +20,9 @@
     units = 0;
   }
 
-  // Rate of arrivals including those of the interval in progress.
-  double PresentDemand() const { return rate + units / 2; }
+  // Rate of arrivals as it would be if the interval in progress ended now. Takes intervals to be one second
+  // long, as those of the control loop are: only then are units since the last interval a rate.
+  double PresentDemand() const { return rate + kRateMeterWeight * units; }
 };
 
 }  // namespace walnutspur::limits
--- a/src/limits/shutdown_deadline_estimate.h
+++ b/src/limits/shutdown_deadline_estimate.h
@@ -20,7 +20,8 @@
 constexpr double kFasterResponseWeight = 0.05;
 // Lead time as a multiple of the estimate: the last responses come all at once.
 constexpr double kLeadTimeFactor = 1.5;
-// The lead time is longer than what idle connections are given (http/client_connection.cpp).
+// The lead time is longer than what idle connections are given (ShutdownLimits::close_idle_before of the
+// front ends).
 constexpr Duration kMinLeadTime = std::chrono::milliseconds(200);
 // Beyond this lead time most clients have disconnected.
 constexpr Duration kMaxLeadTime = std::chrono::seconds(1);
--- a/src/limits/target_backoff.cpp
+++ b/src/limits/target_backoff.cpp
@@ -7,24 +7,28 @@
 namespace walnutspur::limits {
 namespace {
 
-// Backoff after the first overload, and the number of times that it doubles: up to 0.96 s, since a full queue
-// takes about a second to drain.
+// Backoff after the first overload, and the longest one: a full queue takes about a second to drain.
 constexpr Time kOverloadBackoff = ToTime(std::chrono::milliseconds(30));
-constexpr int kMaxOverloadDoublings = 5;
-// Backoff after the first failed connect, and the number of times that it doubles: up to 1.6 s, so that a
-// target that has restarted is soon in use.
+constexpr Time kMaxOverloadBackoff = ToTime(std::chrono::milliseconds(960));
+// Backoff after the first failed connect, and the longest one: a target that has restarted is soon in use.
 constexpr Time kConnectBackoff = ToTime(std::chrono::milliseconds(200));
-constexpr int kMaxConnectDoublings = 3;
+constexpr Time kMaxConnectBackoff = ToTime(std::chrono::milliseconds(1600));
+// Doublings beyond which no backoff grows; keeps the shift within the range of Time.
+constexpr int kMaxDoublings = 16;
+
+Time DoubledBackoff(Time first, Time longest, int former_failures) {
+  return std::min(longest, first << std::min(former_failures, kMaxDoublings));
+}
 
 }  // namespace
 
 void TargetBackoff::OnOverloaded(Time now) {
-  ends_at_ = now + (kOverloadBackoff << std::min(overloads_, kMaxOverloadDoublings));
+  ends_at_ = now + DoubledBackoff(kOverloadBackoff, kMaxOverloadBackoff, overloads_);
   ++overloads_;
 }
 
 void TargetBackoff::OnConnectFailed(Time now) {
-  ends_at_ = now + (kConnectBackoff << std::min(connect_failures_, kMaxConnectDoublings));
+  ends_at_ = now + DoubledBackoff(kConnectBackoff, kMaxConnectBackoff, connect_failures_);
   ++connect_failures_;
 }
 
--- a/src/limits/target_backoff.h
+++ b/src/limits/target_backoff.h
@@ -1,9 +1,10 @@
 // Backoff of one target: how long no attempt is sent to it after it was overloaded or could not be reached.
 //
-// A target that rejects for overload has a full queue, which takes time to drain; one that refuses
-// connections is restarting or gone. Each further failure of the same kind doubles the backoff up to its
-// bound, and a completed attempt ends the series. No I/O, clock, thread or randomness; owned by the target's
-// record.
+// A target that rejects for overload has a full queue, which takes time to drain; one that cannot
+// be connected to is restarting or gone. Each further failure of the same kind doubles the backoff up to its
+// bound, and a completed attempt ends the series. The latest failure decides: its backoff takes the place of
+// one that is still running, even if that is longer. No I/O, clock, thread or randomness; owned by the
+// target's record.
 #ifndef WALNUTSPUR_LIMITS_TARGET_BACKOFF_H_
 #define WALNUTSPUR_LIMITS_TARGET_BACKOFF_H_
 
@@ -16,7 +17,7 @@
   // An attempt was rejected since the target is overloaded.
   void OnOverloaded(Time now);
 
-  // A connection could not be established.
+  // No connection was established in time, or it ended before the request was written.
   void OnConnectFailed(Time now);
 
   // An attempt completed. A backoff in progress goes on to its end.
--- a/src/nbd/front_end.cpp
+++ b/src/nbd/front_end.cpp
@@ -188,7 +188,7 @@
 
 // While the front end drains, further commands are rejected without an attempt, and a connection with nothing
 // in flight is shut down for writing; what it still sends is read until the client closes it.
-void FrontEnd::BeginGracefulShutdown(Time left) {
+void FrontEnd::AdvanceShutdown(Time left) {
   if (shutdown_.Advance(left)) {
     listener_.Close();
   }
