--- a/src/decision/concurrency_limit.h
+++ b/src/decision/concurrency_limit.h
@@ -13,7 +13,7 @@
 
 // Ends an adjustment interval: removes attempts that are no longer presumed in flight, counts stuck ones as
 // samples, raises or lowers all limits by the latencies since the last interval, and updates the rate served
-// to this instance. How the constants came about: docs/capacity.md.
+// to this instance.
 void AdjustConcurrencyLimits(SchedulerState& state);
 
 // An attempt was rejected since the target is overloaded: halves its limits and expects its queue to take at
