--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,7 @@
 BUILD ?= build
 CONFIG ?= $(BALANCER_CONFIG)
 JOBS ?= $(shell nproc)
-# Tests that fail for a known fault: passed over, and printed. KNOWN-RED.txt names test, cause and issue.
+# Tests that fail because of a known fault are skipped and printed. KNOWN-RED.txt has test, cause and issue.
 KNOWN_RED = $(shell sed -n 's/^\([A-Za-z0-9_.]*\): .*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd '|' -)
 CTEST = ctest --output-on-failure $(if $(KNOWN_RED),-E '^($(KNOWN_RED))$$')
 
@@ -29,10 +29,10 @@
 	cmake -B build-tsan -DCMAKE_BUILD_TYPE=Debug -DWALNUTSPUR_TESTS=ON -DWALNUTSPUR_WERROR=ON -DWALNUTSPUR_TSAN=ON
 	cmake --build build-tsan -j $(JOBS) --target walnutspur_net_tests walnutspur_unit_tests
 
-tsan: tsan-build  # threads: the queues between the engine and the sockets, and the one that keeps files
+tsan: tsan-build  # threads: the queues between engine and event loop, and the thread that writes files
 	$(CTEST) --test-dir build-tsan -R "net_tests|unit_tests"
 
-# Names of single deployments: nothing in the program, its tests or its deploy files may be fitted to one.
+# Names of single deployments: the program, its tests and its deploy files must not depend on one.
 SITE_WORDS = slot-lookup|new-booking|schedule-export|booking-store|grade-[abc]|mill-building|annex|lowell|merrimack|regina|photo-(read|write|store)|batch-export|suva|layer-(pull|push|store)|pacific
 
 lint: format-check tidy
@@ -50,15 +50,15 @@
 	run-clang-tidy -p build-tidy -quiet -j $(JOBS) '$(CURDIR)/(src|tests/($(TIDY_TESTS)))/' >build-tidy/findings.log 2>&1 || \
 	  { grep -E '(warning|error):' build-tidy/findings.log | sort -u; exit 1; }
 
-# SEED=N draws another run, SHORT=1 takes under a minute, PARTS="nbd http clean kills scrub cost" are all of it. Claims
-# with figures, one JSON object last.
+# SEED=N selects the random seed, SHORT=1 runs for less than a minute, PARTS="nbd http clean kills scrub cost" selects
+# parts. Prints claims with figures, and one JSON object last.
 PARTS ?=
 bench-integrity:
 	cmake -B $(BUILD) -DCMAKE_BUILD_TYPE=Release
 	cmake --build $(BUILD) -j $(JOBS) --target walnutspur_main walnutspur_lab_program walnutspur_bench_integrity
 	$(BUILD)/walnutspur-bench-integrity $(BUILD)/walnutspur $(PARTS)
 
-# Drawn days of faults on real processes: SEED=N, COUNT=N seeds, PARALLEL=N at a time; about 15 s each.
+# Soak: real processes under randomly drawn faults. SEED=N first seed, COUNT=N seeds, PARALLEL=N at a time; about 15 s each.
 SEED ?= 1
 COUNT ?= 50
 PARALLEL ?= 4
@@ -68,19 +68,19 @@
 	$(BUILD)/walnutspur-lab soak --program $(BUILD)/walnutspur --fault-shim $(BUILD)/libwalnutspur_fault_shim.so \
 	  --seed $(SEED) --count $(COUNT) --parallel $(PARALLEL)
 
-# The fleet in virtual time: SEED=N, SHORT=1, PARTS="size worlds signs sizes" are all of it.
+# The fleet in virtual time: SEED=N, SHORT=1, PARTS="size worlds signs sizes" selects parts.
 bench-lab:
 	cmake -B $(BUILD) -DCMAKE_BUILD_TYPE=Release
 	cmake --build $(BUILD) -j $(JOBS) --target walnutspur_lab_program
 	$(BUILD)/walnutspur-lab bench $(PARTS)
 
-# Fleets under faults: SEED=N, SHORT=1, PARTS="loss size view" are all of it.
+# Fleet membership under faults: SEED=N, SHORT=1, PARTS="loss size view" selects parts.
 bench-fleet:
 	cmake -B $(BUILD) -DCMAKE_BUILD_TYPE=Release
 	cmake --build $(BUILD) -j $(JOBS) --target walnutspur_main walnutspur_bench_fleet
 	$(BUILD)/walnutspur-bench-fleet $(BUILD)/walnutspur $(PARTS)
 
-# SECONDS_EACH=N fuzzes for longer. New inputs stay in the build folder; the corpus is the tree's.
+# SECONDS_EACH=N sets the time. New inputs stay in the build folder; the corpus is under tests/fuzz/corpus.
 SECONDS_EACH ?= 15
 fuzz-integrity:
 	mkdir -p build-fuzz/corpus
