--- a/src/lab/sim/experiment_file.cpp
+++ b/src/lab/sim/experiment_file.cpp
@@ -78,7 +78,7 @@
   Rules& rules = experiment->rules;
   rules.poll_interval = kPollInterval;
   rules.drain_grace = Millis(root, "rules.drain_grace_ms");
-  rules.answer_grace = kAnswerGrace;
+  rules.response_grace = kAnswerGrace;
   rules.slow_start_fraction = root.Number("rules.cold_share");
   rules.slow_start_duration = Seconds(root, "rules.warm_up_s");
   rules.overload_threshold = root.Number("rules.tip_multiple");
--- a/src/simulator/settings.cpp
+++ b/src/simulator/settings.cpp
@@ -55,7 +55,7 @@
   Rules rules;
   rules.poll_interval = FieldOr<Time>(object, "askEvery", 0);
   rules.drain_grace = FieldOr<Time>(object, "drainGrace", 0);
-  rules.answer_grace = FieldOr<Time>(object, "graceToAnswer", 0);
+  rules.response_grace = FieldOr<Time>(object, "graceToAnswer", 0);
   rules.slow_start_fraction = FieldOr(object, "coldShare", rules.slow_start_fraction);
   rules.slow_start_duration = FieldOr<Time>(object, "warmUp", 0);
   rules.overload_threshold = FieldOr(object, "tipMultiple", rules.overload_threshold);
--- a/tests/scheduler/scheduler_fixture.h
+++ b/tests/scheduler/scheduler_fixture.h
@@ -50,7 +50,7 @@
   settings.plans = {open, limited};
   settings.rules.poll_interval = 10 * kSec;
   settings.rules.drain_grace = kSec;
-  settings.rules.answer_grace = 8 * kMs;
+  settings.rules.response_grace = 8 * kMs;
   settings.rules.slow_start_fraction = 0.2;
   settings.rules.slow_start_duration = 10 * kSec;
   settings.rules.overload_threshold = 4;
