--- a/include/walnutspur/events.h
+++ b/include/walnutspur/events.h
@@ -34,7 +34,7 @@
   EndpointUpdateKind kind = EndpointUpdateKind::kFull;
   std::vector<Endpoint> endpoints;
   // kFailed: until when the subscription has brought everything: its end, or its last heartbeat if it fell
-  // silent. kBegun: when that part arrived. 0: now.
+  // silent. kUpdateStarted: when that part arrived. 0: now.
   Time received_at = 0;
   DiscoveryFailure failure = DiscoveryFailure::kNoResponse;  // kFailed
 };
--- a/include/walnutspur/types.h
+++ b/include/walnutspur/types.h
@@ -45,8 +45,8 @@
   kFull,    // all endpoints
   kCached,  // all endpoints, as stored before this start: they may have changed since
   kFailed,  // none: the list could not be fetched, or the subscription has ended
-  kBegun,   // none: the first part of an update has arrived
-  kMoved    // none: another discovery service is used from now on
+  kUpdateStarted,   // none: the first part of an update has arrived
+  kServiceChanged    // none: another discovery service is used from now on
 };
 
 // Why discovery brought no endpoints.
--- a/src/decision/endpoint_lease.cpp
+++ b/src/decision/endpoint_lease.cpp
@@ -36,12 +36,12 @@
 void EndpointLease::OnCurrent() {
   is_watching_ = true;
   has_list_ = true;
-  update_begun_at_ = -1;
+  update_started_at_ = -1;
 }
 
-void EndpointLease::OnUpdateBegun(Time at) {
-  if (update_begun_at_ < 0) {
-    update_begun_at_ = at;
+void EndpointLease::OnUpdateStarted(Time at) {
+  if (update_started_at_ < 0) {
+    update_started_at_ = at;
   }
 }
 
@@ -53,9 +53,9 @@
   } else {
     OnCallFailed(now, failure);
   }
-  if (update_begun_at_ >= 0) {
-    ShortenTo(DrainGraceEnd(update_begun_at_));
-    update_begun_at_ = -1;
+  if (update_started_at_ >= 0) {
+    ShortenTo(DrainGraceEnd(update_started_at_));
+    update_started_at_ = -1;
   }
 }
 
@@ -95,7 +95,7 @@
     return kNever;
   }
   const Time expiry = is_watching_ ? kNever : expires_at_;
-  return update_begun_at_ >= 0 ? std::min(expiry, DrainGraceEnd(update_begun_at_)) : expiry;
+  return update_started_at_ >= 0 ? std::min(expiry, DrainGraceEnd(update_started_at_)) : expiry;
 }
 
 }  // namespace walnutspur::decision
--- a/src/decision/endpoint_lease.h
+++ b/src/decision/endpoint_lease.h
@@ -31,7 +31,7 @@
   // The watch has brought a list or a heartbeat: the list is current, and stays so while the watch works.
   void OnCurrent();
   // The first part of an update has arrived at `at`. What it says counts as notified from then on.
-  void OnUpdateBegun(Time at);
+  void OnUpdateStarted(Time at);
   // The watch has ended, or a call for one has failed. `current_until` is the time up to which the watch
   // brought everything: its end, or its last heartbeat if it fell silent.
   void OnFailed(Time now, Time current_until, DiscoveryFailure failure);
@@ -56,7 +56,7 @@
   Time drain_grace_;
   bool is_watching_ = false;
   bool has_list_ = false;      // from this process's own calls
-  Time update_begun_at_ = -1;  // of an update that is not complete; -1: none
+  Time update_started_at_ = -1;  // of an update that is not complete; -1: none
   Time confirmed_until_ = 0;   // up to then no change was notified that this instance has not received
   Time expires_at_ = kNever;   // while no watch works
 };
--- a/src/decision/endpoint_poller.h
+++ b/src/decision/endpoint_poller.h
@@ -27,7 +27,7 @@
   void OnPolled(Time now);
 
   // The first part of an update has arrived.
-  void OnUpdateBegun(Time now) { AwaitResponse(now); }
+  void OnUpdateStarted(Time now) { AwaitResponse(now); }
 
   // Discovery has sent a list or a change of it.
   void OnResponse();
--- a/src/decision/endpoint_updates.cpp
+++ b/src/decision/endpoint_updates.cpp
@@ -61,9 +61,9 @@
   state.endpoint_poller.OnFailed(state.now, update.failure, state.random);
 }
 
-void OnUpdateBegun(SchedulerState& state, const EndpointUpdate& update) {
-  state.endpoint_lease.OnUpdateBegun(update.received_at > 0 ? update.received_at : state.now);
-  state.endpoint_poller.OnUpdateBegun(state.now);
+void OnUpdateStarted(SchedulerState& state, const EndpointUpdate& update) {
+  state.endpoint_lease.OnUpdateStarted(update.received_at > 0 ? update.received_at : state.now);
+  state.endpoint_poller.OnUpdateStarted(state.now);
 }
 
 void OnServiceChanged(SchedulerState& state) {
@@ -96,10 +96,10 @@
     case EndpointUpdateKind::kFailed:
       OnPollFailed(state, update);
       return;
-    case EndpointUpdateKind::kBegun:
-      OnUpdateBegun(state, update);
+    case EndpointUpdateKind::kUpdateStarted:
+      OnUpdateStarted(state, update);
       return;
-    case EndpointUpdateKind::kMoved:
+    case EndpointUpdateKind::kServiceChanged:
       OnServiceChanged(state);
       return;
     case EndpointUpdateKind::kDelta:
--- a/src/http/discovery_client.cpp
+++ b/src/http/discovery_client.cpp
@@ -76,7 +76,7 @@
 
 void DiscoveryClient::SwitchServer() {
   revision_ = 0;
-  on_list_({walnutspur::EndpointUpdateKind::kMoved, {}}, {});
+  on_list_({walnutspur::EndpointUpdateKind::kServiceChanged, {}}, {});
   OpenWatch();
 }
 
@@ -191,7 +191,7 @@
 void DiscoveryClient::ReportProgress() {
   if (lists_.held() > 0) {
     if (!std::exchange(has_partial_list_, true)) {
-      on_list_({walnutspur::EndpointUpdateKind::kBegun, {}, last_received_at_}, {});
+      on_list_({walnutspur::EndpointUpdateKind::kUpdateStarted, {}, last_received_at_}, {});
     }
     return;
   }
--- a/tests/scheduler/endpoint_lease_test.cpp
+++ b/tests/scheduler/endpoint_lease_test.cpp
@@ -66,8 +66,8 @@
 
 TEST(EndpointLease, IsShortenedByTheFirstPartOfAnUpdate) {
   EndpointLease lease = Watching();
-  lease.OnUpdateBegun(kStart);
-  lease.OnUpdateBegun(kStart + kSec);
+  lease.OnUpdateStarted(kStart);
+  lease.OnUpdateStarted(kStart + kSec);
   EXPECT_EQ(lease.expires_at(), kStart + kAfterNotification);
   EndpointLease completed = lease;
   completed.OnCurrent();
--- a/tests/unit/admission_test.cpp
+++ b/tests/unit/admission_test.cpp
@@ -113,7 +113,7 @@
   poller.OnPolled(kStart);
   CHECK_FALSE(poller.IsDue(kStart + 5 * kOneSecond - 1));
   CHECK(poller.IsDue(kStart + 5 * kOneSecond));
-  poller.OnUpdateBegun(kStart + kOneSecond);  // puts it off
+  poller.OnUpdateStarted(kStart + kOneSecond);  // puts it off
   CHECK_FALSE(poller.IsDue(kStart + 5 * kOneSecond));
   poller.OnResponse();
   CHECK_FALSE(poller.IsDue(kStart + 60 * kOneSecond));
