--- a/src/decision/endpoint_table.cpp
+++ b/src/decision/endpoint_table.cpp
@@ -29,7 +29,7 @@
 void EndpointTable::ReassignShards() {
   for (auto& [id, target] : targets_) {
     if (target.active && ActiveTarget(target.shard) == nullptr) {
-      TakeShard(target);
+      AssignShard(target);
     }
   }
 }
--- a/src/decision/endpoint_table.h
+++ b/src/decision/endpoint_table.h
@@ -27,7 +27,7 @@
   TargetState* LatestTarget(int shard) const;
 
   // Makes an active target the holder of the shard that it states.
-  void TakeShard(TargetState& target) { holders_[target.shard] = &target; }
+  void AssignShard(TargetState& target) { holders_[target.shard] = &target; }
 
   // Before a complete list is applied: marks all targets as terminated.
   void TerminateAll();
--- a/src/decision/endpoint_updates.cpp
+++ b/src/decision/endpoint_updates.cpp
@@ -51,7 +51,7 @@
   }
   target.CopyFrom(endpoint);
   if (target.active) {
-    state.endpoints.TakeShard(target);
+    state.endpoints.AssignShard(target);
   }
 }
 
--- a/src/decision/key_order.cpp
+++ b/src/decision/key_order.cpp
@@ -4,7 +4,7 @@
 
 namespace walnutspur::decision {
 
-void KeyChain::RemoveFinished() {
+void KeyQueue::RemoveFinished() {
   while (!requests.empty() && requests.front()->finished && requests.front()->target == nullptr) {
     requests.pop_front();
   }
@@ -13,7 +13,7 @@
 void KeyOrder::Add(const RequestRef& request) { chains_[request->key].requests.push_back(request); }
 
 bool KeyOrder::IsFree(const RequestState& request, Time now) {
-  KeyChain& chain = chains_[request.key];
+  KeyQueue& chain = chains_[request.key];
   chain.RemoveFinished();
   const bool is_first = !chain.requests.empty() && chain.requests.front().get() == &request;
   return is_first && (request.attempts > 0 || now >= chain.quarantined_until);
--- a/src/decision/key_order.h
+++ b/src/decision/key_order.h
@@ -16,7 +16,7 @@
 namespace walnutspur::decision {
 
 // Requests that carry one key, in order of arrival, and the quarantine of the key.
-struct KeyChain {
+struct KeyQueue {
   std::deque<RequestRef> requests;
   Time quarantined_until = 0;
 
@@ -44,7 +44,7 @@
   std::size_t size() const { return chains_.size(); }
 
  private:
-  std::map<std::string, KeyChain> chains_;
+  std::map<std::string, KeyQueue> chains_;
 };
 
 }  // namespace walnutspur::decision
--- a/tests/unit/decision_fixture.h
+++ b/tests/unit/decision_fixture.h
@@ -49,7 +49,7 @@
     state.now = kStart + kOneSecond;
     target = &state.endpoints.FindOrAdd("a");
     target->CopyFrom({"a", EndpointState::kActive, 3, 1});
-    state.endpoints.TakeShard(*target);
+    state.endpoints.AssignShard(*target);
   }
 
   Volume& MakeVolume(const std::string& name, int initiator_count = 1) {
--- a/tests/unit/decision_test.cpp
+++ b/tests/unit/decision_test.cpp
@@ -56,7 +56,7 @@
 TEST_CASE("a key's chain drops requests that are finished and not in flight, from the front") {
   Fixture fixture;
   Volume& volume = fixture.MakeVolume("v");
-  KeyChain chain;
+  KeyQueue chain;
   for (const char* id : {"1", "2", "3"}) {
     chain.requests.push_back(fixture.Queue(id, volume));
   }
