--- a/include/walnutspur/events.h
+++ b/include/walnutspur/events.h
@@ -22,8 +22,8 @@
   EndpointState state = EndpointState::kActive;
   int shard = 0;                    // the shard that the target holds
   int zone = 0;                     // failure domain
-  int kind = 0;                     // of target, as numbered by the list
-  double scale = 1;                 // capacity, over that of a common target
+  int target_type = 0;              // of target, as numbered by the list
+  double relative_capacity = 1;     // capacity, over that of a common target
   Time started_at = 0;              // of the target's process, by the list's clock; 0: long ago
   Time clock_offset = 0;            // us by which that clock is ahead of the events' clock
   bool accepts_new_objects = true;  // new objects may be placed there
--- a/include/walnutspur/settings.h
+++ b/include/walnutspur/settings.h
@@ -40,7 +40,7 @@
 struct Rules {
   Time poll_interval = 0;              // us without a poll until an unsubscribed instance counts as informed
   Time drain_grace = 0;                // us in which sends to a draining or terminated target have to stop
-  Time response_grace = 0;               // us past its deadline by which a request has its final response
+  Time response_grace = 0;             // us past its deadline by which a request has its final response
   double slow_start_fraction = 1;      // part of its capacity that a target has when it starts
   Time slow_start_duration = 0;        // us until it has all of it
   double overload_threshold = 1;       // times its capacity that overload a target in slow start
--- a/include/walnutspur/types.h
+++ b/include/walnutspur/types.h
@@ -41,19 +41,19 @@
 
 // What an endpoint update holds.
 enum class EndpointUpdateKind {
-  kDelta,   // the endpoints that have changed
-  kFull,    // all endpoints
-  kCached,  // all endpoints, as stored before this start: they may have changed since
-  kFailed,  // none: the list could not be fetched, or the subscription has ended
-  kUpdateStarted,   // none: the first part of an update has arrived
-  kServiceChanged    // none: another discovery service is used from now on
+  kDelta,          // the endpoints that have changed
+  kFull,           // all endpoints
+  kCached,         // all endpoints, as stored before this start: they may have changed since
+  kFailed,         // none: the list could not be fetched, or the subscription has ended
+  kUpdateStarted,  // none: the first part of an update has arrived
+  kServiceChanged  // none: another discovery service is used from now on
 };
 
 // Why discovery brought no endpoints.
 enum class DiscoveryFailure {
-  kNoResponse,   // no list came: a call was rejected, closed or given up, or a subscription has ended
-  kBroken,       // the connection broke, so that what discovery had written may be lost
-  kUnreachable,  // the connection was refused: there is no listener at discovery's address
+  kNoResponse,      // no list came: a call was rejected, closed or given up, or a subscription has ended
+  kConnectionLost,  // the connection broke, so that what discovery had written may be lost
+  kUnreachable,     // the connection was refused: there is no listener at discovery's address
 };
 
 // How an attempt ended.
--- a/src/decision/endpoint_lease.cpp
+++ b/src/decision/endpoint_lease.cpp
@@ -66,7 +66,7 @@
   }
   // A cached list has no known age, so the drains that it lacks may be notified by now. So may a drain in a
   // response that was lost with its connection.
-  if (!has_list_ || failure == DiscoveryFailure::kBroken) {
+  if (!has_list_ || failure == DiscoveryFailure::kConnectionLost) {
     ShortenTo(DrainGraceEnd(now));
   }
 }
--- a/src/decision/endpoint_lease.h
+++ b/src/decision/endpoint_lease.h
@@ -55,10 +55,10 @@
   bool is_pushed_;
   Time drain_grace_;
   bool is_watching_ = false;
-  bool has_list_ = false;      // from this process's own calls
+  bool has_list_ = false;        // from this process's own calls
   Time update_started_at_ = -1;  // of an update that is not complete; -1: none
-  Time confirmed_until_ = 0;   // up to then no change was notified that this instance has not received
-  Time expires_at_ = kNever;   // while no watch works
+  Time confirmed_until_ = 0;     // up to then no change was notified that this instance has not received
+  Time expires_at_ = kNever;     // while no watch works
 };
 
 }  // namespace walnutspur::decision
--- a/src/http/discovery_client.cpp
+++ b/src/http/discovery_client.cpp
@@ -128,7 +128,7 @@
   if (end == WatchEnd::kNotConnected) {
     failure.failure = walnutspur::DiscoveryFailure::kUnreachable;
   } else if (end == WatchEnd::kReset) {
-    failure.failure = walnutspur::DiscoveryFailure::kBroken;
+    failure.failure = walnutspur::DiscoveryFailure::kConnectionLost;
   }
   on_list_(std::move(failure), {});
 }
--- a/src/http/endpoint_list.cpp
+++ b/src/http/endpoint_list.cpp
@@ -29,8 +29,8 @@
   endpoint.state = ReadState(member.at("phase").get<std::string>());
   endpoint.shard = member.value("cell", 0);
   endpoint.zone = std::max(0, IndexOf(names.zones, member.value("locality", "")));
-  endpoint.kind = std::max(0, IndexOf(names.kinds, member.value("flavor", "")));
-  endpoint.scale = member.value("size", 1.0);
+  endpoint.target_type = std::max(0, IndexOf(names.kinds, member.value("flavor", "")));
+  endpoint.relative_capacity = member.value("size", 1.0);
   endpoint.started_at = member.value("up_since_ms", Time{0}) * kMicrosecondsPerMillisecond;
   return endpoint;
 }
--- a/src/simulator/messages.cpp
+++ b/src/simulator/messages.cpp
@@ -83,8 +83,8 @@
   endpoint.state = ParseEndpointState(RequiredField<std::string>(object, "phase"));
   endpoint.shard = RequiredField<int>(object, "cohort");
   endpoint.zone = FieldOr(object, "regionPart", 0);
-  endpoint.kind = FieldOr(object, "classOfHost", 0);
-  endpoint.scale = FieldOr(object, "scale", 1.0);
+  endpoint.target_type = FieldOr(object, "classOfHost", 0);
+  endpoint.relative_capacity = FieldOr(object, "scale", 1.0);
   endpoint.started_at = FieldOr<Time>(object, "launched", 0);
   return endpoint;
 }
--- a/tests/scheduler/endpoint_lease_test.cpp
+++ b/tests/scheduler/endpoint_lease_test.cpp
@@ -81,7 +81,7 @@
 TEST(EndpointLease, IsShortenedByABrokenCall) {
   EndpointLease lease = Watching();
   lease.OnFailed(kStart, kStart, DiscoveryFailure::kNoResponse);
-  lease.OnFailed(kStart + kSec, 0, DiscoveryFailure::kBroken);
+  lease.OnFailed(kStart + kSec, 0, DiscoveryFailure::kConnectionLost);
   EXPECT_EQ(lease.expires_at(), kStart + kSec + kAfterNotification);
 }
 
