--- a/include/walnutspur/actions.h
+++ b/include/walnutspur/actions.h
@@ -1,6 +1,6 @@
-// Actions: what a Scheduler has its initiator do.
+// Actions: the commands that a Scheduler returns to its initiator.
 //
-// Plain data, made by the scheduler on its thread and carried out by the initiator in their order.
+// Plain data, created by the Scheduler on its thread. The initiator carries the actions out in order.
 #ifndef WALNUTSPUR_ACTIONS_H_
 #define WALNUTSPUR_ACTIONS_H_
 
@@ -11,43 +11,44 @@
 
 namespace walnutspur {
 
-// Send a request to a target. Its attempts are counted from 0.
+// Sends a request to a target. The attempts of a request are numbered from 0.
 struct SendAttempt {
   RequestId id;
   TargetId target;
-  Time timeout = 0;    // us; 0: until the client stops waiting
-  Time not_after = 0;  // time by which it must be sent: the target may drain, or take repeats twice; 0: none
+  Time timeout = 0;  // us; 0: none before the client's deadline
+  // Latest time to send the attempt, 0: none. Later the target may be draining or may run a repeat again.
+  Time not_after = 0;
 };
 
-// Final response: not executed, or executed with no harm in a new attempt by the client.
+// Sends the final response "rejected": the request was not executed, or the client can safely retry it.
 struct RejectRequest {
   RequestId id;
-  Time retry_after = 0;  // us after which the client may retry
+  Time retry_after = 0;  // us after which the client may retry; 0: not stated
 };
 
-// Final response: failed, and it is unknown whether the request was executed.
+// Sends the final response "failed": whether the request was executed is unknown.
 struct FailRequest {
   RequestId id;
 };
 
-// Send TimerFired after a delay.
+// Requests a TimerFired event after a delay.
 struct StartTimer {
   std::int64_t timer_id = 0;
   Time delay = 0;  // us
 };
 
-// Cancel an attempt in flight. AttemptFinished follows as always.
+// Cancels an attempt in flight. An AttemptFinished event still follows.
 struct CancelAttempt {
   RequestId id;
   int attempt = 0;  // counted from 0
 };
 
-// Send a health check to a target.
+// Sends a health check to a target.
 struct CheckHealth {
   TargetId target;
 };
 
-// Fetch the endpoint list and subscribe to its changes.
+// Fetches the endpoint list and subscribes to its changes.
 struct WatchEndpoints {};
 
 // Any action.
--- a/include/walnutspur/events.h
+++ b/include/walnutspur/events.h
@@ -1,6 +1,6 @@
-// Events: what an initiator reports to its Scheduler, as they happen.
+// Events: what an initiator reports to its Scheduler when it happens.
 //
-// Plain data, made by the initiator on the scheduler's thread.
+// Plain data, created by the initiator on the scheduler thread.
 #ifndef WALNUTSPUR_EVENTS_H_
 #define WALNUTSPUR_EVENTS_H_
 
@@ -13,19 +13,19 @@
 
 namespace walnutspur {
 
-// The initiator has started. Once, before all other events.
+// The initiator has started. Sent once, before all other events.
 struct Started {};
 
-// A target, as of the endpoint list.
+// One target, as listed in the endpoint list.
 struct Endpoint {
   TargetId target;
   EndpointState state = EndpointState::kActive;
   int shard = 0;                    // the shard that the target holds
   int zone = 0;                     // failure domain
-  int target_type = 0;              // of target, as numbered by the list
-  double relative_capacity = 1;     // capacity, over that of a common target
-  Time started_at = 0;              // of the target's process, by the list's clock; 0: long ago
-  Time clock_offset = 0;            // us by which that clock is ahead of the events' clock
+  int target_type = 0;              // type of the target, numbered by the endpoint list
+  double relative_capacity = 1;     // capacity divided by that of a standard target
+  Time started_at = 0;              // start of the target's process, by the list's clock; 0: long ago
+  Time clock_offset = 0;            // us by which the list's clock is ahead of the events' clock
   bool accepts_new_objects = true;  // new objects may be placed there
 };
 
@@ -33,10 +33,10 @@
 struct EndpointUpdate {
   EndpointUpdateKind kind = EndpointUpdateKind::kFull;
   std::vector<Endpoint> endpoints;
-  // kFailed: until when the subscription has brought everything: its end, or its last heartbeat if it fell
-  // silent. kUpdateStarted: when that part arrived. 0: now.
+  // For kFailed: the time up to which the subscription has delivered every change, which is its end, or its
+  // last heartbeat if it fell silent. For kUpdateStarted: the arrival time of that first part. 0: now.
   Time received_at = 0;
-  DiscoveryFailure failure = DiscoveryFailure::kNoResponse;  // kFailed
+  DiscoveryFailure failure = DiscoveryFailure::kNoResponse;  // for kFailed only
 };
 
 // A client has sent a request.
@@ -44,13 +44,13 @@
   RequestId id;
   int request_class = 0;         // index in Settings::classes
   int plan = 0;                  // index in Settings::plans
-  std::string key;               // of the data, by which requests are ordered; empty: none
-  std::string volume;            // to whose reserve, limit and fair share the request counts
-  Time ttl = 0;                  // us that the client will wait
+  std::string key;               // key of the data, used to order requests; empty: none
+  std::string volume;            // volume whose reserve, limit and fair share are charged
+  Time ttl = 0;                  // us until the client stops waiting
   double units = 1;              // cost of the request
-  int shard = -1;                // where the data is; -1: a new object, any target may take it
-  int initiator_count = 1;       // initiators that the volume's requests come through
-  bool is_client_retry = false;  // the client says that it has sent the request before
+  int shard = -1;                // shard that holds the data; -1: a new object, any target may store it
+  int initiator_count = 1;       // number of initiators that receive requests of this volume
+  bool is_client_retry = false;  // the client has marked the request as a retry
 };
 
 // An attempt has ended.
@@ -60,9 +60,9 @@
   TargetId target;
   Outcome outcome = Outcome::kCompleted;
   Time latency = 0;               // us since the attempt was sent
-  bool request_finished = false;  // the client has its final response
-  int reported_usage = 0;         // 1 + the volume's use everywhere in percent of its rate; 0: not reported
-  // units of the volume that this target served for other initiators since the last report
+  bool request_finished = false;  // the client has received its final response
+  int reported_usage = 0;         // 1 + the volume's fleet-wide usage in percent of its rate; 0: not reported
+  // units of the volume that this target has served for other initiators since its last report
   double units_served_elsewhere = 0;
   std::vector<double> load_report;  // values of Settings::load_report_fields
 };
@@ -72,7 +72,7 @@
   std::int64_t timer_id = 0;
 };
 
-// A CheckHealth action has its result.
+// A CheckHealth action has finished.
 struct HealthCheckFinished {
   TargetId target;
   Outcome outcome = Outcome::kCompleted;
@@ -85,13 +85,13 @@
   RequestId id;
 };
 
-// The response to a request is on its way to the client.
+// The initiator has started to send the response to a request to its client.
 struct ResponseStarted {
   RequestId id;
 };
 
-// The number of initiators and this one's part of all requests, where the membership service knows them. They
-// replace Settings::instances and Settings::traffic_fraction.
+// The number of live initiators and this initiator's fraction of all requests, as reported by the membership
+// service. They replace Settings::instances and Settings::traffic_fraction.
 struct FleetSize {
   int live_instances = 1;
   double traffic_fraction = 1;
--- a/include/walnutspur/scheduler.h
+++ b/include/walnutspur/scheduler.h
@@ -1,8 +1,8 @@
-// walnutspur: the decisions of an initiator-side I/O scheduler for a shared pool of targets.
+// walnutspur: the decision logic of an initiator-side I/O scheduler for a shared pool of targets.
 //
 // This file and those it includes (settings, events, actions) are the complete interface. One Scheduler
 // serves one initiator. It owns no thread, clock or socket: the initiator hands it each event with the time
-// at which it happened, and carries out the actions that come back, in their order. Equal settings, seed and
+// at which it happened, and carries out the returned actions in order. Equal settings, seed and
 // events give equal actions.
 #ifndef WALNUTSPUR_SCHEDULER_H_
 #define WALNUTSPUR_SCHEDULER_H_
@@ -19,21 +19,21 @@
 
 namespace walnutspur {
 
-// Decides which request is sent to which target and when, and which is retried, rejected or failed. Not
-// thread-safe: used on one thread at a time.
+// Decides to which target and when each request is sent, and which requests are retried, rejected or failed.
+// Not thread-safe.
 class Scheduler {
  public:
-  // `seed` starts the random draws.
+  // `seed` initializes the random number generator.
   Scheduler(const Settings& settings, std::uint64_t seed);
   ~Scheduler();
   Scheduler(Scheduler&&) noexcept;
   Scheduler& operator=(Scheduler&&) noexcept;
 
-  // Handles an event that happens at `now` (us) and returns the actions to carry out, in order. Events with
-  // unknown requests or targets have no effect.
+  // Handles an event that happens at `now` (us) and returns the actions to carry out, in order. Events that
+  // name an unknown request or target are ignored.
   std::vector<Action> Handle(const Event& event, Time now);
 
-  // Number of entries in all tables, to check that finished requests leave none behind.
+  // Returns the number of entries in all tables, to check that finished requests leave none behind.
   std::size_t table_entries() const;
 
  private:
