--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,5 +1,5 @@
 // How an initiator embeds the library: one volume, one target, and a loop that handles events and actions.
-// The target here responds at once; a real initiator fills in its own I/O, clock and timers.
+// The target here responds at once; a real initiator adds its own I/O, clock and timers.
 #include <cstdio>
 #include <deque>
 #include <variant>
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr wsp::Time kServiceTime = 5'000;   // of the target, us
-constexpr wsp::Time kDeadline = 1'000'000;  // of the client, us
+constexpr wsp::Time kServiceTime = 5'000;   // service time of the target, us
+constexpr wsp::Time kDeadline = 1'000'000;  // time that the client waits, us
 
-// One class of requests and one plan.
+// Returns settings with one class of requests and one plan.
 wsp::Settings MakeSettings() {
   wsp::RequestClass read;
   read.latency_objective = 200'000;
@@ -27,7 +27,7 @@
   return settings;
 }
 
-// A list with one target, which holds shard 0.
+// Returns an endpoint list with one target, which holds shard 0.
 wsp::EndpointUpdate MakeEndpoints() {
   wsp::Endpoint disk;
   disk.target = "disk-a";
@@ -45,7 +45,7 @@
   return request;
 }
 
-// The target's response to an attempt.
+// Returns the target's response to an attempt.
 wsp::AttemptFinished Complete(const wsp::SendAttempt& attempt) {
   wsp::AttemptFinished finished;
   finished.id = attempt.id;
@@ -55,7 +55,7 @@
   return finished;
 }
 
-// Handles the events, and those that follow from them, in turn. Returns the number of attempts served.
+// Handles `events` and the events that result from them, in order. Returns the number of attempts served.
 int Run(wsp::Scheduler& scheduler, std::deque<wsp::Event> events) {
   wsp::Time now = 0;
   int served = 0;
--- a/src/decision/accounts.cpp
+++ b/src/decision/accounts.cpp
@@ -5,10 +5,10 @@
 namespace walnutspur::decision {
 namespace {
 
-// Time of its rate that a throttle's bucket holds: a flow that was idle gains little.
+// Capacity of a throttle's bucket as a time at its rate. Short, so that an idle flow gains little credit.
 constexpr Duration kThrottleBurst = std::chrono::milliseconds(250);
 
-// Fraction of a volume's reserve that is this instance's: all of it where targets report the use by others.
+// Returns this instance's fraction of a volume's reserve: all of it if targets report the use by others.
 double ReserveFraction(const SchedulerState& state, const Volume& volume) {
   return state.settings.reports_remote_usage ? 1.0 : 1.0 / volume.initiator_count;
 }
@@ -18,8 +18,8 @@
   return rate > 0 ? rate * ReserveFraction(state, volume) + state.settings.max_request_units : 0;
 }
 
-// Rule: limits. A former process of this instance may have spent the burst, so the limit's bucket starts with
-// what has accrued since the start of this one.
+// Returns the credit that a new volume's limit starts with: what has accrued since this process started,
+// since an earlier process of this instance may have spent the burst. Implements the rule "limits".
 double InitialLimitCredit(const SchedulerState& state, const Volume& volume) {
   const double accrued = volume.plan->limit * state.Since(state.started_at) / kSecond;
   return std::min(volume.plan->burst, accrued) / volume.initiator_count;
--- a/src/decision/accounts.h
+++ b/src/decision/accounts.h
@@ -1,7 +1,7 @@
 // Accounts: the credit of each volume's reserve and rate limit, and of each flow's throttle and fair share.
 //
-// Functions over the SchedulerState that keep token buckets and tags and decide nothing; called on its
-// thread.
+// Functions that update the token buckets and tags in the SchedulerState and take no decisions. Called on
+// the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_ACCOUNTS_H_
 #define WALNUTSPUR_DECISION_ACCOUNTS_H_
 
@@ -9,21 +9,21 @@
 
 namespace walnutspur::decision {
 
-// The volume of a request that has arrived, under the plan that the request states. A new volume starts with
-// a full reserve.
+// Returns the volume of a request that has arrived and applies the plan that the request states. A new volume
+// starts with a full reserve.
 Volume& VolumeOf(SchedulerState& state, const RequestArrived& arrival);
 
-// Adds the credit that has accrued since the last refill: of a volume's reserve and limit, of a flow's
+// Add the credit that has accrued since the last refill: to a volume's reserve and limit, or to a flow's
 // throttle.
 void Refill(const SchedulerState& state, Volume& volume);
 void Refill(const SchedulerState& state, Flow& flow);
 
-// Charges a request that is about to be sent with `start_tag` to the accounts it draws on.
+// Charges a request that is about to be sent with `start_tag` to its volume's and flow's accounts.
 void ChargeRequest(SchedulerState& state, RequestState& request, bool is_reserved, double start_tag,
                    TargetState& target);
 
-// Charges units that other instances have sent to the target, by its report: to the reserve, then to the
-// flow.
+// Charges the units that the target reports as served for other instances: first to the reserve, the rest to
+// the flow.
 void ChargeRemoteUnits(const SchedulerState& state, Flow& flow, const TargetState& target, double units);
 
 }  // namespace walnutspur::decision
--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -5,7 +5,8 @@
 namespace walnutspur::decision {
 namespace {
 
-// Service time of a unit at the target of a shard; assumed where none is active.
+// Returns the service time of a unit at the active target of a shard, or the initial estimate if there is
+// none.
 Duration UnitTime(const SchedulerState& state, int shard) {
   const TargetState* target = state.endpoints.ActiveTarget(shard);
   return target != nullptr ? target->latency.unit_time() : limits::kInitialUnitTime;
--- a/src/decision/admission.h
+++ b/src/decision/admission.h
@@ -1,10 +1,11 @@
 // Admission: whether a request is sent, waits in its queue, or is rejected.
 //
-// Three rules, from the three moments at which they are applied. Each of them begins with the endpoint lease:
-// once it has expired, targets may be draining without this instance's knowledge, so nothing is sent, and a
-// request would wait for as long as discovery is away; its client does better to retry.
+// There is one rule for each moment of a request: dispatch, arrival and waiting. Each rule requires a valid
+// endpoint lease. After the lease has expired, targets may be draining without this instance being notified,
+// so nothing is sent. A request would then wait until discovery is back; it is better for its client to
+// retry.
 //
-// Functions over the SchedulerState, called on its thread.
+// Functions that read the SchedulerState. Called on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_ADMISSION_H_
 #define WALNUTSPUR_DECISION_ADMISSION_H_
 
@@ -12,16 +13,16 @@
 
 namespace walnutspur::decision {
 
-// Whether attempts may be sent to a target now: the endpoint lease is valid, the target is active and holds
-// its shard, and its backoff is over.
+// Returns whether attempts may be sent to a target now: the endpoint lease is valid, the target is active and
+// holds its shard, and its backoff is over.
 bool MayDispatchTo(const SchedulerState& state, const TargetState& target);
 
-// Whether a request that has just arrived, and could not be sent at once, may wait in its queue: the endpoint
-// lease is valid, and the deadline is far enough for a timer to see the request again.
+// Returns whether a request that has just arrived and could not be sent at once may wait in its queue: the
+// endpoint lease is valid, and a timer fires early enough before the deadline to check the request again.
 bool MayWaitOnArrival(const SchedulerState& state, const RequestState& request);
 
-// Whether a queued request may go on waiting: the endpoint lease is valid, the deadline is not near, and its
-// response can come in time to be useful even if it is sent now to an idle target.
+// Returns whether a queued request may keep waiting: the endpoint lease is valid, the deadline is not near,
+// and the response would be in time to be useful if the request were sent now to an idle target.
 bool MayKeepWaiting(const SchedulerState& state, const RequestState& request);
 
 }  // namespace walnutspur::decision
--- a/src/decision/client_wait.h
+++ b/src/decision/client_wait.h
@@ -1,7 +1,8 @@
-// Client wait: for which fraction of a latency objective clients wait for their responses at present.
+// Client wait: an estimate of how long clients wait for their responses, as a fraction of the latency
+// objective.
 //
-// The estimate is brought up to date at each timer, so that all decisions between two timers agree. Owned by
-// the SchedulerState, used on its thread.
+// The estimate is updated at each timer, so that all decisions between two timers use the same value. Owned
+// by the SchedulerState, used on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_CLIENT_WAIT_H_
 #define WALNUTSPUR_DECISION_CLIENT_WAIT_H_
 
@@ -12,14 +13,14 @@
 
 class ClientWait {
  public:
-  // Counts how long the client of a request that ends at `now` has waited, before it `disconnected` or the
-  // request ended otherwise. `objective` is the latency objective of the request's class, us.
+  // Records how long the client of a request that ends at `now` has waited. `disconnected` states whether the
+  // request ended since its client disconnected. `objective` is the latency objective of its class, us.
   void OnRequestEnded(const RequestState& request, Time objective, bool disconnected, Time now);
 
-  // Brings the fraction up to date.
+  // Updates the fraction.
   void Update(Time now) { fraction_ = abandonment_.SafeFraction(now); }
 
-  // Fraction of a latency objective that clients wait, as of the last update.
+  // Returns the fraction of a latency objective that clients wait, as of the last update.
   double fraction() const { return fraction_; }
 
  private:
--- a/src/decision/concurrency_limit.cpp
+++ b/src/decision/concurrency_limit.cpp
@@ -13,51 +13,51 @@
 using limits::AdaptiveLimits;
 using limits::LatencySamples;
 
-// Fraction of the tightest objective that queueing may take.
+// Fraction of the tightest objective that the queueing delay may take.
 constexpr double kQueueingFraction = 0.08;
-// The same inside reserves, which earn the full weight.
+// That fraction for reserved work, which earns the full weight.
 constexpr double kReservedQueueingFraction = 0.3;
-// The same where the limit is under one mean request: with one response at a time, queueing and uneven
-// service cannot be distinguished.
+// That fraction if the limit is below one mean request. It is larger because queueing and uneven service
+// cannot be told apart when there is one response at a time.
 constexpr double kPacedQueueingFraction = 0.2;
-// Service times by which a response of a paced target may be slower without any queueing.
+// Number of service times by which a response of a paced target may be slower without any queueing.
 constexpr double kServiceVariation = 2;
-// Fraction of the way to the limit that latency calls for by which a limit moves in one adjustment.
+// Fraction of the difference to the desired limit that one adjustment applies.
 constexpr double kAdjustmentGain = 0.4;
-// Largest pressure below which a limit does not grow any faster.
+// Lower bound of the pressure used in an adjustment: bounds the growth of a limit.
 constexpr double kMinPressure = 0.5;
-// Upward drift of a limit in one adjustment, in mean requests, so that the limits of instances converge.
+// Upward drift of a limit per adjustment, in mean requests. It makes the limits of instances converge.
 constexpr double kDriftRequests = 0.5;
-// Number of instances beyond which they share the drift: if each of hundreds added a part of its own limit,
-// they would settle where queueing is well over what is allowed.
+// Number of instances above which they share the drift. If each of hundreds of instances added a fraction of
+// its own limit, the limits would settle where the queueing delay is well above the allowed one.
 constexpr double kMaxDriftingInstances = 5;
 // Limit of a target without samples, in mean requests.
 constexpr double kInitialRequests = 3;
-// Largest limit, in mean requests: beyond it latency does not guide the limit.
+// Largest limit, in mean requests: above it, latency no longer guides the limit.
 constexpr double kMaxRequests = 64;
 // Smallest limit, in mean requests.
 constexpr double kMinRequests = 0.05;
-// Number of instances beyond which they share the smallest limit.
+// Number of instances above which they share the smallest limit.
 constexpr double kMaxPacingInstances = 200;
-// Work that arrives inside reserves in this time may always be in flight.
+// The reserved work that arrives in this time may always be in flight.
 constexpr Duration kReservedSpan = std::chrono::seconds(2);
 // Factor by which an overload lowers the limits.
 constexpr double kOverloadFactor = 0.5;
-// Time without a send to a stuck target until it is explored: this fraction of the tightest objective, plus
-// this many of the target's queueing delays, doubled with each attempt in flight but the first, up to a
-// bound.
+// Time without a send after which a stuck target is explored: this fraction of the tightest objective, plus
+// this many of the target's queueing delays, doubled for each attempt in flight after the first, up to a
+// maximum number of doublings.
 constexpr double kExplorationObjectiveFraction = 0.8;
 constexpr double kExplorationQueueingDelays = 4;
 constexpr double kMaxExplorationDoublings = 10;
 
-// Moves a limit by one adjustment. `min_units` is its smallest value beside that of pacing; `pressure` is the
-// queueing delay over what is allowed.
+// Adjusts a limit once. `min_units` is its lower bound in addition to that of pacing; `pressure` is the
+// queueing delay divided by the allowed one.
 void Adjust(const Settings& settings, double min_units, double pressure, AdaptiveLimit& limit) {
   const double drift_share = std::min(1.0, kMaxDriftingInstances / settings.instances);
   const double drift = kDriftRequests * std::min(limit.units, settings.mean_request_units * drift_share);
-  const double wanted = limit.units / std::max(kMinPressure, pressure) + drift;
-  if (wanted < limit.units || limit.was_binding) {
-    limit.units += kAdjustmentGain * (wanted - limit.units);
+  const double desired_units = limit.units / std::max(kMinPressure, pressure) + drift;
+  if (desired_units < limit.units || limit.was_binding) {
+    limit.units += kAdjustmentGain * (desired_units - limit.units);
   }
   const double pacing_requests = kMinRequests * std::min(1.0, kMaxPacingInstances / settings.instances);
   const double lower_bound = std::max(min_units, pacing_requests * settings.mean_request_units);
@@ -65,7 +65,7 @@
   limit.was_binding = false;
 }
 
-// Adjusts both limits by the samples, of which there is at least one.
+// Adjusts both limits according to `samples`, which must not be empty.
 void AdjustBoth(const SchedulerState& state, const LatencySamples& samples, double min_reserved_units,
                 AdaptiveLimits& limits) {
   const Duration objective = state.tightest_objective * state.client_wait.fraction();
@@ -78,9 +78,9 @@
          limits.reserved);
 }
 
-// Time after the last send to a stuck target until one more attempt explores it. Longer where responses were
-// slow already, and such that the attempts of all instances together are no more than one at a time:
-// otherwise they alone would keep a slow target congested.
+// Returns the time after the last send to a stuck target until one more attempt explores it. The time is
+// longer if responses were slow before, and long enough that all instances together send at most one
+// exploratory attempt at a time: more would keep a slow target congested by themselves.
 Duration ExplorationGap(const SchedulerState& state, const TargetState& target) {
   const double others_in_flight = static_cast<double>(AttemptsInFlight(state, target)) - 1;
   const double doublings = std::clamp(others_in_flight, 0.0, kMaxExplorationDoublings);
@@ -91,20 +91,22 @@
   return std::max(base * std::exp2(doublings), one_attempt_of_all);
 }
 
-// Whether an exploratory attempt is due: only that can show that a stuck target responds again, or that its
-// attempts were lost.
+// Returns whether an exploratory attempt is due. Only such an attempt can show that a stuck target responds
+// again, or that its earlier attempts were lost.
 bool MayExplore(const SchedulerState& state, const TargetState& target, double units_in_flight) {
   return units_in_flight > 0 && state.Since(target.last_send) > ExplorationGap(state, target);
 }
 
-// Whether other work uses the target, or may do so: one with a stale estimate may only look idle.
+// Returns whether other work uses the target, or may use it: a target with a stale estimate may only look
+// idle.
 bool IsInUse(const SchedulerState& state, const TargetState& target, double units_in_flight) {
   const Duration allowed = kQueueingFraction * state.client_wait.fraction() * state.tightest_objective;
   return units_in_flight > 0 || target.latency.IsStale(state.now) ||
          ExpectedQueueing(state, target) > allowed;
 }
 
-// Limit that applies now, in units: the target's, and the fleet's too where the target's estimate is stale.
+// Returns the limit that applies now, in units: the target's, bounded by the fleet's if its estimate is
+// stale.
 double PresentLimit(const SchedulerState& state, const TargetState& target, bool is_reserved) {
   const double units = target.limits.Select(is_reserved).units;
   if (!target.latency.IsStale(state.now)) {
@@ -113,8 +115,9 @@
   return std::min(units, state.fleet_latency.limits().Select(is_reserved).units);
 }
 
-// Whether the limit covers the request. An idle target gets a request larger than its limit, but paced, so
-// that the mean stays within the limit: one request in flight from each of hundreds of instances is too much.
+// Returns whether the limit covers the request. An idle target may be sent a request larger than its limit,
+// but paced so that the mean stays within the limit: one request in flight from each of hundreds of instances
+// would be too much.
 bool IsWithinLimit(const SchedulerState& state, const TargetState& target, const RequestState& request,
                    double units_in_flight, bool is_reserved) {
   const double limit = PresentLimit(state, target, is_reserved);
--- a/src/decision/concurrency_limit.h
+++ b/src/decision/concurrency_limit.h
@@ -1,6 +1,6 @@
 // Concurrency limits: how many units may be in flight at each target, adapted to latency.
 //
-// Functions over the SchedulerState, called on its thread.
+// Functions that read and update the SchedulerState. Called on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_CONCURRENCY_LIMIT_H_
 #define WALNUTSPUR_DECISION_CONCURRENCY_LIMIT_H_
 
@@ -8,26 +8,26 @@
 
 namespace walnutspur::decision {
 
-// Limits of a target without any samples. All instances may start at once.
+// Returns the limits of a target without samples. They are small since all instances may start at once.
 limits::AdaptiveLimits InitialConcurrencyLimits(const Settings& settings);
 
-// Ends an adjustment interval: removes attempts that are no longer presumed in flight, counts stuck ones as
-// samples, raises or lowers all limits by the latencies since the last interval, and updates the rate served
-// to this instance.
+// Ends an adjustment interval: removes attempts that are no longer presumed in flight, adds samples for stuck
+// attempts, raises or lowers all limits according to the latencies since the last interval, and updates the
+// rate served to this instance.
 void AdjustConcurrencyLimits(SchedulerState& state);
 
-// An attempt was rejected since the target is overloaded: halves its limits and expects its queue to take at
-// least the tightest objective to drain.
+// Handles an attempt that was rejected because the target is overloaded: halves the target's limits and
+// assumes that its queue takes at least the tightest objective to drain.
 void OnTargetOverloaded(const SchedulerState& state, TargetState& target);
 
-// Whether a request may be sent to the target now. `is_reserved`: the reserve of its volume covers it, so
-// that the limit inside reserves applies; `misses_objective`: it is likely to miss its objective, and so
-// takes only capacity that nothing else uses. An attempt that explores a stuck target is allowed beyond the
-// limit.
+// Returns whether the target has capacity for a request now. `is_reserved`: the reserve of the request's
+// volume covers it, so the limit for reserved work applies. `misses_objective`: the request is expected to
+// miss its objective, so it gets only capacity that no other request uses. An attempt that explores a stuck
+// target is allowed beyond the limit.
 bool HasCapacity(const SchedulerState& state, const TargetState& target, const RequestState& request,
                  bool is_reserved, bool misses_objective);
 
-// Records that a limit has held a request back. Limits that are never binding do not grow.
+// Records that a limit has delayed a request. Limits that are never binding do not grow.
 void MarkLimitBinding(SchedulerState& state, TargetState& target, bool is_reserved);
 
 }  // namespace walnutspur::decision
--- a/src/decision/deadlines.h
+++ b/src/decision/deadlines.h
@@ -1,9 +1,9 @@
-// Deadlines: the times that bind a request and each of its attempts.
+// Deadlines: the time limits of a request and of each of its attempts.
 //
 // Inputs: the request's arrival, objective and deadline, the fraction of its objective that clients wait, the
-// target's expected queueing and service time, the endpoint lease, the deduplication window. All results are
-// points in time of the events' clock, us, unless said otherwise. Functions over the SchedulerState, called
-// on its thread.
+// target's expected queueing and service time, the endpoint lease, the deduplication window. Unless stated
+// otherwise, results are points in time of the events' clock, us. Functions that read the SchedulerState.
+// Called on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_DEADLINES_H_
 #define WALNUTSPUR_DECISION_DEADLINES_H_
 
@@ -11,28 +11,30 @@
 
 namespace walnutspur::decision {
 
-// End of the latency objective of a request that arrives now and whose other fields are set. The objective
-// runs from the client's first attempt, which is the class's deadline before that of the request. A client
-// that announces a wait shorter than the objective has until its deadline; but if it retries, its last
-// attempt has taken too long for it already, so the objective is over.
+// Returns the end of the latency objective of a request that arrives now and whose other fields are set. The
+// objective starts with the client's first attempt: the request's deadline minus the class's deadline. If the
+// client announces a wait shorter than the objective, the objective ends at the request's deadline. If such a
+// request is a retry, the objective has ended already, since the client's last attempt took too long for it.
 Time ObjectiveEnd(const SchedulerState& state, const RequestState& request, const RequestArrived& arrival);
 
-// Time by which a response must come: the end of the objective, or earlier where clients disconnect sooner.
+// Returns the latest time at which a response is useful: the end of the objective, or earlier if clients
+// disconnect sooner.
 Time LatestUsefulResponse(const SchedulerState& state, const RequestState& request);
 
-// Whether an attempt sent to the target now is expected to respond by then.
+// Returns whether an attempt sent to the target now is expected to have its response by LatestUsefulResponse.
 bool CanMeetObjective(const SchedulerState& state, const RequestState& request, const TargetState& target);
 
-// Rule: no request lost. Whether the deadline is too near for a timer to see the request again in time.
+// Returns whether the deadline is too near for a timer to check the request again before it. Implements the
+// rule "no request lost".
 bool IsDeadlineNear(const SchedulerState& state, const RequestState& request);
 
-// Timeout of an attempt sent now, us; 0: until the client's deadline. An attempt is cut off some time past
-// its objective: the response earns little by then, and targets that drop what has timed out clear their
-// queues. Not where order is kept, since a timeout quarantines the key.
+// Returns the timeout of an attempt sent now, us; 0: none before the client's deadline. An attempt times out
+// some time after its objective: its response would earn little by then, and targets that drop timed-out
+// requests clear their queues. Classes ordered by key have no timeout, since it would quarantine the key.
 Time AttemptTimeout(const SchedulerState& state, const RequestState& request);
 
-// Time by which an attempt must have been written, 0: none. Until then the target drops its repeats, and the
-// endpoint lease is valid.
+// Returns the time by which an attempt must have been written, 0: none. Until then the target drops repeats
+// of the request, and the endpoint lease is valid.
 Time LatestSendTime(const SchedulerState& state, const RequestState& request);
 
 }  // namespace walnutspur::decision
--- a/src/decision/dispatch.cpp
+++ b/src/decision/dispatch.cpp
@@ -15,19 +15,19 @@
 namespace walnutspur::decision {
 namespace {
 
-// Added to the band of a request that is likely to miss its objective: it comes after all that can meet
-// theirs.
+// Added to the band of a request that is expected to miss its objective: it is sent after all requests that
+// can meet theirs.
 constexpr int kMissedObjectiveBands = 1000;
-// Least weight that has a band of its own.
+// Smallest weight with a band of its own; smaller weights share that band.
 constexpr double kMinPriorityWeight = 1e-6;
-// Fraction of a request that the reserve has to cover for it to count as reserved.
+// Fraction of a request that the reserve must cover for the request to count as reserved.
 constexpr double kReservedFraction = 0.5;
 
-// A queued request that may be sent, and its place among the others.
+// A queued request that may be sent, and its position in the order of dispatch.
 struct Candidate {
   RequestState* request = nullptr;
   bool is_reserved = false;       // covered by its volume's reserve
-  bool misses_objective = false;  // likely to
+  bool misses_objective = false;  // expected to miss its latency objective
   int band = 0;
   double start_tag = 0;
 
@@ -37,8 +37,9 @@
   }
 };
 
-// Bands of a factor of two of what a unit earns if it is sent now: the full weight inside the reserve, less
-// beyond it. Within a band the start tags decide.
+// Returns the priority band of a request: the negated floor of the binary logarithm of the weight that a unit
+// earns if it is sent now. Reserved work earns the full weight, other work less. Within a band the start tags
+// determine the order.
 int PriorityBand(const SchedulerState& state, const RequestState& request, bool is_reserved) {
   const double share_weight = is_reserved ? 1 : state.settings.fair_share_weight;
   const double weight =
@@ -46,13 +47,13 @@
   return -static_cast<int>(std::floor(std::log2(std::max(kMinPriorityWeight, weight))));
 }
 
-// Whether key order and idempotency allow an attempt of the request at the target now.
+// Returns whether key order and idempotency allow an attempt of the request at the target now.
 bool MayAttempt(SchedulerState& state, const TargetState& target, const RequestState& request) {
-  const bool key_is_free = !state.IsOrdered(request) || state.key_order.IsFree(request, state.now);
-  return key_is_free && IsRepeatSafe(state, request, target.shard, target.zone);
+  const bool key_order_allows = !state.IsOrdered(request) || state.key_order.MaySend(request, state.now);
+  return key_order_allows && IsRepeatSafe(state, request, target.shard, target.zone);
 }
 
-// Whether the flow's throttle and the volume's limit cover the request.
+// Returns whether the flow's throttle and the volume's limit cover the request.
 bool IsCoveredByCredit(const Flow& flow, const RequestState& request) {
   const Volume& volume = *flow.volume;
   const bool is_throttled = flow.throttle > 0 && !flow.throttle_bucket.Covers(request.units);
@@ -61,7 +62,7 @@
   return !is_throttled && !is_limited;
 }
 
-// The first request of a queue that may go to the target, if throttle and volume limit allow it.
+// Returns the first request of a queue that may be sent to the target, if throttle and volume limit cover it.
 std::optional<Candidate> FindCandidate(SchedulerState& state, const TargetState& target, Flow& flow,
                                        const std::deque<RequestRef>& queue) {
   const auto found = std::find_if(queue.begin(), queue.end(), [&](const RequestRef& queued) {
--- a/src/decision/dispatch.h
+++ b/src/decision/dispatch.h
@@ -1,6 +1,6 @@
 // Dispatch: which queued request is sent to a target next, and when.
 //
-// Functions over the SchedulerState, called on its thread.
+// Functions that read and update the SchedulerState. Called on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_DISPATCH_H_
 #define WALNUTSPUR_DECISION_DISPATCH_H_
 
@@ -8,11 +8,11 @@
 
 namespace walnutspur::decision {
 
-// Queues a request in the flow of its volume at a shard; a retry goes to the front.
+// Adds a request to the queue of its volume's flow at a shard: a retry to the front, any other to the back.
 void Enqueue(SchedulerState& state, const RequestRef& request, Volume& volume, int shard);
 
 // Sends the queued requests for which the target has capacity, in order of priority band, start tag and
-// arrival. The first one without capacity ends the dispatch: a smaller one behind it must not overtake it.
+// arrival. Dispatch stops at the first request without capacity, so that no smaller request overtakes it.
 void DispatchQueued(SchedulerState& state, TargetState& target);
 
 }  // namespace walnutspur::decision
--- a/src/decision/endpoint_lease.cpp
+++ b/src/decision/endpoint_lease.cpp
@@ -7,15 +7,16 @@
 namespace walnutspur::decision {
 namespace {
 
-// Notification deadline, a rule of the platform: a change counts as notified this long after discovery had it
-// and could be reached.
+// Notification deadline, a rule of the platform: a change counts as notified this long after discovery knew
+// it and was reachable.
 constexpr Time kNotificationDeadline = ToTime(std::chrono::seconds(6));
-// The same after a new configuration has named another discovery service; a rule of the platform as well.
+// Notification deadline after a new configuration has named another discovery service; a rule of the
+// platform.
 constexpr Time kServiceChangeDeadline = ToTime(std::chrono::seconds(4));
-// Longest time between the reading of the clock and the write of an attempt. The platform may hold an
-// instance up for 0.15 s; 0.05 s are for the way from the scheduler to the socket.
+// Maximum time between reading the clock and writing an attempt. The platform may pause an instance for
+// 0.15 s; another 0.05 s are for the path from the scheduler to the socket.
 constexpr Time kMaxWriteDelay = ToTime(std::chrono::milliseconds(200));
-// Refused connections no further apart than this show that discovery was unreachable between them as well.
+// If two refused connections are at most this far apart, discovery was unreachable between them as well.
 constexpr Time kMaxUnreachableGap = ToTime(std::chrono::seconds(3));
 
 }  // namespace
@@ -64,8 +65,8 @@
     Renew(now);
     return;
   }
-  // A cached list has no known age, so the drains that it lacks may be notified by now. So may a drain in a
-  // response that was lost with its connection.
+  // The age of a cached list is unknown, so a drain that it does not contain may have been notified by now.
+  // The same holds for a drain in a response that was lost with its connection.
   if (!has_list_ || failure == DiscoveryFailure::kConnectionLost) {
     ShortenTo(DrainGraceEnd(now));
   }
@@ -86,7 +87,7 @@
     is_watching_ = false;
     expires_at_ = kNever;
   }
-  confirmed_until_ = now - kNotificationDeadline;  // too early for any renewal
+  confirmed_until_ = now - kNotificationDeadline;  // too early for any renewal by Renew
   ShortenTo(DrainGraceEnd(now + kServiceChangeDeadline));
 }
 
--- a/src/decision/endpoint_poller.cpp
+++ b/src/decision/endpoint_poller.cpp
@@ -5,9 +5,9 @@
 namespace walnutspur::decision {
 namespace {
 
-// Time that a poll has for its response: longer than a call waits, well under the poll interval.
+// Time allowed for the response to a poll: longer than the timeout of a call, well below the poll interval.
 constexpr Time kPollTimeout = ToTime(std::chrono::seconds(5));
-// Longest backoff after failures.
+// Maximum backoff after failures.
 constexpr Time kMaxPollDelay = ToTime(std::chrono::seconds(16));
 
 }  // namespace
--- a/src/decision/endpoint_poller.h
+++ b/src/decision/endpoint_poller.h
@@ -1,9 +1,9 @@
-// Endpoint poller: when the endpoint list is polled next, where the initiator has to subscribe to it.
+// Endpoint poller: decides when the endpoint list is polled next, if the initiator must subscribe to it.
 //
-// One poll is out at a time: a poll, or the first part of an update, puts the next one off until it has had
-// time for its response; a response cancels it, since the subscription brings what follows; a failure starts
-// a backoff. Where updates come by themselves nothing is ever polled. No I/O, clock or thread; owned by the
-// SchedulerState.
+// At most one poll is in flight. A poll, or the first part of an update, schedules the next poll after the
+// poll timeout. A response cancels that poll, since the subscription delivers all later changes. A failure
+// schedules the next poll after a backoff. If updates are pushed, nothing is polled. Uses no I/O, clock or
+// thread. Owned by the SchedulerState.
 #ifndef WALNUTSPUR_DECISION_ENDPOINT_POLLER_H_
 #define WALNUTSPUR_DECISION_ENDPOINT_POLLER_H_
 
@@ -17,25 +17,25 @@
  public:
   explicit EndpointPoller(const Settings& settings);
 
-  // Whether the initiator polls at all.
+  // Returns whether the initiator polls the endpoint list.
   bool is_enabled() const { return is_enabled_; }
 
-  // Whether the next poll is due.
+  // Returns whether the next poll is due.
   bool IsDue(Time now) const { return next_poll_ >= 0 && now >= next_poll_; }
 
-  // A poll is sent, or the initiator has called another discovery service by itself.
+  // Handles a poll that is sent now, or the initiator's own call to another discovery service.
   void OnPolled(Time now);
 
-  // The first part of an update has arrived.
+  // Handles the arrival of the first part of an update.
   void OnUpdateStarted(Time now) { AwaitResponse(now); }
 
-  // Discovery has sent a list or a change of it.
+  // Handles a list or a change of it from discovery.
   void OnResponse();
 
-  // The poll has failed, or its subscription has ended. Draws the next delay from `random`.
+  // Handles a failed poll or the end of its subscription. Draws the next delay from `random`.
   void OnFailed(Time now, DiscoveryFailure failure, RandomSource& random);
 
-  // The number of instances that share the discovery service has changed.
+  // Sets the number of instances that share the discovery service.
   void SetInstanceCount(int instances) { backoff_.SetInstanceCount(instances); }
 
  private:
--- a/src/decision/endpoint_table.h
+++ b/src/decision/endpoint_table.h
@@ -1,7 +1,8 @@
-// Endpoint table: the targets by id, and which of them holds each shard.
+// Endpoint table: the targets by id, and the target that holds each shard.
 //
-// A shard keeps its last target, active or not, until another one takes over: its record says what to expect
-// of the next. Owned by the SchedulerState, used on its thread; references stay valid until EvictTerminated.
+// A shard keeps its last target, active or not, until another target takes over, since the last target's
+// record provides the initial estimates for the next one. Owned by the SchedulerState, used on the scheduler
+// thread. References stay valid until EvictTerminated.
 #ifndef WALNUTSPUR_DECISION_ENDPOINT_TABLE_H_
 #define WALNUTSPUR_DECISION_ENDPOINT_TABLE_H_
 
@@ -14,44 +15,45 @@
 
 class EndpointTable {
  public:
-  // The target with this id, or null.
+  // Returns the target with this id, or null.
   TargetState* Find(const TargetId& id);
 
-  // The target with this id, created if there is none.
+  // Returns the target with this id, and creates it if there is none.
   TargetState& FindOrAdd(const TargetId& id) { return targets_[id]; }
 
-  // The active target that holds a shard, or null.
+  // Returns the active target that holds a shard, or null.
   TargetState* ActiveTarget(int shard) const;
 
-  // The last known target of a shard, active or not, or null.
+  // Returns the last known target of a shard, active or not, or null.
   TargetState* LatestTarget(int shard) const;
 
-  // Makes an active target the holder of the shard that it states.
+  // Makes an active target the holder of its shard.
   void AssignShard(TargetState& target) { holders_[target.shard] = &target; }
 
-  // Before a complete list is applied: marks all targets as terminated.
+  // Marks all targets as terminated. Called before a complete list is applied.
   void TerminateAll();
 
-  // After a list has been applied: a shard whose holder is not active passes to another active target of it.
+  // Assigns each shard whose holder is not active to another active target of the shard. Called after a list
+  // is applied.
   void ReassignShards();
 
   // Records that discovery has sent a list, or a change of it, that is current at `now`.
   void OnListReceived(Time now) { list_received_at_ = now; }
 
-  // Time of the latest list that discovery has sent; 0: none yet.
+  // Returns the time of the latest list that discovery has sent; 0: none yet.
   Time list_received_at() const { return list_received_at_; }
 
-  // All targets by id. Records may be changed, targets are neither added nor removed here.
+  // Returns all targets by id. Callers may change the records but must not add or remove targets.
   std::map<TargetId, TargetState>& targets() { return targets_; }
   const std::map<TargetId, TargetState>& targets() const { return targets_; }
 
-  // The last known target of each shard.
+  // Returns the last known target of each shard.
   const std::map<int, TargetState*>& holders() const { return holders_; }
 
   // Removes the targets that are terminated, have no attempt in flight and hold no shard.
   void EvictTerminated();
 
-  // Number of entries in the table and its records.
+  // Returns the number of entries in the table and its records.
   std::size_t table_entries() const;
 
  private:
--- a/src/decision/endpoint_updates.cpp
+++ b/src/decision/endpoint_updates.cpp
@@ -7,12 +7,12 @@
 namespace walnutspur::decision {
 namespace {
 
-// Discovery lists a target at most this long after the target's start.
+// Maximum time between the start of a target and its first appearance in the endpoint list.
 constexpr Time kMaxListDelay = ToTime(std::chrono::seconds(3));
 
-// When the target's process started, by the events' clock; 0: long ago. The list states it by a wall clock
-// that may be wrong: a start in the future is one just now, and so is one that the lists before would have
-// shown.
+// Returns when the target's process started, by the events' clock; 0: long ago. The list states the start by
+// a wall clock that may be wrong. A start in the future counts as a start at the present time, and so does a
+// start so early that an earlier list would have contained the target.
 Time EstimateStart(const SchedulerState& state, const Endpoint& endpoint) {
   if (endpoint.started_at <= 0) {
     return 0;
@@ -23,7 +23,7 @@
   return was_unlisted ? state.now : stated;
 }
 
-// A process behind the target that is new: what the former one has shown does not hold.
+// Resets the estimates of a target whose process is new, since those of the previous process no longer hold.
 void ResetTarget(SchedulerState& state, const Endpoint& endpoint, bool is_new, TargetState& target) {
   target.limits = InitialConcurrencyLimits(state.settings);
   target.latency.ResetQueueing();
@@ -34,10 +34,10 @@
   }
   target.outcomes = {};
   const Time started_at = EstimateStart(state, endpoint);
-  if (started_at > 0) {  // otherwise it has not restarted
+  if (started_at > 0) {  // 0: the target has not restarted
     target.steady_rate.Suspend(started_at);
   }
-  // Drawn at random, so that the instances do not all start with a request.
+  // Random, so that not every instance sends a request at the start.
   const double first_units = state.random.Next() * state.settings.mean_request_units;
   target.slow_start.Start(started_at, state.now, target.steady_rate.Rate(state.now, state.started_at),
                           first_units);
--- a/src/decision/endpoint_updates.h
+++ b/src/decision/endpoint_updates.h
@@ -1,7 +1,7 @@
-// Endpoint updates: what a message from discovery, or its failure, changes in the table, the lease and the
-// next poll.
+// Endpoint updates: applies a message from discovery, or its failure, to the endpoint table, the endpoint
+// lease and the poller.
 //
-// Functions over the SchedulerState, called on its thread.
+// Functions that update the SchedulerState. Called on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_ENDPOINT_UPDATES_H_
 #define WALNUTSPUR_DECISION_ENDPOINT_UPDATES_H_
 
@@ -9,10 +9,10 @@
 
 namespace walnutspur::decision {
 
-// Applies an update of the endpoint list, or schedules the next poll if it says that there is no list.
+// Applies an update of the endpoint list, or schedules the next poll if the update reports a failure.
 void ApplyEndpointUpdate(SchedulerState& state, const EndpointUpdate& update);
 
-// Polls the endpoint list, with a subscription to its changes.
+// Emits an action that fetches the endpoint list and subscribes to its changes.
 void PollEndpoints(SchedulerState& state);
 
 }  // namespace walnutspur::decision
--- a/src/decision/estimates.cpp
+++ b/src/decision/estimates.cpp
@@ -9,18 +9,18 @@
 namespace walnutspur::decision {
 namespace {
 
-// Least total demand, units a second: keeps a division by it defined where there is none.
+// Minimum total demand, units per second. Prevents a division by zero if there is no demand.
 constexpr double kMinDemand = 1e-9;
 
 }  // namespace
 
 Duration ExpectedQueueing(const SchedulerState& state, const TargetState& target) {
-  // As the target's own estimate ages, the mean over all targets takes its place (fleet_latency.h).
+  // As the target's own estimate ages, the mean over all targets replaces it (fleet_latency.h).
   const Duration mean = state.fleet_latency.MeanQueueing(state.now);
   const double staleness = -std::expm1(-target.latency.Age(state.now) / limits::kQueueingDecay);
   const Duration expected = std::max(target.latency.ExpectedQueueing(state.now), mean * staleness);
   for (const Attempt& attempt : target.attempts) {
-    if (attempt.sent_at > target.latest_completed_send) {  // earlier ones were overtaken and do not queue
+    if (attempt.sent_at > target.latest_completed_send) {  // earlier attempts were overtaken: not queued
       return std::max(expected, state.Since(attempt.sent_at) - target.latency.ServiceTime(attempt.units));
     }
   }
@@ -63,11 +63,12 @@
   const bool queued =
       result.outcome == Outcome::kTimedOut && !IsPresumedLost(state, target, request.sent_at, request.units);
   if (!completed && !queued) {
-    return;  // the latency of an error says nothing of the queue
+    return;  // the latency of an error does not reflect the queue
   }
   const Duration queueing = target.latency.Record(result.latency, request.units, state.now);
   target.samples.Add(queueing, target.latency.ServiceTime(request.units));
-  if (completed) {  // only these count for all targets: time-outs of a lost zone would hold back the others
+  if (completed) {  // time-outs don't count for the fleet: those of a lost zone would slow requests to other
+                    // zones
     target.latest_completed_send = std::max(target.latest_completed_send, request.sent_at);
     state.fleet_latency.OnCompleted(queueing, state.tightest_objective, state.now);
   }
--- a/src/decision/estimates.h
+++ b/src/decision/estimates.h
@@ -1,7 +1,7 @@
-// Estimates: what is known of targets, flows and volumes, from outcomes and arrivals.
+// Estimates of the state of targets, flows and volumes, derived from outcomes and arrivals.
 //
-// Functions over the SchedulerState that record and predict and decide nothing; called on its thread. Rates
-// are in units a second.
+// Functions that record and predict in the SchedulerState and take no decisions. Called on the scheduler
+// thread. Rates are in units per second.
 #ifndef WALNUTSPUR_DECISION_ESTIMATES_H_
 #define WALNUTSPUR_DECISION_ESTIMATES_H_
 
@@ -9,11 +9,12 @@
 
 namespace walnutspur::decision {
 
-// Queueing delay expected of an attempt sent now: at least the age of what is stuck at the target.
+// Returns the queueing delay expected for an attempt sent now: at least the age of attempts stuck at the
+// target.
 Duration ExpectedQueueing(const SchedulerState& state, const TargetState& target);
 
-// Counts attempts in flight as latency samples once their queueing delay is beyond `threshold`: a stuck
-// target has no responses to go by.
+// Adds latency samples for attempts in flight whose queueing delay is above `threshold`, since a stuck target
+// sends no responses that could be sampled.
 void SampleStuckAttempts(const SchedulerState& state, Duration threshold, TargetState& target);
 
 // Updates the rate of service at the target and the usage of the request's volume.
@@ -24,15 +25,16 @@
 void RecordLatency(SchedulerState& state, const RequestState& request, const AttemptFinished& result,
                    TargetState& target);
 
-// Determines the rate that arrives inside reserves at the target of a shard, and counts its attempts in
-// flight past their objective as late already.
+// Updates the rate at which reserved work arrives at the target of a shard, and counts the target's attempts
+// in flight that are past their objective as late.
 void UpdateInterval(const SchedulerState& state, const ShardFlows& flows, TargetState& target);
 
-// Steady rate of service to this instance at all targets.
+// Returns the steady rate of service to this instance at all targets.
 double ServedRate(const SchedulerState& state);
 
-// Rate at which this instance would be served at the target if its rate at all targets were divided by
-// present demand: shards move between instances, and one without demand needs no capacity.
+// Returns the rate of service that this instance needs at the target: its total rate at all targets, divided
+// among them in proportion to present demand. Past rates do not serve here, since shards move between
+// instances and a shard without demand needs no capacity.
 double DemandedRate(SchedulerState& state, const TargetState& target);
 
 }  // namespace walnutspur::decision
--- a/src/decision/eviction.cpp
+++ b/src/decision/eviction.cpp
@@ -5,7 +5,7 @@
 namespace walnutspur::decision {
 namespace {
 
-// Time without a request until a flow or volume is removed.
+// Time without a request after which a flow or volume is removed.
 constexpr Time kIdleTime = ToTime(std::chrono::seconds(30));
 
 void EvictFlows(SchedulerState& state) {
@@ -19,7 +19,7 @@
   state.flows.EvictIdle(in_use, state.now - kIdleTime);
 }
 
-// After EvictFlows.
+// Must be called after EvictFlows: a volume with a flow is in use.
 void EvictVolumes(SchedulerState& state) {
   std::set<const Volume*> in_use;
   for (const auto& [shard, flows] : state.flows.shards()) {
@@ -33,7 +33,7 @@
 }  // namespace
 
 void EvictIdle(SchedulerState& state) {
-  state.key_order.EvictFree(state.now);
+  state.key_order.EvictUnused(state.now);
   state.endpoints.EvictTerminated();
   EvictFlows(state);
   EvictVolumes(state);
--- a/src/decision/expiry.h
+++ b/src/decision/expiry.h
@@ -1,6 +1,6 @@
-// Expiry: which requests get their final response at a timer, since waiting on is of no use.
+// Expiry: selects the requests that get their final response at a timer because further waiting is useless.
 //
-// A function over the SchedulerState, called on its thread.
+// A function that reads the SchedulerState. Called on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_EXPIRY_H_
 #define WALNUTSPUR_DECISION_EXPIRY_H_
 
@@ -10,8 +10,9 @@
 
 namespace walnutspur::decision {
 
-// Queued requests that may not go on waiting (MayKeepWaiting), in the order of shards, volumes, classes and
-// queue positions, then those in flight whose deadline has passed, in the order of targets and sends.
+// Returns the queued requests that may not keep waiting (MayKeepWaiting), in the order of shards, volumes,
+// classes and queue positions, then the requests in flight whose deadline has expired, in the order of
+// targets and sends.
 std::vector<RequestRef> ExpiredRequests(const SchedulerState& state);
 
 }  // namespace walnutspur::decision
--- a/src/decision/final_response.cpp
+++ b/src/decision/final_response.cpp
@@ -8,15 +8,15 @@
 namespace walnutspur::decision {
 
 Time RetryAfter(const SchedulerState& state, const RequestState& request) {
-  const Time longest = state.settings.max_retry_after;
+  const Time max_delay = state.settings.max_retry_after;
   const TargetState* target =
       request.flow != nullptr ? state.endpoints.ActiveTarget(request.flow->shard) : nullptr;
   if (target == nullptr || !state.endpoint_lease.IsValid(state.now)) {
-    return longest;
+    return max_delay;
   }
   const Time queue_drained = ToTime(ExpectedQueueing(state, *target));
   const Time backoff_over = target->backoff.ends_at() - state.now;
-  return std::clamp(std::max(queue_drained, backoff_over), std::min(kTimerPeriod, longest), longest);
+  return std::clamp(std::max(queue_drained, backoff_over), std::min(kTimerPeriod, max_delay), max_delay);
 }
 
 void Respond(SchedulerState& state, const RequestState& request) {
--- a/src/decision/final_response.h
+++ b/src/decision/final_response.h
@@ -1,8 +1,8 @@
-// Final response: how a request ends that is not served.
+// Final response: decides whether a request that is not served is rejected or fails.
 //
-// It is rejected, with a Retry-After where the settings provide for it, if a new attempt by the client is
-// safe (idempotency.h). Otherwise it fails: whether it was executed is unknown. A function over the
-// SchedulerState, called on its thread.
+// The request is rejected if a new attempt by the client is safe (idempotency.h), with a Retry-After if the
+// settings enable it. Otherwise it fails: whether it was executed is unknown. Functions over the
+// SchedulerState. Called on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_FINAL_RESPONSE_H_
 #define WALNUTSPUR_DECISION_FINAL_RESPONSE_H_
 
@@ -13,9 +13,10 @@
 // Emits the rejection or the failure of a request.
 void Respond(SchedulerState& state, const RequestState& request);
 
-// Time after which a rejected client may retry, us: once the target's queue has drained and its backoff is
-// over, but at least a timer's period and at most the settings' limit. Where no target holds the data, or the
-// endpoint lease has expired, the client has to wait for the next endpoint update, so it is the limit.
+// Returns the time after which a rejected client may retry, us: when the target's queue has drained and its
+// backoff is over, but at least the timer period and at most the settings' maximum. If no active target holds
+// the data, or the endpoint lease has expired, the client must wait for the next endpoint update, so the
+// maximum is returned.
 Time RetryAfter(const SchedulerState& state, const RequestState& request);
 
 }  // namespace walnutspur::decision
--- a/src/decision/fleet_latency.cpp
+++ b/src/decision/fleet_latency.cpp
@@ -5,7 +5,7 @@
 namespace walnutspur::decision {
 namespace {
 
-// Time in which the weight of a response falls to 1/e.
+// Time in which the weight of a response decays to 1/e.
 constexpr Duration kDecayTime = std::chrono::seconds(2);
 
 }  // namespace
--- a/src/decision/fleet_latency.h
+++ b/src/decision/fleet_latency.h
@@ -1,8 +1,9 @@
-// Fleet-wide latency: what the responses of all targets together say of queueing.
+// Fleet-wide latency: estimates of queueing delay and concurrency limits from the responses of all targets.
 //
-// One of many instances seldom uses a given target, so its own estimate of the target is old most of the
-// time. Targets are congested together, so the fleet's mean stands in for it, and so does a concurrency limit
-// that follows all responses. Owned by the SchedulerState, used on its thread.
+// With many instances, each one seldom uses a given target, so its own estimate of the target is stale most
+// of the time. Targets tend to be congested at the same time, so the fleet's mean queueing delay, and a
+// concurrency limit adapted to all responses, are used in place of a stale estimate. Owned by the
+// SchedulerState, used on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_FLEET_LATENCY_H_
 #define WALNUTSPUR_DECISION_FLEET_LATENCY_H_
 
@@ -15,24 +16,24 @@
  public:
   explicit FleetLatency(const limits::AdaptiveLimits& initial_limits) : limits_(initial_limits) {}
 
-  // Counts a completed attempt at any target. For the mean, its queueing delay counts up to `max_queueing`.
+  // Records a completed attempt at any target. In the mean, its queueing delay is capped at `max_queueing`.
   void OnCompleted(Duration queueing, Duration max_queueing, Time now);
 
-  // Mean queueing delay of recent responses.
+  // Returns the mean queueing delay of recent responses.
   Duration MeanQueueing(Time now) const;
 
-  // Limits for each target whose own estimate is stale.
+  // Returns the limits that apply to each target whose own estimate is stale.
   limits::AdaptiveLimits& limits() { return limits_; }
   const limits::AdaptiveLimits& limits() const { return limits_; }
 
-  // Samples since the last adjustment of the limits.
+  // Returns the samples since the last adjustment of the limits.
   limits::LatencySamples& samples() { return samples_; }
 
  private:
   limits::AdaptiveLimits limits_;
   limits::LatencySamples samples_;
   limits::DecayingCounter queueing_sum_;  // us
-  limits::DecayingCounter responses_;     // terms of that sum
+  limits::DecayingCounter responses_;     // number of terms of queueing_sum_
 };
 
 }  // namespace walnutspur::decision
--- a/src/decision/flow_table.cpp
+++ b/src/decision/flow_table.cpp
@@ -28,10 +28,10 @@
   }
 }
 
-void FlowTable::EvictIdle(const std::set<const Flow*>& used, Time since) {
+void FlowTable::EvictIdle(const std::set<const Flow*>& in_use, Time idle_since) {
   for (auto& [shard, flows] : shards_) {
     std::erase_if(flows.by_volume, [&](const auto& entry) {
-      return !used.contains(&entry.second) && entry.second.last_arrival < since;
+      return !in_use.contains(&entry.second) && entry.second.last_arrival < idle_since;
     });
   }
 }
--- a/src/decision/flow_table.h
+++ b/src/decision/flow_table.h
@@ -1,7 +1,7 @@
-// Index of the flows: the queued requests of each volume at each shard.
+// Flow table: the queued requests of each volume at each shard.
 //
-// Holds queues and finds them; what is queued where and what leaves next is decided by the callers. Owned by
-// the SchedulerState, used on its thread.
+// Stores the queues. The callers decide where a request is queued and which one is sent next. Owned by the
+// SchedulerState, used on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_FLOW_TABLE_H_
 #define WALNUTSPUR_DECISION_FLOW_TABLE_H_
 
@@ -26,14 +26,14 @@
   std::vector<std::deque<RequestRef>> queues;  // one for each request class
   limits::FlowTag tag;
   Time last_arrival = 0;
-  double throttle = 0;  // units a second; 0: not throttled
+  double throttle = 0;  // units per second; 0: not throttled
   limits::TokenBucket throttle_bucket;
   Time refilled_at = 0;
   limits::RateMeter demand;
-  double lateness = 0;  // sum of latency over latency objective, since the last interval
-  int samples = 0;      // terms of that sum
+  double lateness = 0;  // sum of latency divided by latency objective, in this interval
+  int samples = 0;      // number of terms of `lateness`
 
-  // Counts a request that took `latency` (us) under an objective (us).
+  // Records a request that took `latency` (us) and has the latency objective `objective` (us).
   void RecordLateness(Time latency, Time objective) {
     lateness += static_cast<double>(latency) / static_cast<double>(objective);
     ++samples;
@@ -49,7 +49,7 @@
   template <typename Visitor>
   void ForEachQueued(Visitor visit) const {
     if (queued == 0) {
-      return;  // most shards of a large fleet hold none
+      return;  // fast path: most shards of a large fleet have no queued request
     }
     for (const auto& [number, flow] : by_volume) {
       for (const auto& queue : flow.queues) {
@@ -61,31 +61,31 @@
   }
 };
 
-// Where a request joins its queue.
+// The end of its queue at which a request is added.
 enum class QueuePosition { kFront, kBack };
 
 // Flows of all shards.
 class FlowTable {
  public:
-  // The flows of a shard, created empty on first use.
+  // Returns the flows of a shard, created empty on first use.
   ShardFlows& Shard(int shard) { return shards_[shard]; }
 
-  // All shards in the order of their numbers.
+  // Returns all shards in the order of their numbers.
   std::map<int, ShardFlows>& shards() { return shards_; }
   const std::map<int, ShardFlows>& shards() const { return shards_; }
 
-  // Queues a request in the flow of `volume` at `shard`, created with one queue for each of `class_count`
-  // classes on first use, and sets the request's flow.
+  // Adds a request to its class's queue in the flow of `volume` at `shard` and sets the request's flow. The
+  // flow is created on first use, with one queue for each of `class_count` classes.
   void Enqueue(const RequestRef& request, Volume* volume, int shard, QueuePosition position,
                std::size_t class_count);
 
   // Removes a request from its queue, if it is in one.
   void Remove(const RequestRef& request);
 
-  // Removes the flows that are not in `used` and whose last arrival is before `since` (us).
-  void EvictIdle(const std::set<const Flow*>& used, Time since);
+  // Removes the flows that are not `in_use` and whose last arrival is before `idle_since` (us).
+  void EvictIdle(const std::set<const Flow*>& in_use, Time idle_since);
 
-  // Number of flows.
+  // Returns the number of flows.
   std::size_t flow_count() const;
 
  private:
--- a/src/decision/idempotency.cpp
+++ b/src/decision/idempotency.cpp
@@ -3,7 +3,7 @@
 namespace walnutspur::decision {
 namespace {
 
-// Time that a repeat may be under way to its target.
+// Maximum time that a repeat takes to reach its target.
 constexpr Time kDeduplicationSlack = ToTime(std::chrono::milliseconds(50));
 
 }  // namespace
--- a/src/decision/in_flight.cpp
+++ b/src/decision/in_flight.cpp
@@ -7,8 +7,8 @@
 namespace walnutspur::decision {
 namespace {
 
-// Times its age that an attempt which ended without a response is presumed in flight: a target that has not
-// answered for some time is likely to need a multiple of it.
+// Multiple of its age for which an attempt that ended without a response is presumed in flight: a target that
+// has not responded for some time usually needs a multiple of that time.
 constexpr double kPresumedInFlightAges = 3;
 
 }  // namespace
--- a/src/decision/in_flight.h
+++ b/src/decision/in_flight.h
@@ -1,6 +1,6 @@
-// Attempts in flight: which attempts occupy a target, and until when those that have ended still do.
+// Attempts in flight: the attempts that occupy a target, including ended ones that may still occupy it.
 //
-// Functions over the SchedulerState, called on its thread.
+// Functions over the SchedulerState. Called on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_IN_FLIGHT_H_
 #define WALNUTSPUR_DECISION_IN_FLIGHT_H_
 
@@ -10,16 +10,16 @@
 
 namespace walnutspur::decision {
 
-// Units of the attempts that occupy the target. Those that are presumed lost do not.
+// Returns the units of the attempts that occupy the target. Attempts presumed lost do not occupy it.
 double UnitsInFlight(const SchedulerState& state, const TargetState& target);
 
-// Number of attempts that occupy the target.
+// Returns the number of attempts that occupy the target.
 std::size_t AttemptsInFlight(const SchedulerState& state, const TargetState& target);
 
-// Takes an attempt that has ended out of the target's attempts. Work that was cancelled or has timed out may
-// still be done, so such an attempt is presumed in flight for a multiple of its age: otherwise targets that
-// hang or whose clients disconnect would look idle, and many instances would refill a queue whose responses
-// no client awaits.
+// Ends an attempt and removes it from the target's attempts. The target may still execute an attempt that was
+// cancelled or has timed out, so such an attempt is presumed in flight for a multiple of its age. Otherwise
+// targets that hang, or whose clients disconnect, would look idle, and many instances would refill a queue
+// whose responses no client waits for.
 void EndAttempt(const SchedulerState& state, const RequestState& request, Outcome outcome,
                 TargetState& target);
 
--- a/src/decision/key_order.cpp
+++ b/src/decision/key_order.cpp
@@ -10,32 +10,32 @@
   }
 }
 
-void KeyOrder::Add(const RequestRef& request) { chains_[request->key].requests.push_back(request); }
+void KeyOrder::Add(const RequestRef& request) { queues_[request->key].requests.push_back(request); }
 
-bool KeyOrder::IsFree(const RequestState& request, Time now) {
-  KeyQueue& chain = chains_[request.key];
-  chain.RemoveFinished();
-  const bool is_first = !chain.requests.empty() && chain.requests.front().get() == &request;
-  return is_first && (request.attempts > 0 || now >= chain.quarantined_until);
+bool KeyOrder::MaySend(const RequestState& request, Time now) {
+  KeyQueue& queue = queues_[request.key];
+  queue.RemoveFinished();
+  const bool is_first = !queue.requests.empty() && queue.requests.front().get() == &request;
+  return is_first && (request.attempts > 0 || now >= queue.quarantined_until);
 }
 
 void KeyOrder::OnAttemptEnded(const RequestState& request, Outcome outcome, std::optional<Time> quarantine,
                               Time now) {
-  // A connection reset leaves open whether the target runs on. Here the careful answer is that it does; a
-  // target's capacity (in_flight.cpp) is rather taken as free.
+  // After a connection reset it is unknown whether the target is still running the attempt. For key order the
+  // safe assumption is that it is; for the target's capacity (in_flight.cpp) it is assumed to have stopped.
   const bool may_take_effect_later =
       outcome == Outcome::kTimedOut || outcome == Outcome::kConnectionReset || outcome == Outcome::kCancelled;
   if (may_take_effect_later && quarantine) {
-    Time& until = chains_[request.key].quarantined_until;
+    Time& until = queues_[request.key].quarantined_until;
     until = std::max(until, now + *quarantine);
   }
 }
 
-void KeyOrder::EvictFree(Time now) {
-  for (auto& [key, chain] : chains_) {
-    chain.RemoveFinished();
+void KeyOrder::EvictUnused(Time now) {
+  for (auto& [key, queue] : queues_) {
+    queue.RemoveFinished();
   }
-  std::erase_if(chains_, [now](const auto& entry) {
+  std::erase_if(queues_, [now](const auto& entry) {
     return entry.second.requests.empty() && entry.second.quarantined_until <= now;
   });
 }
--- a/src/decision/key_order.h
+++ b/src/decision/key_order.h
@@ -1,7 +1,8 @@
-// Key order: of the requests that carry one key, in classes that call for it, one is sent at a time.
+// Key order: sends requests with the same key one at a time, in classes ordered by key.
 //
-// Where an attempt may still be running although it has ended here, the key is in quarantine: a new request
-// must not overtake what may yet take effect. Owned by the SchedulerState, used on its thread.
+// If an attempt has ended for the initiator but may still be running at its target, the key is put in
+// quarantine, so that no later request takes effect before it. Owned by the SchedulerState, used on the
+// scheduler thread.
 #ifndef WALNUTSPUR_DECISION_KEY_ORDER_H_
 #define WALNUTSPUR_DECISION_KEY_ORDER_H_
 
@@ -15,36 +16,36 @@
 
 namespace walnutspur::decision {
 
-// Requests that carry one key, in order of arrival, and the quarantine of the key.
+// The requests with one key, in order of arrival, and the quarantine of the key.
 struct KeyQueue {
   std::deque<RequestRef> requests;
   Time quarantined_until = 0;
 
-  // Removes requests that have their response and no attempt in flight from the front.
+  // Removes from the front the requests that have their final response and no attempt in flight.
   void RemoveFinished();
 };
 
-// The chains of all keys. Takes requests of ordered classes only (SchedulerState::IsOrdered).
+// The queues of all keys. Contains requests of ordered classes only (SchedulerState::IsOrdered).
 class KeyOrder {
  public:
-  // Adds a request that has arrived to the end of its key's chain.
+  // Adds a request that has arrived to the end of its key's queue.
   void Add(const RequestRef& request);
 
-  // Whether a request may be sent at `now`: it is the first of its key, and a first attempt is past the key's
-  // quarantine.
-  bool IsFree(const RequestState& request, Time now);
+  // Returns whether a request may be sent at `now`: it must be the first of its key, and the key must not be
+  // in quarantine unless the request is a retry.
+  bool MaySend(const RequestState& request, Time now);
 
-  // After an attempt at `now` with this outcome: starts the key's quarantine (us; none if the settings state
-  // none) if the attempt may still be running.
+  // Handles the end of an attempt at `now`: starts or extends the key's quarantine if the attempt may still
+  // be running. `quarantine` is its duration, us; nullopt if the settings define none.
   void OnAttemptEnded(const RequestState& request, Outcome outcome, std::optional<Time> quarantine, Time now);
 
-  // Removes the keys that no request carries and that are in no quarantine at `now`.
-  void EvictFree(Time now);
+  // Removes the keys that no request has and that are not in quarantine at `now`.
+  void EvictUnused(Time now);
 
-  std::size_t size() const { return chains_.size(); }
+  std::size_t size() const { return queues_.size(); }
 
  private:
-  std::map<std::string, KeyQueue> chains_;
+  std::map<std::string, KeyQueue> queues_;
 };
 
 }  // namespace walnutspur::decision
--- a/src/decision/loss_detection.cpp
+++ b/src/decision/loss_detection.cpp
@@ -3,14 +3,15 @@
 namespace walnutspur::decision {
 namespace {
 
-// Service times of the attempt itself that are part of the margin: service of equal work varies by less.
+// Number of the attempt's service times in the margin: the service time of equal work varies by less than
+// this.
 constexpr double kMarginServiceTimes = 4;
-// Fraction of the tightest latency objective in the margin of an attempt that is presumed lost.
+// Fraction of the tightest latency objective in the margin for "presumed lost".
 constexpr double kLostObjectiveFraction = 0.25;
-// Fraction of the class's latency objective in the margin of an attempt that is overtaken.
+// Fraction of the class's latency objective in the margin for "overtaken".
 constexpr double kOvertakenObjectiveFraction = 0.12;
 
-// Whether an attempt sent more than the margin after `sent_at` has completed.
+// Returns whether an attempt that was sent more than the margin after `sent_at` has completed.
 bool IsOvertakenBy(const TargetState& target, Time sent_at, double units, Duration objective_margin) {
   const Duration margin = kMarginServiceTimes * units * target.latency.unit_time() + objective_margin;
   return Elapsed(sent_at, target.latest_completed_send) > margin;
--- a/src/decision/placement.cpp
+++ b/src/decision/placement.cpp
@@ -8,14 +8,16 @@
 namespace walnutspur::decision {
 namespace {
 
-// Tightest objectives that a placement may wait rather than fail.
+// Cost of a failed placement, as a multiple of the tightest objective.
 constexpr double kFailureCost = 2;
-// Largest random part of a placement's cost, as a fraction: instances must not all choose the same target.
+// Maximum random part of a placement's cost, as a fraction, so that instances do not all choose the same
+// target.
 constexpr double kCostJitter = 0.2;
-// Time in which the weight of a placed object falls to 1/e: its reads follow within some seconds.
+// Time in which the weight of a placed object decays to 1/e: its reads follow within a few seconds.
 constexpr Duration kPlacedDecayTime = std::chrono::seconds(5);
 
-// Expected time until a request is done at the target and its later reads can be, with risks added.
+// Returns the expected time until the target completes the request and its later reads, plus the cost of
+// risks.
 Duration PlacementCost(SchedulerState& state, const RequestState& request, int shard,
                        const TargetState& target) {
   const Duration unit_time = target.latency.unit_time();
--- a/src/decision/placement.h
+++ b/src/decision/placement.h
@@ -1,6 +1,6 @@
-// Placement: which target gets a new object.
+// Placement: chooses the target that stores a new object.
 //
-// A function over the SchedulerState, called on its thread.
+// A function that reads and updates the SchedulerState. Called on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_PLACEMENT_H_
 #define WALNUTSPUR_DECISION_PLACEMENT_H_
 
@@ -8,8 +8,8 @@
 
 namespace walnutspur::decision {
 
-// Chooses the shard for a new object: the one whose active target is likely to be done first with it and with
-// the reads that follow it. -1: no target accepts new objects.
+// Returns the shard for a new object: the one whose active target is expected to be the first to complete the
+// request and the reads that follow it. Returns -1 if no target accepts new objects.
 int PlaceNewObject(SchedulerState& state, const RequestState& request);
 
 }  // namespace walnutspur::decision
--- a/src/decision/random_source.h
+++ b/src/decision/random_source.h
@@ -1,4 +1,4 @@
-// Random draws of one Scheduler: equal seeds give equal draws.
+// The random number generator of one Scheduler: equal seeds give equal sequences.
 #ifndef WALNUTSPUR_DECISION_RANDOM_SOURCE_H_
 #define WALNUTSPUR_DECISION_RANDOM_SOURCE_H_
 
@@ -11,7 +11,7 @@
  public:
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
 
-  // Next draw, evenly from [0, 1).
+  // Returns the next number, uniformly distributed over [0, 1).
   double Next() { return static_cast<double>(engine_() >> 11) * 0x1.0p-53; }
 
  private:
--- a/src/decision/request_table.h
+++ b/src/decision/request_table.h
@@ -1,6 +1,6 @@
 // Request table: the requests that have no final response yet or still have an attempt in flight.
 //
-// Owned by the SchedulerState, used on its thread.
+// Owned by the SchedulerState, used on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_REQUEST_TABLE_H_
 #define WALNUTSPUR_DECISION_REQUEST_TABLE_H_
 
@@ -16,12 +16,12 @@
   // Adds a request; one with the same id is replaced.
   void Add(const RequestRef& request) { requests_[request->id] = request; }
 
-  // The request with this id, or null.
+  // Returns the request with this id, or null.
   RequestRef Find(const RequestId& id) const;
 
   void Remove(const RequestId& id) { requests_.erase(id); }
 
-  // Number of requests that have been attempted and are queued for a retry.
+  // Returns the number of requests that have been attempted and wait for a retry.
   std::size_t CountAwaitingRetry() const;
 
   // Calls `visit` with each request, in no particular order.
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -10,7 +10,7 @@
 bool HasRetryBudget(SchedulerState& state) {
   const Rules& rules = state.settings.rules;
   if (!limits::RetryBudget::IsLimited(rules)) {
-    return true;  // spares the count of the waiting requests
+    return true;  // avoids counting the requests that wait for a retry
   }
   return state.retry_budget.Allows(rules, state.requests.CountAwaitingRetry(), state.now);
 }
@@ -33,8 +33,8 @@
 }  // namespace
 
 bool MayRetry(SchedulerState& state, const RequestState& request, Outcome outcome) {
-  // The scope is compared with itself: the target of the retry is not known yet, so that only the window
-  // counts here. Dispatch checks the target.
+  // The target of the retry is not known yet, so the shard and zone of the possible effect are passed: this
+  // checks the deduplication window only. Dispatch checks the scope.
   const PossibleEffect& effect = request.possible_effect;
   const bool is_useful = state.now < request.objective_at && !IsDeadlineNear(state, request);
   return is_useful && request.attempts < state.settings.max_attempts && outcome != Outcome::kNotSent &&
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -1,10 +1,11 @@
-// The scheduler's decisions, event by event. Events and actions are in include/walnutspur/scheduler.h.
+// Implements Scheduler: handles each event. Events and actions are in include/walnutspur/scheduler.h.
 //
 // The path of a request: arrival -> queue of its flow (volume and shard) -> the flow's throttle covers it ->
-// among the flows' heads, priority band and start tag choose (start-time fair queueing) -> the target's
-// concurrency limit has capacity -> attempt. The control loop throttles flows once an interval (SLEDS).
+// it is selected among the first requests of all flows by priority band and start tag (start-time fair
+// queueing) -> the target's concurrency limit has capacity -> attempt. The control loop throttles flows once
+// per interval (SLEDS).
 //
-// Which rule is decided where: docs/decisions.md.
+// docs/decisions.md lists the file that implements each rule.
 #include "walnutspur/scheduler.h"
 
 #include <algorithm>
@@ -29,9 +30,9 @@
 namespace decision {
 namespace {
 
-// Time between runs of the control loop, from the paper.
+// Time between runs of the control loop; the value of the SLEDS paper.
 constexpr Time kControlInterval = ToTime(std::chrono::seconds(1));
-// Time between adjustments of the concurrency limits: a fraction of a surge.
+// Time between adjustments of the concurrency limits: a fraction of the duration of a surge.
 constexpr Time kLimitInterval = ToTime(std::chrono::milliseconds(200));
 
 RequestRef NewRequest(const SchedulerState& state, const RequestArrived& arrival) {
@@ -142,13 +143,13 @@
     state_.flows.Remove(request);
     if (request->target == nullptr) {
       state_.requests.Remove(event.id);
-    } else if (state_.settings.can_cancel) {  // a target that drops queued work is spared it
+    } else if (state_.settings.can_cancel) {  // targets that drop cancelled requests save the work
       state_.actions.emplace_back(CancelAttempt{request->id, request->attempts - 1});
     }
   }
 
-  // The response is under way to the client: no other final response is due. How long the client waited is
-  // recorded when the attempt ends.
+  // The response is being sent to the client, so the scheduler must not emit a final response. How long the
+  // client waited is recorded when the attempt ends.
   void On(const ResponseStarted& event) const {
     if (const RequestRef request = state_.requests.Find(event.id)) {
       request->finished = true;
@@ -163,7 +164,7 @@
     state_.endpoint_poller.SetInstanceCount(state_.settings.instances);
   }
 
-  // Records what the end of an attempt says of the target, of the request and of its key.
+  // Updates the records of the target, the request and its key after the end of an attempt.
   void RecordOutcome(RequestState& request, const AttemptFinished& result, TargetState& target) {
     EndAttempt(state_, request, result.outcome, target);
     RecordService(state_, request, result, target);
@@ -190,7 +191,7 @@
     }
   }
 
-  // Ends a request after one of its attempts, or queues it for another.
+  // Finishes a request after one of its attempts has ended, or queues it for a retry.
   void ContinueOrFinish(const RequestRef& request, const AttemptFinished& result) {
     if (result.request_finished || request->finished) {
       MarkFinished(request, false);
@@ -210,7 +211,7 @@
     request->finished = true;
   }
 
-  // Gives a request its final response.
+  // Emits the final response to a request that has none.
   void Finish(const RequestRef& request) {
     if (request->finished) {
       return;
@@ -249,8 +250,8 @@
   }
 
   SchedulerState state_;
-  Time next_control_ = 0;  // of the control loop
-  Time next_limits_ = 0;   // of the adjustment of concurrency limits
+  Time next_control_ = 0;  // next run of the control loop
+  Time next_limits_ = 0;   // next adjustment of the concurrency limits
 };
 
 }  // namespace
--- a/src/decision/state.cpp
+++ b/src/decision/state.cpp
@@ -5,7 +5,7 @@
 namespace walnutspur::decision {
 namespace {
 
-// Latency objective assumed of settings without classes: longer than any other.
+// Latency objective assumed for settings without classes: longer than any other.
 constexpr Duration kNoObjective = Duration(1e18);
 
 Duration TightestObjective(const Settings& settings) {
--- a/src/decision/state.h
+++ b/src/decision/state.h
@@ -1,8 +1,8 @@
-// Everything that one Scheduler knows, as the modules of this folder share it.
+// The state of one Scheduler, shared by the modules of this folder.
 //
-// Each member keeps its own records and invariants; what is decided on them is in the functions of the other
-// files. Owned by one Scheduler, used on the thread that calls it. Points in time are in microseconds of the
-// events' clock, rates in units a second.
+// Each member maintains its own records and invariants. The functions of the other files take the decisions.
+// Owned by one Scheduler, used on the thread that calls it. Points in time are in microseconds of the events'
+// clock, rates in units per second.
 #ifndef WALNUTSPUR_DECISION_STATE_H_
 #define WALNUTSPUR_DECISION_STATE_H_
 
@@ -26,32 +26,32 @@
 
 namespace walnutspur::decision {
 
-// Queued requests are looked at this often at least.
+// Maximum time between two checks of the queued requests.
 constexpr Time kTimerPeriod = ToTime(std::chrono::milliseconds(20));
 
 struct SchedulerState {
-  // `seed` starts the random draws; `initial_limits` are the concurrency limits before any sample.
+  // `seed` initializes the random number generator; `initial_limits` apply before any sample.
   SchedulerState(const Settings& initial_settings, const limits::AdaptiveLimits& initial_limits,
                  std::uint64_t seed);
 
-  // Time since `at`.
+  // Returns the time elapsed since `at`.
   Duration Since(Time at) const { return Elapsed(at, now); }
   const RequestClass& ClassOf(const RequestState& request) const {
     return settings.classes[request.class_index];
   }
-  // Whether requests with the request's key are sent one at a time.
+  // Returns whether requests with the key of `request` are sent one at a time.
   bool IsOrdered(const RequestState& request) const {
     return ClassOf(request).ordered_by_key && !request.key.empty();
   }
-  // Number of entries in all tables.
+  // Returns the number of entries in all tables.
   std::size_t table_entries() const;
 
   Settings settings;
   RandomSource random;
   Time now = 0;
   Time started_at = 0;
-  Duration tightest_objective;  // the shortest latency objective of any class
-  std::vector<Action> actions;  // of the event in hand
+  Duration tightest_objective;  // minimum latency objective of all classes
+  std::vector<Action> actions;  // emitted by the event being handled
 
   EndpointTable endpoints;
   EndpointLease endpoint_lease;
--- a/src/decision/target.h
+++ b/src/decision/target.h
@@ -1,6 +1,6 @@
-// Record of one target: what the endpoint list states of it, and what its attempts have shown.
+// The record of one target: its entry in the endpoint list and the estimates from its attempts.
 //
-// Plain data: what is done with it is decided elsewhere. Owned by the EndpointTable.
+// Plain data without decisions. Owned by the EndpointTable.
 #ifndef WALNUTSPUR_DECISION_TARGET_H_
 #define WALNUTSPUR_DECISION_TARGET_H_
 
@@ -23,13 +23,14 @@
   RequestRef request;
   Time sent_at = 0;
   double units = 0;
-  // The attempt has ended without a response and is presumed to occupy the target until then; 0: in flight.
+  // The attempt has ended without a response and is presumed to occupy the target until this time; 0: in
+  // flight.
   Time presumed_in_flight_until = 0;
 
   bool has_ended() const { return presumed_in_flight_until > 0; }
 };
 
-// One target, as of the endpoint list and of the attempts sent to it.
+// One target.
 struct TargetState {
   TargetId id;
   int shard = 0;
@@ -38,21 +39,21 @@
   bool active = false;
   bool terminated = false;
   bool accepts_new_objects = true;
-  std::vector<Attempt> attempts;  // in flight or presumed so, in order of sending
+  std::vector<Attempt> attempts;  // in flight or presumed in flight, in the order in which they were sent
   limits::AdaptiveLimits limits;
-  limits::LatencySamples samples;  // since the last adjustment of the limits
+  limits::LatencySamples samples;  // samples since the last adjustment of the limits
   limits::LatencyEstimate latency;
   Time latest_completed_send = 0;  // send time of the latest attempt that has completed
   routing::OutcomeHistory outcomes;
   limits::TargetBackoff backoff;
-  limits::DecayingCounter placed_units;  // of new objects placed here
-  limits::SteadyStateRate steady_rate;   // of service to this instance, kept over restarts of the target
+  limits::DecayingCounter placed_units;  // units of new objects placed at the target
+  limits::SteadyStateRate steady_rate;   // rate of service to this instance, kept when the target restarts
   limits::SlowStart slow_start;
   limits::VirtualClock virtual_clock;
-  double reserved_rate = 0;  // units a second of the work that arrives inside reserves
+  double reserved_rate = 0;  // rate at which reserved work arrives, units per second
   Time last_send = 0;
 
-  // Copies the fields that the endpoint list states.
+  // Copies the fields of the target's entry in the endpoint list.
   void CopyFrom(const Endpoint& endpoint);
 };
 
--- a/src/decision/throttle.cpp
+++ b/src/decision/throttle.cpp
@@ -8,28 +8,29 @@
 namespace walnutspur::decision {
 namespace {
 
-// Throttled rate over the rate that a plan promises, from the paper.
-constexpr double kPromiseMargin = 1.05;
-// Factor by which an interval tightens a throttle: three of them halve a rate.
+// Lower bound of a throttle, as a multiple of the plan's reserved rate or fair share; the value of the SLEDS
+// paper.
+constexpr double kPlanRateMargin = 1.05;
+// Factor by which a throttle is tightened per interval: three intervals halve a rate.
 constexpr double kTightenFactor = 0.8;
-// Factor by which an interval loosens a throttle: slower than tightening.
+// Factor by which a throttle is loosened per interval, more slowly than it is tightened.
 constexpr double kLoosenFactor = 1.15;
-// A throttle that allows more than this multiple of the flow's use is removed.
+// A throttle is removed when it exceeds this multiple of the flow's demand and of the plan's rate.
 constexpr double kReleaseFactor = 3.0;
-// Smallest throttle, units a second.
+// Minimum throttle, units per second.
 constexpr double kMinThrottle = 0.01;
-// Time for which a report of a volume's usage holds.
+// Time for which a usage report of a volume is valid.
 constexpr Time kUsageLifetime = ToTime(std::chrono::seconds(4));
 
-// Flows of a shard that had responses in the interval.
+// The flows of a shard that had responses in the interval, grouped by rate and lateness.
 struct FlowGroups {
-  std::vector<Flow*> above_met;     // above their plan's rate, meeting their objective
-  std::vector<Flow*> above_missed;  // above it, missing the objective
-  std::vector<Flow*> within_met;    // within their plan's rate
-  std::vector<Flow*> within_missed;
+  std::vector<Flow*> above_met;      // above their plan's rate, meeting their latency objective
+  std::vector<Flow*> above_missed;   // above their plan's rate, missing their latency objective
+  std::vector<Flow*> within_met;     // within their plan's rate, meeting their latency objective
+  std::vector<Flow*> within_missed;  // within their plan's rate, missing their latency objective
 
-  // The flows to throttle, or null. If all miss their objective and none is above its rate the target is
-  // slow, and throttling would not help.
+  // Returns the flows to throttle, or null. If all flows miss their objective and none is above its plan's
+  // rate, the target is slow and throttling would not help.
   const std::vector<Flow*>* ToThrottle() const {
     const bool slow_target = above_met.empty() && above_missed.empty() && within_met.empty();
     if (within_missed.empty() || slow_target) {
@@ -69,13 +70,13 @@
   const Volume& volume = *flow.volume;
   const double rate = flow.demand.rate;
   const double fraction = volume.demand.rate > 0 ? std::min(1.0, rate / volume.demand.rate) : 1.0;
-  const double promised = volume.plan->reserved_rate > 0 ? volume.plan->reserved_rate : volume.plan->rate;
-  const double from = flow.throttle > 0 ? std::min(flow.throttle, rate) : rate;
+  const double plan_rate = volume.plan->reserved_rate > 0 ? volume.plan->reserved_rate : volume.plan->rate;
+  const double current = flow.throttle > 0 ? std::min(flow.throttle, rate) : rate;
   if (flow.throttle <= 0) {
     flow.refilled_at = state.now;
     flow.throttle_bucket.tokens = 0;
   }
-  flow.throttle = std::max({promised * kPromiseMargin * fraction, kTightenFactor * from, kMinThrottle});
+  flow.throttle = std::max({plan_rate * kPlanRateMargin * fraction, kTightenFactor * current, kMinThrottle});
 }
 
 void Loosen(const SchedulerState& state, Flow& flow) {
--- a/src/decision/throttle.h
+++ b/src/decision/throttle.h
@@ -1,7 +1,7 @@
-// Control loop over the flows (SLEDS): once an interval, flows that can best afford it are throttled in
-// favour of those that miss their latency objective.
+// Control loop over the flows (SLEDS): once per interval, throttles flows that are above their plan's rate or
+// meet their latency objective in favour of flows that miss theirs.
 //
-// Functions over the SchedulerState, called on its thread.
+// A function that updates the SchedulerState. Called on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_THROTTLE_H_
 #define WALNUTSPUR_DECISION_THROTTLE_H_
 
@@ -9,7 +9,7 @@
 
 namespace walnutspur::decision {
 
-// Ends an interval of `seconds`: averages the rates and adjusts the throttle of every flow.
+// Ends an interval of `seconds`: averages the rates and adjusts the throttles of all flows.
 void AdjustThrottles(SchedulerState& state, double seconds);
 
 }  // namespace walnutspur::decision
--- a/src/decision/volume.cpp
+++ b/src/decision/volume.cpp
@@ -8,8 +8,8 @@
   const auto [entry, is_new] = volumes_.try_emplace(name);
   Volume& volume = entry->second;
   if (is_new) {
-    ++seen_;
-    volume.number = seen_;
+    ++added_count_;
+    volume.number = added_count_;
   }
   return volume;
 }
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -15,7 +15,7 @@
 bool Adapter::HandleLine(const std::string& line, std::string* reply) {
   const json message = json::parse(line);
   if (!message.is_object()) {
-    throw ProtocolError("a line is not an object");
+    throw ProtocolError("line is not a JSON object");
   }
   const auto operation = RequiredField<std::string>(message, "op");
   if (operation == "round") {
@@ -23,7 +23,7 @@
     return false;
   }
   if (!in_batch_) {
-    throw ProtocolError("'" + operation + "' stands outside a batch");
+    throw ProtocolError("op '" + operation + "' is only allowed inside a batch");
   }
   if (operation == "eofBatch") {
     EndBatch(reply);
@@ -56,7 +56,7 @@
 
 void Adapter::StartBatch(const json& message) {
   if (in_batch_) {
-    throw ProtocolError("a batch starts inside a batch");
+    throw ProtocolError("op 'round' is not allowed inside a batch");
   }
   now_ = RequiredField<Time>(message, "now");
   in_batch_ = true;
@@ -93,7 +93,7 @@
     const int number = RequiredField<int>(message, "list");
     const auto list = endpoint_lists_.find(number);
     if (list == endpoint_lists_.end()) {
-      throw ProtocolError("no list " + std::to_string(number));
+      throw ProtocolError("no endpoint list with number " + std::to_string(number));
     }
     update.endpoints = list->second;
   }
@@ -124,13 +124,13 @@
   HandleEvent(instance, ResponseStarted{RequiredField<std::string>(message, "tid")});
 }
 
-// Instances don't talk to each other on this protocol.
+// Ignores messages from other instances: instances exchange none over this protocol.
 void Adapter::IgnorePeer(int /*instance*/, const json& /*message*/) {}
 
 void Adapter::HandleEvent(int instance, const Event& event) {
   const auto scheduler = instances_.find(instance);
   if (scheduler == instances_.end()) {
-    return;  // a killed instance: messages to it may still be on their way
+    return;  // the instance was killed: the simulator may still send messages to it
   }
   for (const Action& action : scheduler->second.Handle(event, now_)) {
     reply_ += ToJson(instance, action).dump();
--- a/src/simulator/adapter.h
+++ b/src/simulator/adapter.h
@@ -1,6 +1,6 @@
-// The adapter between the simulator and the Scheduler: batches of JSON lines in, actions as JSON lines out.
+// Adapter between the simulator and the Scheduler: reads batches of JSON lines, writes actions as JSON lines.
 //
-// A batch starts with "round", ends with "eofBatch" and gets one reply. Makes no decisions of its own. Owned
+// A batch starts with "round", ends with "eofBatch" and gets one reply. The adapter takes no decisions. Owned
 // by the adapter program; single-threaded.
 #ifndef WALNUTSPUR_SIMULATOR_ADAPTER_H_
 #define WALNUTSPUR_SIMULATOR_ADAPTER_H_
@@ -17,15 +17,16 @@
 // The initiator instances of one simulation.
 class Adapter {
  public:
-  // Handles one line. Returns whether it has ended a batch; its reply is in `reply` then. Throws
-  // std::exception (ProtocolError, or an error of the JSON parser) if the line is malformed or out of place.
+  // Handles one line. Returns whether the line ends a batch; if so, stores the batch's reply in `*reply`.
+  // Throws std::exception (ProtocolError, or an error of the JSON parser) if the line is malformed or not
+  // allowed at this point.
   bool HandleLine(const std::string& line, std::string* reply);
   bool in_batch() const { return in_batch_; }
 
  private:
   using Handler = void (Adapter::*)(int instance, const nlohmann::json& message);
 
-  // The handler of an operation on an instance. Throws ProtocolError if there is none.
+  // Returns the handler of an operation on an instance. Throws ProtocolError if there is none.
   static Handler FindHandler(const std::string& operation);
 
   void StartBatch(const nlohmann::json& message);
@@ -48,9 +49,9 @@
 
   bool in_batch_ = false;
   Time now_ = 0;       // simulated time of the batch, us
-  std::string reply_;  // to the batch, so far
+  std::string reply_;  // reply to the current batch so far
   std::map<int, Scheduler> instances_;
-  std::map<int, std::vector<Endpoint>> endpoint_lists_;  // by the number that updates refer to
+  std::map<int, std::vector<Endpoint>> endpoint_lists_;  // keyed by the list numbers of endpoint updates
 };
 
 }  // namespace walnutspur::simulator
--- a/src/simulator/adapter_main.cpp
+++ b/src/simulator/adapter_main.cpp
@@ -1,4 +1,4 @@
-// walnutspur_simulator_adapter: lets the simulator drive instances of the Scheduler by standard input and
+// walnutspur_simulator_adapter: runs instances of the Scheduler for the simulator, over standard input and
 // output.
 #include <cstdint>
 #include <exception>
@@ -28,7 +28,7 @@
     }
   }
   if (adapter.in_batch()) {
-    std::cerr << "walnutspur_simulator_adapter: input ended inside a batch\n";
+    std::cerr << "walnutspur_simulator_adapter: standard input ended inside a batch\n";
     return 1;
   }
   return 0;
--- a/src/simulator/json_fields.h
+++ b/src/simulator/json_fields.h
@@ -1,6 +1,6 @@
 // Typed access to the fields of the simulator's JSON messages.
 //
-// Stateless; an absent value is null or missing altogether.
+// Stateless. A field is absent if it is missing or null.
 #ifndef WALNUTSPUR_SIMULATOR_JSON_FIELDS_H_
 #define WALNUTSPUR_SIMULATOR_JSON_FIELDS_H_
 
@@ -12,13 +12,13 @@
 
 namespace walnutspur::simulator {
 
-// A message violates the simulator's protocol.
+// Thrown if a message violates the simulator's protocol.
 class ProtocolError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// The value of a field, or nothing if it is absent.
+// Returns the value of a field, or nullopt if it is absent.
 template <typename T>
 std::optional<T> OptionalField(const nlohmann::json& object, const char* key) {
   const auto it = object.find(key);
@@ -28,14 +28,14 @@
   return it->get<T>();
 }
 
-// The value of a field, or `default_value` if it is absent.
+// Returns the value of a field, or `default_value` if it is absent.
 template <typename T>
 T FieldOr(const nlohmann::json& object, const char* key, T default_value) {
   const auto it = object.find(key);
   return it == object.end() || it->is_null() ? default_value : it->get<T>();
 }
 
-// The value of a field. Throws ProtocolError if it is absent.
+// Returns the value of a field. Throws ProtocolError if it is absent.
 template <typename T>
 T RequiredField(const nlohmann::json& object, const char* key) {
   const auto it = object.find(key);
@@ -45,22 +45,22 @@
   return it->get<T>();
 }
 
-// A word of the protocol and the value that it represents.
+// An enum value and its name in the protocol.
 template <typename T>
-struct Word {
+struct EnumName {
   const char* text;
   T value;
 };
 
-// The value that a word represents. Throws ProtocolError if it is none of `words`.
+// Returns the value whose name is `text`. Throws ProtocolError if `names` does not contain it.
 template <typename T>
-T ParseWord(const std::string& text, std::initializer_list<Word<T>> words) {
-  for (const Word<T>& word : words) {
-    if (text == word.text) {
-      return word.value;
+T ParseEnum(const std::string& text, std::initializer_list<EnumName<T>> names) {
+  for (const EnumName<T>& name : names) {
+    if (text == name.text) {
+      return name.value;
     }
   }
-  throw ProtocolError("unknown word '" + text + "'");
+  throw ProtocolError("unknown enum value '" + text + "'");
 }
 
 }  // namespace walnutspur::simulator
--- a/src/simulator/messages.cpp
+++ b/src/simulator/messages.cpp
@@ -11,13 +11,13 @@
 using nlohmann::json;
 
 EndpointState ParseEndpointState(const std::string& text) {
-  return ParseWord<EndpointState>(text, {{"live", EndpointState::kActive},
+  return ParseEnum<EndpointState>(text, {{"live", EndpointState::kActive},
                                          {"quiescing", EndpointState::kDraining},
                                          {"dead", EndpointState::kTerminated}});
 }
 
 Outcome ParseOutcome(const std::string& text) {
-  return ParseWord<Outcome>(text, {{"completed", Outcome::kCompleted},
+  return ParseEnum<Outcome>(text, {{"completed", Outcome::kCompleted},
                                    {"errored", Outcome::kErrored},
                                    {"saturated", Outcome::kOverloaded},
                                    {"overdue", Outcome::kTimedOut},
@@ -90,7 +90,7 @@
 }
 
 EndpointUpdateKind ParseEndpointUpdateKind(const std::string& text) {
-  return ParseWord<EndpointUpdateKind>(text, {{"delta", EndpointUpdateKind::kDelta},
+  return ParseEnum<EndpointUpdateKind>(text, {{"delta", EndpointUpdateKind::kDelta},
                                               {"full", EndpointUpdateKind::kFull},
                                               {"cached", EndpointUpdateKind::kCached},
                                               {"failed", EndpointUpdateKind::kFailed}});
--- a/src/simulator/messages.h
+++ b/src/simulator/messages.h
@@ -1,7 +1,7 @@
-// The messages of the simulator's protocol: JSON objects to Scheduler events, Scheduler actions to JSON
-// objects.
+// Messages of the simulator's protocol: converts JSON objects to Scheduler events, and Scheduler actions to
+// JSON objects.
 //
-// Stateless. Each parser throws std::exception if a field is missing or has another type.
+// Stateless. Each parser throws std::exception if a field is missing or has the wrong type.
 #ifndef WALNUTSPUR_SIMULATOR_MESSAGES_H_
 #define WALNUTSPUR_SIMULATOR_MESSAGES_H_
 
@@ -18,7 +18,7 @@
 AttemptFinished ParseAttemptFinished(const nlohmann::json& object);
 HealthCheckFinished ParseHealthCheckFinished(const nlohmann::json& object);
 
-// The message for an action that the initiator instance `instance` has taken.
+// Returns the message for an action returned to the initiator instance `instance`.
 nlohmann::json ToJson(int instance, const Action& action);
 
 }  // namespace walnutspur::simulator
--- a/src/simulator/settings.cpp
+++ b/src/simulator/settings.cpp
@@ -11,19 +11,19 @@
 using nlohmann::json;
 
 Idempotency ParseIdempotency(const std::string& text) {
-  return ParseWord<Idempotency>(text, {{"safe", Idempotency::kIdempotent},
+  return ParseEnum<Idempotency>(text, {{"safe", Idempotency::kIdempotent},
                                        {"keyed", Idempotency::kIdempotentWithKey},
                                        {"unsafe", Idempotency::kNotIdempotent}});
 }
 
 DeduplicationScope ParseDeduplicationScope(const std::string& text) {
-  return ParseWord<DeduplicationScope>(text, {{"all", DeduplicationScope::kAll},
+  return ParseEnum<DeduplicationScope>(text, {{"all", DeduplicationScope::kAll},
                                               {"zone", DeduplicationScope::kZone},
                                               {"cell", DeduplicationScope::kShard}});
 }
 
 DiscoveryMode ParseDiscoveryMode(const std::string& text) {
-  return ParseWord<DiscoveryMode>(
+  return ParseEnum<DiscoveryMode>(
       text, {{"automatic", DiscoveryMode::kAutomatic}, {"subscribe", DiscoveryMode::kSubscribe}});
 }
 
--- a/src/simulator/settings.h
+++ b/src/simulator/settings.h
@@ -1,5 +1,5 @@
-// The Scheduler's settings as the simulator's protocol writes them; the platform's configuration uses the
-// same form.
+// Parser of the Scheduler's settings in the JSON format of the simulator's protocol, which the platform's
+// configuration uses as well.
 //
 // Stateless.
 #ifndef WALNUTSPUR_SIMULATOR_SETTINGS_H_
@@ -11,7 +11,7 @@
 
 namespace walnutspur::simulator {
 
-// Throws std::exception if a field is missing or has another type.
+// Parses the settings. Throws std::exception if a required field is missing or a field has the wrong type.
 Settings ParseSettings(const nlohmann::json& object);
 
 }  // namespace walnutspur::simulator
