--- a/tests/scheduler/client_timeout_test.cpp
+++ b/tests/scheduler/client_timeout_test.cpp
@@ -1,10 +1,10 @@
-// Latency objectives, client timeouts and abandonment.
+// Tests of latency objectives, client timeouts and client abandonment.
 //
-// A request past its latency objective is worth little, and past its client's deadline nothing. Under
-// overload targets that still serve such requests serve no other in time. On the bench, clients that
-// disconnected at random made all requests look late, so that most were rejected by targets with capacity
-// left; and hundreds of instances sent late requests each to targets of which they knew nothing. The tests
-// make requests late, or clients disconnect, and check what is sent, rejected and cancelled.
+// A response after the latency objective earns little, and one after the client's deadline nothing. A target
+// that is overloaded and still serves such requests serves no request in time. Two failures occurred on the
+// bench: clients that disconnected at random made all requests look late, so that most were rejected while
+// targets had capacity; and hundreds of instances each sent late requests to targets they had no estimate of.
+// The tests make requests late or clients disconnect, and check what is sent, rejected and cancelled.
 #include <gtest/gtest.h>
 
 #include "scheduler_fixture.h"
@@ -12,7 +12,7 @@
 namespace walnutspur::test {
 namespace {
 
-TEST(MissedObjective, WorkIsNotSentToABusyTarget) {
+TEST(MissedObjective, LateRequestIsNotSentToABusyTarget) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
   for (int i = 0; i < 20; ++i) {
@@ -21,26 +21,26 @@
     scheduler.FinishAttempt(id, Outcome::kCompleted, i < 10 ? 20 * kMs : 300 * kMs);
   }
   RequestArrived request = SchedulerFixture::MakeRequest("late");
-  request.ttl = 1500 * kMs;  // the client's retry: its objective has passed
+  request.ttl = 1500 * kMs;  // a client's retry: its objective has ended
   scheduler.Handle(request);
   scheduler.Advance(40 * kMs);
   EXPECT_EQ(scheduler.SendCount("late"), 0);
   EXPECT_EQ(scheduler.RejectionCount("late"), 1);
 }
 
-TEST(MissedObjective, AnIdleTargetServesItIfItRespondedRecently) {
+TEST(MissedObjective, LateRequestIsSentToAnIdleTargetThatRespondedRecently) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
   RequestArrived request = SchedulerFixture::MakeRequest("late", 1);
   request.ttl = 1500 * kMs;
   scheduler.Handle(request);
-  EXPECT_EQ(scheduler.SendCount("late"), 0);  // no response so far: hundreds of instances would do the same
+  EXPECT_EQ(scheduler.SendCount("late"), 0);  // no response yet: hundreds of instances would all send theirs
   scheduler.Handle(SchedulerFixture::MakeRequest("b"));
   scheduler.FinishAttempt("b", Outcome::kCompleted);
   EXPECT_EQ(scheduler.SendCount("late"), 1);
 }
 
-TEST(ClientTimeout, AShortTimeoutIsTimelyButItsRetryIsNot) {
+TEST(ClientTimeout, RequestWithAShortTimeoutIsSentButItsRetryIsNot) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
   RequestArrived request = SchedulerFixture::MakeRequest("first");
@@ -54,8 +54,8 @@
   EXPECT_EQ(scheduler.SendCount("again"), 0);
 }
 
-// Regression ib0c9d5: every instance sent new objects to targets it had no response from.
-TEST(MissedObjective, AnUnknownTargetIsAssumedAsFarBehindAsTheOthers) {
+// Regression ib0c9d5: every instance sent new objects to targets from which it had no response.
+TEST(MissedObjective, TargetWithoutResponsesIsAssumedToQueueLikeTheOthers) {
   for (const bool behind : {false, true}) {
     SchedulerFixture scheduler;
     scheduler.SetTargets(10);
@@ -78,7 +78,7 @@
   }
 }
 
-TEST(AttemptTimeout, EndsSoonAfterTheObjectiveWhereCancellingIsAllowed) {
+TEST(AttemptTimeout, DependsOnIdempotencyAndKeyOrderIfCancellingIsEnabled) {
   Settings settings = BasicSettings();
   settings.classes[2].ordered_by_key = true;
   settings.can_cancel = true;
@@ -89,12 +89,12 @@
   }
   const std::vector<SendAttempt> sends = scheduler.ActionsOf<SendAttempt>();
   ASSERT_EQ(sends.size(), 3u);
-  EXPECT_EQ(sends[0].timeout, 800 * kMs);  // idempotent, so it has twice its objective
+  EXPECT_EQ(sends[0].timeout, 800 * kMs);  // idempotent: twice its objective
   EXPECT_EQ(sends[1].timeout, 400 * kMs);
-  EXPECT_EQ(sends[2].timeout, 0);  // a timeout would quarantine its key
+  EXPECT_EQ(sends[2].timeout, 0);  // ordered by key: a timeout would quarantine its key
 }
 
-TEST(ClientTimeout, AnAttemptIsCancelledAfterDisconnectWhereAllowed) {
+TEST(ClientTimeout, AttemptIsCancelledAfterDisconnectIfCancellingIsEnabled) {
   for (bool allowed : {false, true}) {
     Settings settings = BasicSettings();
     settings.can_cancel = allowed;
@@ -106,8 +106,8 @@
   }
 }
 
-// Clients that disconnect early define when work is late, unless others wait longer.
-TEST(ClientAbandonment, TheAgeAtWhichClientsDisconnectReplacesTheObjective) {
+// If most clients disconnect early, requests count as late at that age.
+TEST(ClientAbandonment, AgeAtWhichClientsDisconnectReplacesTheObjective) {
   for (const int disconnected : {0, 1, 8}) {
     Settings settings = BasicSettings();
     settings.can_cancel = true;
--- a/tests/scheduler/concurrency_limit_test.cpp
+++ b/tests/scheduler/concurrency_limit_test.cpp
@@ -1,4 +1,4 @@
-// The adaptive concurrency limit of a target and the attempts counted against it.
+// Tests of the adaptive concurrency limit of a target and of the attempts counted against it.
 #include <gtest/gtest.h>
 
 #include "scheduler_fixture.h"
@@ -6,7 +6,7 @@
 namespace walnutspur::test {
 namespace {
 
-TEST(ConcurrencyLimit, UnitsInFlightFollowALimitThatAdaptsToLatency) {
+TEST(ConcurrencyLimit, UnitsInFlightRiseAtLowLatencyAndFallAtHighLatency) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
   int next_id = 0;
@@ -47,10 +47,10 @@
 }
 
 // Regression i5a2999: a target that drops single attempts looked stuck until the client's deadline.
-TEST(OvertakenAttempt, BlocksNothing) {
+TEST(OvertakenAttempt, DoesNotOccupyTheTarget) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
-  scheduler.Handle(SchedulerFixture::MakeRequest("swallowed"));
+  scheduler.Handle(SchedulerFixture::MakeRequest("dropped"));
   for (int i = 0; i < 20; ++i) {
     const std::string id = "r" + std::to_string(i);
     scheduler.Handle(SchedulerFixture::MakeRequest(id));
@@ -69,7 +69,7 @@
     settings.can_cancel = true;
     SchedulerFixture scheduler(settings);
     scheduler.SetTargets(1);
-    scheduler.Handle(SchedulerFixture::MakeRequest("swallowed", request_class));
+    scheduler.Handle(SchedulerFixture::MakeRequest("dropped", request_class));
     Time cancelled_at = 0;
     for (int i = 0; i < 15; ++i) {
       const std::string id = "r" + std::to_string(i);
@@ -86,15 +86,15 @@
       continue;
     }
     ASSERT_EQ(cancelled.size(), 1u);  // once
-    EXPECT_EQ(cancelled[0].id, "swallowed");
+    EXPECT_EQ(cancelled[0].id, "dropped");
     EXPECT_GT(cancelled_at, 1'000 * kSec + 60 * kMs);  // slightly uneven latencies cancel nothing
-    scheduler.FinishAttempt("swallowed", Outcome::kCancelled, 100 * kMs);
-    EXPECT_EQ(scheduler.SendCount("swallowed"), 2);
-    EXPECT_EQ(scheduler.FinalResponseCount("swallowed"), 0);
+    scheduler.FinishAttempt("dropped", Outcome::kCancelled, 100 * kMs);
+    EXPECT_EQ(scheduler.SendCount("dropped"), 2);
+    EXPECT_EQ(scheduler.FinalResponseCount("dropped"), 0);
   }
 }
 
-TEST(OvertakenAttempt, ATargetThatLooksStuckGetsSingleAttempts) {
+TEST(OvertakenAttempt, TargetThatLooksStuckIsSentSingleAttempts) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
   scheduler.Handle(SchedulerFixture::MakeRequest("stuck"));
@@ -109,9 +109,9 @@
   EXPECT_LE(sends, 4);
 }
 
-// Regression: late work went to every target where this instance had nothing in flight. What each of hundreds
-// of instances may always send must not keep a slow target overloaded.
-TEST(OvertakenAttempt, AttemptsOfHundredsOfInstancesAddUpToOneRequestAtATime) {
+// Regression: late requests were sent to every target where this instance had nothing in flight. The attempts
+// that each of hundreds of instances may always send must not keep a slow target overloaded.
+TEST(OvertakenAttempt, HundredsOfInstancesTogetherSendOneAttemptAtATimeToASlowTarget) {
   for (const int instances : {3, 200}) {
     Settings settings = BasicSettings();
     settings.instances = instances;
@@ -120,7 +120,7 @@
     for (int i = 0; i < 6; ++i) {
       scheduler.Handle(SchedulerFixture::MakeRequest("stuck" + std::to_string(i), 1));
     }
-    scheduler.Advance(2 * kSec);  // far over its objective, without a response
+    scheduler.Advance(2 * kSec);  // far past the objective, without a response
     scheduler.ClearActions();
     for (int i = 0; i < 50; ++i) {
       scheduler.Handle(SchedulerFixture::MakeRequest("t" + std::to_string(i), 1));
@@ -131,13 +131,13 @@
       scheduler.Handle(SchedulerFixture::MakeRequest("t" + std::to_string(i), 1));
       scheduler.Advance(100 * kMs);
     }
-    EXPECT_FALSE(scheduler.ActionsOf<SendAttempt>().empty());  // one attempt is made in the end
+    EXPECT_FALSE(scheduler.ActionsOf<SendAttempt>().empty());  // one attempt is sent eventually
   }
 }
 
 // Regression i174d19, i6a82cc: one request in flight from each of hundreds of instances kept every target
 // seconds behind.
-TEST(ConcurrencyLimit, AnInstanceFarBehindSendsLessThanOneRequestAtATime) {
+TEST(ConcurrencyLimit, SlowTargetIsSentLessThanOneRequestAtATime) {
   Settings settings = BasicSettings();
   settings.plans[0].reserved_rate = 0;
   settings.classes[0].latency_objective = 20 * kSec;
@@ -168,8 +168,8 @@
   EXPECT_GT(completed_by_speed[true], 2);  // it never stops sending
 }
 
-// While the wait exceeds the limit the instance must keep reducing its rate instead of settling.
-TEST(ConcurrencyLimit, APacedInstanceKeepsSlowingWhileTheWaitExceedsTheLimit) {
+// While the queueing delay exceeds the allowed one, the instance must keep reducing its rate.
+TEST(ConcurrencyLimit, PacedInstanceReducesItsRateWhileTheQueueingDelayIsTooLong) {
   Settings settings = BasicSettings();
   settings.plans[0].reserved_rate = 0;
   settings.instances = 200;
@@ -201,8 +201,8 @@
 }
 
 // An attempt that ended without a response may still be queued at the target, so it counts as in flight for a
-// while.
-TEST(UnansweredAttempt, KeepsItsCapacityForAWhileAfterCancellationOrTimeout) {
+// multiple of its age.
+TEST(AttemptWithoutResponse, OccupiesItsCapacityForATimeAfterCancellationOrTimeout) {
   for (const Outcome end : {Outcome::kCancelled, Outcome::kTimedOut}) {
     Settings settings = BasicSettings();
     settings.can_cancel = true;
@@ -231,7 +231,7 @@
   }
 }
 
-TEST(UnansweredAttempt, AResponseToALaterAttemptFreesItsCapacity) {
+TEST(AttemptWithoutResponse, CapacityIsFreedByAResponseToALaterAttempt) {
   Settings settings = BasicSettings();
   settings.can_cancel = true;
   SchedulerFixture scheduler(settings);
@@ -244,7 +244,7 @@
   send("x");
   send("y");
   scheduler.Advance(280 * kMs);
-  send("later");  // 4.5 units are within the initial concurrency limit, six are not
+  send("later");  // the initial concurrency limit covers 4.5 units but not 6
   ASSERT_EQ(scheduler.SendCount("later"), 1);
   for (const char* id : {"x", "y"}) {
     scheduler.Handle(ClientDisconnected{id});
--- a/tests/scheduler/dispatch_test.cpp
+++ b/tests/scheduler/dispatch_test.cpp
@@ -1,4 +1,4 @@
-// Dispatch from the queues: order, reservations, priorities, throttles, rejections.
+// Tests of dispatch from the queues: order, reserves, priorities, throttles, rejections.
 #include <gtest/gtest.h>
 
 #include "scheduler_fixture.h"
@@ -6,7 +6,7 @@
 namespace walnutspur::test {
 namespace {
 
-TEST(Dispatch, AnUnthrottledRequestIsSentAtOnce) {
+TEST(Dispatch, UnthrottledRequestIsSentAtOnce) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
   scheduler.Handle(SchedulerFixture::MakeRequest("a"));
@@ -14,16 +14,16 @@
   EXPECT_EQ(scheduler.ActionsOf<SendAttempt>().front().timeout, 0);
 }
 
-TEST(Dispatch, StaleIdsAndUnknownTargetsAreIgnored) {
+TEST(Dispatch, EventsWithUnknownRequestsTargetsOrAttemptsAreIgnored) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
   scheduler.ClearActions();
-  scheduler.FinishAttempt("nobody", Outcome::kCompleted);
+  scheduler.FinishAttempt("unknown", Outcome::kCompleted);
   scheduler.Handle(SchedulerFixture::MakeRequest("a"));
-  scheduler.FinishAttempt("a", Outcome::kCompleted, kMs, 0, "elsewhere");
+  scheduler.FinishAttempt("a", Outcome::kCompleted, kMs, 0, "unknown");
   scheduler.FinishAttempt("a", Outcome::kErrored, kMs, 3);
-  scheduler.Handle(ClientDisconnected{"nobody"});
-  scheduler.Handle(ResponseStarted{"nobody"});
+  scheduler.Handle(ClientDisconnected{"unknown"});
+  scheduler.Handle(ResponseStarted{"unknown"});
   EXPECT_EQ(scheduler.ActionsOf<SendAttempt>().size(), 1u);
   EXPECT_EQ(scheduler.FinalResponseCount("a"), 0);
 }
@@ -43,15 +43,15 @@
   EXPECT_EQ(targets[0], targets[1]);
 }
 
-// Fills the target with work of volume `hog`; a request within another volume's reservation goes first.
-TEST(DispatchOrder, ReservedWorkIsSentBeforeExcessWork) {
+// One volume without a reserve fills the target; a request covered by another volume's reserve is sent first.
+TEST(DispatchOrder, ReservedRequestIsSentBeforeExcessRequests) {
   Settings settings = BasicSettings();
   settings.plans[1] = Plan{10, 0, 0, 0, 1, 1};  // no reserved rate
   SchedulerFixture scheduler(settings);
   scheduler.SetTargets(1);
   for (int i = 0; i < 40; ++i) {
     RequestArrived request = SchedulerFixture::MakeRequest("h" + std::to_string(i));
-    request.volume = "hog";
+    request.volume = "heavy";
     request.plan = 1;
     scheduler.Handle(request);
   }
@@ -66,7 +66,7 @@
   EXPECT_EQ(scheduler.ActionsOf<SendAttempt>().front().id, "other");
 }
 
-TEST(DispatchOrder, ExcessWorkIsSharedByWeight) {
+TEST(DispatchOrder, CapacityBeyondTheReservesIsSharedByWeight) {
   Settings settings = BasicSettings();
   settings.plans[0].reserved_rate = 0;
   settings.plans[1] = settings.plans[0];
@@ -96,16 +96,16 @@
 }
 
 // A volume above its rate is throttled while another misses its latency objective at the same target.
-TEST(ControlLoop, AVolumeAboveItsRateIsThrottledForAVictimAndReleasedAfter) {
-  auto sent_of_hog = [](bool victim_misses) {
+TEST(ControlLoop, VolumeAboveItsRateIsThrottledWhileAnotherMissesItsObjective) {
+  auto count_above_rate_sends = [](bool victim_misses) {
     SchedulerFixture scheduler;
     scheduler.SetTargets(1);
     int next_id = 0;
-    int hog = 0;
+    int above_rate_sends = 0;
     for (int step = 0; step < 300; ++step) {
       for (int i = 0; i < 2; ++i) {
         RequestArrived request = SchedulerFixture::MakeRequest("h" + std::to_string(next_id++));
-        request.volume = "hog";
+        request.volume = "heavy";
         scheduler.Handle(request);
       }
       if (step % 10 == 0) {
@@ -116,22 +116,22 @@
       scheduler.Advance(20 * kMs);
       const std::vector<SendAttempt> sends = scheduler.TakeAttempts();
       for (const SendAttempt& attempt : sends) {
-        const bool is_hog = attempt.id[0] == 'h';
-        hog += is_hog ? 1 : 0;
-        if (is_hog || !victim_misses) {
+        const bool is_above_rate = attempt.id[0] == 'h';
+        above_rate_sends += is_above_rate ? 1 : 0;
+        if (is_above_rate || !victim_misses) {
           scheduler.FinishAttempt(attempt.id, Outcome::kCompleted, 20 * kMs);
-        }  // else it stays in flight and ages
+        }  // else the attempt stays in flight
       }
     }
-    return hog;
+    return above_rate_sends;
   };
-  const int unthrottled = sent_of_hog(false);
-  const int throttled = sent_of_hog(true);
+  const int unthrottled = count_above_rate_sends(false);
+  const int throttled = count_above_rate_sends(true);
   EXPECT_GT(unthrottled, 550);
   EXPECT_LT(throttled, unthrottled * 3 / 4);
 }
 
-TEST(DispatchOrder, HigherPriorityClassesGoFirstAmongTimelyWork) {
+TEST(DispatchOrder, HigherPriorityClassIsSentFirstAmongTimelyRequests) {
   Settings settings = BasicSettings();
   settings.classes[2].idempotency = Idempotency::kIdempotent;
   settings.classes[2].priority_weight = 1;
@@ -148,11 +148,11 @@
   EXPECT_EQ(scheduler.SendCount("read"), 1);
 }
 
-TEST(Rejection, ComesAtOnceWithRetryAfterWhenTheShardHasNoTarget) {
+TEST(Rejection, IsSentWithRetryAfterWhenTheObjectiveEndsAndTheShardHasNoTarget) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
   scheduler.Handle(SchedulerFixture::MakeRequest("a", 0, 3));
-  scheduler.Advance(420 * kMs);  // its objective has passed, its deadline has not
+  scheduler.Advance(420 * kMs);  // its objective has ended, its deadline has not expired
   ASSERT_EQ(scheduler.RejectionCount("a"), 1);
   EXPECT_GT(scheduler.ActionsOf<RejectRequest>().front().retry_after, 0);
   EXPECT_LE(scheduler.ActionsOf<RejectRequest>().front().retry_after, kSec);
--- a/tests/scheduler/drain_test.cpp
+++ b/tests/scheduler/drain_test.cpp
@@ -1,9 +1,9 @@
-// Endpoint updates: draining targets get nothing new, and watches that ended are opened again.
+// Tests of endpoint updates: draining targets receive no new requests, and an ended watch is opened again.
 //
-// A target that drains finishes what it has and then exits; a request that reaches it later may be lost, and
+// A draining target completes its requests and then exits. A request that reaches it later may be lost, and
 // violates the platform's rule "drain". An instance whose watch of the endpoint list has ended is not
-// notified of drains. In the field instances relied on their last list for as long as discovery was out. The
-// tests drain targets by each kind of update, or end the watch, and check what is still sent, and when a
+// notified of drains; in the field, instances used their last list for as long as discovery was down. The
+// tests drain targets with each kind of update, or end the watch, and check what is still sent and when a
 // watch is opened.
 #include <gtest/gtest.h>
 
@@ -12,7 +12,7 @@
 namespace walnutspur::test {
 namespace {
 
-TEST(Drain, NothingNewAfterADrainingUpdate) {
+TEST(Drain, DrainingOrTerminatedTargetReceivesNoNewRequest) {
   for (EndpointState state : {EndpointState::kDraining, EndpointState::kTerminated}) {
     SchedulerFixture scheduler;
     scheduler.SetTargets(2);
@@ -24,7 +24,7 @@
   }
 }
 
-TEST(Drain, AbsentFromAFullUpdateIsRemoved) {
+TEST(Drain, TargetAbsentFromAFullUpdateReceivesNoNewRequest) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(2);
   scheduler.UpdateEndpoints(EndpointUpdateKind::kFull, {SchedulerFixture::MakeEndpoint("t1", 1)});
@@ -33,7 +33,7 @@
   EXPECT_EQ(scheduler.SendCount("a"), 0);
 }
 
-TEST(Drain, TheReplacementOfAShardTakesOver) {
+TEST(Drain, ReplacementTargetReceivesTheRequestsOfTheShard) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(2);
   scheduler.UpdateEndpoints(EndpointUpdateKind::kDelta,
@@ -44,7 +44,7 @@
   EXPECT_EQ(scheduler.ActionsOf<SendAttempt>().back().target, "t9");
 }
 
-TEST(Drain, SubscribersWatchFromTheStartAndAfterFailures) {
+TEST(Drain, SubscriberOpensAWatchAtStartAndAfterAFailure) {
   Settings settings = BasicSettings();
   settings.discovery = DiscoveryMode::kSubscribe;
   SchedulerFixture scheduler(settings);
@@ -54,23 +54,23 @@
   EXPECT_EQ(scheduler.ActionsOf<WatchEndpoints>().size(), 2u);
 }
 
-TEST(Drain, AnUnansweredWatchIsRepeatedAndAnAnsweredOneIsNot) {
-  for (bool answered : {false, true}) {
+TEST(Drain, WatchIsRepeatedOnlyIfItHasNoResponse) {
+  for (bool has_response : {false, true}) {
     Settings settings = BasicSettings();
     settings.discovery = DiscoveryMode::kSubscribe;
     SchedulerFixture scheduler(settings);
     scheduler.UpdateEndpoints(EndpointUpdateKind::kCached, {SchedulerFixture::MakeEndpoint("t0", 0)});
-    if (answered) {
+    if (has_response) {
       scheduler.UpdateEndpoints(EndpointUpdateKind::kDelta, {});
     }
     scheduler.Advance(8 * kSec);
-    EXPECT_EQ(scheduler.ActionsOf<WatchEndpoints>().size(), answered ? 1u : 2u);
+    EXPECT_EQ(scheduler.ActionsOf<WatchEndpoints>().size(), has_response ? 1u : 2u);
   }
 }
 
-// A drain of which discovery learns after the watch has ended counts as notified 6 s later; the grace is 1 s
-// here.
-TEST(Drain, NothingIsSentOnceTheLeaseOfTheListHasExpired) {
+// A drain that discovery learns of after the end of the watch counts as notified 6 s later. The drain grace
+// is 1 s here.
+TEST(Drain, NothingIsSentAfterTheEndpointLeaseHasExpired) {
   Settings settings = BasicSettings();
   settings.discovery = DiscoveryMode::kSubscribe;
   SchedulerFixture scheduler(settings);
@@ -95,14 +95,14 @@
   EXPECT_EQ(scheduler.SendCount("after"), 1);
 }
 
-TEST(Drain, PushedUpdatesNeedNoWatch) {
+TEST(Drain, NoWatchIsOpenedIfUpdatesArePushed) {
   SchedulerFixture scheduler;
   scheduler.UpdateEndpoints(EndpointUpdateKind::kFailed, {});
   scheduler.Advance(3 * kSec);
   EXPECT_TRUE(scheduler.ActionsOf<WatchEndpoints>().empty());
 }
 
-// The configured instance count is an estimate; fleet membership replaces it with the real one.
+// The configured instance count is an estimate; the membership service reports the actual one.
 TEST(FleetSize, ReplacesTheConfiguredInstanceCount) {
   Settings settings = BasicSettings();
   settings.instances = 300;
--- a/tests/scheduler/endpoint_lease_test.cpp
+++ b/tests/scheduler/endpoint_lease_test.cpp
@@ -1,9 +1,9 @@
-// The lease on the endpoint list: when it expires, and what renews or shortens it.
+// Tests of the endpoint lease: when it expires, and what renews or shortens it.
 //
-// While discovery is out an instance is not notified of drains. In the field about 300 processes went on by
-// lists that were up to 17 s old, and requests reached targets that had been draining for seconds. The lease
-// bounds how long a list may be relied on. The tests play how watches and calls end in each way that an
-// instance can see, and check the expiry after each.
+// While discovery is down, an instance is not notified of drains. In the field about 300 processes used lists
+// that were up to 17 s old, and requests reached targets that had been draining for seconds. The lease bounds
+// how long a list may be used. The tests end watches and calls in each way that an instance can observe, and
+// check the expiry after each.
 #include "decision/endpoint_lease.h"
 
 #include <gtest/gtest.h>
@@ -17,34 +17,36 @@
 constexpr Time kSec = 1'000'000;
 constexpr Time kStart = 1'000 * kSec;
 constexpr Time kGrace = kSec / 2;
-constexpr Time kWriteDelay = kSec / 5;                     // reserved for a late write
-constexpr Time kLease = 6 * kSec + kGrace - kWriteDelay;   // from the last sign of life
-constexpr Time kAfterNotification = kGrace - kWriteDelay;  // from a notification
+constexpr Time kWriteDelay = kSec / 5;                          // reserved for the delay of a write
+constexpr Time kLease = 6 * kSec + kGrace - kWriteDelay;        // from the last list or heartbeat
+constexpr Time kLeaseAfterNotification = kGrace - kWriteDelay;  // from a notification
 
-// A lease whose watch works at kStart.
-EndpointLease Watching() {
+// Returns a lease whose watch works at kStart.
+EndpointLease LeaseWithWorkingWatch() {
   EndpointLease lease(DiscoveryMode::kSubscribe, kGrace);
   lease.OnStarted(kStart - kSec);
   lease.OnCurrent();
   return lease;
 }
 
-TEST(EndpointLease, DoesNotExpireWhileTheWatchWorks) { EXPECT_EQ(Watching().expires_at(), kNever); }
+TEST(EndpointLease, DoesNotExpireWhileTheWatchWorks) {
+  EXPECT_EQ(LeaseWithWorkingWatch().expires_at(), kNever);
+}
 
-TEST(EndpointLease, ExpiresSixSecondsAndTheGraceAfterTheLastSignOfLife) {
-  EndpointLease lease = Watching();
+TEST(EndpointLease, ExpiresSixSecondsAndTheGraceAfterTheLastHeartbeat) {
+  EndpointLease lease = LeaseWithWorkingWatch();
   lease.OnFailed(kStart + 2 * kSec, kStart, DiscoveryFailure::kNoResponse);
   EXPECT_EQ(lease.expires_at(), kStart + kLease);
   lease.OnFailed(kStart + 5 * kSec, kStart + 3 * kSec, DiscoveryFailure::kNoResponse);
-  EXPECT_EQ(lease.expires_at(), kStart + kLease) << "a call that was given up proves nothing";
+  EXPECT_EQ(lease.expires_at(), kStart + kLease) << "an abandoned call does not renew the lease";
   EXPECT_TRUE(lease.IsValid(kStart + kLease - 1));
   EXPECT_FALSE(lease.IsValid(kStart + kLease));
   lease.OnCurrent();
   EXPECT_EQ(lease.expires_at(), kNever);
 }
 
-TEST(EndpointLease, IsRenewedByRefusedConnectionsThatAreCloseTogether) {
-  EndpointLease lease = Watching();
+TEST(EndpointLease, IsRenewedByRefusedConnectionsAtShortIntervals) {
+  EndpointLease lease = LeaseWithWorkingWatch();
   lease.OnFailed(kStart, kStart, DiscoveryFailure::kNoResponse);
   Time now = kStart;
   for (int call = 0; call < 20; ++call) {
@@ -53,47 +55,47 @@
     EXPECT_EQ(lease.expires_at(), now + kLease);
   }
   lease.OnFailed(now + 4 * kSec, 0, DiscoveryFailure::kUnreachable);
-  EXPECT_EQ(lease.expires_at(), now + kLease) << "discovery may have been up in between";
+  EXPECT_EQ(lease.expires_at(), now + kLease) << "discovery may have been reachable in between";
 }
 
-TEST(EndpointLease, OfACachedListIsShortenedByTheFirstFailedCall) {
+TEST(EndpointLease, WithACachedListIsShortenedByTheFirstFailedCall) {
   EndpointLease lease(DiscoveryMode::kSubscribe, kGrace);
   lease.OnStarted(kStart);
   EXPECT_EQ(lease.expires_at(), kStart + kLease);
   lease.OnFailed(kStart + 2 * kSec, 0, DiscoveryFailure::kNoResponse);
-  EXPECT_EQ(lease.expires_at(), kStart + 2 * kSec + kAfterNotification);
+  EXPECT_EQ(lease.expires_at(), kStart + 2 * kSec + kLeaseAfterNotification);
 }
 
 TEST(EndpointLease, IsShortenedByTheFirstPartOfAnUpdate) {
-  EndpointLease lease = Watching();
+  EndpointLease lease = LeaseWithWorkingWatch();
   lease.OnUpdateStarted(kStart);
   lease.OnUpdateStarted(kStart + kSec);
-  EXPECT_EQ(lease.expires_at(), kStart + kAfterNotification);
+  EXPECT_EQ(lease.expires_at(), kStart + kLeaseAfterNotification);
   EndpointLease completed = lease;
   completed.OnCurrent();
   EXPECT_EQ(completed.expires_at(), kNever);
   lease.OnFailed(kStart + 2 * kSec, kStart + 2 * kSec, DiscoveryFailure::kNoResponse);
-  EXPECT_EQ(lease.expires_at(), kStart + kAfterNotification);
+  EXPECT_EQ(lease.expires_at(), kStart + kLeaseAfterNotification);
   lease.OnFailed(kStart + 3 * kSec, 0, DiscoveryFailure::kUnreachable);
-  EXPECT_EQ(lease.expires_at(), kStart + kAfterNotification);
+  EXPECT_EQ(lease.expires_at(), kStart + kLeaseAfterNotification);
 }
 
-TEST(EndpointLease, IsShortenedByABrokenCall) {
-  EndpointLease lease = Watching();
+TEST(EndpointLease, IsShortenedByACallWhoseConnectionIsLost) {
+  EndpointLease lease = LeaseWithWorkingWatch();
   lease.OnFailed(kStart, kStart, DiscoveryFailure::kNoResponse);
   lease.OnFailed(kStart + kSec, 0, DiscoveryFailure::kConnectionLost);
-  EXPECT_EQ(lease.expires_at(), kStart + kSec + kAfterNotification);
+  EXPECT_EQ(lease.expires_at(), kStart + kSec + kLeaseAfterNotification);
 }
 
-TEST(EndpointLease, IsFourSecondsAndTheGraceAfterAChangeOfService) {
-  EndpointLease lease = Watching();
+TEST(EndpointLease, ExpiresFourSecondsAndTheGraceAfterAChangeOfService) {
+  EndpointLease lease = LeaseWithWorkingWatch();
   lease.OnServiceChanged(kStart);
-  EXPECT_EQ(lease.expires_at(), kStart + 4 * kSec + kAfterNotification);
+  EXPECT_EQ(lease.expires_at(), kStart + 4 * kSec + kLeaseAfterNotification);
   lease.OnFailed(kStart + 2 * kSec, 0, DiscoveryFailure::kUnreachable);
-  EXPECT_EQ(lease.expires_at(), kStart + 4 * kSec + kAfterNotification);
+  EXPECT_EQ(lease.expires_at(), kStart + 4 * kSec + kLeaseAfterNotification);
 }
 
-TEST(EndpointLease, OfPushedListsDoesNotExpire) {
+TEST(EndpointLease, WithPushedUpdatesDoesNotExpire) {
   EndpointLease lease(DiscoveryMode::kAutomatic, kGrace);
   lease.OnStarted(kStart);
   lease.OnFailed(kStart + 60 * kSec, 0, DiscoveryFailure::kNoResponse);
--- a/tests/scheduler/idempotency_test.cpp
+++ b/tests/scheduler/idempotency_test.cpp
@@ -1,9 +1,9 @@
-// Retries never run a request twice unless its class allows it.
+// Tests that retries never execute a request twice unless its class allows it.
 //
-// An attempt whose connection breaks, or that times out, may have run. A retry of a write that is not
-// idempotent then applies it twice; so does a retry with an idempotency key at a target that does not know
-// the key, or past the window for which it is remembered, even if it was sent just within the window. The
-// tests end attempts in each way and check whether a retry is sent, where, and until when.
+// An attempt whose connection is lost, or that times out, may have run. A retry of a write that is not
+// idempotent then applies it twice. So does a retry with an idempotency key at a target outside the
+// deduplication scope, or one that arrives after the deduplication window, even if it was sent just within
+// the window. The tests end attempts in each way and check whether a retry is sent, where, and until when.
 #include <gtest/gtest.h>
 
 #include "scheduler_fixture.h"
@@ -11,7 +11,7 @@
 namespace walnutspur::test {
 namespace {
 
-TEST(Idempotency, NonIdempotentThatMayHaveRunFailsWithoutRetry) {
+TEST(Idempotency, NonIdempotentRequestThatMayHaveRunFailsWithoutRetry) {
   for (Outcome outcome :
        {Outcome::kErrored, Outcome::kConnectionReset, Outcome::kTimedOut, Outcome::kCancelled}) {
     SchedulerFixture scheduler;
@@ -25,7 +25,7 @@
   }
 }
 
-TEST(Idempotency, NonIdempotentThatNeverRanIsRetried) {
+TEST(Idempotency, NonIdempotentRequestThatNeverRanIsRetried) {
   for (Outcome outcome : {Outcome::kOverloaded, Outcome::kConnectFailed}) {
     Settings settings = BasicSettings();
     // An overloaded target is assumed to need the tightest objective to recover.
@@ -40,7 +40,7 @@
   }
 }
 
-TEST(Idempotency, IdempotentIsRetriedAfterAnError) {
+TEST(Idempotency, IdempotentRequestIsRetriedAfterAnError) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
   scheduler.Handle(SchedulerFixture::MakeRequest("a", 0));
@@ -49,7 +49,7 @@
   EXPECT_EQ(scheduler.SendCount("a"), 2);
 }
 
-TEST(Idempotency, ShardScopedKeyThatMayHaveRunIsNeverRejected) {
+TEST(Idempotency, ShardScopedRequestThatMayHaveRunFailsAndIsNotRejected) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
   scheduler.Handle(SchedulerFixture::MakeRequest("a", 2));
@@ -62,10 +62,10 @@
   EXPECT_EQ(scheduler.FailureCount("a"), 1);
 }
 
-TEST(Idempotency, KeyedIsRetriedOnlyWithinTheDeduplicationWindow) {
+TEST(Idempotency, KeyedRequestIsRetriedOnlyWithinTheDeduplicationWindow) {
   for (bool within_window : {true, false}) {
     Settings settings = BasicSettings();
-    settings.classes[2].deduplication_window = 150 * kMs;  // less 50 ms for the retry to arrive
+    settings.classes[2].deduplication_window = 150 * kMs;  // minus 50 ms for the retry to arrive
     SchedulerFixture scheduler(settings);
     scheduler.SetTargets(1);
     scheduler.Handle(SchedulerFixture::MakeRequest("a", 2));
@@ -78,7 +78,7 @@
   }
 }
 
-TEST(Idempotency, KeyedQueuedPastTheDeduplicationWindowIsNotRetried) {
+TEST(Idempotency, KeyedRequestQueuedPastTheDeduplicationWindowIsNotRetried) {
   Settings settings = BasicSettings();
   settings.classes[2].deduplication_window = 100 * kMs;
   SchedulerFixture scheduler(settings);
@@ -94,7 +94,7 @@
   EXPECT_EQ(scheduler.FailureCount("a"), 1);
 }
 
-TEST(Idempotency, ZoneScopedKeyIsRetriedOnlyInItsZone) {
+TEST(Idempotency, ZoneScopedRequestIsRetriedOnlyInItsZone) {
   for (int zone : {0, 1}) {
     Settings settings = BasicSettings();
     settings.classes[2].deduplication_scope = DeduplicationScope::kZone;
@@ -111,7 +111,7 @@
   }
 }
 
-TEST(Idempotency, GloballyScopedKeyMayBeRejectedAfterItMayHaveRun) {
+TEST(Idempotency, GloballyScopedRequestThatMayHaveRunIsRejected) {
   Settings settings = BasicSettings();
   settings.classes[2].deduplication_scope = DeduplicationScope::kAll;
   settings.max_attempts = 1;
--- a/tests/scheduler/key_order_test.cpp
+++ b/tests/scheduler/key_order_test.cpp
@@ -1,4 +1,4 @@
-// Requests with one key run one at a time, in order.
+// Tests that requests with the same key are sent one at a time, in order of arrival.
 #include <gtest/gtest.h>
 
 #include "scheduler_fixture.h"
@@ -6,7 +6,7 @@
 namespace walnutspur::test {
 namespace {
 
-// Basic settings whose class 2 is ordered by key.
+// Returns the basic settings with class 2 ordered by key.
 Settings KeyOrderSettings() {
   Settings settings = BasicSettings();
   settings.classes[2].ordered_by_key = true;
@@ -14,14 +14,14 @@
   return settings;
 }
 
-// A request of class 2 with the key that all of them share.
+// Returns a request of class 2; all of these requests have the same key.
 RequestArrived SameKeyRequest(const std::string& id) {
   RequestArrived request = SchedulerFixture::MakeRequest(id, 2);
   request.key = "same";
   return request;
 }
 
-TEST(KeyOrder, OneRequestPerKeyInArrivalOrder) {
+TEST(KeyOrder, RequestsWithTheSameKeyAreSentOneAtATimeInArrivalOrder) {
   SchedulerFixture scheduler(KeyOrderSettings());
   scheduler.SetTargets(1);
   for (const char* id : {"a", "b", "c"}) {
@@ -33,7 +33,7 @@
   EXPECT_EQ(scheduler.ActionsOf<SendAttempt>().back().id, "b");
 }
 
-TEST(KeyOrder, AKeyIsQuarantinedAfterAnAttemptThatMayStillRun) {
+TEST(KeyOrder, KeyIsQuarantinedAfterAnAttemptThatMayStillRun) {
   for (Outcome outcome : {Outcome::kTimedOut, Outcome::kConnectionReset, Outcome::kCancelled}) {
     SchedulerFixture scheduler(KeyOrderSettings());
     scheduler.SetTargets(1);
@@ -47,7 +47,7 @@
   }
 }
 
-TEST(KeyOrder, AnEndedRequestHoldsItsKeyWhileAnAttemptIsInFlight) {
+TEST(KeyOrder, FinishedRequestDelaysTheNextWhileItsAttemptIsInFlight) {
   SchedulerFixture scheduler(KeyOrderSettings());
   scheduler.SetTargets(1);
   scheduler.Handle(SameKeyRequest("a"));
@@ -59,7 +59,7 @@
   EXPECT_EQ(scheduler.SendCount("b"), 1);
 }
 
-TEST(KeyOrder, OtherKeysAreNotDelayed) {
+TEST(KeyOrder, RequestsWithOtherKeysAreNotDelayed) {
   SchedulerFixture scheduler(KeyOrderSettings());
   scheduler.SetTargets(1);
   scheduler.Handle(SameKeyRequest("a"));
--- a/tests/scheduler/placement_test.cpp
+++ b/tests/scheduler/placement_test.cpp
@@ -1,4 +1,4 @@
-// Placement of new objects and the pool-wide view of targets.
+// Tests of the placement of new objects and of the fleet-wide estimates.
 #include <gtest/gtest.h>
 
 #include "scheduler_fixture.h"
@@ -6,7 +6,7 @@
 namespace walnutspur::test {
 namespace {
 
-TEST(Placement, NewObjectsAvoidASilentTarget) {
+TEST(Placement, NewObjectsAreNotPlacedOnATargetWithoutResponses) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(2);
   for (int i = 0; i < 4; ++i) {
@@ -23,14 +23,14 @@
   }
 }
 
-// Regression i77bdbd: new objects went to a target that refused connections once its back-off had passed.
-TEST(Placement, NewObjectsAvoidATargetThatRefusesConnections) {
+// Regression i77bdbd: new objects were sent to a target that refused connections once its backoff was over.
+TEST(Placement, NewObjectsAreNotPlacedOnATargetThatRefusesConnections) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(2);
   scheduler.Handle(SchedulerFixture::MakeRequest("a", 0, 0));
   scheduler.FinishAttempt("a", Outcome::kConnectFailed, kMs);
   scheduler.Handle(ClientDisconnected{"a"});
-  scheduler.Advance(400 * kMs);  // the back-off has passed
+  scheduler.Advance(400 * kMs);  // the backoff is over
   for (int i = 0; i < 3; ++i) {
     scheduler.ClearActions();
     const std::string id = "n" + std::to_string(i);
@@ -41,16 +41,16 @@
   }
 }
 
-// Sends a request of a shard and finishes its attempt.
-void PlayRequest(SchedulerFixture& scheduler, const std::string& id, int shard,
-                 Outcome outcome = Outcome::kCompleted) {
+// Sends a request of a shard and finishes its attempt with `outcome`.
+void SendAndFinish(SchedulerFixture& scheduler, const std::string& id, int shard,
+                   Outcome outcome = Outcome::kCompleted) {
   scheduler.Handle(SchedulerFixture::MakeRequest(id, 0, shard));
   scheduler.FinishAttempt(id, outcome, 20 * kMs, 0, "t" + std::to_string(shard), true);
 }
 
-// Regression: targets that failed fast looked idle and attracted new objects; every target of a failed zone
-// was tried first.
-TEST(Placement, NewObjectsAvoidFailingTargetsAndSilentZones) {
+// Regression: targets that failed fast looked idle and were sent new objects; after the failure of a zone,
+// each of its targets was tried before the zone was avoided.
+TEST(Placement, NewObjectsAreNotPlacedOnFailingTargetsOrInSilentZones) {
   for (const Outcome outcome : {Outcome::kErrored, Outcome::kTimedOut}) {
     SchedulerFixture scheduler;
     std::vector<Endpoint> fleet;
@@ -59,10 +59,10 @@
       fleet[i].zone = i / 10;
     }
     scheduler.UpdateEndpoints(EndpointUpdateKind::kFull, fleet);
-    for (int i = 0; i < 40; ++i) {  // reads from all targets but the last two of each zone
+    for (int i = 0; i < 40; ++i) {  // reads from all targets except the last two of each zone
       const int shard = i % 20;
       if (shard % 10 < 8) {
-        PlayRequest(scheduler, "r" + std::to_string(i), shard, shard < 10 ? Outcome::kCompleted : outcome);
+        SendAndFinish(scheduler, "r" + std::to_string(i), shard, shard < 10 ? Outcome::kCompleted : outcome);
       }
       scheduler.Advance(20 * kMs);
     }
@@ -80,20 +80,20 @@
       scheduler.Advance(100 * kMs);
     }
     EXPECT_EQ(sent_to_failing, 0);
-    // Errors count against a target, silence against its zone.
+    // Errors count against the target, time-outs against its zone.
     EXPECT_GE(sent_to_healthy, outcome == Outcome::kTimedOut ? 30 : 0);
   }
 }
 
-// Regression: while a zone was silent, instances paced what they sent to the other zone as if it were behind.
-TEST(Pacing, SilentTargetsDoNotSlowTheOthers) {
+// Regression: while a zone was silent, instances paced requests to the other zone as if it were slow as well.
+TEST(Pacing, RequestsToOtherTargetsAreNotPacedWhileAZoneIsSilent) {
   for (const bool zone_is_silent : {false, true}) {
     Settings settings = BasicSettings();
     settings.instances = 100;
     SchedulerFixture scheduler(settings);
     scheduler.SetTargets(20);
     for (int i = 0; i < 20; ++i) {
-      PlayRequest(scheduler, "r" + std::to_string(i), i % 10);
+      SendAndFinish(scheduler, "r" + std::to_string(i), i % 10);
       scheduler.Advance(100 * kMs);
     }
     for (int shard = 10; shard < 20; ++shard) {
@@ -101,10 +101,10 @@
       if (zone_is_silent) {
         scheduler.Handle(SchedulerFixture::MakeRequest(id, 0, shard));
       } else {
-        PlayRequest(scheduler, id, shard);
+        SendAndFinish(scheduler, id, shard);
       }
     }
-    scheduler.Advance(1200 * kMs);  // no target has responded for long: the pool's state decides
+    scheduler.Advance(1200 * kMs);  // no target has responded recently: the fleet-wide estimate applies
     int sent_at_once = 0;
     for (const char* id : {"a", "b", "c"}) {
       scheduler.Handle(SchedulerFixture::MakeRequest(id, 0, 3));
--- a/tests/scheduler/policy_files_test.cpp
+++ b/tests/scheduler/policy_files_test.cpp
@@ -1,5 +1,6 @@
-// The decision module, as the deploy file lists it under `policy`: every file that decides is listed, exists
-// and is narrow enough to print, and none knows I/O, a clock or a thread.
+// Tests of the files of the decision module, which the deploy file lists under `policy`: every file that
+// takes decisions is listed, exists and has lines short enough to print, and none uses I/O, a clock or a
+// thread.
 #include <gtest/gtest.h>
 #include <toml++/toml.h>
 
@@ -14,18 +15,18 @@
 namespace {
 
 constexpr std::size_t kMaxColumns = 110;
-constexpr std::size_t kMinFiles = 20;  // fewer: the list does not name the module
+constexpr std::size_t kMinFiles = 20;  // with fewer files the list cannot be that of the module
 
-// Folders all of whose files decide.
+// Folders in which every file takes decisions.
 const std::vector<std::string> kPolicyFolders = {"src/decision", "src/limits", "src/routing"};
 
-// What a file of the module may include besides its own folders: pure parts of the standard library.
+// Standard headers that a file of the module may include: those without I/O, clocks, threads and locks.
 const std::set<std::string> kAllowedHeaders = {
     "algorithm",  "array",  "chrono",        "cmath",   "cstddef",  "cstdint", "deque",
     "functional", "limits", "map",           "memory",  "optional", "random",  "set",
     "string",     "tuple",  "unordered_map", "utility", "variant",  "vector"};
-// Names that no file of the module may contain: the clocks of <chrono>, of which it uses durations alone, the
-// reading of any clock, and a source of randomness that no seed decides.
+// Names that no file of the module may contain: the clocks of <chrono>, which is allowed for its durations
+// only, functions that read a clock, and random numbers that do not depend on the seed.
 const std::vector<std::string> kForbiddenNames = {"system_clock", "steady_clock",  "high_resolution_clock",
                                                   "utc_clock",    "clock_gettime", "gettimeofday",
                                                   "::now(",       "time(nullptr)", "random_device"};
@@ -33,7 +34,7 @@
 
 const std::string kRoot = WALNUTSPUR_ROOT;
 
-// The paths that the deploy file lists under `key`, relative to the root.
+// Returns the paths that the deploy file lists under `key`, relative to the root.
 std::vector<std::string> ListedPaths(const std::string& key) {
   const toml::table deploy = toml::parse_file(kRoot + "/deploy/balancer.toml");
   std::vector<std::string> paths;
@@ -45,7 +46,7 @@
   return paths;
 }
 
-// Lines of a file.
+// Returns the lines of a file.
 std::vector<std::string> Lines(const std::string& path) {
   std::ifstream in(kRoot + "/" + path);
   EXPECT_TRUE(in) << path;
@@ -60,7 +61,7 @@
   return std::ranges::any_of(prefixes, [&](const std::string& prefix) { return text.starts_with(prefix); });
 }
 
-// Whether an #include line names nothing but the module itself and pure parts of the standard library.
+// Returns whether an #include line names a header of the module or an allowed standard header.
 bool IsAllowedInclude(const std::string& line) {
   const std::size_t from = line.find_first_of("<\"") + 1;
   const std::string header = line.substr(from, line.find_first_of(">\"", from) - from);
@@ -70,7 +71,7 @@
 
 }  // namespace
 
-TEST(PolicyFiles, ExistAndAreNarrowEnough) {
+TEST(PolicyFiles, ExistAndHaveLinesOfAtMost110Columns) {
   const std::vector<std::string> paths = ListedPaths("policy");
   EXPECT_GE(paths.size(), kMinFiles);
   for (const std::string& path : paths) {
@@ -82,7 +83,7 @@
   }
 }
 
-TEST(PolicyFiles, KnowNoInputOutputClockOrThread) {
+TEST(PolicyFiles, UseNoInputOutputClockOrThread) {
   for (const std::string& path : ListedPaths("policy")) {
     for (const std::string& line : Lines(path)) {
       if (line.starts_with("#include")) {
@@ -95,8 +96,8 @@
   }
 }
 
-// No file that decides escapes the list unseen, and none is listed twice or as a part of the node.
-TEST(PolicyFiles, EachFileThatDecidesIsListedOnce) {
+// No file that takes decisions is missing from the list, listed twice, or listed under `node`.
+TEST(PolicyFiles, EachFileThatTakesDecisionsIsListedOnce) {
   std::multiset<std::string> listed;
   for (const std::string& path : ListedPaths("policy")) {
     listed.insert(path);
@@ -113,7 +114,7 @@
   }
 }
 
-TEST(PolicyFiles, TheInterfaceIsNamedAtTheTop) {
+TEST(PolicyFiles, SchedulerNamesItsInterfaceInTheFirstLine) {
   std::ifstream in(kRoot + "/src/decision/scheduler.cpp");
   std::string line;
   std::getline(in, line);
--- a/tests/scheduler/rate_limit_test.cpp
+++ b/tests/scheduler/rate_limit_test.cpp
@@ -1,4 +1,4 @@
-// Rate limits of plans and the retry budget.
+// Tests of the rate limits of plans and of the retry budget.
 #include <gtest/gtest.h>
 
 #include "scheduler_fixture.h"
@@ -6,7 +6,7 @@
 namespace walnutspur::test {
 namespace {
 
-// The units sent within `span` under constant excess load on the rate-limited plan.
+// Returns the units sent within `span` under constant excess load on the rate-limited plan.
 double UnitsSentOver(SchedulerFixture& scheduler, int initiator_count, Time span) {
   double units = 0;
   int next_id = 0;
@@ -28,14 +28,14 @@
   return units;
 }
 
-// Fails each attempt of the request until no further one is sent.
+// Fails each attempt of the request until no further attempt is sent.
 void FailAllAttempts(SchedulerFixture& scheduler, const std::string& id) {
   for (int attempt = 0; attempt < 4 && scheduler.SendCount(id) > attempt; ++attempt) {
     scheduler.FinishAttempt(id, Outcome::kErrored, kMs, attempt);
   }
 }
 
-TEST(RateLimit, EachInstanceKeepsToItsEvenShareOfTheRate) {
+TEST(RateLimit, InstanceSendsItsEvenShareOfTheRate) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
   const double units = UnitsSentOver(scheduler, 2, 4 * kSec);
@@ -43,7 +43,7 @@
   EXPECT_GE(units, 20.0 / 2 * 4 * 0.8);
 }
 
-TEST(RateLimit, ARestartedInstanceDoesNotSpendTheBurstAgain) {
+TEST(RateLimit, RestartedInstanceDoesNotSpendTheBurstAgain) {
   double units = 0;
   for (int restart = 0; restart < 5; ++restart) {
     SchedulerFixture scheduler;
@@ -53,14 +53,14 @@
   EXPECT_LE(units, 20 * 1.0 + 2);
 }
 
-TEST(RateLimit, AnIdleBucketHoldsNoMoreThanItsShareOfTheBurst) {
+TEST(RateLimit, IdleBucketHoldsAtMostItsShareOfTheBurst) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
   scheduler.Advance(60 * kSec);
   EXPECT_LE(UnitsSentOver(scheduler, 2, 100 * kMs), 24.0 / 2 + 20.0 / 2 * 0.1 + 2);
 }
 
-TEST(RetryBudget, RetriesStayWithinTheSlidingWindow) {
+TEST(RetryBudget, RetriesStayWithinTheBudgetOfTheSlidingWindow) {
   Settings settings = BasicSettings();
   settings.rules.retry_budget_window = 5 * kSec;
   settings.rules.retry_budget_ratio = 0.25;
@@ -76,7 +76,7 @@
   }
   EXPECT_GE(scheduler.ActionsOf<SendAttempt>().size(), 50u);  // the budget is used
   scheduler.ClearActions();
-  scheduler.Advance(6 * kSec);  // the arrivals have left the window
+  scheduler.Advance(6 * kSec);  // the arrivals are no longer in the window
   scheduler.Handle(SchedulerFixture::MakeRequest("x"));
   FailAllAttempts(scheduler, "x");
   scheduler.Handle(SchedulerFixture::MakeRequest("y"));
@@ -84,7 +84,7 @@
   EXPECT_LE(int(scheduler.ActionsOf<SendAttempt>().size()) - 2, 3);
 }
 
-TEST(RetryBudget, UnlimitedWithoutTheSettings) {
+TEST(RetryBudget, IsUnlimitedWithoutItsSettings) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
   for (int i = 0; i < 10; ++i) {
--- a/tests/scheduler/request_completion_test.cpp
+++ b/tests/scheduler/request_completion_test.cpp
@@ -1,4 +1,4 @@
-// Every accepted request gets exactly one final response.
+// Tests that every accepted request gets exactly one final response.
 #include <gtest/gtest.h>
 
 #include "scheduler_fixture.h"
@@ -6,7 +6,7 @@
 namespace walnutspur::test {
 namespace {
 
-TEST(RequestCompletion, QueuedForAShardWithoutTargetIsRejectedBeforeItsDeadline) {
+TEST(RequestCompletion, RequestForAShardWithoutTargetIsRejectedBeforeItsDeadline) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
   scheduler.Handle(SchedulerFixture::MakeRequest("a", 0, 5));
@@ -15,14 +15,14 @@
   EXPECT_EQ(scheduler.FinalResponseCount("a"), 1);
 }
 
-TEST(RequestCompletion, ANewObjectIsRejectedBeforeAnyEndpointUpdate) {
+TEST(RequestCompletion, NewObjectIsRejectedIfThereWasNoEndpointUpdate) {
   SchedulerFixture scheduler;
   scheduler.Handle(SchedulerFixture::MakeRequest("a", 1, -1));
   scheduler.Advance(2 * kSec - 10 * kMs);
   EXPECT_EQ(scheduler.RejectionCount("a"), 1);
 }
 
-TEST(RequestCompletion, ARequestWithoutTimeLeftIsRejectedAtOnce) {
+TEST(RequestCompletion, RequestWithoutTimeLeftIsRejectedAtOnce) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
   RequestArrived request = SchedulerFixture::MakeRequest("a");
@@ -32,8 +32,8 @@
   EXPECT_EQ(scheduler.SendCount("a"), 0);
 }
 
-// Regression: an attempt refused by its target 10 ms before a short deadline stayed queued past the deadline.
-TEST(RequestCompletion, NoRetryTooCloseToTheDeadlineForATimer) {
+// Regression: a request whose attempt failed to connect 10 ms before a short deadline stayed queued past it.
+TEST(RequestCompletion, RequestIsNotRetriedTooCloseToItsDeadlineForATimer) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
   RequestArrived request = SchedulerFixture::MakeRequest("a");
@@ -44,7 +44,7 @@
   EXPECT_EQ(scheduler.FinalResponseCount("a"), 1);
 }
 
-TEST(RequestCompletion, AHungTargetYieldsOneFinalResponseEach) {
+TEST(RequestCompletion, EachRequestToAHungTargetGetsOneFinalResponse) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
   for (int i = 0; i < 60; ++i) {
@@ -61,7 +61,7 @@
   }
 }
 
-TEST(RequestCompletion, NothingFollowsAClientDisconnect) {
+TEST(RequestCompletion, NothingIsSentAfterAClientDisconnect) {
   SchedulerFixture scheduler;
   scheduler.SetTargets(1);
   scheduler.Handle(SchedulerFixture::MakeRequest("a"));
--- a/tests/scheduler/scheduler_fixture.h
+++ b/tests/scheduler/scheduler_fixture.h
@@ -1,8 +1,7 @@
-// A scheduler under test, driven event by event.
+// Fixture that passes single events to a Scheduler at a simulated time and records all returned actions.
 //
-// Purpose: feeds single events to a Scheduler at a simulated time and records every action it returns. It
-// models no target: tests finish attempts themselves. Owner: each test owns its fixture. Thread: the test's
-// own.
+// It does not simulate targets: tests finish attempts themselves. Owned by each test, used on the test's
+// thread.
 #ifndef WALNUTSPUR_TESTS_SCHEDULER_SCHEDULER_FIXTURE_H_
 #define WALNUTSPUR_TESTS_SCHEDULER_SCHEDULER_FIXTURE_H_
 
@@ -20,13 +19,13 @@
 constexpr Time kMs = 1'000;
 constexpr Time kSec = 1'000'000;
 
-// Starts the scheduler's random draws.
+// Seed of the scheduler's random number generator.
 constexpr std::uint64_t kSchedulerSeed = 7;
 // Period of the scheduler's timer.
 constexpr Time kTimerPeriod = 20 * kMs;
 
-// Settings with class 0 idempotent, 1 not idempotent, 2 idempotent with a key; plan 0 without a limit, plan 1
-// with one.
+// Returns settings with class 0 idempotent, class 1 not idempotent and class 2 idempotent with a key, plan 0
+// without a limit and plan 1 with a limit.
 inline Settings BasicSettings() {
   Settings settings;
   RequestClass read;
@@ -66,7 +65,7 @@
   return settings;
 }
 
-// The scheduler, its simulated clock and all actions so far.
+// A scheduler, its simulated clock and the actions recorded so far.
 class SchedulerFixture {
  public:
   // Starts the scheduler at `start`, in microseconds.
@@ -75,7 +74,7 @@
     Handle(Started{});
   }
 
-  // Handles one event at the current time; returns the resulting actions and records them.
+  // Handles one event at the simulated time, records the returned actions and returns them.
   std::vector<Action> Handle(const Event& event) {
     std::vector<Action> actions = scheduler_.Handle(event, now_);
     actions_.insert(actions_.end(), actions.begin(), actions.end());
@@ -97,7 +96,7 @@
     UpdateEndpoints(EndpointUpdateKind::kFull, endpoints);
   }
 
-  // An endpoint that holds `shard`; `started_at` is 0 where unknown.
+  // Returns an endpoint that holds `shard`; `started_at` is 0 if unknown.
   static Endpoint MakeEndpoint(const std::string& target, int shard,
                                EndpointState state = EndpointState::kActive, Time started_at = 0) {
     Endpoint endpoint;
@@ -108,7 +107,7 @@
     return endpoint;
   }
 
-  // A request of two units with a key of its own and 2 s to live.
+  // Returns a request of two units with a unique key and a ttl of 2 s.
   static RequestArrived MakeRequest(const std::string& id, int request_class = 0, int shard = 0) {
     RequestArrived request;
     request.id = id;
@@ -145,7 +144,7 @@
     now_ = until;
   }
 
-  // The recorded actions of one type, in order.
+  // Returns the recorded actions of one type, in order.
   template <typename T>
   std::vector<T> ActionsOf() const {
     std::vector<T> found;
@@ -157,23 +156,23 @@
     return found;
   }
 
-  // The recorded attempts; forgets all recorded actions.
+  // Returns the recorded attempts and clears all recorded actions.
   std::vector<SendAttempt> TakeAttempts() {
     std::vector<SendAttempt> attempts = ActionsOf<SendAttempt>();
     ClearActions();
     return attempts;
   }
 
-  // How many recorded actions of each kind name the request.
+  // Return the number of recorded actions of each type for the request.
   int SendCount(const std::string& id) const { return CountOf<SendAttempt>(id); }
   int RejectionCount(const std::string& id) const { return CountOf<RejectRequest>(id); }
   int FailureCount(const std::string& id) const { return CountOf<FailRequest>(id); }
   int FinalResponseCount(const std::string& id) const { return RejectionCount(id) + FailureCount(id); }
 
-  // The simulated time in microseconds.
+  // Returns the simulated time in microseconds.
   Time now() const { return now_; }
 
-  // Forgets the recorded actions.
+  // Clears the recorded actions.
   void ClearActions() { actions_.clear(); }
 
  private:
--- a/tests/scheduler/simulator_adapter_test.cpp
+++ b/tests/scheduler/simulator_adapter_test.cpp
@@ -1,4 +1,4 @@
-// The simulator adapter: its line protocol and its handling of invalid input.
+// Tests of the simulator adapter: its line protocol and its handling of invalid input.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -22,17 +22,17 @@
              "overloadFor":1000000},"limits":{"tryLimit":3}})");
 }
 
-std::string Enlist(int instance) {
+std::string EnlistLine(int instance) {
   return json{{"op", "enlist"}, {"initiatorId", instance}, {"prng", 5}, {"settings", MinimalSettings()}}
       .dump();
 }
 
 const char kCensus0[] =
     R"({"op":"census","list":0,"items":[{"regionPart":0,"scale":1,"cohort":0,"launched":null,"phase":"live","target":"a:1","classOfHost":0}]})";
-const char kCensus0Again[] =
+const char kCensus0Replacement[] =
     R"({"op":"census","list":0,"items":[{"cohort":0,"phase":"live","target":"b:1"}]})";
 
-std::string Cached(int instance) {
+std::string CachedListLine(int instance) {
   return json{{"op", "membership"}, {"initiatorId", instance}, {"mode", "cached"}, {"stamp", 1}, {"list", 0}}
       .dump();
 }
@@ -45,7 +45,7 @@
       .dump();
 }
 
-// The reply to the last batch of `lines`, each batch closed by its own eofBatch.
+// Returns the reply to the last batch of `lines`. Each batch must end with eofBatch.
 std::string Reply(const std::vector<std::string>& lines) {
   Adapter adapter;
   std::string reply;
@@ -58,13 +58,11 @@
 const char kRound[] = R"({"op":"round","now":5000000})";
 const char kEnd[] = R"({"op":"eofBatch"})";
 
-TEST(SimulatorAdapter, AnEmptyBatchGetsAnEmptyReply) {
-  EXPECT_EQ(Reply({kRound, kEnd}), "{\"op\":\"eor\"}\n");
-}
+TEST(SimulatorAdapter, EmptyBatchGetsAnEmptyReply) { EXPECT_EQ(Reply({kRound, kEnd}), "{\"op\":\"eor\"}\n"); }
 
-TEST(SimulatorAdapter, ASendNamesInstanceRequestAndTarget) {
+TEST(SimulatorAdapter, SendNamesInstanceRequestAndTarget) {
   const std::string reply =
-      Reply({kRound, Enlist(3), kCensus0, Cached(3), ArrivalLine(3, "00000000000000aa"), kEnd});
+      Reply({kRound, EnlistLine(3), kCensus0, CachedListLine(3), ArrivalLine(3, "00000000000000aa"), kEnd});
   EXPECT_NE(reply.find(R"("op":"send")"), std::string::npos);
   EXPECT_NE(reply.find(R"("tid":"00000000000000aa")"), std::string::npos);
   EXPECT_NE(reply.find(R"("target":"a:1")"), std::string::npos);
@@ -72,10 +70,10 @@
   EXPECT_EQ(reply.substr(reply.size() - 13), "{\"op\":\"eor\"}\n");
 }
 
-TEST(SimulatorAdapter, ANumberedListIsReplacedWithinABatch) {
-  const std::string reply =
-      Reply({kRound, Enlist(1), Enlist(2), kCensus0, Cached(1), kCensus0Again, Cached(2),
-             ArrivalLine(1, "0000000000000001"), ArrivalLine(2, "0000000000000002"), kEnd});
+TEST(SimulatorAdapter, EndpointListWithTheSameNumberIsReplacedWithinABatch) {
+  const std::string reply = Reply({kRound, EnlistLine(1), EnlistLine(2), kCensus0, CachedListLine(1),
+                                   kCensus0Replacement, CachedListLine(2), ArrivalLine(1, "0000000000000001"),
+                                   ArrivalLine(2, "0000000000000002"), kEnd});
   std::istringstream in(reply);
   int sends = 0;
   for (std::string line; std::getline(in, line);) {
@@ -89,31 +87,32 @@
   EXPECT_EQ(sends, 2);
 }
 
-TEST(SimulatorAdapter, KillAndEnlistInOneBatchDiscardsEarlierState) {
+TEST(SimulatorAdapter, KillAndEnlistInOneBatchDiscardsTheEarlierState) {
   Adapter adapter;
   std::string reply;
   for (const std::string& line :
-       {std::string(kRound), Enlist(1), std::string(kCensus0), Cached(1), ArrivalLine(1, "000000000000000a"),
-        std::string(kEnd), std::string(kRound), std::string(R"({"op":"kill","initiatorId":1})"), Enlist(1),
-        std::string(kCensus0Again), Cached(1), ArrivalLine(1, "000000000000000b"), std::string(kEnd)}) {
+       {std::string(kRound), EnlistLine(1), std::string(kCensus0), CachedListLine(1),
+        ArrivalLine(1, "000000000000000a"), std::string(kEnd), std::string(kRound),
+        std::string(R"({"op":"kill","initiatorId":1})"), EnlistLine(1), std::string(kCensus0Replacement),
+        CachedListLine(1), ArrivalLine(1, "000000000000000b"), std::string(kEnd)}) {
     adapter.HandleLine(line, &reply);
   }
   EXPECT_EQ(reply.find("000000000000000a"), std::string::npos);
   EXPECT_NE(reply.find(R"("target":"b:1")"), std::string::npos);
 }
 
-TEST(SimulatorAdapter, EventsOfAKilledInstanceAreIgnored) {
-  EXPECT_EQ(
-      Reply({kRound, Enlist(1), R"({"op":"kill","initiatorId":1})", ArrivalLine(1, "00000000000000aa"), kEnd})
-          .find("send"),
-      std::string::npos);
+TEST(SimulatorAdapter, EventsForAKilledInstanceAreIgnored) {
+  EXPECT_EQ(Reply({kRound, EnlistLine(1), R"({"op":"kill","initiatorId":1})",
+                   ArrivalLine(1, "00000000000000aa"), kEnd})
+                .find("send"),
+            std::string::npos);
 }
 
-TEST(SimulatorAdapter, ABatchOfMegabytesIsAccepted) {
+TEST(SimulatorAdapter, BatchOfMegabytesIsAccepted) {
   Adapter adapter;
   std::string reply;
   adapter.HandleLine(kRound, &reply);
-  for (const std::string& line : {Enlist(1), std::string(kCensus0), Cached(1)}) {
+  for (const std::string& line : {EnlistLine(1), std::string(kCensus0), CachedListLine(1)}) {
     adapter.HandleLine(line, &reply);
   }
   char id[17];
@@ -132,7 +131,7 @@
     EXPECT_THROW(adapter.HandleLine(invalid, &reply), std::exception) << invalid;
   }
   for (const char* invalid :
-       {R"({"op":"dance","initiatorId":1})", R"({"op":"arrival","initiatorId":1})",
+       {R"({"op":"unknown","initiatorId":1})", R"({"op":"arrival","initiatorId":1})",
         R"({"op":"membership","initiatorId":1,"mode":"full","list":7})",
         R"({"op":"done","initiatorId":1,"tid":"x","trial":0,"target":"a","rc":"odd"})"}) {
     Adapter adapter;
@@ -155,14 +154,14 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-TEST(SimulatorAdapter, EndOfInputExitsWithZero) {
+TEST(SimulatorAdapter, ExitsWithZeroAtTheEndOfInput) {
   std::string errors;
   EXPECT_EQ(RunAdapter(std::string(kRound) + "\n" + kEnd + "\n", &errors), 0);
   EXPECT_EQ(errors, "");
 }
 
-TEST(SimulatorAdapter, InvalidInputGetsAMessageAndANonZeroExit) {
-  for (const std::string invalid : {"{\n", "{\"op\":\"dance\"}\n", "{\"op\":\"round\"}\n"}) {
+TEST(SimulatorAdapter, PrintsAnErrorAndExitsWithNonZeroOnInvalidInput) {
+  for (const std::string invalid : {"{\n", "{\"op\":\"unknown\"}\n", "{\"op\":\"round\"}\n"}) {
     std::string errors;
     EXPECT_NE(RunAdapter(invalid, &errors), 0) << invalid;
     EXPECT_NE(errors.find("walnutspur_simulator_adapter: line 1"), std::string::npos) << errors;
--- a/tests/scheduler/slow_start_test.cpp
+++ b/tests/scheduler/slow_start_test.cpp
@@ -1,10 +1,11 @@
-// Slow start: a target that has just restarted receives a limited rate.
+// Tests of slow start: a target that has just restarted is sent a limited rate.
 //
-// A restarted target serves a fraction of its full capacity at first, and fails if all instances together
-// send it more than a multiple of that for a second. Hundreds of instances share no state: in the field each
-// sent nothing at all, its part of the stated allowance being less than a request, so that restarted targets
-// stood idle for 17 s; or, by a wrong clock, took a target in slow start for one in steady state. The tests
-// restart a target and count the units sent to it against what it served before.
+// A restarted target has a fraction of its full capacity at first, and fails if all instances together exceed
+// a multiple of that for a second. Hundreds of instances share no state. Two failures occurred in the field:
+// each instance's share of the slow start units was less than one request, so that none sent anything and
+// restarted targets were idle for 17 s; and, because of a wrong clock, instances treated a target in slow
+// start as one in steady state. The tests restart a target and compare the units sent to it with the units
+// that it served before.
 #include <gtest/gtest.h>
 
 #include "scheduler_fixture.h"
@@ -12,9 +13,9 @@
 namespace walnutspur::test {
 namespace {
 
-constexpr double kUnitsPerRequest = 2;  // of SchedulerFixture::MakeRequest
+constexpr double kUnitsPerRequest = 2;  // units of SchedulerFixture::MakeRequest
 
-// The units of all attempts sent to `target`.
+// Returns the units of all attempts sent to `target`.
 double UnitsSentTo(const SchedulerFixture& scheduler, const std::string& target) {
   double units = 0;
   for (const SendAttempt& attempt : scheduler.ActionsOf<SendAttempt>()) {
@@ -23,10 +24,10 @@
   return units;
 }
 
-constexpr Time kRequestInterval = 200 * kMs;  // five requests, ten units, a second
+constexpr Time kRequestInterval = 200 * kMs;  // 5 requests (10 units) per second
 
-// Sends a request to shard 0 every kRequestInterval; each attempt completes `latency` after it was sent.
-// Returns the units sent.
+// Sends `count` requests to shard 0, one every kRequestInterval; each attempt completes `latency` after it
+// was sent. Returns the units sent.
 double SendRequests(SchedulerFixture& scheduler, const std::string& id_prefix, int count, Time latency) {
   double units = 0;
   for (int i = 0; i < count; ++i) {
@@ -55,30 +56,31 @@
   return settings;
 }
 
-// Regression i6a82cc: divided by hundreds of instances, the slow start units are a fraction of a request.
-TEST(SlowStart, TheRateBeforeARestartAllowsAFractionAfterIt) {
+// Regression i6a82cc: each of hundreds of instances gets only a fraction of a request of the slow start
+// units.
+TEST(SlowStart, RestartedTargetIsSentAFractionOfItsFormerRate) {
   const Settings settings = SettingsOfManyInstances();
   SchedulerFixture scheduler(settings);
   scheduler.SetTargets(1);
   SendRequests(scheduler, "before", 100, 0);
   RestartTarget(scheduler);
   const double sent = SendRequests(scheduler, "after", 20, 100 * kMs);
-  // In steady state the target served ten units a second to this instance. Slow start allows a fifth of that
-  // at first and four fifths within a second: at most what it served in these four seconds, plus one bucket.
+  // In steady state the target served ten units per second to this instance. Slow start allows a fifth of
+  // that at first and four fifths within a second: at most what it served in four seconds, plus one bucket.
   EXPECT_LE(sent, 4 * 10 * 1.3 + settings.max_request_units);
   EXPECT_GE(sent, 10);
 }
 
-TEST(SlowStart, ATargetThatServedNothingBeforeItsRestartIsSentNothing) {
+TEST(SlowStart, RestartedTargetThatServedNothingBeforeIsSentNothing) {
   SchedulerFixture scheduler(SettingsOfManyInstances());
   scheduler.SetTargets(1);
   RestartTarget(scheduler);
   EXPECT_LE(SendRequests(scheduler, "after", 20, 100 * kMs), 0);
 }
 
-// Regression ie1b203: clients move between instances, so what other targets served this instance counts in
-// part.
-TEST(SlowStart, AnInstanceNewToATargetInSlowStartSendsAFraction) {
+// Regression ie1b203: clients move between instances, so the units that other targets served to this instance
+// count in part.
+TEST(SlowStart, InstanceNewToATargetInSlowStartSendsAFractionOfItsRate) {
   for (const bool served : {false, true}) {
     const Settings settings = SettingsOfManyInstances();
     SchedulerFixture scheduler(settings);
@@ -100,7 +102,7 @@
         sent += kUnitsPerRequest;
       }
     }
-    // Ten units a second at one of two targets: a quarter of that, plus one bucket.
+    // It had ten units per second at one of two targets: a quarter of that, plus one bucket.
     EXPECT_LE(sent, served ? 4 * 2.5 * 1.3 + settings.max_request_units : 0);
     if (served) {
       EXPECT_GE(sent, 4);
@@ -124,7 +126,7 @@
   EXPECT_LE(UnitsSentTo(scheduler, "t0"), 10);
 }
 
-TEST(SlowStart, ATargetInSteadyStateIsNotLimited) {
+TEST(SlowStart, TargetInSteadyStateIsNotLimited) {
   Settings settings = BasicSettings();
   settings.instances = 2;
   SchedulerFixture scheduler(settings);
@@ -139,17 +141,19 @@
   EXPECT_EQ(UnitsSentTo(scheduler, "t0"), 80);
 }
 
-// The units that are sent to a target first listed by a delta, two seconds after a complete list without it.
-// The list states that it started `age` ago; its clock is ahead of the events' by `clock_offset`.
-int UnitsSentToNewcomer(Time age, Time clock_offset) {
+// Returns the units sent to a target that is first listed by a delta, two seconds after a full list without
+// it. The list states that the target started `age` ago; the list's clock is ahead of the events' by
+// `clock_offset`.
+int UnitsSentToNewTarget(Time age, Time clock_offset) {
   Settings settings = BasicSettings();
   settings.instances = 2;
   SchedulerFixture scheduler(settings);
   scheduler.UpdateEndpoints(EndpointUpdateKind::kFull, {SchedulerFixture::MakeEndpoint("t1", 1)});
   scheduler.Advance(2 * kSec);
-  Endpoint newcomer = SchedulerFixture::MakeEndpoint("t0", 0, EndpointState::kActive, scheduler.now() - age);
-  newcomer.clock_offset = clock_offset;
-  scheduler.UpdateEndpoints(EndpointUpdateKind::kDelta, {newcomer});
+  Endpoint new_target =
+      SchedulerFixture::MakeEndpoint("t0", 0, EndpointState::kActive, scheduler.now() - age);
+  new_target.clock_offset = clock_offset;
+  scheduler.UpdateEndpoints(EndpointUpdateKind::kDelta, {new_target});
   for (int i = 0; i < 40; ++i) {
     const std::string id = "r" + std::to_string(i);
     scheduler.Handle(SchedulerFixture::MakeRequest(id));
@@ -158,11 +162,11 @@
   return UnitsSentTo(scheduler, "t0");
 }
 
-TEST(SlowStart, AStartThatFormerListsWouldHaveShownCountsAsOneJustNow) {
-  EXPECT_LE(UnitsSentToNewcomer(kSec, 0), 12);                           // the clocks agree
-  EXPECT_LE(UnitsSentToNewcomer(3600 * kSec, 0), 12);                    // stated an hour too early
-  EXPECT_LE(UnitsSentToNewcomer(kSec - 3600 * kSec, -3600 * kSec), 12);  // known to be behind
-  EXPECT_LE(UnitsSentToNewcomer(-3600 * kSec, 0), 12);                   // in the future
+TEST(SlowStart, TargetAbsentFromEarlierListsCountsAsJustStarted) {
+  EXPECT_LE(UnitsSentToNewTarget(kSec, 0), 12);         // the clocks agree
+  EXPECT_LE(UnitsSentToNewTarget(3600 * kSec, 0), 12);  // the stated start is an hour too early
+  EXPECT_LE(UnitsSentToNewTarget(kSec - 3600 * kSec, -3600 * kSec), 12);  // the clock is known to be behind
+  EXPECT_LE(UnitsSentToNewTarget(-3600 * kSec, 0), 12);                   // the stated start is in the future
 }
 
 }  // namespace
