--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -5,8 +5,7 @@
 namespace walnutspur::decision {
 namespace {
 
-// Returns the service time of a unit at the active target of a shard, or the initial estimate if there is
-// none.
+// Returns the service time of a unit at a shard's active target, or the initial estimate if it has none.
 Duration UnitTime(const SchedulerState& state, int shard) {
   const TargetState* target = state.endpoints.ActiveTarget(shard);
   return target != nullptr ? target->latency.unit_time() : limits::kInitialUnitTime;
--- a/src/decision/admission.h
+++ b/src/decision/admission.h
@@ -1,4 +1,4 @@
-// Admission: whether a request is sent, waits in its queue, or is rejected.
+// Admission: decides whether a request is sent, waits in its queue, or is rejected.
 //
 // There is one rule for each moment of a request: dispatch, arrival and waiting. Each rule requires a valid
 // endpoint lease. After the lease has expired, targets may be draining without this instance being notified,
--- a/src/decision/concurrency_limit.cpp
+++ b/src/decision/concurrency_limit.cpp
@@ -97,16 +97,16 @@
   return units_in_flight > 0 && state.Since(target.last_send) > ExplorationGap(state, target);
 }
 
-// Returns whether other work uses the target, or may use it: a target with a stale estimate may only look
-// idle.
+// Returns whether other work uses the target, or may use it: a target may only look idle if its estimate is
+// stale.
 bool IsInUse(const SchedulerState& state, const TargetState& target, double units_in_flight) {
   const Duration allowed = kQueueingFraction * state.client_wait.fraction() * state.tightest_objective;
   return units_in_flight > 0 || target.latency.IsStale(state.now) ||
          ExpectedQueueing(state, target) > allowed;
 }
 
-// Returns the limit that applies now, in units: the target's, bounded by the fleet's if its estimate is
-// stale.
+// Returns the limit that applies now, in units: the target's limit, or the smaller of the target's and the
+// fleet's if the target's estimate is stale.
 double PresentLimit(const SchedulerState& state, const TargetState& target, bool is_reserved) {
   const double units = target.limits.Select(is_reserved).units;
   if (!target.latency.IsStale(state.now)) {
--- a/src/decision/concurrency_limit.h
+++ b/src/decision/concurrency_limit.h
@@ -1,4 +1,4 @@
-// Concurrency limits: how many units may be in flight at each target, adapted to latency.
+// Concurrency limits: bounds the units in flight at each target and adapts the bounds to latency.
 //
 // Functions that read and update the SchedulerState. Called on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_CONCURRENCY_LIMIT_H_
--- a/src/decision/dispatch.h
+++ b/src/decision/dispatch.h
@@ -1,4 +1,4 @@
-// Dispatch: which queued request is sent to a target next, and when.
+// Dispatch: decides which queued request is sent to a target next, and when.
 //
 // Functions that read and update the SchedulerState. Called on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_DISPATCH_H_
--- a/src/decision/endpoint_lease.cpp
+++ b/src/decision/endpoint_lease.cpp
@@ -10,8 +10,7 @@
 // Notification deadline, a rule of the platform: a change counts as notified this long after discovery knew
 // it and was reachable.
 constexpr Time kNotificationDeadline = ToTime(std::chrono::seconds(6));
-// Notification deadline after a new configuration has named another discovery service; a rule of the
-// platform.
+// Notification deadline after a new configuration names another discovery service; a rule of the platform.
 constexpr Time kServiceChangeDeadline = ToTime(std::chrono::seconds(4));
 // Maximum time between reading the clock and writing an attempt. The platform may pause an instance for
 // 0.15 s; another 0.05 s are for the path from the scheduler to the socket.
--- a/src/decision/estimates.cpp
+++ b/src/decision/estimates.cpp
@@ -67,8 +67,7 @@
   }
   const Duration queueing = target.latency.Record(result.latency, request.units, state.now);
   target.samples.Add(queueing, target.latency.ServiceTime(request.units));
-  if (completed) {  // time-outs don't count for the fleet: those of a lost zone would slow requests to other
-                    // zones
+  if (completed) {  // time-outs don't count for the fleet: those of a lost zone would slow all others
     target.latest_completed_send = std::max(target.latest_completed_send, request.sent_at);
     state.fleet_latency.OnCompleted(queueing, state.tightest_objective, state.now);
   }
--- a/src/decision/estimates.h
+++ b/src/decision/estimates.h
@@ -9,8 +9,7 @@
 
 namespace walnutspur::decision {
 
-// Returns the queueing delay expected for an attempt sent now: at least the age of attempts stuck at the
-// target.
+// Returns the queueing delay expected for an attempt sent now: at least that of attempts stuck at the target.
 Duration ExpectedQueueing(const SchedulerState& state, const TargetState& target);
 
 // Adds latency samples for attempts in flight whose queueing delay is above `threshold`, since a stuck target
--- a/src/decision/final_response.h
+++ b/src/decision/final_response.h
@@ -1,8 +1,8 @@
 // Final response: decides whether a request that is not served is rejected or fails.
 //
 // The request is rejected if a new attempt by the client is safe (idempotency.h), with a Retry-After if the
-// settings enable it. Otherwise it fails: whether it was executed is unknown. Functions over the
-// SchedulerState. Called on the scheduler thread.
+// settings enable it. Otherwise it fails: whether it was executed is unknown. Functions that read the
+// SchedulerState and add to its actions. Called on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_FINAL_RESPONSE_H_
 #define WALNUTSPUR_DECISION_FINAL_RESPONSE_H_
 
--- a/src/decision/in_flight.h
+++ b/src/decision/in_flight.h
@@ -1,6 +1,6 @@
 // Attempts in flight: the attempts that occupy a target, including ended ones that may still occupy it.
 //
-// Functions over the SchedulerState. Called on the scheduler thread.
+// Functions that read the SchedulerState and update a target's attempts. Called on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_IN_FLIGHT_H_
 #define WALNUTSPUR_DECISION_IN_FLIGHT_H_
 
--- a/src/decision/loss_detection.cpp
+++ b/src/decision/loss_detection.cpp
@@ -3,8 +3,7 @@
 namespace walnutspur::decision {
 namespace {
 
-// Number of the attempt's service times in the margin: the service time of equal work varies by less than
-// this.
+// Number of the attempt's service times in the margin. The service time of equal work varies by less.
 constexpr double kMarginServiceTimes = 4;
 // Fraction of the tightest latency objective in the margin for "presumed lost".
 constexpr double kLostObjectiveFraction = 0.25;
--- a/src/decision/loss_detection.h
+++ b/src/decision/loss_detection.h
@@ -8,9 +8,8 @@
 // - presumed lost: the attempt no longer counts as occupying the target. A wrong result overloads the target,
 //   which affects every class, so the margin uses the tightest objective and the larger fraction.
 // - overtaken: the attempt may be cancelled and sent again if its request can still meet its objective. A
-// wrong
-//   result costs a retry from the budget, and a late result makes the request miss its class's objective, so
-//   the margin uses the class's objective and the smaller fraction.
+//   wrong result costs a retry from the budget, and a late result makes the request miss its class's
+//   objective, so the margin uses the class's objective and the smaller fraction.
 //
 // Functions that read the SchedulerState. Called on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_LOSS_DETECTION_H_
--- a/src/decision/placement.cpp
+++ b/src/decision/placement.cpp
@@ -10,14 +10,12 @@
 
 // Cost of a failed placement, as a multiple of the tightest objective.
 constexpr double kFailureCost = 2;
-// Maximum random part of a placement's cost, as a fraction, so that instances do not all choose the same
-// target.
+// Maximum random part of a placement's cost, as a fraction: prevents all instances choosing the same target.
 constexpr double kCostJitter = 0.2;
 // Time in which the weight of a placed object decays to 1/e: its reads follow within a few seconds.
 constexpr Duration kPlacedDecayTime = std::chrono::seconds(5);
 
-// Returns the expected time until the target completes the request and its later reads, plus the cost of
-// risks.
+// Returns the expected time until the target completes the request and its later reads, plus costs of risks.
 Duration PlacementCost(SchedulerState& state, const RequestState& request, int shard,
                        const TargetState& target) {
   const Duration unit_time = target.latency.unit_time();
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -1,7 +1,7 @@
 // Retry policy: decides whether a request is attempted again, after an attempt that has ended or in place of
 // an overtaken one.
 //
-// Functions over the SchedulerState. Called on the scheduler thread.
+// Functions that read and update the SchedulerState. Called on the scheduler thread.
 #ifndef WALNUTSPUR_DECISION_RETRY_POLICY_H_
 #define WALNUTSPUR_DECISION_RETRY_POLICY_H_
 
--- a/src/decision/throttle.cpp
+++ b/src/decision/throttle.cpp
@@ -8,8 +8,8 @@
 namespace walnutspur::decision {
 namespace {
 
-// Lower bound of a throttle, as a multiple of the plan's reserved rate or fair share; the value of the SLEDS
-// paper.
+// Lower bound of a throttle, as a multiple of the plan's reserved rate or, without a reserve, its fair share.
+// The value is that of the SLEDS paper.
 constexpr double kPlanRateMargin = 1.05;
 // Factor by which a throttle is tightened per interval: three intervals halve a rate.
 constexpr double kTightenFactor = 0.8;
