--- a/src/decision/endpoint_lease.cpp
+++ b/src/decision/endpoint_lease.cpp
@@ -33,7 +33,7 @@
   expires_at_ = DrainGraceEnd(now + kNotificationDeadline);
 }
 
-void EndpointLease::OnCurrent() {
+void EndpointLease::OnListConfirmed() {
   is_watching_ = true;
   has_list_ = true;
   update_started_at_ = -1;
--- a/src/decision/endpoint_lease.h
+++ b/src/decision/endpoint_lease.h
@@ -29,7 +29,7 @@
   // Handles the start of the instance, which has a cached list or none.
   void OnStarted(Time now);
   // Handles a list or a heartbeat received on the watch: the list is current while the watch works.
-  void OnCurrent();
+  void OnListConfirmed();
   // Handles the first part of an update, received at `at`. Its content counts as notified from then on.
   void OnUpdateStarted(Time at);
   // Handles the end of the watch, or a failed call for one. `current_until` is the time up to which the watch
--- a/src/decision/endpoint_updates.cpp
+++ b/src/decision/endpoint_updates.cpp
@@ -75,7 +75,7 @@
   const bool is_cached = update.kind == EndpointUpdateKind::kCached;
   if (!is_cached) {
     state.endpoint_poller.OnResponse();
-    state.endpoint_lease.OnCurrent();
+    state.endpoint_lease.OnListConfirmed();
   }
   if (is_cached || update.kind == EndpointUpdateKind::kFull) {
     state.endpoints.TerminateAll();
--- a/src/decision/estimates.h
+++ b/src/decision/estimates.h
@@ -32,8 +32,8 @@
 double ServedRate(const SchedulerState& state);
 
 // Returns the rate of service that this instance needs at the target: its total rate at all targets, divided
-// among them in proportion to present demand. Past rates do not serve here, since shards move between
-// instances and a shard without demand needs no capacity.
+// among them in proportion to present demand. Past rates at the target are not used, since shards move
+// between instances and a shard without demand needs no capacity.
 double DemandedRate(SchedulerState& state, const TargetState& target);
 
 }  // namespace walnutspur::decision
--- a/tests/scheduler/client_timeout_test.cpp
+++ b/tests/scheduler/client_timeout_test.cpp
@@ -106,7 +106,8 @@
   }
 }
 
-// If most clients disconnect early, requests count as late at that age.
+// If clients disconnect before the objective and no others wait longer, requests count as late at the age at
+// which they disconnect.
 TEST(ClientAbandonment, AgeAtWhichClientsDisconnectReplacesTheObjective) {
   for (const int disconnected : {0, 1, 8}) {
     Settings settings = BasicSettings();
--- a/tests/scheduler/endpoint_lease_test.cpp
+++ b/tests/scheduler/endpoint_lease_test.cpp
@@ -25,7 +25,7 @@
 EndpointLease LeaseWithWorkingWatch() {
   EndpointLease lease(DiscoveryMode::kSubscribe, kGrace);
   lease.OnStarted(kStart - kSec);
-  lease.OnCurrent();
+  lease.OnListConfirmed();
   return lease;
 }
 
@@ -41,7 +41,7 @@
   EXPECT_EQ(lease.expires_at(), kStart + kLease) << "an abandoned call does not renew the lease";
   EXPECT_TRUE(lease.IsValid(kStart + kLease - 1));
   EXPECT_FALSE(lease.IsValid(kStart + kLease));
-  lease.OnCurrent();
+  lease.OnListConfirmed();
   EXPECT_EQ(lease.expires_at(), kNever);
 }
 
@@ -72,7 +72,7 @@
   lease.OnUpdateStarted(kStart + kSec);
   EXPECT_EQ(lease.expires_at(), kStart + kLeaseAfterNotification);
   EndpointLease completed = lease;
-  completed.OnCurrent();
+  completed.OnListConfirmed();
   EXPECT_EQ(completed.expires_at(), kNever);
   lease.OnFailed(kStart + 2 * kSec, kStart + 2 * kSec, DiscoveryFailure::kNoResponse);
   EXPECT_EQ(lease.expires_at(), kStart + kLeaseAfterNotification);
--- a/tests/unit/admission_test.cpp
+++ b/tests/unit/admission_test.cpp
@@ -30,7 +30,7 @@
   LeaseFixture() : Fixture(SubscribedSettings()), request(Queue("1", MakeVolume("v"))) {
     request->objective_at = state.now + kObjective;
     state.endpoint_lease.OnStarted(state.now);
-    state.endpoint_lease.OnCurrent();
+    state.endpoint_lease.OnListConfirmed();
   }
 
   // The watch ended so long ago that the lease has expired.
