--- a/src/http/discovery_client.cpp
+++ b/src/http/discovery_client.cpp
@@ -76,7 +76,7 @@
 
 void DiscoveryClient::SwitchServer() {
   revision_ = 0;
-  on_list_({walnutspur::EndpointUpdateKind::kMoved, {}}, {});
+  on_list_({walnutspur::EndpointUpdateKind::kServiceChanged, {}}, {});
   OpenWatch();
 }
 
@@ -128,7 +128,7 @@
   if (end == WatchEnd::kNotConnected) {
     failure.failure = walnutspur::DiscoveryFailure::kUnreachable;
   } else if (end == WatchEnd::kReset) {
-    failure.failure = walnutspur::DiscoveryFailure::kBroken;
+    failure.failure = walnutspur::DiscoveryFailure::kConnectionLost;
   }
   on_list_(std::move(failure), {});
 }
@@ -191,7 +191,7 @@
 void DiscoveryClient::ReportProgress() {
   if (lists_.held() > 0) {
     if (!std::exchange(has_partial_list_, true)) {
-      on_list_({walnutspur::EndpointUpdateKind::kBegun, {}, last_received_at_}, {});
+      on_list_({walnutspur::EndpointUpdateKind::kUpdateStarted, {}, last_received_at_}, {});
     }
     return;
   }
--- a/tests/unit/admission_test.cpp
+++ b/tests/unit/admission_test.cpp
@@ -30,7 +30,7 @@
   LeaseFixture() : Fixture(SubscribedSettings()), request(Queue("1", MakeVolume("v"))) {
     request->objective_at = state.now + kObjective;
     state.endpoint_lease.OnStarted(state.now);
-    state.endpoint_lease.OnCurrent();
+    state.endpoint_lease.OnListConfirmed();
   }
 
   // The watch ended so long ago that the lease has expired.
@@ -113,7 +113,7 @@
   poller.OnPolled(kStart);
   CHECK_FALSE(poller.IsDue(kStart + 5 * kOneSecond - 1));
   CHECK(poller.IsDue(kStart + 5 * kOneSecond));
-  poller.OnUpdateBegun(kStart + kOneSecond);  // puts it off
+  poller.OnUpdateStarted(kStart + kOneSecond);  // puts it off
   CHECK_FALSE(poller.IsDue(kStart + 5 * kOneSecond));
   poller.OnResponse();
   CHECK_FALSE(poller.IsDue(kStart + 60 * kOneSecond));
