--- a/src/core/port.h
+++ b/src/core/port.h
@@ -33,7 +33,7 @@
   // Called repeatedly during shutdown with the time left until all requests have to be answered (us). Once
   // another request could not be served in that time, connections close after their next response and no new
   // ones are accepted.
-  virtual void AdvanceShutdown(Time left) = 0;
+  virtual void AdvanceShutdown(Time time_left) = 0;
   virtual std::size_t connections() const = 0;
 };
 
--- a/src/frontend/eviction_policy.cpp
+++ b/src/frontend/eviction_policy.cpp
@@ -2,7 +2,7 @@
 
 namespace walnutspur::frontend {
 
-Duration EvictionPolicy::GraceOf(EvictionRank rank) const {
+Duration EvictionPolicy::GracePeriod(EvictionRank rank) const {
   switch (rank) {
     case EvictionRank::kHandshake:
       return limits_.handshake_grace;
@@ -20,7 +20,8 @@
 }
 
 bool EvictionPolicy::IsEvictable(const EvictionCandidate& candidate, Time now) const {
-  return candidate.rank != EvictionRank::kInUse && Elapsed(candidate.since, now) >= GraceOf(candidate.rank);
+  return candidate.rank != EvictionRank::kInUse &&
+         Elapsed(candidate.since, now) >= GracePeriod(candidate.rank);
 }
 
 bool EvictionPolicy::IsBefore(const EvictionCandidate& left, const EvictionCandidate& right) {
--- a/src/frontend/eviction_policy.h
+++ b/src/frontend/eviction_policy.h
@@ -65,7 +65,7 @@
   }
 
  private:
-  Duration GraceOf(EvictionRank rank) const;
+  Duration GracePeriod(EvictionRank rank) const;
 
   EvictionLimits limits_;
 };
--- a/src/frontend/pending_requests.h
+++ b/src/frontend/pending_requests.h
@@ -47,19 +47,19 @@
     return at == requests_.end() ? nullptr : &at->second.origin;
   }
 
-  struct Answered {
+  struct CompletedRequest {
     Origin origin;
     Time latency = 0;  // us since the request arrived
   };
   // Removes a request whose response has come; nothing if it is not pending.
-  std::optional<Answered> TakeAnswered(core::RequestNumber number) {
+  std::optional<CompletedRequest> TakeCompleted(core::RequestNumber number) {
     const auto at = requests_.find(number);
     if (at == requests_.end()) {
       return std::nullopt;
     }
-    Answered answered{std::move(at->second.origin), core::Now() - at->second.received_at};
+    CompletedRequest completed{std::move(at->second.origin), core::Now() - at->second.received_at};
     requests_.erase(at);
-    return answered;
+    return completed;
   }
 
   // Removes a request whose client has disconnected, and submits ClientClosed; does nothing if it is not
--- a/src/frontend/shutdown_sequence.cpp
+++ b/src/frontend/shutdown_sequence.cpp
@@ -6,24 +6,24 @@
 
 void ShutdownSequence::Schedule() { phase_ = std::max(phase_, ShutdownPhase::kScheduled); }
 
-bool ShutdownSequence::Advance(Time left) {
+bool ShutdownSequence::Advance(Time time_left) {
   const bool was_draining = is_draining();
-  phase_ = std::max(phase_, PhaseAt(left));
+  phase_ = std::max(phase_, PhaseAt(time_left));
   return !was_draining && is_draining();
 }
 
 // The transitions of a shutdown. Nothing is closed before the front end drains, however long before the
 // deadline idle connections may be closed.
-ShutdownPhase ShutdownSequence::PhaseAt(Time left) const {
-  if (!is_draining() && !estimate_.IsLastResponse(left)) {
+ShutdownPhase ShutdownSequence::PhaseAt(Time time_left) const {
+  if (!is_draining() && !estimate_.IsLastResponse(time_left)) {
     return phase_;
   }
-  const Duration remaining = Microseconds(left);
-  if (remaining <= -limits_.close_unanswered_after) {
-    return ShutdownPhase::kClosingUnanswered;
+  const Duration remaining = Microseconds(time_left);
+  if (remaining <= -limits_.close_awaiting_response_after) {
+    return ShutdownPhase::kClosingAwaitingResponse;
   }
-  if (remaining <= -limits_.close_unfinished_after) {
-    return ShutdownPhase::kClosingUnfinished;
+  if (remaining <= -limits_.close_partial_request_after) {
+    return ShutdownPhase::kClosingPartialRequest;
   }
   if (remaining <= limits_.close_idle_before) {
     return ShutdownPhase::kClosingIdle;
@@ -31,14 +31,14 @@
   return ShutdownPhase::kDraining;
 }
 
-bool ShutdownSequence::Closes(ConnectionActivity activity) const {
+bool ShutdownSequence::ShouldClose(ConnectionActivity activity) const {
   switch (activity) {
     case ConnectionActivity::kIdle:
       return phase_ >= ShutdownPhase::kClosingIdle;
-    case ConnectionActivity::kUnfinished:
-      return phase_ >= ShutdownPhase::kClosingUnfinished;
-    case ConnectionActivity::kUnanswered:
-      return phase_ >= ShutdownPhase::kClosingUnanswered;
+    case ConnectionActivity::kPartialRequest:
+      return phase_ >= ShutdownPhase::kClosingPartialRequest;
+    case ConnectionActivity::kAwaitingResponse:
+      return phase_ >= ShutdownPhase::kClosingAwaitingResponse;
   }
   return false;
 }
--- a/src/frontend/shutdown_sequence.h
+++ b/src/frontend/shutdown_sequence.h
@@ -1,7 +1,7 @@
 // The graceful shutdown of a front end, as a sequence of phases that are passed in order and never backwards:
 //
 //   kServing -- Schedule --> kScheduled
-//   any      -- Advance  --> kDraining, kClosingIdle, kClosingUnfinished, kClosingUnanswered
+//   any      -- Advance  --> kDraining, kClosingIdle, kClosingPartialRequest, kClosingAwaitingResponse
 //
 // Advance may skip phases, where the event loop is late. Each front end owns one sequence and shares it with
 // its connections for reading; app::GracefulShutdown drives the front ends. Event-loop thread; no I/O, clock
@@ -15,19 +15,19 @@
 namespace walnutspur::frontend {
 
 enum class ShutdownPhase {
-  kServing,            // no shutdown is scheduled
-  kScheduled,          // requests have to be answered by the deadline; connections stay open
-  kDraining,           // no new connections; the next response of each connection is its last
-  kClosingIdle,        // connections without a request are shut down
-  kClosingUnfinished,  // so are those that hold a part of a request
-  kClosingUnanswered,  // so are those whose request has no response yet
+  kServing,                  // no shutdown is scheduled
+  kScheduled,                // requests have to be answered by the deadline; connections stay open
+  kDraining,                 // no new connections; the next response of each connection is its last
+  kClosingIdle,              // connections without a request are shut down
+  kClosingPartialRequest,    // so are those that hold a part of a request
+  kClosingAwaitingResponse,  // so are those whose request has no response yet
 };
 
 // What a connection is doing, as far as a shutdown is concerned.
 enum class ConnectionActivity {
-  kIdle,        // no request, and no byte of one
-  kUnfinished,  // a part of a request has arrived, or bytes wait in the kernel
-  kUnanswered,  // a request has no response yet
+  kIdle,              // no request, and no byte of one
+  kPartialRequest,    // a part of a request has arrived, or bytes wait in the kernel
+  kAwaitingResponse,  // a request has no response yet
 };
 
 // No limit; see each member of ShutdownLimits for what that means.
@@ -35,9 +35,9 @@
 
 // When connections are shut down, relative to the deadline by which all requests have to be answered.
 struct ShutdownLimits {
-  Duration close_idle_before = kUnlimited;       // kUnlimited: as soon as the front end drains
-  Duration close_unfinished_after = kUnlimited;  // kUnlimited: never
-  Duration close_unanswered_after = kUnlimited;  // kUnlimited: never
+  Duration close_idle_before = kUnlimited;              // kUnlimited: as soon as the front end drains
+  Duration close_partial_request_after = kUnlimited;    // kUnlimited: never
+  Duration close_awaiting_response_after = kUnlimited;  // kUnlimited: never
 };
 
 class ShutdownSequence {
@@ -46,9 +46,9 @@
 
   // A deadline has been set.
   void Schedule();
-  // Enters the phase that is due `left` us before the deadline (negative: after it). Returns whether the
+  // Enters the phase that is due `time_left` us before the deadline (negative: after it). Returns whether the
   // front end drains from now on and has not before: then it has to stop accepting connections.
-  bool Advance(Time left);
+  bool Advance(Time time_left);
 
   // Records a response given `latency` us after its request arrived. Draining begins as long before the
   // deadline as responses take.
@@ -58,10 +58,10 @@
   bool is_scheduled() const { return phase_ >= ShutdownPhase::kScheduled; }
   bool is_draining() const { return phase_ >= ShutdownPhase::kDraining; }
   // Whether connections with this activity are to be shut down in the present phase.
-  bool Closes(ConnectionActivity activity) const;
+  bool ShouldClose(ConnectionActivity activity) const;
 
  private:
-  ShutdownPhase PhaseAt(Time left) const;
+  ShutdownPhase PhaseAt(Time time_left) const;
 
   ShutdownLimits limits_;
   ShutdownPhase phase_ = ShutdownPhase::kServing;
--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -215,10 +215,10 @@
 
 frontend::ConnectionActivity ClientConnection::activity() const {
   if (pending_request_ != 0) {
-    return frontend::ConnectionActivity::kUnanswered;
+    return frontend::ConnectionActivity::kAwaitingResponse;
   }
   const bool idle = IsIdle() && !HasUnreadBytes();
-  return idle ? frontend::ConnectionActivity::kIdle : frontend::ConnectionActivity::kUnfinished;
+  return idle ? frontend::ConnectionActivity::kIdle : frontend::ConnectionActivity::kPartialRequest;
 }
 
 frontend::EvictionRank ClientConnection::eviction_rank() const {
--- a/src/http/front_end.cpp
+++ b/src/http/front_end.cpp
@@ -17,8 +17,8 @@
 // Idle connections stay open for as long as possible: their clients would find no other server. A late event
 // loop may leave requests unanswered after the deadline.
 constexpr frontend::ShutdownLimits kShutdownLimits = {.close_idle_before = milliseconds(100),
-                                                      .close_unfinished_after = milliseconds(50),
-                                                      .close_unanswered_after = milliseconds(100)};
+                                                      .close_partial_request_after = milliseconds(50),
+                                                      .close_awaiting_response_after = milliseconds(100)};
 
 // HTTP has no handshake.
 constexpr frontend::EvictionLimits kEvictionLimits = {.first_request_grace = milliseconds(30),
@@ -136,7 +136,7 @@
 }
 
 void FrontEnd::Respond(const core::Response& response) {
-  const auto answered = pending_.TakeAnswered(response.request);
+  const auto answered = pending_.TakeCompleted(response.request);
   if (!answered) {
     return;  // the client has disconnected
   }
@@ -225,11 +225,11 @@
     listener_.AcceptPending();  // the kernel has accepted them: their requests count as ours
     listener_.Close();
   }
-  if (!shutdown_.Closes(frontend::ConnectionActivity::kIdle)) {
+  if (!shutdown_.ShouldClose(frontend::ConnectionActivity::kIdle)) {
     return;
   }
   for (const auto& [number, client] : clients_) {
-    if (!client->closing() && shutdown_.Closes(client->activity())) {
+    if (!client->closing() && shutdown_.ShouldClose(client->activity())) {
       client->ShutDown();
     }
   }
--- a/src/nbd/front_end.cpp
+++ b/src/nbd/front_end.cpp
@@ -167,7 +167,7 @@
 }
 
 void FrontEnd::Respond(const core::Response& response) {
-  const auto answered = pending_.TakeAnswered(response.request);
+  const auto answered = pending_.TakeCompleted(response.request);
   if (!answered) {
     return;  // the client has disconnected
   }
@@ -192,7 +192,7 @@
   if (shutdown_.Advance(left)) {
     listener_.Close();
   }
-  if (!shutdown_.Closes(frontend::ConnectionActivity::kIdle)) {
+  if (!shutdown_.ShouldClose(frontend::ConnectionActivity::kIdle)) {
     return;
   }
   std::vector<ClientConnection*> clients;
--- a/tests/unit/frontend_test.cpp
+++ b/tests/unit/frontend_test.cpp
@@ -19,8 +19,8 @@
 constexpr Time kMillisecond = 1'000;  // us
 
 constexpr ShutdownLimits kLimits = {.close_idle_before = milliseconds(100),
-                                    .close_unfinished_after = milliseconds(50),
-                                    .close_unanswered_after = milliseconds(80)};
+                                    .close_partial_request_after = milliseconds(50),
+                                    .close_awaiting_response_after = milliseconds(80)};
 
 TEST_CASE("a shutdown passes its phases in order, each at its limit") {
   ShutdownSequence shutdown(kLimits);
@@ -32,28 +32,28 @@
   CHECK(shutdown.Advance(200 * kMillisecond));
   CHECK(shutdown.phase() == ShutdownPhase::kDraining);
   CHECK_FALSE(shutdown.Advance(100 * kMillisecond + 1));
-  CHECK_FALSE(shutdown.Closes(ConnectionActivity::kIdle));
+  CHECK_FALSE(shutdown.ShouldClose(ConnectionActivity::kIdle));
   CHECK_FALSE(shutdown.Advance(100 * kMillisecond));
   CHECK(shutdown.phase() == ShutdownPhase::kClosingIdle);
   CHECK_FALSE(shutdown.Advance(-50 * kMillisecond + 1));
-  CHECK(shutdown.Closes(ConnectionActivity::kIdle));
-  CHECK_FALSE(shutdown.Closes(ConnectionActivity::kUnfinished));
+  CHECK(shutdown.ShouldClose(ConnectionActivity::kIdle));
+  CHECK_FALSE(shutdown.ShouldClose(ConnectionActivity::kPartialRequest));
   CHECK_FALSE(shutdown.Advance(-50 * kMillisecond));
-  CHECK(shutdown.Closes(ConnectionActivity::kUnfinished));
-  CHECK_FALSE(shutdown.Closes(ConnectionActivity::kUnanswered));
+  CHECK(shutdown.ShouldClose(ConnectionActivity::kPartialRequest));
+  CHECK_FALSE(shutdown.ShouldClose(ConnectionActivity::kAwaitingResponse));
   CHECK_FALSE(shutdown.Advance(-80 * kMillisecond));
-  CHECK(shutdown.phase() == ShutdownPhase::kClosingUnanswered);
-  CHECK(shutdown.Closes(ConnectionActivity::kUnanswered));
+  CHECK(shutdown.phase() == ShutdownPhase::kClosingAwaitingResponse);
+  CHECK(shutdown.ShouldClose(ConnectionActivity::kAwaitingResponse));
 }
 
 // An event loop that is late calls for the first time after the deadline; and a phase that has begun stays.
 TEST_CASE("a late loop skips phases of a shutdown, and none is left again") {
   ShutdownSequence shutdown(kLimits);
   CHECK(shutdown.Advance(-60 * kMillisecond));
-  CHECK(shutdown.phase() == ShutdownPhase::kClosingUnfinished);
+  CHECK(shutdown.phase() == ShutdownPhase::kClosingPartialRequest);
   shutdown.Schedule();
   CHECK_FALSE(shutdown.Advance(500 * kMillisecond));
-  CHECK(shutdown.phase() == ShutdownPhase::kClosingUnfinished);
+  CHECK(shutdown.phase() == ShutdownPhase::kClosingPartialRequest);
 }
 
 TEST_CASE("draining begins as long before the deadline as responses take") {
@@ -68,12 +68,12 @@
 TEST_CASE("without limits idle connections close when draining begins, and no others ever") {
   ShutdownSequence shutdown(ShutdownLimits{});
   CHECK_FALSE(shutdown.Advance(201 * kMillisecond));
-  CHECK_FALSE(shutdown.Closes(ConnectionActivity::kIdle));
+  CHECK_FALSE(shutdown.ShouldClose(ConnectionActivity::kIdle));
   CHECK(shutdown.Advance(200 * kMillisecond));
-  CHECK(shutdown.Closes(ConnectionActivity::kIdle));
+  CHECK(shutdown.ShouldClose(ConnectionActivity::kIdle));
   CHECK_FALSE(shutdown.Advance(-3'600'000 * kMillisecond));
-  CHECK_FALSE(shutdown.Closes(ConnectionActivity::kUnfinished));
-  CHECK_FALSE(shutdown.Closes(ConnectionActivity::kUnanswered));
+  CHECK_FALSE(shutdown.ShouldClose(ConnectionActivity::kPartialRequest));
+  CHECK_FALSE(shutdown.ShouldClose(ConnectionActivity::kAwaitingResponse));
 }
 
 struct FakeClient {
