--- a/src/http/front_end.cpp
+++ b/src/http/front_end.cpp
@@ -77,7 +77,7 @@
   ClientConnectionHandler* handler = this;
   auto& client = clients_[number];
   client = std::make_unique<ClientConnection>(base_, number, std::move(stream), handler, shutdown_);
-  client->SetTimeInBacklog(listener_.LongestWait());
+  client->SetTimeInBacklog(listener_.MaxBacklogWait());
   if (on_accept) {
     on_accept(client->stream());
   }
@@ -128,7 +128,7 @@
   request.request = request_numbers_->next++;
   client.SetPendingRequest(request.request);
   // The client's timeout began when it sent the request.
-  const Time delay = std::max(turn_clock_.SinceTurnBegan(), client.TakeTimeInBacklog());
+  const Time delay = std::max(turn_clock_.SinceIterationBegan(), client.TakeTimeInBacklog());
   const Time elapsed = std::min(delay, admitted.client_timeout);
   request.deadline = core::Now() + admitted.client_timeout - elapsed;
   pending_.Add(request.request, request.deadline, client.number());
--- a/src/http/front_end.h
+++ b/src/http/front_end.h
@@ -21,9 +21,9 @@
 #include "http/config.h"
 #include "http/messages.h"
 #include "http/request_admission.h"
+#include "loop/iteration_clock.h"
 #include "loop/listener.h"
 #include "loop/loop.h"
-#include "loop/turn_clock.h"
 
 namespace walnutspur::http {
 
@@ -77,7 +77,7 @@
   std::uint64_t next_connection_ = 1;
   std::unordered_map<std::uint64_t, std::unique_ptr<ClientConnection>> clients_;  // by number
   frontend::PendingRequests<std::uint64_t> pending_;                              // by connection number
-  loop::TurnClock turn_clock_;
+  loop::IterationClock turn_clock_;
   loop::Listener listener_;
 };
 
--- a/src/loop/listener.cpp
+++ b/src/loop/listener.cpp
@@ -31,12 +31,13 @@
 Listener::Listener(event_base* base, const Address& address, const ListenerOptions& options,
                    ListenerCallbacks callbacks)
     : callbacks_(std::move(callbacks)),
-      resume_(MakeTimer(base, [this] { Resume(); })),
-      backlog_empty_(MakeTimer(base, [this] { blocked_since_ = 0; })) {
-  const sockaddr_in socket = ToSocket(address);
+      resume_timer_(MakeTimer(base, [this] { Resume(); })),
+      backlog_timer_(MakeTimer(base, [this] { blocked_since_ = 0; })) {
+  const sockaddr_in socket_address = ToSocket(address);
   const unsigned flags = kSocketFlags | (options.reuse_address ? LEV_OPT_REUSEABLE : 0U);
   listener_.reset(evconnlistener_new_bind(base, OnAccept, this, flags, options.backlog,
-                                          reinterpret_cast<const sockaddr*>(&socket), sizeof socket));
+                                          reinterpret_cast<const sockaddr*>(&socket_address),
+                                          sizeof socket_address));
   if (!listener_) {
     throw ListenError(ToString(address), std::strerror(errno));
   }
@@ -47,8 +48,8 @@
 Listener::Listener(event_base* base, evutil_socket_t bound_socket, const std::string& place, int backlog,
                    ListenerCallbacks callbacks)
     : callbacks_(std::move(callbacks)),
-      resume_(MakeTimer(base, [this] { Resume(); })),
-      backlog_empty_(MakeTimer(base, [this] { blocked_since_ = 0; })),
+      resume_timer_(MakeTimer(base, [this] { Resume(); })),
+      backlog_timer_(MakeTimer(base, [this] { blocked_since_ = 0; })),
       listener_(evconnlistener_new(base, OnAccept, this, kSocketFlags, backlog, bound_socket)) {
   if (!listener_) {
     throw ListenError(place, std::strerror(errno));
@@ -75,11 +76,11 @@
     return;
   }
   evconnlistener_disable(listener_.get());
-  backlog_empty_.Stop();
+  backlog_timer_.Stop();
   if (blocked_since_ == 0) {
     blocked_since_ = core::Now();
   }
-  resume_.Start(kPauseDuration);
+  resume_timer_.Start(kPauseDuration);
 }
 
 void Listener::Resume() {
@@ -88,10 +89,10 @@
     return;
   }
   evconnlistener_enable(listener_.get());
-  backlog_empty_.Start(kBacklogDuration);
+  backlog_timer_.Start(kBacklogDuration);
 }
 
-Time Listener::LongestWait() const { return blocked_since_ > 0 ? core::Now() - blocked_since_ : 0; }
+Time Listener::MaxBacklogWait() const { return blocked_since_ > 0 ? core::Now() - blocked_since_ : 0; }
 
 void Listener::AcceptPending() {
   const evutil_socket_t listening = evconnlistener_get_fd(listener_.get());
@@ -105,8 +106,8 @@
 }
 
 void Listener::Close() {
-  resume_.Stop();
-  backlog_empty_.Stop();
+  resume_timer_.Stop();
+  backlog_timer_.Stop();
   listener_.reset();
 }
 
--- a/src/loop/listener.h
+++ b/src/loop/listener.h
@@ -60,7 +60,7 @@
   // Accepts at once what waits in the kernel's backlog.
   void AcceptPending();
   // How long what is accepted now may have waited in the kernel's backlog because of pauses, us.
-  Time LongestWait() const;
+  Time MaxBacklogWait() const;
   // Closes the socket for good. After that only Close and Pause may be called, which do nothing.
   void Close();
 
@@ -75,8 +75,8 @@
 
   ListenerCallbacks callbacks_;
   int port_ = 0;
-  EventHandle resume_;
-  EventHandle backlog_empty_;  // after a pause
+  EventHandle resume_timer_;
+  EventHandle backlog_timer_;  // after a pause
   Time blocked_since_ = 0;     // when the pauses began that have let connections wait; 0: none has
   std::unique_ptr<evconnlistener, Deleter<evconnlistener_free>> listener_;  // null once closed
 };
--- a/src/loop/loop.h
+++ b/src/loop/loop.h
@@ -35,10 +35,10 @@
 using EventPtr = std::unique_ptr<event, Deleter<event_free>>;
 
 // A duration in microseconds as a timeval; a negative one is zero.
-inline timeval ToTimeval(Time after) {
-  after = std::max<Time>(after, 0);
-  return {static_cast<time_t>(after / kMicrosecondsPerSecond),
-          static_cast<suseconds_t>(after % kMicrosecondsPerSecond)};
+inline timeval ToTimeval(Time delay) {
+  delay = std::max<Time>(delay, 0);
+  return {static_cast<time_t>(delay / kMicrosecondsPerSecond),
+          static_cast<suseconds_t>(delay % kMicrosecondsPerSecond)};
 }
 
 inline Time ToMicroseconds(const timeval& time) {
@@ -50,22 +50,22 @@
  public:
   // No event: only Stop may be called.
   EventHandle() = default;
-  EventHandle(event_base* base, evutil_socket_t fd, EventMask what, std::function<void()> call)
-      : call_(std::make_unique<std::function<void()>>(std::move(call))),
+  EventHandle(event_base* base, evutil_socket_t fd, EventMask events, std::function<void()> callback)
+      : callback_(std::make_unique<std::function<void()>>(std::move(callback))),
         event_(event_new(
-            base, fd, what,
+            base, fd, events,
             [](evutil_socket_t, EventMask, void* arg) {
               // A copy, because the call may destroy this handle.
-              const auto run = *static_cast<std::function<void()>*>(arg);
-              run();
+              const auto function = *static_cast<std::function<void()>*>(arg);
+              function();
             },
-            call_.get())) {}
+            callback_.get())) {}
 
   // Waits for the event without a time limit.
   void Start() { event_add(event_.get(), nullptr); }
-  // Fires in `after` microseconds at the latest; restarts one that runs.
-  void Start(Time after) {
-    const timeval time = ToTimeval(after);
+  // Fires in `delay` microseconds at the latest; restarts one that runs.
+  void Start(Time delay) {
+    const timeval time = ToTimeval(delay);
     event_add(event_.get(), &time);
   }
   void Stop() {
@@ -83,13 +83,13 @@
   void Activate() { event_active(event_.get(), EV_READ, 0); }
 
  private:
-  std::unique_ptr<std::function<void()>> call_;  // on the heap: libevent holds its address
+  std::unique_ptr<std::function<void()>> callback_;  // on the heap: libevent holds its address
   EventPtr event_;
 };
 
 // A timer that fires once each time it is started.
-inline EventHandle MakeTimer(event_base* base, std::function<void()> call) {
-  return {base, -1, 0, std::move(call)};
+inline EventHandle MakeTimer(event_base* base, std::function<void()> callback) {
+  return {base, -1, 0, std::move(callback)};
 }
 
 }  // namespace walnutspur::loop
--- a/src/loop/stream.h
+++ b/src/loop/stream.h
@@ -64,7 +64,8 @@
   }
   bufferevent_setcb(
       stream, [](bufferevent*, void* arg) { static_cast<Handler*>(arg)->OnReadable(); }, on_written,
-      [](bufferevent*, EventMask what, void* arg) { static_cast<Handler*>(arg)->OnEvent(what); }, handler);
+      [](bufferevent*, EventMask events, void* arg) { static_cast<Handler*>(arg)->OnEvent(events); },
+      handler);
 }
 
 void ClearCallbacks(bufferevent* stream);
