--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -20,7 +20,7 @@
 
 log::Options ReadLog(const config::Table& root) {
   log::Options options;
-  options.level = *log::LevelOf(root.Text("log.level"));
+  options.level = *log::ParseLevel(root.Text("log.level"));
   options.form = root.Text("log.form") == "json" ? log::Form::kJson : log::Form::kLogfmt;
   options.file = root.Text("log.file");
   options.queue = static_cast<std::size_t>(root.Integer("log.queue"));
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -24,7 +24,7 @@
 constexpr unsigned char kFirstPrintable = 0x20;
 constexpr unsigned char kDelete = 0x7f;
 
-const char* NameOf(Level level) {
+const char* LevelName(Level level) {
   static constexpr std::array<const char*, 5> kNames = {"debug", "info", "warn", "error", "off"};
   return kNames[static_cast<std::size_t>(level)];
 }
@@ -80,7 +80,7 @@
 
 std::string FormatJson(std::int64_t now, Level level, std::string_view kind,
                        const std::vector<Field>& fields) {
-  std::string out = R"({"time":)" + Quote(FormatTime(now)) + R"(,"level":")" + NameOf(level) +
+  std::string out = R"({"time":)" + Quote(FormatTime(now)) + R"(,"level":")" + LevelName(level) +
                     R"(","event":)" + Quote(kind);
   for (const Field& field : fields) {
     out += "," + Quote(field.name) + ":" + Quote(field.value);
@@ -90,7 +90,8 @@
 
 std::string FormatLogfmt(std::int64_t now, Level level, std::string_view kind,
                          const std::vector<Field>& fields) {
-  std::string out = "time=" + FormatTime(now) + " level=" + NameOf(level) + " event=" + QuoteForLogfmt(kind);
+  std::string out =
+      "time=" + FormatTime(now) + " level=" + LevelName(level) + " event=" + QuoteForLogfmt(kind);
   for (const Field& field : fields) {
     out += " " + field.name + "=" + QuoteForLogfmt(field.value);
   }
@@ -115,16 +116,16 @@
 
 }  // namespace
 
-std::optional<Level> LevelOf(std::string_view word) {
+std::optional<Level> ParseLevel(std::string_view word) {
   for (const Level level : {Level::kDebug, Level::kInfo, Level::kWarn, Level::kError, Level::kOff}) {
-    if (word == NameOf(level)) {
+    if (word == LevelName(level)) {
       return level;
     }
   }
   return std::nullopt;
 }
 
-std::optional<std::uint64_t> Limiter::Admit(std::string_view kind, std::int64_t now) {
+std::optional<std::uint64_t> RateLimiter::Admit(std::string_view kind, std::int64_t now) {
   const double capacity = std::max(1.0, rate_ * kBurstSeconds);
   auto position = buckets_.find(kind);
   if (position == buckets_.end()) {
@@ -190,7 +191,7 @@
                      Format(options_.form, now, level, kind, all_fields));
 }
 
-void Use(Logger* logger) { ProcessLogger() = logger; }
+void SetProcessLogger(Logger* logger) { ProcessLogger() = logger; }
 
 void Event(Level level, std::string_view kind, const std::vector<Field>& fields) {
   if (Logger* logger = ProcessLogger()) {
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -41,10 +41,10 @@
 
 // Rate limit by kind of event: a token bucket for each kind. Has no clock: times are microseconds that never
 // run backwards. Not thread-safe.
-class Limiter {
+class RateLimiter {
  public:
   // `rate` is in events per second.
-  explicit Limiter(double rate) : rate_(rate) {}
+  explicit RateLimiter(double rate) : rate_(rate) {}
   // Admits an event at `now`: returns how many of its kind were suppressed since the last one admitted.
   // Returns nothing if the event is to be suppressed.
   std::optional<std::uint64_t> Admit(std::string_view kind, std::int64_t now);
@@ -71,7 +71,7 @@
                    const std::vector<Field>& fields);
 
 // Parses "debug", "info", "warn", "error" or "off"; nothing for any other word.
-std::optional<Level> LevelOf(std::string_view word);
+std::optional<Level> ParseLevel(std::string_view word);
 
 // A logger with a queue and a writing thread of its own. Thread-safe.
 class Logger {
@@ -90,13 +90,13 @@
   struct Sink;
   Options options_;
   std::mutex mutex_;  // guards limiter_
-  Limiter limiter_;
+  RateLimiter limiter_;
   std::unique_ptr<Sink> sink_;
 };
 
 // Makes `logger`, which has to outlive its use, the logger of the process. Before, warnings and errors go to
 // standard error; a process that never logs starts no thread.
-void Use(Logger* logger);
+void SetProcessLogger(Logger* logger);
 
 // Logs an event by the logger of the process. `kind` is one of event_kinds.h.
 void Event(Level level, std::string_view kind, const std::vector<Field>& fields = {});
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -40,7 +40,7 @@
   if (!command.settings.empty()) {
     const auto settings = walnutspur::app::LoadSettings(command.settings);
     logger.emplace(settings.log);
-    walnutspur::log::Use(&*logger);
+    walnutspur::log::SetProcessLogger(&*logger);
     config.digests = settings.digests;
     options.folder = settings.folder;
     options.scrub = settings.scrub;
--- a/tests/unit/log_test.cpp
+++ b/tests/unit/log_test.cpp
@@ -31,7 +31,7 @@
 }
 
 TEST_CASE("events of one kind are limited, others are not, and suppressed events are counted") {
-  Limiter limiter(2);
+  RateLimiter limiter(2);
   int admitted = 0;
   for (int i = 0; i < 100; ++i) {
     admitted += limiter.Admit("a", 0).has_value() ? 1 : 0;
