--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -73,10 +73,10 @@
 
 void Engine::HandleInput(const ClientClosed& input) {
   const auto position = requests_.find(input.request);
-  if (position == requests_.end() || position->second.answered) {
+  if (position == requests_.end() || position->second.finished) {
     return;
   }
-  position->second.answered = true;
+  position->second.finished = true;
   ProcessEvent(ClientDisconnected{std::to_string(input.request)});
   EraseIfClosed(input.request);
 }
@@ -86,7 +86,7 @@
 void Engine::HandleInput(const DeadlineExpired& input) {
   TimeOutAttempts(input.request);
   const auto position = requests_.find(input.request);
-  if (position == requests_.end() || position->second.answered) {
+  if (position == requests_.end() || position->second.finished) {
     return;
   }
   SendResponse(input.request, ResponseStatus::kTimedOut, 0, nullptr);
@@ -98,7 +98,7 @@
 
 void Engine::TimeOutAttempts(RequestNumber number) {
   auto position = requests_.find(number);
-  if (position == requests_.end() || position->second.answered) {
+  if (position == requests_.end() || position->second.finished) {
     return;
   }
   // A copy: completing an attempt changes the table and may erase the request.
@@ -176,7 +176,7 @@
   if (input.outcome == Outcome::kCompleted) {
     SendResponse(input.request, ResponseStatus::kServed, 0, input.payload);
   }
-  finished.request_finished = request.answered;
+  finished.request_finished = request.finished;
   ProcessEvent(finished);
   EraseIfClosed(input.request);
 }
@@ -199,13 +199,13 @@
   const Time remaining = request.deadline - now_;
   // An attempt that cannot matter any more is not transmitted. It uses up its number, since the scheduler has
   // counted it as well.
-  if (request.answered || attempt >= max_attempts_ || remaining <= 0 || action.timeout < 0) {
+  if (request.finished || attempt >= max_attempts_ || remaining <= 0 || action.timeout < 0) {
     AttemptFinished finished;
     finished.id = action.id;
     finished.attempt = request.attempts++;
     finished.target = action.target;
     finished.outcome = Outcome::kNotSent;
-    finished.request_finished = request.answered;
+    finished.request_finished = request.finished;
     pending_events_.emplace_back(finished);
     return;
   }
@@ -259,11 +259,11 @@
 
 void Engine::SendResponse(RequestNumber number, ResponseStatus status, Time retry_after, PayloadRef payload) {
   const auto position = requests_.find(number);
-  if (position == requests_.end() || position->second.answered) {
+  if (position == requests_.end() || position->second.finished) {
     return;
   }
   RequestState& request = position->second;
-  request.answered = true;
+  request.finished = true;
   Response response{number, request.protocol, status, retry_after, std::move(payload)};
   response.met_objective = status == ResponseStatus::kServed && now_ <= request.objective_deadline;
   const auto open = static_cast<double>(requests_.size());
@@ -277,7 +277,7 @@
     return;
   }
   const RequestState& request = position->second;
-  if (!request.answered || !request.open_attempts.empty()) {
+  if (!request.finished || !request.open_attempts.empty()) {
     return;
   }
   client_request_ids_.erase(request.client_request_id);
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -52,7 +52,7 @@
     std::string client_request_id;
     Time deadline = 0;  // us
     PayloadRef payload;
-    bool answered = false;
+    bool finished = false;                  // a response was sent, or the client has disconnected
     Time objective_deadline = 0;            // latest response that meets the latency objective, us
     PayloadRef partial_payload;             // intact part of the last corrupted response
     int attempts = 0;                       // number of the next attempt
--- a/tests/unit/budget_test.cpp
+++ b/tests/unit/budget_test.cpp
@@ -15,8 +15,8 @@
 
 // Runs a job that always has work for `seconds`; a request takes `latency` microseconds. Returns the requests
 // started in each second.
-std::vector<int> Play(Budget& budget, Time from, int seconds, const std::vector<Report>& reports,
-                      Time latency = 1000) {
+std::vector<int> RunJob(Budget& budget, Time from, int seconds, const std::vector<Report>& reports,
+                        Time latency = 1000) {
   std::vector<int> started(static_cast<std::size_t>(seconds));
   std::multimap<Time, JobId> running;
   for (Time now = from; now < from + seconds * kSec; now += 1000) {
@@ -53,17 +53,17 @@
 TEST_CASE("under pressure the rate falls to its floor within one report and recovers slowly") {
   Budget budget;
   budget.Add(BasicJob(), {}, 0);
-  const auto calm = Play(budget, 0, 8, {kCalm});
+  const auto calm = RunJob(budget, 0, 8, {kCalm});
   CHECK(calm[7] >= 85);  // the budget is polled once a millisecond
   CHECK(calm[7] <= 101);
-  const auto busy = Play(budget, 8 * kSec, 4, {kBusy});
+  const auto busy = RunJob(budget, 8 * kSec, 4, {kBusy});
   CHECK(busy[0] <= 3);
   for (const int started : busy) {
     CHECK(started >= 1);
   }
   CHECK(busy[1] + busy[2] + busy[3] >= 6);  // the floor holds
   CHECK(busy[1] + busy[2] + busy[3] <= 7);
-  const auto after = Play(budget, 12 * kSec, 6, {kCalm});
+  const auto after = RunJob(budget, 12 * kSec, 6, {kCalm});
   CHECK(after[0] < 20);
   CHECK(after[0] < after[2]);
   CHECK(after[5] >= 85);
@@ -73,13 +73,13 @@
   Budget budget;
   const JobId job = budget.Add(BasicJob(), {}, 0);
   budget.Suspend(true);
-  CHECK(Play(budget, 0, 2, {kCalm}) == std::vector<int>{0, 0});
+  CHECK(RunJob(budget, 0, 2, {kCalm}) == std::vector<int>{0, 0});
   CHECK_FALSE(budget.NextAt(2 * kSec));
   budget.Suspend(false);
   budget.Pause(job);
-  CHECK(Play(budget, 2 * kSec, 1, {kCalm}) == std::vector<int>{0});
+  CHECK(RunJob(budget, 2 * kSec, 1, {kCalm}) == std::vector<int>{0});
   budget.Resume(job, 3 * kSec);
-  CHECK(Play(budget, 3 * kSec, 1, {kCalm})[0] > 0);
+  CHECK(RunJob(budget, 3 * kSec, 1, {kCalm})[0] > 0);
 }
 
 TEST_CASE("requests in flight and bytes are bounded") {
@@ -131,11 +131,11 @@
   Progress progress;
   progress.total = 600;
   const JobId job = budget.Add(options, progress, 1);
-  Play(budget, 1, 5, {kCalm});
-  const auto started = Play(budget, 5 * kSec + 1, 10, {kCalm});
+  RunJob(budget, 1, 5, {kCalm});
+  const auto started = RunJob(budget, 5 * kSec + 1, 10, {kCalm});
   CHECK(started[5] >= 10);  // 600 in 60 s, and a fifth ahead
   CHECK(started[5] <= 16);
-  Play(budget, 15 * kSec + 1, 45, {kCalm});
+  RunJob(budget, 15 * kSec + 1, 45, {kCalm});
   CHECK(budget.progress(job).rounds == 1);
 }
 
--- a/tests/unit/file_store_test.cpp
+++ b/tests/unit/file_store_test.cpp
@@ -19,15 +19,15 @@
 
 TEST_CASE("a file that cannot be replaced stays as it was") {
   const lab::TemporaryFolder folder;
-  std::string what;
-  REQUIRE(WriteFileAtomically(folder.path(), "a", "old", &what));
+  std::string error;
+  REQUIRE(WriteFileAtomically(folder.path(), "a", "old", &error));
   std::filesystem::create_directory(folder.path() + "/a.new");  // where the replacement would be written
   std::filesystem::create_directory(folder.path() + "/a.new/full");
-  CHECK_FALSE(WriteFileAtomically(folder.path(), "a", "new", &what));
-  CHECK(what == "cannot open " + folder.path() + "/a.new: Is a directory");
+  CHECK_FALSE(WriteFileAtomically(folder.path(), "a", "new", &error));
+  CHECK(error == "cannot open " + folder.path() + "/a.new: Is a directory");
   CHECK(ReadFile(folder.path() + "/a") == "old");
   std::filesystem::remove_all(folder.path() + "/a.new");
-  CHECK(WriteFileAtomically(folder.path(), "a", "new", &what));
+  CHECK(WriteFileAtomically(folder.path(), "a", "new", &error));
   CHECK(ReadFile(folder.path() + "/a") == "new");
   CHECK_FALSE(ReadFile(folder.path() + "/b"));
 }
@@ -66,17 +66,17 @@
   std::vector<std::string> written;
   {
     FileStore store(
-        [&](const std::string&, const std::string& bytes, std::string* what) {
+        [&](const std::string&, const std::string& bytes, std::string* error) {
           ++attempts;
           if (failing) {
-            *what = "no room";
+            *error = "no room";
           }
           if (!failing) {
             written.push_back(bytes);
           }
           return !failing;
         },
-        [&](const std::string& what) { errors.push_back(what); }, milliseconds(1), milliseconds(4));
+        [&](const std::string& error) { errors.push_back(error); }, milliseconds(1), milliseconds(4));
     store.Put("a", "old");
     while (attempts < 5) {
       std::this_thread::yield();
@@ -97,18 +97,18 @@
   using integrity::DecodeCursors;
   const Cursors cursors = {{"clinic letters", {160, 3, 1'700'000'000'000'000}}, {"x", {}}};
   const std::string bytes = integrity::Encode(cursors);
-  std::string what;
-  CHECK(DecodeCursors(bytes, &what) == cursors);
+  std::string error;
+  CHECK(DecodeCursors(bytes, &error) == cursors);
   for (std::size_t size = 0; size < bytes.size(); ++size) {
-    CHECK_FALSE(DecodeCursors(bytes.substr(0, size), &what));
+    CHECK_FALSE(DecodeCursors(bytes.substr(0, size), &error));
   }
   for (std::size_t i = 0; i < bytes.size(); ++i) {
     std::string bad = bytes;
     bad[i] = static_cast<char>(bad[i] ^ 1);
-    CHECK_MESSAGE(!DecodeCursors(bad, &what), "a flipped bit in byte ", i, " was not seen");
+    CHECK_MESSAGE(!DecodeCursors(bad, &error), "a flipped bit in byte ", i, " was not seen");
   }
-  CHECK_FALSE(DecodeCursors("walnutspur-scrub 2\nanything", &what));
-  CHECK(what == "is of a newer version");
+  CHECK_FALSE(DecodeCursors("walnutspur-scrub 2\nanything", &error));
+  CHECK(error == "is of a newer version");
 }
 
 }  // namespace
