--- a/src/limits/abandonment_estimate.cpp
+++ b/src/limits/abandonment_estimate.cpp
@@ -5,9 +5,10 @@
 
 // Time in which the weight of a request falls to 1/e.
 constexpr Duration kDecayTime = std::chrono::seconds(5);
-// Requests assumed to have stayed in each age group beside those counted: a single one says nothing.
+// Requests that are assumed to have stayed through each age group, in addition to those counted. A single
+// disconnect among few requests must not dominate the estimate.
 constexpr double kPriorStayingRequests = 3;
-// An age counts once more than this fraction of clients has disconnected by then.
+// SafeFraction ends at the first age group by which more than this fraction of clients has disconnected.
 constexpr double kMaxDisconnectedFraction = 0.5;
 
 }  // namespace
--- a/src/limits/abandonment_estimate.h
+++ b/src/limits/abandonment_estimate.h
@@ -1,11 +1,12 @@
-// Client abandonment estimate: how long clients wait, as a fraction of their class's latency objective.
+// Estimates how long clients wait before they disconnect, as a fraction of their class's latency objective.
 //
-// Clients may disconnect long before the time that they announced, and work done after that is wasted.
-// Whether clients disconnect at an age shows only in requests still open at that age; what ended before says
-// nothing of it. So the estimate is the product-limit estimate of Kaplan and Meier: the fraction of clients
-// that stay is the product of the fractions that stay through each age in turn. To count disconnects against
-// all requests would let short bursts of them reject every request: what is rejected for their sake could
-// never show that it would have stayed. No I/O, clock or thread; owned by the scheduler's state.
+// Clients may disconnect long before the deadline that they announced, and work done after that is wasted.
+// Only requests that are still open at an age show whether clients disconnect at that age; requests that
+// ended earlier do not. The estimate is therefore the Kaplan-Meier (product-limit) estimate: the fraction of
+// clients that stay is the product of the fractions that stay through each age group. If disconnects were
+// counted against all requests, a short burst of them would cause every request to be rejected, and rejected
+// requests never show that their clients would have stayed. No I/O, clock or thread; owned by the scheduler's
+// state.
 #ifndef WALNUTSPUR_LIMITS_ABANDONMENT_ESTIMATE_H_
 #define WALNUTSPUR_LIMITS_ABANDONMENT_ESTIMATE_H_
 
@@ -19,21 +20,22 @@
 // Number of equal age groups within a latency objective.
 constexpr std::size_t kAgeGroups = 10;
 
-// Counts of requests by the age at which they ended.
+// Class AbandonmentEstimate counts requests by the age at which they ended.
 class AbandonmentEstimate {
  public:
-  // Records a request that was open up to `age` (fraction of its objective), when its client disconnected or
-  // the request ended otherwise.
+  // Records a request that ended at `age` (a fraction of its latency objective). `disconnected` is true if it
+  // ended because its client disconnected.
   void Record(double age, bool disconnected, Time now);
 
-  // Fraction of a latency objective by which work has to be done for most clients to be still there.
+  // Returns the fraction of a latency objective within which a request must complete so that most clients are
+  // still connected.
   double SafeFraction(Time now) const;
 
  private:
   struct AgeGroup {
-    DecayingCounter reached;       // requests that were open in the group
-    DecayingCounter disconnected;  // clients that disconnected in it
-    DecayingCounter age_sum;       // sum of the ages of those
+    DecayingCounter reached;       // requests that were still open in this age group
+    DecayingCounter disconnected;  // clients that disconnected in this age group
+    DecayingCounter age_sum;       // sum of the ages at which those clients disconnected
   };
   std::array<AgeGroup, kAgeGroups> groups_;
 };
--- a/src/limits/adaptive_limit.h
+++ b/src/limits/adaptive_limit.h
@@ -1,8 +1,8 @@
-// Adaptive concurrency limit: a bound of the units in flight that follows latency, and the latency samples
-// that it follows.
+// Adaptive concurrency limit: a bound on the units in flight that is adjusted to latency, and the latency
+// samples that it is adjusted by.
 //
-// Records only; how a limit moves is decided in decision/concurrency_limit.h. Owned by the records of targets
-// and by decision::FleetLatency. No I/O, clock or thread.
+// This file contains only data types; decision/concurrency_limit.h adjusts the limits. Owned by the records
+// of targets and by decision::FleetLatency. No I/O, clock or thread.
 #ifndef WALNUTSPUR_LIMITS_ADAPTIVE_LIMIT_H_
 #define WALNUTSPUR_LIMITS_ADAPTIVE_LIMIT_H_
 
@@ -10,14 +10,14 @@
 
 namespace walnutspur::limits {
 
-// Bound of the units in flight. It grows only if it was binding: a limit that holds nothing back says nothing
-// of what the target could bear.
+// A bound on the units in flight. It is raised only if it was binding: while no request was held back, the
+// latencies do not show how much more the target could serve.
 struct AdaptiveLimit {
   double units = 0;
-  bool was_binding = false;  // it held a request back since the last adjustment
+  bool was_binding = false;  // a request was held back since the last adjustment
 };
 
-// A pair of limits: for requests beyond their volume's reserve, and for those inside it.
+// A pair of limits: `shared` for requests beyond their volume's reserve, `reserved` for requests within it.
 struct AdaptiveLimits {
   AdaptiveLimit shared;
   AdaptiveLimit reserved;
@@ -26,7 +26,7 @@
   const AdaptiveLimit& Select(bool is_reserved) const { return is_reserved ? reserved : shared; }
 };
 
-// Sums of latency samples since the last adjustment of the limits.
+// The sums of the latency samples since the last adjustment of the limits.
 struct LatencySamples {
   Duration queueing = Duration::zero();
   Duration service = Duration::zero();
--- a/src/limits/decaying_counter.h
+++ b/src/limits/decaying_counter.h
@@ -1,4 +1,5 @@
-// Sum that decays exponentially with time. No I/O, clock or thread: the time comes with each call.
+// A sum that decays exponentially with time. No I/O, clock or thread: the caller passes the time to each
+// call.
 #ifndef WALNUTSPUR_LIMITS_DECAYING_COUNTER_H_
 #define WALNUTSPUR_LIMITS_DECAYING_COUNTER_H_
 
@@ -9,7 +10,7 @@
 
 namespace walnutspur::limits {
 
-// Largest exponent of a decay: beyond it nothing is left.
+// Maximum exponent of a decay; beyond it the rest of the sum is negligible.
 constexpr double kMaxDecay = 20.0;
 
 // A decaying sum. Times passed to it never decrease.
@@ -17,7 +18,7 @@
   double sum = 0;  // as of changed_at
   Time changed_at = 0;
 
-  // What is left of the sum at `now`; `decay_time` is the time in which it falls to 1/e.
+  // Returns the decayed sum at `now`; `decay_time` is the time in which it falls to 1/e.
   double ValueAt(Time now, Duration decay_time) const {
     return sum * std::exp(-std::clamp(Elapsed(changed_at, now) / decay_time, 0.0, kMaxDecay));
   }
--- a/src/limits/duration.h
+++ b/src/limits/duration.h
@@ -1,8 +1,8 @@
-// Spans of time in the scheduler's arithmetic, and their conversion from and to the times of events.
+// Defines the type Duration for the scheduler's arithmetic, and its conversions from and to `Time`.
 //
-// Points in time, and the spans that events, actions and settings state, are integer microseconds (`Time`).
-// Estimates are fractions of one, so the decision module computes with a Duration, which counts microseconds
-// in floating point. Only types: no clock is read here or anywhere else in the module.
+// Events, actions and settings state points in time and time spans as integer microseconds (`Time`).
+// Estimates need fractions of a microsecond, so the decision module computes with Duration, which counts
+// microseconds in floating point. No clock is read here or anywhere else in the module.
 #ifndef WALNUTSPUR_LIMITS_DURATION_H_
 #define WALNUTSPUR_LIMITS_DURATION_H_
 
@@ -12,21 +12,21 @@
 
 namespace walnutspur {
 
-// A span of time.
+// A time span in microseconds, in floating point.
 using Duration = std::chrono::duration<double, std::micro>;
 
 constexpr Duration kSecond = std::chrono::seconds(1);
 
-// The span that an event, an action or the settings state, given in us.
+// Returns `span` (us), as stated by an event, an action or the settings, as a Duration.
 constexpr Duration Microseconds(Time span) { return Duration(static_cast<double>(span)); }
 
-// Time from `begin` to `end`; negative if `end` is the earlier one.
+// Returns the time from `begin` to `end`; negative if `end` is earlier.
 constexpr Duration Elapsed(Time begin, Time end) { return Microseconds(end - begin); }
 
-// A point in time as the span since the clock's origin, for comparison with fractions of microseconds.
+// Returns the time span from the clock's origin to `at`, to compare a point in time with a Duration.
 constexpr Duration SinceEpoch(Time at) { return Microseconds(at); }
 
-// A span in integer microseconds, rounded towards zero, as points in time and actions count it.
+// Returns `span` in integer microseconds, rounded towards zero.
 constexpr Time ToTime(Duration span) { return static_cast<Time>(span.count()); }
 
 }  // namespace walnutspur
--- a/src/limits/jittered_backoff.h
+++ b/src/limits/jittered_backoff.h
@@ -1,9 +1,10 @@
-// Exponential backoff with jitter: the delays before the retries of one caller.
+// Computes the delays before the retries of one caller: exponential backoff with jitter.
 //
-// A service that handles calls in turn and times each out after a fixed wait completes none once calls arrive
-// faster than it responds: the next in turn times out while it is handled. So the delay doubles with each
-// failure until all callers together are slow enough, and is drawn from a wide range, since callers that
-// failed together would otherwise return together. No I/O, clock, thread or randomness: draws are passed in.
+// Suppose a service handles calls one after another and each call times out after a fixed wait. Once calls
+// arrive faster than the service responds, none completes, because each call times out before or while it is
+// handled. The delay therefore doubles with each failure until all callers together are slow enough. It is
+// drawn from a wide range, because callers that failed at the same time would otherwise also retry at the
+// same time. No I/O, clock, thread or randomness: random draws are passed in.
 #ifndef WALNUTSPUR_LIMITS_JITTERED_BACKOFF_H_
 #define WALNUTSPUR_LIMITS_JITTERED_BACKOFF_H_
 
@@ -13,19 +14,21 @@
 
 namespace walnutspur::limits {
 
-// Doublings after which a delay no longer grows.
+// Maximum number of doublings of a delay.
 constexpr int kMaxBackoffDoublings = 30;
-// The shortest delay, as a fraction of the longest one after the same number of failures.
+// The minimum delay, as a fraction of the maximum delay after the same number of failures.
 constexpr double kMinDelayFraction = 0.25;
 
-// Delays before the retries of one caller.
+// Class JitteredBackoff counts the failures of one caller and computes the delay after each of them.
 class JitteredBackoff {
  public:
-  // The longest delay after the first failure, and after any, us.
+  // `initial_delay` is the upper bound of the delay after the first failure, `max_delay` the upper bound of
+  // any delay, us.
   JitteredBackoff(Time initial_delay, Time max_delay)
       : initial_delay_(initial_delay), max_delay_(max_delay) {}
 
-  // Counts a failure and returns the delay after it, us. `random` is drawn evenly from [0, 1).
+  // Counts a failure and returns the delay before the next retry, us. `random` must be drawn uniformly from
+  // [0, 1).
   Time NextDelay(double random) {
     const Time bound = std::min(max_delay_, initial_delay_ << std::min(failures_, kMaxBackoffDoublings));
     ++failures_;
--- a/src/limits/latency_estimate.cpp
+++ b/src/limits/latency_estimate.cpp
@@ -8,11 +8,11 @@
 namespace walnutspur::limits {
 namespace {
 
-// Weight of a sample below the estimated service time, and of one above it. They differ widely, so that the
-// estimate is a low quantile: what lies above is queueing.
+// Weights of a sample below and of a sample above the estimated service time. They differ widely, so that the
+// estimate is a low quantile of the latencies; the part of a latency above it is queueing delay.
 constexpr double kFasterSampleWeight = 0.2;
 constexpr double kSlowerSampleWeight = 0.01;
-// Weight of the newest queueing delay where samples follow each other closely.
+// Weight of the newest queueing delay if samples follow each other closely.
 constexpr double kQueueingSampleWeight = 0.3;
 
 }  // namespace
@@ -23,7 +23,8 @@
   const double unit_weight = unit_sample < unit_time_ ? kFasterSampleWeight : kSlowerSampleWeight;
   unit_time_ += unit_weight * (unit_sample - unit_time_);
   const Duration queueing = std::max(Duration::zero(), sample - units * unit_time_);
-  // An instance that gets few responses from the target has only the newest one to go by.
+  // The weight grows with the time since the last sample: if the instance gets few responses from the target,
+  // earlier samples are out of date.
   const double weight = 1 - (1 - kQueueingSampleWeight) * std::exp(-SampleAge(now) / kQueueingDecay);
   SetQueueing(queueing_ + weight * (queueing - queueing_), now);
   return queueing;
--- a/src/limits/poll_backoff.cpp
+++ b/src/limits/poll_backoff.cpp
@@ -9,15 +9,18 @@
 
 // Upper bound of the delay after the first failure.
 constexpr Time kInitialDelay = ToTime(std::chrono::seconds(1));
-// Least upper bound of any delay: it holds where instances are few.
+// Minimum of the upper bounds of the delays; applies if there are few instances.
 constexpr Time kMaxDelayFloor = ToTime(std::chrono::seconds(2));
-// Upper bound of the delay for each instance, after time-outs: ten calls a second from all.
+// Upper bound of the delay after a time-out, per instance of the fleet: all instances together make about ten
+// calls a second.
 constexpr Time kTimeoutSpacing = ToTime(std::chrono::milliseconds(100));
-// The same after refusals: about the service's time for a response.
+// Upper bound of the delay after an immediate rejection, per instance of the fleet: about the time that the
+// service takes for a response.
 constexpr Time kRejectionSpacing = ToTime(std::chrono::milliseconds(30));
-// A call that failed sooner than this was refused; a later one had waited in the service's queue.
+// A call that failed sooner than this was rejected at once; a call that failed later had waited in the
+// service's queue.
 constexpr Time kMinQueuedCallTime = ToTime(std::chrono::seconds(1));
-// Shortest delay after a call that found no listener; the longest is kMaxDelayFloor.
+// Minimum delay after a call that found no listener; the maximum is kMaxDelayFloor.
 constexpr Time kMinUnreachableDelay = kMaxDelayFloor / 2;
 
 }  // namespace
--- a/src/limits/sliding_window.h
+++ b/src/limits/sliding_window.h
@@ -1,6 +1,6 @@
-// Sliding window: timed samples of which the old ones are removed from the front.
+// Sliding window: a queue of timed samples from which old samples are removed.
 //
-// No I/O, clock or thread; the owner expires samples with the time it is at.
+// No I/O, clock or thread; the owner removes expired samples with ExpireThrough.
 #ifndef WALNUTSPUR_LIMITS_SLIDING_WINDOW_H_
 #define WALNUTSPUR_LIMITS_SLIDING_WINDOW_H_
 
@@ -11,7 +11,7 @@
 
 namespace walnutspur::limits {
 
-// Samples in order of time. Times passed to Add never decrease.
+// Class SlidingWindow holds samples in order of time. Times passed to Add must not decrease.
 class SlidingWindow {
  public:
   // Records a sample of `units` at `now` (us).
@@ -24,10 +24,10 @@
     }
   }
 
-  // Number of samples held.
+  // Returns the number of samples held.
   std::size_t count() const { return samples_.size(); }
 
-  // Sum of the samples held, in units.
+  // Returns the sum of the samples held, in units.
   double TotalUnits() const {
     double total = 0;
     for (const Sample& sample : samples_) {
--- a/src/limits/slow_start.cpp
+++ b/src/limits/slow_start.cpp
@@ -7,12 +7,14 @@
 namespace walnutspur::limits {
 namespace {
 
-// Fraction of the stated allowance that is used.
+// Fraction of the allowance in the settings that is used.
 constexpr double kAllowanceFraction = 0.9;
-// Multiple of what the steady rate allows: it takes targets to be half used. For one that was fully used and
-// recovers no faster than it must, it would be too much (docs/design/fleet.md).
+// Factor applied to the rate that the steady rate allows. It assumes that targets are half used; it would be
+// too high for a target that was fully used and recovers no faster than the rule demands
+// (docs/design/fleet.md).
 constexpr double kSteadyRateFactor = 1.3;
-// Fraction of the rate that follows present demand instead of the steady rate: shards move between instances.
+// Fraction of the rate that follows present demand instead of the steady rate, since the traffic of shards
+// moves between instances.
 constexpr double kDemandFraction = 0.75;
 
 }  // namespace
@@ -47,10 +49,12 @@
          rules.slow_start_fraction * instance_fraction;
 }
 
-// The stated units scale with the capacity that is promised at least, and the instances share them evenly. Of
-// hundreds of instances none could send a request that way; but their steady rates add up to no more than a
-// target's full capacity, so each may also send its own times capacity and threshold. What is sent in any
-// window is within the rule's bound at its end if what is sent at each moment is.
+// A request is admitted by either of two allowances. The first is the units in the settings, scaled with the
+// minimum capacity that the target has at the time and divided evenly among the instances. With hundreds of
+// instances that share would be too small for a single request. The second is therefore a rate: the steady
+// rates of all instances add up to no more than the target's full capacity, so each instance may send at its
+// own steady rate times capacity and threshold. The units sent in a window are within the rule's bound if the
+// rate is within it at each moment.
 bool SlowStart::Admits(const Settings& settings, double units, double demanded_rate, Time now) {
   const Time window_start = now - settings.rules.overload_window;
   sent_.ExpireThrough(window_start);
--- a/src/limits/steady_state_rate.cpp
+++ b/src/limits/steady_state_rate.cpp
@@ -6,14 +6,14 @@
 namespace walnutspur::limits {
 namespace {
 
-// Time in which the weight of served units falls to 1/e: shards move between instances faster than that.
+// Time in which the weight of served units falls to 1/e. Shards move between instances faster than that.
 constexpr Duration kDecayTime = std::chrono::seconds(20);
 
 }  // namespace
 
 void SteadyStateRate::Record(double units, Time now) {
   if (suspended_at_ >= 0) {
-    served_units_.changed_at += now - suspended_at_;  // the suspension does not count
+    served_units_.changed_at += now - suspended_at_;  // the time of the suspension does not count
   }
   suspended_at_ = -1;
   served_units_.Add(units, now, kDecayTime);
--- a/src/limits/steady_state_rate.h
+++ b/src/limits/steady_state_rate.h
@@ -1,8 +1,8 @@
-// Steady-state rate: at which rate a target serves this instance while it is healthy.
+// Measures the rate at which a target serves this instance while the target is healthy.
 //
-// It outlives restarts of the target: slow start takes it for this instance's part of the target's work.
-// While attempts end without a response the demand is unknown, so the rate as of then holds. No I/O, clock or
-// thread; the record of each target owns one.
+// The rate is kept across restarts of the target: slow start uses it as this instance's part of the target's
+// load. While attempts end without a response, the demand is unknown, so the rate stays at its last value. No
+// I/O, clock or thread; the record of each target owns one.
 #ifndef WALNUTSPUR_LIMITS_STEADY_STATE_RATE_H_
 #define WALNUTSPUR_LIMITS_STEADY_STATE_RATE_H_
 
@@ -15,10 +15,10 @@
   // Records `units` served at `now`, and ends a suspension.
   void Record(double units, Time now);
 
-  // Suspends the count when an attempt ends without a response, until the next one is served.
+  // Suspends the measurement until the next call of Record; called when an attempt ends without a response.
   void Suspend(Time now);
 
-  // Units a second at `now`, of an instance that has counted since `started_at`.
+  // Returns the rate at `now`, units per second, for an instance that has counted since `started_at`.
   double Rate(Time now, Time started_at) const;
 
  private:
--- a/src/limits/target_backoff.cpp
+++ b/src/limits/target_backoff.cpp
@@ -7,13 +7,14 @@
 namespace walnutspur::limits {
 namespace {
 
-// Backoff after the first overload, and the longest one: a full queue takes about a second to drain.
+// Backoff after the first overload, and its maximum: a full queue takes about a second to drain.
 constexpr Time kInitialOverloadBackoff = ToTime(std::chrono::milliseconds(30));
 constexpr Time kMaxOverloadBackoff = ToTime(std::chrono::milliseconds(960));
-// Backoff after the first failed connect, and the longest one: a target that has restarted is soon in use.
+// Backoff after the first failed connect, and its maximum. It is short enough that a target is used again
+// soon after its restart.
 constexpr Time kInitialConnectBackoff = ToTime(std::chrono::milliseconds(200));
 constexpr Time kMaxConnectBackoff = ToTime(std::chrono::milliseconds(1600));
-// Doublings beyond which no backoff grows; keeps the shift within the range of Time.
+// Maximum number of doublings; keeps the shift within the range of Time.
 constexpr int kMaxDoublings = 16;
 
 Time DoubledBackoff(Time initial, Time max, int previous_failures) {
--- a/src/routing/outcome_history.h
+++ b/src/routing/outcome_history.h
@@ -1,4 +1,4 @@
-// Recent outcomes of attempts at one target, or in one zone. No I/O, clock or thread.
+// Records recent outcomes of attempts at one target or in one zone. No I/O, clock or thread.
 #ifndef WALNUTSPUR_ROUTING_OUTCOME_HISTORY_H_
 #define WALNUTSPUR_ROUTING_OUTCOME_HISTORY_H_
 
@@ -6,14 +6,14 @@
 
 namespace walnutspur::routing {
 
-// Failures and successes, each with a weight that decays with its age.
+// Class OutcomeHistory counts failures and successes, each with a weight that decays with its age.
 class OutcomeHistory {
  public:
   // Counts an outcome at `now`.
   void Record(bool failed, Time now);
 
-  // Failure probability, between 0 and 1. `prior` is the probability assumed without outcomes, `prior_weight`
-  // the number of outcomes that it counts as.
+  // Returns the failure probability, between 0 and 1. `prior` is the probability that is assumed without
+  // outcomes; `prior_weight` is the number of outcomes that the prior counts as.
   double FailureProbability(double prior, double prior_weight, Time now) const;
 
  private:
--- a/src/routing/outlier_detection.cpp
+++ b/src/routing/outlier_detection.cpp
@@ -3,11 +3,11 @@
 namespace walnutspur::routing {
 namespace {
 
-// Number of outcomes that the prior counts as. A target's own outcomes soon outweigh its zone's; in a zone a
-// single time-out says little.
+// Number of outcomes that the prior counts as. A target's own outcomes soon outweigh those of its zone. A
+// zone needs several, because a single time-out hardly shows that the zone has failed.
 constexpr double kTargetPriorWeight = 1;
 constexpr double kZonePriorWeight = 4;
-// Failure probability of a zone without outcomes.
+// Failure probability that is assumed for a zone without outcomes.
 constexpr double kZonePrior = 0;
 
 }  // namespace
