--- a/src/core/attempt_deadline.h
+++ b/src/core/attempt_deadline.h
@@ -1,4 +1,4 @@
-// The time limits of an attempt, as every connector applies them. Header-only; callable from any thread.
+// Computes the time limits of an attempt, for all connectors alike. Header-only; callable from any thread.
 #ifndef WALNUTSPUR_CORE_ATTEMPT_DEADLINE_H_
 #define WALNUTSPUR_CORE_ATTEMPT_DEADLINE_H_
 
@@ -6,12 +6,12 @@
 
 namespace walnutspur::core {
 
-// When the attempt times out if it begins at `now`, us.
+// Returns the time at which the attempt times out if it begins at `now`, us.
 inline Time ExpiresAt(const StartAttempt& attempt, Time now) {
   return attempt.expires_at > 0 ? attempt.expires_at : now + attempt.timeout;
 }
 
-// Whether a limit such as StartAttempt::not_after has been reached; 0 is no limit.
+// Returns whether `now` has reached a limit such as StartAttempt::not_after; a limit of 0 means none.
 inline bool IsPast(Time limit, Time now) { return limit > 0 && now >= limit; }
 
 }  // namespace walnutspur::core
--- a/src/core/clock.h
+++ b/src/core/clock.h
@@ -8,8 +8,8 @@
 
 namespace walnutspur::core {
 
-// Unix time in microseconds that never runs backwards: the offset to Unix time is taken once, at the first
-// call, and the steady clock carries it on. Callable from any thread.
+// Returns Unix time in microseconds that never runs backwards: the steady clock plus its offset to Unix time,
+// which is determined once, at the first call. Callable from any thread.
 inline Time Now() {
   using std::chrono::duration_cast;
   using std::chrono::microseconds;
@@ -20,8 +20,8 @@
   return offset + duration_cast<microseconds>(steady_clock::now().time_since_epoch()).count();
 }
 
-// Unix time in microseconds as the machine has it at this moment; it may be stepped forward and back. Only
-// for what crosses machines: spans are taken by Now. Callable from any thread.
+// Returns Unix time in microseconds by the machine's wall clock, which may be stepped forward and back. Only
+// for times that are exchanged with other machines; measure time spans with Now. Callable from any thread.
 inline Time WallClock() {
   using std::chrono::duration_cast;
   using std::chrono::microseconds;
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -47,8 +47,8 @@
 // ---- inputs ----
 
 void Engine::HandleInput(const RequestReceived& input) {
-  // A client's id stays in use until the last attempt of its request has an outcome: a target that received
-  // the id twice could not distinguish the two requests.
+  // A client's request id stays in use until the last attempt of the request has an outcome: a target that
+  // received the same id from two requests could not distinguish them.
   if (!input.client_request_id.empty() && !client_request_ids_.insert(input.client_request_id).second) {
     outputs_.emplace_back(Response{input.request, input.protocol, ResponseStatus::kDuplicate, 0, nullptr});
     return;
@@ -66,7 +66,7 @@
     return;
   }
   RequestArrived arrival = input.attributes;
-  arrival.id = std::to_string(input.request);  // unlike the client's id, never used again
+  arrival.id = std::to_string(input.request);  // unlike the client's id, never reused
   arrival.ttl = input.deadline - now_;
   ProcessEvent(arrival);
 }
@@ -81,8 +81,8 @@
   EraseIfClosed(input.request);
 }
 
-// A safety net: attempts normally end by their own timeouts, and the Scheduler expires queued requests. What
-// is still open now is timed out, whatever its attempts report later.
+// A fallback: normally attempts end by their own timeouts, and the Scheduler expires queued requests. A
+// request that is still open now times out, whatever outcome its attempts report later.
 void Engine::HandleInput(const DeadlineExpired& input) {
   TimeOutAttempts(input.request);
   const auto position = requests_.find(input.request);
@@ -90,7 +90,7 @@
     return;
   }
   SendResponse(input.request, ResponseStatus::kTimedOut, 0, nullptr);
-  // To the scheduler it is the same as a disconnect: no response is due any more, and attempts may be
+  // For the Scheduler this is the same as a disconnect: no response is due any more, and attempts may be
   // cancelled.
   ProcessEvent(ClientDisconnected{std::to_string(input.request)});
   EraseIfClosed(input.request);
@@ -101,7 +101,7 @@
   if (position == requests_.end() || position->second.finished) {
     return;
   }
-  // A copy: completing an attempt changes the table and may erase the request.
+  // Iterates over a copy, because completing an attempt changes the table and may erase the request.
   const std::map<int, TargetId> attempts = position->second.open_attempts;
   for (const auto& [attempt, target] : attempts) {
     position = requests_.find(number);
@@ -128,7 +128,7 @@
 void Engine::HandleInput(const EndpointsUpdated& input) {
   ProcessEvent(input.update);
   const EndpointUpdateKind kind = input.update.kind;
-  std::set<TargetId> unlisted;  // a complete list implies that targets it doesn't name are to be drained
+  std::set<TargetId> unlisted;  // a complete list drains the targets that it omits
   if (kind == EndpointUpdateKind::kFull || kind == EndpointUpdateKind::kCached) {
     unlisted.swap(active_targets_);
   }
@@ -151,8 +151,8 @@
 
 void Engine::HandleInput(const HealthCheckResult& input) { ProcessEvent(input.result); }
 
-// The Scheduler receives one outcome for each attempt: a second report, or one of an attempt that the
-// deadline has timed out, finds no open attempt here.
+// The Scheduler receives exactly one outcome for each attempt: for a second report, or for a report about an
+// attempt that was timed out at the deadline, there is no open attempt here, and the report is ignored.
 void Engine::CompleteAttempt(RequestTable::iterator position, const AttemptResult& input) {
   RequestState& request = position->second;
   const auto attempt = request.open_attempts.find(input.attempt);
@@ -197,8 +197,8 @@
   RequestState& request = position->second;
   const int attempt = request.attempts;
   const Time remaining = request.deadline - now_;
-  // An attempt that cannot matter any more is not transmitted. It uses up its number, since the scheduler has
-  // counted it as well.
+  // An attempt that can no longer affect the response is not sent. It still uses up an attempt number,
+  // because the Scheduler has counted it.
   if (request.finished || attempt >= max_attempts_ || remaining <= 0 || action.timeout < 0) {
     AttemptFinished finished;
     finished.id = action.id;
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -1,9 +1,9 @@
-// The engine: tracks open requests and their attempts between the front ends and the Scheduler, independent
-// of any protocol.
+// Tracks open requests and their attempts between the front ends and the Scheduler, independent of any
+// protocol.
 //
-// It translates inputs to Scheduler events and Scheduler actions to outputs, and guarantees what the
-// Scheduler relies on: one final response to each request, attempts numbered in order, one outcome for each
-// attempt. Owned by SchedulerThread and used on that thread only.
+// The engine translates inputs into Scheduler events and Scheduler actions into outputs. It ensures the
+// invariants that the Scheduler relies on: one final response to each request, attempts numbered in order,
+// one outcome for each attempt. Owned by SchedulerThread and used on that thread only.
 #ifndef WALNUTSPUR_CORE_ENGINE_H_
 #define WALNUTSPUR_CORE_ENGINE_H_
 
@@ -22,25 +22,28 @@
 
 namespace walnutspur::core {
 
-// Decides on one event at a time: Scheduler::Handle, or a policy that replaces it.
+// Returns the actions for one event: Scheduler::Handle, or a policy that replaces it.
 using DecisionFunction = std::function<std::vector<Action>(const Event&, Time)>;
 
-// The state of all open requests of a process.
+// Class Engine holds the state of all open requests of a process.
 class Engine {
  public:
-  // Decides by a Scheduler whose random draws start from `seed`.
+  // Creates an engine with a Scheduler of its own, whose random draws start from `seed`.
   Engine(const Settings& settings, std::uint64_t seed);
-  // Decides by `decide`: baseline policies that the Scheduler is compared with.
+  // Creates an engine that takes its decisions from `decide`; for the baseline policies that the Scheduler is
+  // compared with.
   Engine(const Settings& settings, DecisionFunction decide);
 
-  // Starts the decisions; called once, before Handle. Returns the first outputs, in order.
+  // Passes the first event, Started, to the decisions; must be called once, before Handle. Returns the
+  // outputs, in order.
   std::vector<Output> Start(Time now);
   // Handles one input that happens at `now` (us). Returns the outputs, in order.
   std::vector<Output> Handle(const Input& input, Time now);
 
-  // Requests that are unanswered or have an attempt without an outcome.
+  // Returns the number of requests without a response or with an attempt that has no outcome.
   std::size_t open_requests() const { return requests_.size(); }
-  // Entries of all tables, those of the Scheduler included: a measure of memory in use.
+  // Returns the number of entries of all tables, including those of the Scheduler, as a measure of memory in
+  // use.
   std::size_t table_entries() const {
     return (scheduler_ ? scheduler_->table_entries() : 0) + requests_.size() + client_request_ids_.size() +
            active_targets_.size() + pending_events_.size();
@@ -53,8 +56,8 @@
     Time deadline = 0;  // us
     PayloadRef payload;
     bool finished = false;                  // a response was sent, or the client has disconnected
-    Time objective_deadline = 0;            // latest response that meets the latency objective, us
-    PayloadRef partial_payload;             // intact part of the last corrupted response
+    Time objective_deadline = 0;            // latest time of a response within the latency objective, us
+    PayloadRef partial_payload;             // intact part of the latest corrupted response
     int attempts = 0;                       // number of the next attempt
     std::map<int, TargetId> open_attempts;  // attempts without an outcome, by number
   };
@@ -77,28 +80,29 @@
   void ExecuteAction(const CheckHealth& action);
   void ExecuteAction(const WatchEndpoints& action);
 
-  // Passes an event to the decisions and executes the resulting actions and the events caused by those.
+  // Passes an event to the decisions, executes the resulting actions, and processes the events that those
+  // cause.
   void ProcessEvent(const Event& event);
   // Times out each attempt of a request that has no outcome yet.
   void TimeOutAttempts(RequestNumber number);
-  // Passes the outcome of an attempt to the decisions, unless it has been passed before.
+  // Passes the outcome of an attempt to the decisions, unless the attempt already has an outcome.
   void CompleteAttempt(RequestTable::iterator position, const AttemptResult& input);
-  // Outputs the final response, unless the request has one already.
+  // Outputs the final response, unless the request is finished.
   void SendResponse(RequestNumber number, ResponseStatus status, Time retry_after, PayloadRef payload);
-  // Removes a request that is answered and has no attempt without an outcome.
+  // Removes a request that is finished and has no attempt without an outcome.
   void EraseIfClosed(RequestNumber number);
   RequestTable::iterator FindRequest(const RequestId& id);
 
-  std::unique_ptr<Scheduler> scheduler_;  // null with a decision function of the caller's
+  std::unique_ptr<Scheduler> scheduler_;  // null if the caller passed a decision function
   DecisionFunction decide_;
   int max_attempts_;
   std::vector<Time> latency_objectives_;  // us, by request class
   std::size_t open_attempts_ = 0;         // attempts without an outcome, of all requests
-  Time now_ = 0;                          // of the input that is being handled, us
+  Time now_ = 0;                          // time of the current input, us
   RequestTable requests_;
-  std::set<std::string> client_request_ids_;  // of the open requests
+  std::set<std::string> client_request_ids_;  // ids of the open requests
   std::set<TargetId> active_targets_;
-  std::vector<Output> outputs_;        // of the input that is being handled
+  std::vector<Output> outputs_;        // caused by the current input
   std::vector<Event> pending_events_;  // caused by actions; processed after the current event
 };
 
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -1,4 +1,5 @@
-// The messages between the engine and its surroundings: inputs that happened, outputs to carry out.
+// The messages between the engine and the event-loop thread: inputs (events that happened) and outputs
+// (commands to execute).
 //
 // Plain values. Front ends and connectors submit inputs on the event-loop thread, the scheduler thread
 // handles them, and the outputs return to the event-loop thread.
@@ -15,15 +16,15 @@
 
 namespace walnutspur::core {
 
-// Identifies a request within one process, counted in order of acceptance.
+// Identifies a request within one process. Numbers are assigned in the order in which requests are accepted.
 using RequestNumber = std::uint64_t;
 
-// Selects the front end and the connector of a request. kInternal: background requests of the process itself,
-// sent to NBD targets.
+// Selects the front end and the connector of a request. kInternal: background requests that the process
+// itself sends to NBD targets.
 enum class Protocol { kHttp, kNbd, kInternal };
 
-// Protocol data that the engine passes on without reading it. Only the front ends and connectors of one
-// protocol know the derived type.
+// Protocol data that the engine passes on without reading it. The derived type is private to the front ends
+// and connectors of one protocol.
 struct Payload {
   virtual ~Payload() = default;
 };
@@ -36,7 +37,7 @@
   RequestNumber request = 0;
   Protocol protocol = Protocol::kHttp;
   RequestArrived attributes;      // the engine fills in id and ttl
-  std::string client_request_id;  // chosen by the client; empty: none, so no duplicate can be detected
+  std::string client_request_id;  // chosen by the client; empty: none, so duplicates are not detected
   Time deadline = 0;              // when the client stops waiting, us
   PayloadRef payload;
 };
@@ -63,7 +64,7 @@
 struct EndpointsUpdated {
   EndpointUpdate update;
 };
-// A timer armed by ArmTimer has expired.
+// A timer armed by ArmTimer has fired.
 struct TimerExpired {
   std::int64_t timer_id = 0;
 };
@@ -71,7 +72,7 @@
 struct HealthCheckResult {
   HealthCheckFinished result;
 };
-// The membership of the fleet has changed its size.
+// The size of the fleet has changed.
 struct FleetResized {
   FleetSize size;
 };
@@ -88,16 +89,17 @@
   TargetId target;
   Time timeout = 0;  // how long to wait for the response, us
   PayloadRef payload;
-  Time not_after = 0;   // latest time of sending, us; 0: unbounded
-  Time expires_at = 0;  // when the timeout ends, however late the attempt begins, us; 0: it counts from then
+  Time not_after = 0;  // latest time of sending, us; 0: no limit
+  Time expires_at =
+      0;  // when the attempt times out, however late it begins, us; 0: `timeout` after it begins
 };
-// Abandon an attempt.
+// Abort an attempt.
 struct AbortAttempt {
   RequestNumber request = 0;
   int attempt = 0;
   Protocol protocol = Protocol::kHttp;
 };
-// Stop sending to a target; what has been sent may finish.
+// Stop sending to a target; attempts in flight may complete.
 struct DrainTarget {
   TargetId target;
 };
@@ -114,11 +116,11 @@
   Protocol protocol = Protocol::kHttp;
   ResponseStatus status = ResponseStatus::kFailed;
   Time retry_after = 0;        // kRejected: delay before the client should retry, us
-  PayloadRef payload;          // kServed: the response; else the intact part of a corrupted one, if any
+  PayloadRef payload;          // kServed: the response; otherwise the intact part of a corrupted one, if any
   bool met_objective = false;  // served within the latency objective of its class
-  double queued_fraction = 0;  // of the open requests: queued for capacity, 0 to 1
+  double queued_fraction = 0;  // fraction of the open requests that are queued for capacity, 0 to 1
 };
-// Submit TimerExpired after a delay.
+// Arm a timer that submits TimerExpired after a delay.
 struct ArmTimer {
   std::int64_t timer_id = 0;
   Time delay = 0;  // us
--- a/src/core/port.h
+++ b/src/core/port.h
@@ -1,5 +1,5 @@
-// The interfaces that the engine's outputs drive: front ends respond to clients, connectors send attempts to
-// targets. All of it is called on the event-loop thread.
+// The interfaces that execute the engine's outputs: front ends respond to clients, connectors send attempts
+// to targets. All methods are called on the event-loop thread.
 #ifndef WALNUTSPUR_CORE_PORT_H_
 #define WALNUTSPUR_CORE_PORT_H_
 
@@ -13,7 +13,7 @@
 // Submits an input to the engine; callable from any thread.
 using SubmitInput = std::function<void(Input)>;
 
-// The numbering of requests that all front ends of a process share.
+// The next request number; shared by all front ends of a process.
 struct RequestNumbers {
   RequestNumber next = 1;
 };
@@ -23,16 +23,16 @@
  public:
   virtual ~FrontEnd() = default;
   virtual void Respond(const Response& response) = 0;
-  // Requests accepted and not answered yet.
+  // Returns the number of requests that were accepted and have no response yet.
   virtual std::size_t pending_requests() const = 0;
-  // Whether the client of a request is still connected, as far as the kernel knows: the end of the connection
-  // may not have been read yet. A connection that turns out to be closed is ended here.
+  // Returns whether the client of a request is still connected according to the kernel: the front end may not
+  // have read the end of the connection yet. Closes the connection if the client has closed it.
   virtual bool IsClientConnected(RequestNumber /*request*/) { return true; }
-  // Requests that are unanswered at `end` (us) are timed out then.
+  // Sets the time `end` (us) at which requests without a response time out.
   virtual void SetShutdownDeadline(Time end) = 0;
-  // Called repeatedly during shutdown with the time left until all requests have to be answered (us). Once
-  // another request could not be served in that time, connections close after their next response and no new
-  // ones are accepted.
+  // Called repeatedly during shutdown with the time left until all requests must have a response (us). Once
+  // another request could not be served in that time, connections are closed after their next response, and
+  // no new connections are accepted.
   virtual void AdvanceShutdown(Time time_left) = 0;
   virtual std::size_t connections() const = 0;
 };
@@ -43,9 +43,9 @@
   virtual ~Connector() = default;
   // Starts an attempt; its outcome is submitted as an AttemptResult.
   virtual void Start(const StartAttempt& attempt) = 0;
-  // Abandons an attempt, if it is still open.
+  // Aborts an attempt, if it is still open.
   virtual void Cancel(RequestNumber request, int attempt) = 0;
-  // Stops sending to a target; what has been sent may finish.
+  // Stops sending to a target; attempts in flight may complete.
   virtual void Drain(const TargetId& target) = 0;
 };
 
--- a/src/core/queue.h
+++ b/src/core/queue.h
@@ -1,5 +1,5 @@
-// The queue between the scheduler thread and the event-loop thread, which share no other state.
-// SchedulerThread owns one for each direction.
+// Passes items between the scheduler thread and the event-loop thread, which share no other state.
+// SchedulerThread owns one queue for each direction.
 #ifndef WALNUTSPUR_CORE_QUEUE_H_
 #define WALNUTSPUR_CORE_QUEUE_H_
 
@@ -14,7 +14,7 @@
 template <typename T>
 class Queue {
  public:
-  // Appends items. Returns whether the queue was empty before, so that its reader has to be notified.
+  // Appends items. Returns whether the queue was empty before, in which case its reader must be notified.
   bool Push(std::vector<T> items) {
     if (items.empty()) {
       return false;
@@ -33,7 +33,7 @@
     return Push(std::move(items));
   }
 
-  // Removes and returns all items; doesn't wait.
+  // Removes and returns all items without waiting.
   std::vector<T> Take() {
     const std::lock_guard lock(mutex_);
     return std::exchange(items_, {});
@@ -46,7 +46,7 @@
     return std::exchange(items_, {});
   }
 
-  // Ends all waiting, now and later.
+  // Makes present and later calls of Wait return at once.
   void Close() {
     const std::lock_guard lock(mutex_);
     closed_ = true;
--- a/src/core/scheduler_thread.h
+++ b/src/core/scheduler_thread.h
@@ -1,4 +1,4 @@
-// The thread that owns the engine, and with it the Scheduler. Owned by the Initiator.
+// Runs the engine, and with it the Scheduler, on a thread of its own. Owned by the Initiator.
 #ifndef WALNUTSPUR_CORE_SCHEDULER_THREAD_H_
 #define WALNUTSPUR_CORE_SCHEDULER_THREAD_H_
 
@@ -14,20 +14,21 @@
 
 namespace walnutspur::core {
 
-// Handles submitted inputs on a thread of its own and queues the outputs for the event-loop thread.
+// Class SchedulerThread handles submitted inputs on its thread and queues the outputs for the event-loop
+// thread.
 class SchedulerThread {
  public:
-  // `notify_outputs` is called on the new thread when outputs are queued and the reader has not been notified
-  // since it last took them.
+  // Starts the thread. It calls `notify_outputs` when outputs are queued and the reader has not been notified
+  // since it last took outputs.
   SchedulerThread(const Settings& settings, std::uint64_t seed, std::function<void()> notify_outputs);
-  // Handles the inputs submitted so far, then ends the thread.
+  // Handles the inputs submitted so far, then joins the thread.
   ~SchedulerThread();
   SchedulerThread(const SchedulerThread&) = delete;
   SchedulerThread& operator=(const SchedulerThread&) = delete;
 
-  // Callable from any thread.
+  // Queues an input; callable from any thread.
   void Submit(Input input) { inputs_.Push(std::move(input)); }
-  // Removes and returns the queued outputs, in order; on the event-loop thread.
+  // Removes and returns the queued outputs, in order; must be called on the event-loop thread.
   std::vector<Output> TakeOutputs() { return outputs_.Take(); }
 
  private:
@@ -37,7 +38,7 @@
   std::function<void()> notify_outputs_;
   Queue<Input> inputs_;
   Queue<Output> outputs_;
-  std::thread thread_;  // last: it uses the members above
+  std::thread thread_;  // declared last, because it uses the members above
 };
 
 }  // namespace walnutspur::core
--- a/src/frontend/eviction_policy.h
+++ b/src/frontend/eviction_policy.h
@@ -1,9 +1,10 @@
-// Which connection of a full front end is closed to make room for a new one.
+// Chooses which connection of a full front end is closed to make room for a new one.
 //
-// A flood of connections must not shut other clients out, and a client that uses its connection must not lose
-// it. So connections are evicted by how far their clients have come, and each is safe for a grace period in
-// which its client may still take the next step. While none can be evicted, new connections wait in the
-// listener's backlog. Each front end has a policy; event-loop thread; no I/O, clock or timer.
+// A flood of connections must not shut out other clients, and a client that uses its connection must not lose
+// it. Connections are therefore evicted in the order of their rank, that is, of the protocol steps that their
+// clients have completed. Each connection is protected for a grace period in which its client can complete
+// the next step. While no connection can be evicted, new connections wait in the listener's backlog. Each
+// front end owns one policy; event-loop thread; no I/O, clock or timer.
 #ifndef WALNUTSPUR_FRONTEND_EVICTION_POLICY_H_
 #define WALNUTSPUR_FRONTEND_EVICTION_POLICY_H_
 
@@ -11,17 +12,17 @@
 
 namespace walnutspur::frontend {
 
-// How far a connection has come, in the order in which connections are evicted.
+// The protocol steps that a connection's client has completed, in the order of eviction.
 enum class EvictionRank {
   kClosing,                // its last response is written
   kHandshake,              // its client has not completed the protocol's handshake
   kNoRequestYet,           // its client has sent no complete request
   kIdleAfterOneRequest,    // many clients never send a second request
-  kIdleAfterManyRequests,  // its client sends requests again and again
+  kIdleAfterManyRequests,  // its client has sent several requests
   kInUse,                  // never evicted
 };
 
-// How long a connection of each rank is safe.
+// How long a connection of each rank is protected from eviction.
 struct EvictionLimits {
   Duration handshake_grace = Duration::zero();
   Duration first_request_grace = Duration::zero();
@@ -29,25 +30,25 @@
   Duration idle_grace = Duration::zero();  // after several requests
 };
 
-// A connection as the policy sees it.
+// The properties of a connection that the policy depends on.
 struct EvictionCandidate {
   EvictionRank rank = EvictionRank::kInUse;
-  Time since = 0;  // when its grace began, us
+  Time since = 0;  // when its grace period began, us
 };
 
 class EvictionPolicy {
  public:
   explicit EvictionPolicy(const EvictionLimits& limits) : limits_(limits) {}
 
-  // Whether the connection may be evicted at `now`: its grace is over.
+  // Returns whether the connection may be evicted at `now`: it is not in use and its grace period is over.
   bool IsEvictable(const EvictionCandidate& candidate, Time now) const;
-  // Whether `left` is evicted before `right`: its rank is lower, or the ranks are equal and its grace began
-  // earlier.
+  // Returns whether `left` is evicted before `right`: its rank is lower, or the ranks are equal and its grace
+  // period began earlier.
   static bool IsBefore(const EvictionCandidate& left, const EvictionCandidate& right);
 
-  // Returns the client that is to be evicted, null if there is none. `clients` maps numbers to owned clients;
-  // Client::eviction_candidate() describes one. `is_protected(client)` exempts a client, and is called only
-  // for those that would be chosen without it.
+  // Returns the client to evict, or null if there is none. `clients` maps numbers to owned clients, whose
+  // eviction_candidate() describes the connection. A client for which `is_protected(client)` returns true is
+  // exempt; the function is called only for clients that would be chosen otherwise.
   template <typename Clients, typename IsProtected>
   auto* Choose(const Clients& clients, Time now, IsProtected is_protected) const {
     typename Clients::mapped_type::pointer chosen = nullptr;
--- a/src/frontend/pending_requests.h
+++ b/src/frontend/pending_requests.h
@@ -1,7 +1,8 @@
-// The requests that a front end has submitted and not answered, each with the timer of its deadline.
+// Holds the requests that a front end has submitted and that have no response yet, each with a timer for its
+// deadline.
 //
-// A timer that fires submits DeadlineExpired; the request stays until its response comes. Each front end owns
-// one table; event-loop thread.
+// A timer that fires submits DeadlineExpired; the request stays in the table until its response arrives. Each
+// front end owns one table; event-loop thread.
 #ifndef WALNUTSPUR_FRONTEND_PENDING_REQUESTS_H_
 #define WALNUTSPUR_FRONTEND_PENDING_REQUESTS_H_
 
@@ -18,18 +19,18 @@
 
 namespace walnutspur::frontend {
 
-// A request's deadline expires this long after what its client set, so that the timeouts of its attempts,
-// which end at the deadline itself, come first.
+// The timer of a request fires this long after the deadline set by its client, so that the timeouts of its
+// attempts, which expire at the deadline itself, fire first.
 constexpr Time kDeadlineGuard = 5'000;  // us
 
-// `Origin` says where the response goes: the connection, and what the protocol needs beside it.
+// `Origin` identifies where the response is sent: the connection and further data that the protocol needs.
 template <typename Origin>
 class PendingRequests {
  public:
-  // `submit` takes core::DeadlineExpired and core::ClientClosed.
+  // `submit` is called with core::DeadlineExpired and core::ClientClosed.
   PendingRequests(event_base* base, core::SubmitInput submit) : base_(base), submit_(std::move(submit)) {}
 
-  // Adds a request that arrives now and has to be answered by `deadline` (us).
+  // Adds a request that arrives now and must have a response by `deadline` (us).
   void Add(core::RequestNumber number, Time deadline, Origin origin) {
     Request& request = requests_[number];
     request.origin = std::move(origin);
@@ -41,7 +42,8 @@
     request.timer.Start(fires_at - core::Now());
   }
 
-  // Null if the request is not pending: its client has disconnected.
+  // Returns the origin of a request, or null if the request is not pending because its client has
+  // disconnected.
   const Origin* Find(core::RequestNumber number) const {
     const auto at = requests_.find(number);
     return at == requests_.end() ? nullptr : &at->second.origin;
@@ -49,9 +51,9 @@
 
   struct CompletedRequest {
     Origin origin;
-    Time latency = 0;  // us since the request arrived
+    Time latency = 0;  // time elapsed since the request arrived, us
   };
-  // Removes a request whose response has come; nothing if it is not pending.
+  // Removes a request whose response has arrived, and returns it; returns nullopt if it is not pending.
   std::optional<CompletedRequest> TakeCompleted(core::RequestNumber number) {
     const auto at = requests_.find(number);
     if (at == requests_.end()) {
@@ -70,7 +72,7 @@
     }
   }
 
-  // From now on no request expires later than `deadline` (us).
+  // Limits the deadlines of all present and later requests to `deadline` (us).
   void SetShutdownDeadline(Time deadline) {
     shutdown_deadline_ = deadline;
     for (auto& [number, request] : requests_) {
@@ -86,7 +88,7 @@
   struct Request {
     Origin origin;
     Time received_at = 0;  // us
-    Time expires_at = 0;   // us; without a shutdown
+    Time expires_at = 0;   // us; applies without a shutdown
     loop::EventHandle timer;
   };
 
--- a/src/frontend/shutdown_sequence.cpp
+++ b/src/frontend/shutdown_sequence.cpp
@@ -12,8 +12,8 @@
   return !was_draining && is_draining();
 }
 
-// The transitions of a shutdown. Nothing is closed before the front end drains, however long before the
-// deadline idle connections may be closed.
+// Returns the phase for the time left until the deadline. No connection is closed before the front end
+// drains, even if close_idle_before allows closing idle connections earlier.
 ShutdownPhase ShutdownSequence::PhaseAt(Time time_left) const {
   if (!is_draining() && !estimate_.IsLastResponse(time_left)) {
     return phase_;
--- a/src/frontend/shutdown_sequence.h
+++ b/src/frontend/shutdown_sequence.h
@@ -1,11 +1,11 @@
-// The graceful shutdown of a front end, as a sequence of phases that are passed in order and never backwards:
+// Tracks the phases of a front end's graceful shutdown. Phases are entered in this order and never left for
+// an earlier one:
 //
 //   kServing -- Schedule --> kScheduled
 //   any      -- Advance  --> kDraining, kClosingIdle, kClosingPartialRequest, kClosingAwaitingResponse
 //
-// Advance may skip phases, where the event loop is late. Each front end owns one sequence and shares it with
-// its connections for reading; app::GracefulShutdown drives the front ends. Event-loop thread; no I/O, clock
-// or timer.
+// Advance may skip phases if the event loop is late. Each front end owns one sequence, which its connections
+// read; app::GracefulShutdown drives the front ends. Event-loop thread; no I/O, clock or timer.
 #ifndef WALNUTSPUR_FRONTEND_SHUTDOWN_SEQUENCE_H_
 #define WALNUTSPUR_FRONTEND_SHUTDOWN_SEQUENCE_H_
 
@@ -16,24 +16,24 @@
 
 enum class ShutdownPhase {
   kServing,                  // no shutdown is scheduled
-  kScheduled,                // requests have to be answered by the deadline; connections stay open
-  kDraining,                 // no new connections; the next response of each connection is its last
-  kClosingIdle,              // connections without a request are shut down
-  kClosingPartialRequest,    // so are those that hold a part of a request
-  kClosingAwaitingResponse,  // so are those whose request has no response yet
+  kScheduled,                // a deadline for all responses is set; connections stay open
+  kDraining,                 // no new connections are accepted; the next response of each is its last
+  kClosingIdle,              // idle connections are closed
+  kClosingPartialRequest,    // also connections with a partly received request
+  kClosingAwaitingResponse,  // also connections whose request has no response yet
 };
 
-// What a connection is doing, as far as a shutdown is concerned.
+// The state of a connection that decides in which phase it is closed.
 enum class ConnectionActivity {
-  kIdle,              // no request, and no byte of one
-  kPartialRequest,    // a part of a request has arrived, or bytes wait in the kernel
+  kIdle,              // no byte of a request has arrived
+  kPartialRequest,    // part of a request has arrived, or unread bytes are in the kernel
   kAwaitingResponse,  // a request has no response yet
 };
 
-// No limit; see each member of ShutdownLimits for what that means.
+// No limit; its effect is stated at each member of ShutdownLimits.
 constexpr Duration kUnlimited = Duration::max();
 
-// When connections are shut down, relative to the deadline by which all requests have to be answered.
+// When connections are closed, relative to the deadline by which all requests must have a response.
 struct ShutdownLimits {
   Duration close_idle_before = kUnlimited;              // kUnlimited: as soon as the front end drains
   Duration close_partial_request_after = kUnlimited;    // kUnlimited: never
@@ -44,20 +44,20 @@
  public:
   explicit ShutdownSequence(const ShutdownLimits& limits) : limits_(limits) {}
 
-  // A deadline has been set.
+  // Records that a deadline has been set.
   void Schedule();
   // Enters the phase that is due `time_left` us before the deadline (negative: after it). Returns whether the
-  // front end drains from now on and has not before: then it has to stop accepting connections.
+  // front end has just begun to drain, in which case it must stop accepting connections.
   bool Advance(Time time_left);
 
-  // Records a response given `latency` us after its request arrived. Draining begins as long before the
-  // deadline as responses take.
+  // Records a response that was sent `latency` us after its request arrived. Draining begins before the
+  // deadline by a lead time that follows the latency of responses.
   void OnResponse(Time latency) { estimate_.OnResponse(latency); }
 
   ShutdownPhase phase() const { return phase_; }
   bool is_scheduled() const { return phase_ >= ShutdownPhase::kScheduled; }
   bool is_draining() const { return phase_ >= ShutdownPhase::kDraining; }
-  // Whether connections with this activity are to be shut down in the present phase.
+  // Returns whether connections with this activity must be closed in the current phase.
   bool ShouldClose(ConnectionActivity activity) const;
 
  private:
--- a/src/log/event_kinds.h
+++ b/src/log/event_kinds.h
@@ -1,7 +1,8 @@
-// The kinds of logged events, which operators filter and alert by. docs/operators/logs.md describes each one
+// The kinds of logged events, by which operators filter and alert. docs/operators/logs.md describes each kind
 // with its level and its fields; a unit test compares the page with kAllEventKinds.
 //
-// A kind names an object and what happened to it. Constants only: the fleet's library includes this file too.
+// A kind names an object and what happened to it. This file must contain only constants, because the fleet's
+// library includes it too.
 #ifndef WALNUTSPUR_LOG_EVENT_KINDS_H_
 #define WALNUTSPUR_LOG_EVENT_KINDS_H_
 
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -16,7 +16,7 @@
 namespace walnutspur::log {
 namespace {
 
-// The seconds of its rate that a kind may use at once.
+// Maximum burst of events of one kind, in seconds of the rate limit.
 constexpr double kBurstSeconds = 2;
 
 constexpr std::int64_t kMicrosPerSecond = 1'000'000;
@@ -31,7 +31,7 @@
 
 bool IsControl(unsigned char byte) { return byte < kFirstPrintable || byte == kDelete; }
 
-// Control characters are escaped too: a line break in a value must not start another line.
+// Escapes quotes, backslashes and control characters: a line break in a value must not start another line.
 std::string Escape(std::string_view text) {
   std::string out;
   for (const char character : text) {
@@ -52,7 +52,7 @@
 
 std::string Quote(std::string_view text) { return '"' + Escape(text) + '"'; }
 
-// Quoted unless logfmt takes the text as one value.
+// Quotes the text unless logfmt parses it as one value without quotes.
 std::string QuoteForLogfmt(std::string_view text) {
   const bool plain = !text.empty() && std::all_of(text.begin(), text.end(), [](char character) {
     return character > kFirstPrintable && character != kDelete && character != '"' && character != '=' &&
@@ -105,7 +105,7 @@
   try {
     return std::make_shared<spdlog::sinks::basic_file_sink_mt>(file);
   } catch (const spdlog::spdlog_ex&) {
-    throw LogError("the log cannot be written to " + file);
+    throw LogError("cannot open log file " + file);
   }
 }
 
@@ -148,8 +148,8 @@
   return form == Form::kJson ? FormatJson(now, level, kind, fields) : FormatLogfmt(now, level, kind, fields);
 }
 
-// The pool is destroyed first, and with it the thread that writes: queued lines share ownership of the
-// logger, and the writing thread must not be the one that destroys it.
+// The members are declared in this order so that the pool, and with it the writer thread, is destroyed first:
+// queued lines share ownership of the logger, and the writer thread must not be the one that destroys it.
 struct Logger::Sink {
   std::shared_ptr<spdlog::async_logger> logger;
   std::shared_ptr<spdlog::details::thread_pool> pool;
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,9 +1,9 @@
-// Structured logging: one event a line, as logfmt or JSON, with its fields.
+// Structured logging: writes each event with its fields as one line of logfmt or JSON.
 //
-// Asynchronous and bounded, by spdlog: the logging thread formats a line, a thread of the logger writes it. A
-// full queue drops its oldest line and counts it, so that logging never blocks. Repeated events are
-// rate-limited by kind; the next line of the kind says how many were suppressed. main owns the logger of the
-// process; Event may be called from any thread.
+// Logging is asynchronous and bounded (spdlog): the calling thread formats a line, and a writer thread of the
+// logger writes it. If the queue is full, its oldest line is dropped and counted, so that logging never
+// blocks. Events are rate-limited by kind; the next line of the kind states how many were suppressed. main
+// owns the logger of the process; Event may be called from any thread.
 #ifndef WALNUTSPUR_LOG_LOG_H_
 #define WALNUTSPUR_LOG_LOG_H_
 
@@ -21,11 +21,11 @@
 
 namespace walnutspur::log {
 
-// In order of severity. kOff: as a threshold, nothing is logged.
+// Levels in order of severity. kOff is only a threshold: nothing is logged.
 enum class Level { kDebug, kInfo, kWarn, kError, kOff };
 enum class Form { kLogfmt, kJson };
 
-// The log file cannot be opened.
+// Thrown if the log file cannot be opened.
 class LogError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -35,18 +35,18 @@
   Level level = Level::kWarn;  // events below it are not logged
   Form form = Form::kLogfmt;
   std::string file;         // empty: standard error
-  std::size_t queue = 512;  // lines that are not written yet, at most
-  double per_kind = 5;      // lines of one kind per second, on average; a burst may have twice as many
+  std::size_t queue = 512;  // maximum number of lines not written yet
+  double per_kind = 5;      // average lines of one kind per second; a burst may have twice as many
 };
 
-// Rate limit by kind of event: a token bucket for each kind. Has no clock: times are microseconds that never
-// run backwards. Not thread-safe.
+// Class RateLimiter limits the rate of events by kind, with a token bucket for each kind. It reads no clock:
+// the caller passes times in microseconds, which should not run backwards. Not thread-safe.
 class RateLimiter {
  public:
   // `rate` is in events per second.
   explicit RateLimiter(double rate) : rate_(rate) {}
-  // Admits an event at `now`: returns how many of its kind were suppressed since the last one admitted.
-  // Returns nothing if the event is to be suppressed.
+  // Decides on an event at `now`. If it is admitted, returns how many events of its kind were suppressed
+  // since the last one admitted; returns nullopt if it must be suppressed.
   std::optional<std::uint64_t> Admit(std::string_view kind, std::int64_t now);
 
  private:
@@ -56,7 +56,7 @@
     std::uint64_t suppressed = 0;
   };
   double rate_;
-  std::map<std::string, Bucket, std::less<>> buckets_;  // few: kinds are named in the code, not by input
+  std::map<std::string, Bucket, std::less<>> buckets_;  // bounded: kinds are constants of the code, not input
 };
 
 // A field of an event.
@@ -65,25 +65,26 @@
   std::string value;
 };
 
-// Formats a line, without its end. Values that logfmt could misread are quoted, with the escapes of JSON.
-// `now` is Unix time in microseconds.
+// Formats a line without the line break. In logfmt, values that could be misread are quoted, with the escapes
+// of JSON. `now` is Unix time in microseconds.
 std::string Format(Form form, std::int64_t now, Level level, std::string_view kind,
                    const std::vector<Field>& fields);
 
-// Parses "debug", "info", "warn", "error" or "off"; nothing for any other word.
+// Parses "debug", "info", "warn", "error" or "off"; returns nullopt for any other word.
 std::optional<Level> ParseLevel(std::string_view word);
 
-// A logger with a queue and a writing thread of its own. Thread-safe.
+// Class Logger writes events to standard error or to a file, with a queue and a writer thread of its own.
+// Thread-safe.
 class Logger {
  public:
   // Throws LogError if the file cannot be opened.
   explicit Logger(const Options& options);
-  // Writes what is queued.
+  // Writes the queued lines.
   ~Logger();
 
   void Log(Level level, std::string_view kind, const std::vector<Field>& fields = {});
   bool enabled(Level level) const { return level >= options_.level && options_.level != Level::kOff; }
-  // Lines that were dropped from the full queue.
+  // Returns the number of lines that were dropped because the queue was full.
   std::uint64_t dropped() const;
 
  private:
@@ -94,11 +95,11 @@
   std::unique_ptr<Sink> sink_;
 };
 
-// Makes `logger`, which has to outlive its use, the logger of the process. Before, warnings and errors go to
-// standard error; a process that never logs starts no thread.
+// Makes `logger`, which must outlive its use, the logger of the process. Until then, warnings and errors are
+// written to standard error. A process that never logs starts no writer thread.
 void SetProcessLogger(Logger* logger);
 
-// Logs an event by the logger of the process. `kind` is one of event_kinds.h.
+// Logs an event with the logger of the process. `kind` is one of the constants in event_kinds.h.
 void Event(Level level, std::string_view kind, const std::vector<Field>& fields = {});
 
 }  // namespace walnutspur::log
--- a/src/loop/address.cpp
+++ b/src/loop/address.cpp
@@ -17,7 +17,7 @@
       return address;
     }
   }
-  throw AddressError("'" + text + "' is not an address with a port");
+  throw AddressError("invalid address '" + text + "': must be HOST:PORT");
 }
 
 sockaddr_in ToSocket(const Address& address) {
@@ -25,7 +25,7 @@
   socket.sin_family = AF_INET;
   socket.sin_port = htons(address.port);
   if (inet_pton(AF_INET, address.host.c_str(), &socket.sin_addr) != 1) {
-    throw AddressError("'" + address.host + "' is not a numeric address");
+    throw AddressError("invalid host '" + address.host + "': must be a numeric IPv4 address");
   }
   return socket;
 }
--- a/src/loop/iteration_clock.h
+++ b/src/loop/iteration_clock.h
@@ -1,8 +1,9 @@
-// How long ago the present turn of an event loop began, by the monotonic clock.
+// Measures the time since the current iteration of an event loop began, by the monotonic clock.
 //
-// libevent has the begin of the turn as wall time only: its monotonic reading plus an offset of its own,
-// which follows steps of the wall clock some seconds late. A timer whose monotonic expiry is known shows that
-// offset. Owned by a front end; belongs to the thread of its event loop.
+// libevent provides the begin of the iteration as wall time only. It computes that as its monotonic reading
+// plus an offset, which follows steps of the wall clock some seconds late. The offset is determined by means
+// of a timer whose monotonic expiry is known. Owned by a front end; used on the thread of its event loop
+// only.
 #ifndef WALNUTSPUR_LOOP_ITERATION_CLOCK_H_
 #define WALNUTSPUR_LOOP_ITERATION_CLOCK_H_
 
@@ -13,7 +14,7 @@
 
 namespace walnutspur::loop {
 
-// The delay of the timer that shows libevent's offset: longer than the process runs.
+// Delay of the timer that determines libevent's offset: longer than the process runs, so that it never fires.
 constexpr Time kIterationClockProbeDelay = Time{365} * 24 * 3600 * kMicrosecondsPerSecond;
 
 class IterationClock {
@@ -24,7 +25,7 @@
     probe_.Start(kIterationClockProbeDelay);
   }
 
-  // Time since the loop's present turn began, us; 0 outside of its callbacks.
+  // Returns the time since the loop's current iteration began, us; 0 outside of the loop's callbacks.
   Time SinceIterationBegan() const {
     timeval iteration_began_at{};
     event_base_gettimeofday_cached(base_, &iteration_began_at);
--- a/src/loop/listener.cpp
+++ b/src/loop/listener.cpp
@@ -14,7 +14,7 @@
 
 constexpr Time kPauseDuration = 20'000;  // us
 
-// For how long after a pause the backlog may hold connections that came during it, us.
+// How long after a pause the backlog may still hold connections that arrived during the pause, us.
 constexpr Time kBacklogDuration = 50'000;
 
 constexpr unsigned kSocketFlags = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC;
@@ -61,7 +61,7 @@
   static_cast<Listener*>(self)->callbacks_.on_accept(fd);
 }
 
-// With a callback of ours libevent's own, which logs a warning each time, is not called.
+// This callback replaces libevent's default, which logs a warning for each error.
 void Listener::SetErrorCallback() {
   if (!callbacks_.on_error) {
     return;
--- a/src/loop/listener.h
+++ b/src/loop/listener.h
@@ -1,7 +1,9 @@
-// A listening socket: RAII over libevent's evconnlistener. It can pause for a short while, so that a socket
-// that stays readable does not make the loop spin while there is no capacity or no descriptor.
+// Accepts connections on a listening socket: RAII over libevent's evconnlistener. The listener can pause, so
+// that the event loop does not spin on a readable socket while there is no capacity or no file descriptor
+// left.
 //
-// Belongs to the thread of its event loop, which runs the callbacks; its owner must outlive it.
+// Used on the thread of its event loop only, which also runs the callbacks; the owner must outlive the
+// listener.
 #ifndef WALNUTSPUR_LOOP_LISTENER_H_
 #define WALNUTSPUR_LOOP_LISTENER_H_
 
@@ -17,12 +19,12 @@
 
 namespace walnutspur::loop {
 
-// A socket that cannot listen. what(): "cannot listen at PLACE: REASON".
+// Thrown if a socket cannot listen. what(): "cannot listen at PLACE: REASON".
 class ListenError : public std::runtime_error {
  public:
   ListenError(const std::string& place, const std::string& reason)
       : std::runtime_error("cannot listen at " + place + ": " + reason), reason_(reason) {}
-  // The system's message alone.
+  // Returns only the system's message.
   const std::string& reason() const { return reason_; }
 
  private:
@@ -30,41 +32,43 @@
 };
 
 struct ListenerOptions {
-  int backlog = -1;           // connections that the kernel completes ahead; -1: libevent's default
+  int backlog = -1;           // connections that the kernel may queue; -1: libevent's default
   bool reuse_address = true;  // SO_REUSEADDR
 };
 
 struct ListenerCallbacks {
-  // Takes over an accepted socket, which does not block.
+  // Takes ownership of an accepted, non-blocking socket.
   std::function<void(evutil_socket_t fd)> on_accept;
-  // accept() has failed with this errno, out of descriptors or the like. Empty: libevent logs it.
+  // Called with errno when accept() fails, for example for lack of file descriptors. Empty: libevent logs the
+  // error.
   std::function<void(int error)> on_error;
-  // Whether another connection can be accepted; called when a pause is over. Empty: always.
+  // Returns whether another connection can be accepted; called at the end of a pause. Empty: always true.
   std::function<bool()> has_capacity;
 };
 
 class Listener {
  public:
-  // Binds to the address and listens. Throws ListenError, or AddressError where the host is not numeric.
+  // Binds to the address and listens. Throws ListenError, or AddressError if the host is not numeric.
   Listener(event_base* base, const Address& address, const ListenerOptions& options,
            ListenerCallbacks callbacks);
-  // Listens on a bound socket that does not block, and owns it from then on. Throws ListenError, which names
-  // `place`; the socket is the caller's then.
+  // Listens on a bound, non-blocking socket and takes ownership of it. If that fails, throws ListenError,
+  // which names `place`; the caller still owns the socket then.
   Listener(event_base* base, evutil_socket_t bound_socket, const std::string& place, int backlog,
            ListenerCallbacks callbacks);
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  // Stops accepting for 20 ms, and for as long as there is no capacity.
+  // Stops accepting for 20 ms, and after that until there is capacity.
   void Pause();
-  // Accepts at once what waits in the kernel's backlog.
+  // Accepts all connections in the kernel's backlog at once.
   void AcceptPending();
-  // How long what is accepted now may have waited in the kernel's backlog because of pauses, us.
+  // Returns the longest time that a connection accepted now may have waited in the kernel's backlog because
+  // of pauses, us.
   Time MaxBacklogWait() const;
-  // Closes the socket for good. After that only Close and Pause may be called, which do nothing.
+  // Closes the socket permanently. After that only Close and Pause may be called, which have no effect.
   void Close();
 
-  // The port that it is bound to; 0 for a socket without ports.
+  // Returns the port that the socket is bound to; 0 for a socket that was passed in.
   int port() const { return port_; }
 
  private:
@@ -76,8 +80,8 @@
   ListenerCallbacks callbacks_;
   int port_ = 0;
   EventHandle resume_timer_;
-  EventHandle backlog_timer_;  // after a pause
-  Time blocked_since_ = 0;     // when the pauses began that have let connections wait; 0: none has
+  EventHandle backlog_timer_;  // after a pause, until the backlog is empty again
+  Time blocked_since_ = 0;     // begin of the pauses that keep connections waiting; 0: none
   std::unique_ptr<evconnlistener, Deleter<evconnlistener_free>> listener_;  // null once closed
 };
 
--- a/src/loop/loop.h
+++ b/src/loop/loop.h
@@ -1,7 +1,7 @@
 // RAII over libevent: the event loop, and events (timers, signals, sockets) that call a function.
 //
-// All of it belongs to the thread that runs the loop; only EventHandle::Activate may be called from others,
-// and only where libevent's threads are in use.
+// Used on the thread that runs the loop only. The exception is EventHandle::Activate, which may be called
+// from other threads if libevent's thread support is enabled.
 #ifndef WALNUTSPUR_LOOP_LOOP_H_
 #define WALNUTSPUR_LOOP_LOOP_H_
 
@@ -20,7 +20,7 @@
 
 constexpr Time kMicrosecondsPerSecond = 1'000'000;
 
-// libevent's bit sets EV_* and BEV_EVENT_*, which its interface has as `short`.
+// The bit masks EV_* and BEV_EVENT_*, which have the type `short` in libevent's interface.
 using EventMask = std::int16_t;
 
 // A deleter for std::unique_ptr that calls one of libevent's functions.
@@ -34,7 +34,7 @@
 using EventBasePtr = std::unique_ptr<event_base, Deleter<event_base_free>>;
 using EventPtr = std::unique_ptr<event, Deleter<event_free>>;
 
-// A duration in microseconds as a timeval; a negative one is zero.
+// Converts a delay in microseconds to a timeval; a negative delay becomes zero.
 inline timeval ToTimeval(Time delay) {
   delay = std::max<Time>(delay, 0);
   return {static_cast<time_t>(delay / kMicrosecondsPerSecond),
@@ -45,17 +45,18 @@
   return static_cast<Time>(time.tv_sec) * kMicrosecondsPerSecond + time.tv_usec;
 }
 
-// An event of the loop that calls a function: a timer, a signal or a socket. It is off until it is started.
+// Class EventHandle owns an event of the loop (a timer, a signal or a socket) that calls a function. The
+// event is inactive until it is started.
 class EventHandle {
  public:
-  // No event: only Stop may be called.
+  // Creates a handle without an event; only Stop may be called on it.
   EventHandle() = default;
   EventHandle(event_base* base, evutil_socket_t fd, EventMask events, std::function<void()> callback)
       : callback_(std::make_unique<std::function<void()>>(std::move(callback))),
         event_(event_new(
             base, fd, events,
             [](evutil_socket_t, EventMask, void* arg) {
-              // A copy, because the call may destroy this handle.
+              // Calls a copy, because the function may destroy this handle.
               const auto function = *static_cast<std::function<void()>*>(arg);
               function();
             },
@@ -63,7 +64,8 @@
 
   // Waits for the event without a time limit.
   void Start() { event_add(event_.get(), nullptr); }
-  // Fires in `delay` microseconds at the latest; restarts one that runs.
+  // Waits for the event for at most `delay` microseconds, then calls the function all the same. Restarts a
+  // timer that is running.
   void Start(Time delay) {
     const timeval time = ToTimeval(delay);
     event_add(event_.get(), &time);
@@ -73,13 +75,13 @@
       event_del(event_.get());
     }
   }
-  // When a timer that runs will fire, as libevent has it on the wall clock.
+  // Returns when a running timer will fire, as wall time by libevent's clock.
   timeval ExpiryOnWallClock() const {
     timeval expiry{};
     event_pending(event_.get(), EV_TIMEOUT, &expiry);
     return expiry;
   }
-  // Fires in the loop's next turn, started or not.
+  // Fires in the loop's next iteration, whether or not the event is started.
   void Activate() { event_active(event_.get(), EV_READ, 0); }
 
  private:
--- a/src/loop/peer.cpp
+++ b/src/loop/peer.cpp
@@ -7,7 +7,7 @@
 namespace walnutspur::loop {
 namespace {
 
-// The result of a recv of one byte that leaves it where it is.
+// Returns the result of recv() for one byte, which stays in the socket's buffer.
 ssize_t PeekByte(evutil_socket_t fd) {
   char byte = 0;
   return recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
--- a/src/loop/peer.h
+++ b/src/loop/peer.h
@@ -1,5 +1,6 @@
-// What the kernel knows of a connection ahead of the event loop: bytes not read yet, and whether the peer has
-// closed. Owns nothing; each call is one or two system calls on the caller's thread.
+// Queries the kernel about a connection, independent of the event loop: whether there are unread bytes, and
+// whether the peer has closed the connection. Each function makes one or two system calls on the caller's
+// thread.
 #ifndef WALNUTSPUR_LOOP_PEER_H_
 #define WALNUTSPUR_LOOP_PEER_H_
 
@@ -7,14 +8,16 @@
 
 namespace walnutspur::loop {
 
-// Whether the peer has closed its side or reset the connection. Finds it even while the loop is late, and
-// behind unread bytes: both hide a disconnect from whoever waits to read it.
+// Returns whether the peer has closed its side or reset the connection. Detects that even if the event loop
+// is late or unread bytes precede the end of the stream; in both cases reading would not show the disconnect
+// yet.
 bool PeerHasClosed(evutil_socket_t fd);
 
-// Whether a read would return at once with bytes or an end of stream; an error on the socket is not input.
+// Returns whether a read would return bytes or the end of the stream at once; an error on the socket does not
+// count.
 bool HasPendingInput(evutil_socket_t fd);
 
-// Whether bytes wait in the kernel to be read; an end of stream is none.
+// Returns whether the kernel holds unread bytes; the end of the stream does not count.
 bool HasUnreadBytes(evutil_socket_t fd);
 
 }  // namespace walnutspur::loop
--- a/src/loop/stream.h
+++ b/src/loop/stream.h
@@ -1,6 +1,6 @@
-// A stream: a socket with libevent's buffers (bufferevent). RAII, socket options, callbacks, buffer lengths.
+// Functions for streams. A stream is a socket with libevent's input and output buffers (bufferevent).
 //
-// Owned by the connection that it carries; a stream belongs to the thread of its event loop.
+// Each connection owns its stream; a stream is used on the thread of its event loop only.
 #ifndef WALNUTSPUR_LOOP_STREAM_H_
 #define WALNUTSPUR_LOOP_STREAM_H_
 
@@ -21,41 +21,41 @@
 // Sends small messages at once (TCP_NODELAY): each is a complete request or response.
 void DisableNagle(evutil_socket_t fd);
 
-// A stream on an accepted socket, which it closes when freed. Null where it cannot be made; the socket is
-// closed then.
+// Creates a stream that owns an accepted socket and closes it when freed. Returns null on failure, after
+// closing the socket.
 StreamPtr AdoptSocket(event_base* base, evutil_socket_t fd);
 
-// A stream without a socket, for Connect. Its callbacks are deferred: they run from the loop, never from
-// within a call on the stream.
+// Creates a stream without a socket, for Connect. Its callbacks are deferred: they are called from the event
+// loop, never from within a call on the stream.
 StreamPtr MakeClientStream(event_base* base);
 
-// Begins to connect; whether it has begun. The result comes as an event.
+// Starts to connect and returns whether that succeeded. The result of the connect is reported as an event.
 bool Connect(bufferevent* stream, const sockaddr_in& address);
 
 void Write(bufferevent* stream, std::string_view bytes);
 
-// Takes all bytes that have been read into the stream's buffer.
+// Removes all bytes from the stream's input buffer and returns them.
 std::string TakeInput(bufferevent* stream);
 
-// The first piece of what has been read that lies in one part of memory, left in place; empty if there is
-// nothing. Valid until the stream is read, drained or returns to the loop.
+// Returns the first contiguous chunk of the input buffer without removing it; empty if the buffer is empty.
+// Valid until the stream is read or drained, or control returns to the event loop.
 std::string_view FirstInputChunk(bufferevent* stream);
 
-// Drops the first bytes of what has been read.
+// Discards the first `size` bytes of the input buffer.
 void DrainInput(bufferevent* stream, std::size_t size);
 
-// Bytes that were read from the socket and not taken yet.
+// Returns the number of bytes in the input buffer.
 std::size_t BufferedInputBytes(const bufferevent* stream);
 
-// Bytes that were written to the stream and that the kernel has not taken yet.
+// Returns the number of bytes in the output buffer, which the kernel has not accepted yet.
 std::size_t UnwrittenBytes(const bufferevent* stream);
 
-// Ends our side of the connection: the peer reads an end of stream and may still send.
+// Shuts down the sending side of the connection: the peer reads the end of the stream and may still send.
 void ShutdownWrites(bufferevent* stream);
 
-// Calls `handler->OnReadable()`, `handler->OnEvent(EventMask)` and, where the handler has it,
-// `handler->OnWritten()` once the output buffer has drained. The handler must outlive the stream, or the
-// callbacks must be cleared first.
+// Sets the callbacks `handler->OnReadable()`, `handler->OnEvent(EventMask)` and, if the handler has this
+// method, `handler->OnWritten()`, which is called when the output buffer has drained. The handler must
+// outlive the stream, or the callbacks must be cleared first.
 template <typename Handler>
 void SetCallbacks(bufferevent* stream, Handler* handler) {
   bufferevent_data_cb on_written = nullptr;
--- a/tests/support/temporary_file.h
+++ b/tests/support/temporary_file.h
@@ -1,6 +1,4 @@
-// A file in /tmp that is removed with its object.
-//
-// Owner: the test that declares it. Thread: any one at a time.
+// A temporary file in /tmp for tests. Owned by the test that declares it; used by one thread at a time.
 #ifndef WALNUTSPUR_TESTS_SUPPORT_TEMPORARY_FILE_H_
 #define WALNUTSPUR_TESTS_SUPPORT_TEMPORARY_FILE_H_
 
@@ -13,7 +11,8 @@
 
 namespace walnutspur::test {
 
-// Creates a file with the given content under a unique name and removes it at the end.
+// Class TemporaryFile creates a file with the given content under a unique name; its destructor removes the
+// file.
 class TemporaryFile {
  public:
   explicit TemporaryFile(const std::string& content = "") {
@@ -24,7 +23,7 @@
   TemporaryFile(const TemporaryFile&) = delete;
   TemporaryFile& operator=(const TemporaryFile&) = delete;
 
-  // The file's absolute path.
+  // Returns the file's absolute path.
   const std::string& path() const { return path_; }
 
  private:
