--- a/src/limits/poll_backoff.h
+++ b/src/limits/poll_backoff.h
@@ -4,9 +4,9 @@
 // A call that was rejected at once cost the service nothing. A call that timed out in the service's queue
 // shows that all instances together poll too fast. The service handles such a call all the same, so the
 // instances must spread their polls over the time that handling all of them takes. A call that had a response
-// counts as a success, however soon its subscription ended. A change after that must be received within 6 s,
-// of which detecting the end takes up to 2.5 s and the next call up to 2 s (http/discovery_client.cpp). No
-// I/O, clock, thread or randomness; owned by decision::EndpointPoller.
+// counts as a success, however soon its subscription ended: a change after the end counts as announced within
+// 6 s, of which detecting the end takes up to 2.5 s and the next call up to 2 s (http/discovery_client.cpp).
+// No I/O, clock, thread or randomness; owned by decision::EndpointPoller.
 #ifndef WALNUTSPUR_LIMITS_POLL_BACKOFF_H_
 #define WALNUTSPUR_LIMITS_POLL_BACKOFF_H_
 
--- a/tests/net/engine_test.cpp
+++ b/tests/net/engine_test.cpp
@@ -1,4 +1,4 @@
-// The engine and its queue, without any protocol.
+// Tests the engine and its queue, without any protocol.
 #include "core/engine.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 
 constexpr Time kMs = 1'000;
 
-// One class with an objective of 200 ms and a deadline of 600 ms, and two attempts.
+// Returns settings with one class (latency objective 200 ms, deadline 600 ms) and at most two attempts.
 Settings OneClass(Idempotency idempotency) {
   Settings settings;
   RequestClass request_class;
@@ -25,7 +25,7 @@
   return settings;
 }
 
-// An engine with one active target, t, and all outputs so far.
+// An engine with one active target "t", and all its outputs so far.
 struct EngineFixture {
   explicit EngineFixture(Idempotency idempotency) : engine(OneClass(idempotency), 1) {
     engine.Start(now);
@@ -39,7 +39,7 @@
       outputs.push_back(output);
     }
   }
-  // Receives a request of shard 0 that expires in 600 ms.
+  // Submits a request of shard 0 with a deadline in 600 ms.
   void ReceiveRequest(core::RequestNumber request_number = 1) {
     core::RequestReceived arrived;
     arrived.request = request_number;
@@ -47,7 +47,7 @@
     arrived.deadline = now + 600 * kMs;
     Handle(arrived);
   }
-  // Reports the result of an attempt.
+  // Submits the result of an attempt.
   void FinishAttempt(int attempt, Outcome outcome, core::RequestNumber request_number = 1) {
     core::AttemptResult ended;
     ended.request = request_number;
@@ -55,7 +55,7 @@
     ended.outcome = outcome;
     Handle(ended);
   }
-  // The outputs of one type, in order.
+  // Returns the outputs of one type, in order.
   template <typename T>
   std::vector<T> OutputsOf() const {
     std::vector<T> found;
@@ -71,10 +71,10 @@
   std::vector<core::Output> outputs;
 };
 
-TEST_CASE("state by target, volume or client request id is removed with it") {
+TEST_CASE("Engine: state of replaced targets, idle volumes and finished request ids is removed") {
   EngineFixture fixture(Idempotency::kIdempotent);
   std::size_t early = 0;
-  for (int i = 0; i < 400; ++i) {  // half a second each; every target serves three of them
+  for (int i = 0; i < 400; ++i) {  // each takes half a second; every target serves three requests
     Endpoint previous;
     Endpoint current;
     previous.target = "t" + std::to_string(i / 3 - 1);
@@ -109,10 +109,11 @@
     fixture.now += 20 * kMs;
     fixture.Handle(core::TimerExpired{0});
   }
-  CHECK(fixture.engine.table_entries() < 8);  // the remaining target, and no volume
+  CHECK(fixture.engine.table_entries() < 8);  // the remaining target and no volumes
 }
 
-TEST_CASE("an id stays in use while an attempt of its request is in flight, and no longer") {
+TEST_CASE(
+    "Engine: a client request id is rejected as duplicate while an attempt is in flight, and no longer") {
   EngineFixture fixture(Idempotency::kNotIdempotent);
   const auto arrive = [&](core::RequestNumber request_number) {
     core::RequestReceived arrived;
@@ -139,7 +140,7 @@
   CHECK(fixture.OutputsOf<core::StartAttempt>().size() == 1);
 }
 
-TEST_CASE("attempts are numbered in order and one response ends a request") {
+TEST_CASE("Engine: attempts are numbered in order, and a request has one response") {
   EngineFixture fixture(Idempotency::kIdempotent);
   fixture.ReceiveRequest();
   fixture.FinishAttempt(0, Outcome::kErrored);
@@ -153,7 +154,7 @@
   CHECK(fixture.engine.open_requests() == 0);
 }
 
-TEST_CASE("an outcome reported twice counts once") {
+TEST_CASE("Engine: an outcome that is reported twice counts once") {
   EngineFixture fixture(Idempotency::kIdempotent);
   fixture.ReceiveRequest();
   fixture.FinishAttempt(0, Outcome::kErrored);
@@ -166,7 +167,7 @@
   CHECK(fixture.OutputsOf<core::Response>().size() == 1);
 }
 
-TEST_CASE("a non-idempotent request that may have run fails and is never retried") {
+TEST_CASE("Engine: a non-idempotent request that may have run fails and is not retried") {
   for (const Outcome outcome :
        {Outcome::kErrored, Outcome::kConnectionReset, Outcome::kTimedOut, Outcome::kCancelled}) {
     EngineFixture fixture(Idempotency::kNotIdempotent);
@@ -178,7 +179,7 @@
   }
 }
 
-TEST_CASE("a deadline that expires with an attempt in flight ends both, once") {
+TEST_CASE("Engine: a deadline that expires with an attempt in flight aborts it and gives one response") {
   EngineFixture fixture(Idempotency::kNotIdempotent);
   fixture.ReceiveRequest();
   fixture.now += 605 * kMs;
@@ -193,7 +194,7 @@
   CHECK(fixture.engine.open_requests() == 0);
 }
 
-TEST_CASE("a client that disconnects gets no response, and its attempt is cancelled") {
+TEST_CASE("Engine: after a client disconnects, its attempt is cancelled and no response is sent") {
   EngineFixture fixture(Idempotency::kIdempotent);
   fixture.ReceiveRequest();
   fixture.Handle(core::ClientClosed{1});
@@ -204,7 +205,7 @@
   CHECK(fixture.engine.open_requests() == 0);
 }
 
-TEST_CASE("a target that a list marks as draining, or omits, is drained") {
+TEST_CASE("Engine: a target that an endpoint list marks as draining or omits is drained") {
   EngineFixture fixture(Idempotency::kIdempotent);
   Endpoint entry;
   entry.target = "t";
@@ -217,7 +218,7 @@
   CHECK(fixture.OutputsOf<core::DrainTarget>().size() == 2);
 }
 
-TEST_CASE("the queue delivers all items of each thread in order") {
+TEST_CASE("Queue: items of each thread are delivered completely and in order") {
   core::Queue<int> queue;
   std::vector<std::thread> writers;
   for (int writer = 0; writer < 4; ++writer) {
--- a/tests/unit/admission_test.cpp
+++ b/tests/unit/admission_test.cpp
@@ -1,8 +1,8 @@
-// Admission and Retry-After under the endpoint lease, and the polls that bring a new list.
+// Tests admission and Retry-After under the endpoint lease, and the polls for a new endpoint list.
 //
-// The failure behind them: discovery is away, targets begin to drain, and this instance cannot be notified.
-// It shows as requests sent to targets past their drain's grace. So nothing may be sent, and nothing may
-// wait, once the lease on the last list has expired.
+// They guard against requests that are sent to a target after its drain grace has ended. That happens when
+// discovery is unavailable while targets begin to drain, so that this instance is not notified. Once the
+// lease on the last list has expired, no attempt may therefore be sent and no request may wait.
 #include "decision/admission.h"
 
 #include <doctest/doctest.h>
@@ -25,7 +25,8 @@
   return settings;
 }
 
-// A fixture with a list that a working watch has brought, and one queued request that could be sent.
+// A fixture with an endpoint list received from a working watch, and with one queued request that could be
+// sent.
 struct LeaseFixture : Fixture {
   LeaseFixture() : Fixture(SubscribedSettings()), request(Queue("1", MakeVolume("v"))) {
     request->objective_at = state.now + kObjective;
@@ -33,7 +34,7 @@
     state.endpoint_lease.OnCurrent();
   }
 
-  // The watch ended so long ago that the lease has expired.
+  // Records that the watch ended so long ago that the lease has expired.
   void ExpireLease() {
     const Time long_ago = state.now - 60 * kOneSecond;
     state.endpoint_lease.OnFailed(state.now, long_ago, DiscoveryFailure::kNoResponse);
@@ -44,7 +45,7 @@
 
 }  // namespace
 
-TEST_CASE("once the endpoint lease has expired nothing is sent and nothing may wait") {
+TEST_CASE("Admission: after the endpoint lease has expired, no attempt is sent and no request may wait") {
   LeaseFixture fixture;
   CHECK(MayDispatchTo(fixture.state, *fixture.target));
   CHECK(MayWaitOnArrival(fixture.state, *fixture.request));
@@ -55,14 +56,14 @@
   CHECK_FALSE(MayKeepWaiting(fixture.state, *fixture.request));
 }
 
-TEST_CASE("an attempt must have been written by the end of the endpoint lease") {
+TEST_CASE("Admission: an attempt must be written before the endpoint lease expires") {
   LeaseFixture fixture;
   CHECK(LatestSendTime(fixture.state, *fixture.request) == 0);
   fixture.state.endpoint_lease.OnFailed(fixture.state.now, fixture.state.now, DiscoveryFailure::kNoResponse);
   CHECK(LatestSendTime(fixture.state, *fixture.request) == fixture.state.endpoint_lease.expires_at());
 }
 
-TEST_CASE("only the active holder of a shard is sent anything, and not during its backoff") {
+TEST_CASE("Admission: attempts are sent only to a shard's active target, and not during its backoff") {
   LeaseFixture fixture;
   fixture.target->backoff.OnConnectFailed(fixture.state.now);
   CHECK_FALSE(MayDispatchTo(fixture.state, *fixture.target));
@@ -74,7 +75,7 @@
   CHECK_FALSE(MayDispatchTo(fixture.state, *fixture.target));
 }
 
-TEST_CASE("a request whose deadline comes before a timer may not wait") {
+TEST_CASE("Admission: a request whose deadline expires before the next timer may not wait") {
   LeaseFixture fixture;
   fixture.request->deadline = fixture.state.now + 2 * kTimerPeriod;
   CHECK(MayWaitOnArrival(fixture.state, *fixture.request));
@@ -83,16 +84,16 @@
   CHECK_FALSE(MayWaitOnArrival(fixture.state, *fixture.request));
 }
 
-TEST_CASE("a request that would be late even at an idle target may not go on waiting") {
+TEST_CASE("Admission: a request that would be late even at an idle target may not keep waiting") {
   LeaseFixture fixture;
-  const Time service_time = 20'000;  // of one unit, assumed until the first response
+  const Time service_time = 20'000;  // assumed for one unit until the first response
   fixture.request->objective_at = fixture.state.now + service_time;
   CHECK(MayKeepWaiting(fixture.state, *fixture.request));
   fixture.request->objective_at -= 1;
   CHECK_FALSE(MayKeepWaiting(fixture.state, *fixture.request));
 }
 
-TEST_CASE("Retry-After is the time until the target can serve, and the longest one where there is none") {
+TEST_CASE("RetryAfter: returns the time until the target can serve, or the maximum if no target can") {
   LeaseFixture fixture;
   fixture.target->latency.SetQueueing(Duration::zero(), fixture.state.now);
   CHECK(RetryAfter(fixture.state, *fixture.request) == kTimerPeriod);
@@ -106,14 +107,14 @@
   CHECK(RetryAfter(fixture.state, *fixture.request) == kMaxRetryAfter);
 }
 
-TEST_CASE("one poll of the endpoint list is out at a time, and a response cancels the next one") {
+TEST_CASE("EndpointPoller: one poll is in flight at a time, and a response cancels the next one") {
   EndpointPoller poller(SubscribedSettings());
   RandomSource random(7);
   CHECK_FALSE(poller.IsDue(kStart));
   poller.OnPolled(kStart);
   CHECK_FALSE(poller.IsDue(kStart + 5 * kOneSecond - 1));
   CHECK(poller.IsDue(kStart + 5 * kOneSecond));
-  poller.OnUpdateBegun(kStart + kOneSecond);  // puts it off
+  poller.OnUpdateBegun(kStart + kOneSecond);  // postpones the next poll
   CHECK_FALSE(poller.IsDue(kStart + 5 * kOneSecond));
   poller.OnResponse();
   CHECK_FALSE(poller.IsDue(kStart + 60 * kOneSecond));
@@ -122,7 +123,7 @@
   CHECK(poller.IsDue(kStart + 2 * kOneSecond));
 }
 
-TEST_CASE("where endpoint updates are pushed nothing is polled, and no random draw is made for it") {
+TEST_CASE("EndpointPoller: if endpoint updates are pushed, it neither polls nor draws random numbers") {
   Settings settings = SubscribedSettings();
   settings.discovery = DiscoveryMode::kAutomatic;
   EndpointPoller poller(settings);
--- a/tests/unit/backoff_test.cpp
+++ b/tests/unit/backoff_test.cpp
@@ -1,4 +1,4 @@
-// Backoff of targets, and the retry budget.
+// Tests the backoff of targets and the retry budget.
 #include <doctest/doctest.h>
 
 #include "limits/retry_budget.h"
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-TEST_CASE("each overload in turn doubles a target's backoff, up to a bound") {
+TEST_CASE("TargetBackoff: each consecutive overload doubles the backoff up to its maximum") {
   TargetBackoff backoff;
   CHECK(backoff.IsOver(kStart));
   for (const Time expected : {30, 60, 120, 240, 480, 960, 960}) {
@@ -23,7 +23,7 @@
   CHECK(backoff.IsOver(kStart + 960 * kMillisecond));
 }
 
-TEST_CASE("each failed connect in turn doubles a target's backoff, apart from its overloads") {
+TEST_CASE("TargetBackoff: each consecutive failed connect doubles the backoff, independent of overloads") {
   TargetBackoff backoff;
   backoff.OnOverloaded(kStart);
   for (const Time expected : {200, 400, 800, 1'600, 1'600}) {
@@ -32,7 +32,8 @@
   }
 }
 
-TEST_CASE("a completed attempt ends the series of failures, a restart of the target the backoff") {
+TEST_CASE(
+    "TargetBackoff: a completed attempt resets the count of failures, a target's restart ends the backoff") {
   TargetBackoff backoff;
   for (int i = 0; i < 3; ++i) {
     backoff.OnConnectFailed(kStart);
@@ -44,11 +45,11 @@
   backoff.OnConnectFailed(kStart);
   CHECK(backoff.ends_at() == kStart + 200 * kMillisecond);
   backoff.OnTargetRestarted();
-  backoff.OnConnectFailed(kStart);  // the series goes on
+  backoff.OnConnectFailed(kStart);  // the count of failures continues
   CHECK(backoff.ends_at() == kStart + 400 * kMillisecond);
 }
 
-TEST_CASE("retries that wait count against the retry budget like those sent") {
+TEST_CASE("RetryBudget: waiting retries count like sent ones") {
   Rules rules;
   rules.retry_budget_window = 100 * kMillisecond;
   rules.retry_budget_ratio = 0.5;
@@ -62,13 +63,14 @@
   budget.OnRetrySent(rules, kStart);
   CHECK_FALSE(budget.Allows(rules, 2, kStart));
   CHECK(budget.table_entries() == 5);
-  // The arrivals leave the window; the minimum is left, which the retry at the window's edge still uses up.
+  // The arrivals have left the window, so only the minimum is allowed; the retry at the window's edge uses it
+  // up.
   CHECK_FALSE(budget.Allows(rules, 0, kStart + 100 * kMillisecond));
   CHECK(budget.Allows(rules, 0, kStart + 101 * kMillisecond));
   CHECK_FALSE(budget.Allows(rules, 1, kStart + 101 * kMillisecond));
 }
 
-TEST_CASE("without a window in the settings the retry budget counts nothing and allows every retry") {
+TEST_CASE("RetryBudget: without a window in the settings, nothing is counted and every retry is allowed") {
   const Rules rules;
   RetryBudget budget;
   budget.OnArrival(rules, kStart);
--- a/tests/unit/budget_test.cpp
+++ b/tests/unit/budget_test.cpp
@@ -1,4 +1,5 @@
-// Background work: budgets and floors hold, it yields within one report and recovers slowly.
+// Tests the budget of background jobs: its maximum and minimum rates, the slowdown under pressure, and the
+// recovery.
 #include "background/budget.h"
 
 #include <doctest/doctest.h>
@@ -13,8 +14,8 @@
 const Report kCalm{0, 0.1};
 const Report kBusy{0.1, 0.1};
 
-// Runs a job that always has work for `seconds`; a request takes `latency` microseconds. Returns the requests
-// started in each second.
+// Runs jobs that always have work to do for `seconds`; each request takes `latency` microseconds. Returns the
+// number of requests started in each second.
 std::vector<int> RunJob(Budget& budget, Time from, int seconds, const std::vector<Report>& reports,
                         Time latency = 1000) {
   std::vector<int> started(static_cast<std::size_t>(seconds));
@@ -40,7 +41,7 @@
   return started;
 }
 
-// A job of 100 requests of 4 KiB a second with a floor of 2 requests a second.
+// Returns options for at most 100 and at least 2 requests per second, of 4 KiB each.
 JobOptions BasicJob() {
   JobOptions options;
   options.max_requests_per_second = 100;
@@ -50,18 +51,18 @@
   return options;
 }
 
-TEST_CASE("under pressure the rate falls to its floor within one report and recovers slowly") {
+TEST_CASE("Budget: under pressure the rate falls to its minimum within one report, then recovers slowly") {
   Budget budget;
   budget.Add(BasicJob(), {}, 0);
   const auto calm = RunJob(budget, 0, 8, {kCalm});
-  CHECK(calm[7] >= 85);  // the budget is polled once a millisecond
+  CHECK(calm[7] >= 85);  // below 100, since the budget is polled once per millisecond
   CHECK(calm[7] <= 101);
   const auto busy = RunJob(budget, 8 * kSec, 4, {kBusy});
   CHECK(busy[0] <= 3);
   for (const int started : busy) {
     CHECK(started >= 1);
   }
-  CHECK(busy[1] + busy[2] + busy[3] >= 6);  // the floor holds
+  CHECK(busy[1] + busy[2] + busy[3] >= 6);  // the minimum rate is kept
   CHECK(busy[1] + busy[2] + busy[3] <= 7);
   const auto after = RunJob(budget, 12 * kSec, 6, {kCalm});
   CHECK(after[0] < 20);
@@ -69,7 +70,7 @@
   CHECK(after[5] >= 85);
 }
 
-TEST_CASE("a suspended target gets nothing, not even the floor; nor does a paused job") {
+TEST_CASE("Budget: a suspended budget and a paused job start no requests, not even at the minimum rate") {
   Budget budget;
   const JobId job = budget.Add(BasicJob(), {}, 0);
   budget.Suspend(true);
@@ -82,7 +83,7 @@
   CHECK(RunJob(budget, 3 * kSec, 1, {kCalm})[0] > 0);
 }
 
-TEST_CASE("requests in flight and bytes are bounded") {
+TEST_CASE("Budget: requests in flight and bytes per second are bounded") {
   Budget budget;
   JobOptions options = BasicJob();
   options.max_in_flight = 3;
@@ -105,7 +106,7 @@
   CHECK(budget.Next(kSec + kSec * 3 / 2));
 }
 
-TEST_CASE("the higher priority goes first, equals share, and unfinished requests are not counted") {
+TEST_CASE("Budget: the job of higher priority goes first, and returned or failed requests are not counted") {
   Budget budget;
   JobOptions high = BasicJob();
   JobOptions low = BasicJob();
@@ -118,12 +119,12 @@
   CHECK(budget.Next(0) == low_job);
   budget.Return(high_job);
   CHECK(budget.in_flight(high_job) == 0);
-  CHECK(budget.Next(0) == high_job);  // the returned request did not use up its turn
+  CHECK(budget.Next(0) == high_job);  // the returned request was not counted
   budget.Done(high_job, 0, 0, 1);     // failed: the cursor does not advance
   CHECK(budget.progress(high_job).position == 0);
 }
 
-TEST_CASE("with a target duration it runs no faster than needed, and a round ends in time and restarts") {
+TEST_CASE("Budget: with a target duration, a job runs only as fast as needed, ends in time and restarts") {
   Budget budget;
   JobOptions options = BasicJob();
   options.goal = 60 * kSec;
@@ -133,13 +134,13 @@
   const JobId job = budget.Add(options, progress, 1);
   RunJob(budget, 1, 5, {kCalm});
   const auto started = RunJob(budget, 5 * kSec + 1, 10, {kCalm});
-  CHECK(started[5] >= 10);  // 600 in 60 s, and a fifth ahead
+  CHECK(started[5] >= 10);  // 600 requests in 60 s, plus a fifth
   CHECK(started[5] <= 16);
   RunJob(budget, 15 * kSec + 1, 45, {kCalm});
   CHECK(budget.progress(job).rounds == 1);
 }
 
-TEST_CASE("without recent reports it halves its speed") {
+TEST_CASE("Pressure: without recent reports the speed is halved") {
   Pressure pressure;
   for (int i = 0; i < 40; ++i) {
     pressure.Take(kCalm, i);
--- a/tests/unit/config_test.cpp
+++ b/tests/unit/config_test.cpp
@@ -1,4 +1,4 @@
-// Settings files: each error names its line, its key and the allowed values.
+// Tests the checks of settings files: each error states its line, its key and the allowed values.
 #include "nbd/config.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 
 using test::TemporaryFile;
 
-TEST_CASE("each kind of invalid value is reported with its line, its key and the allowed values") {
+TEST_CASE("CheckFile: each kind of invalid value is reported with its line, its key and the allowed values") {
   const struct {
     const char* text;
     const char* line;
@@ -40,7 +40,7 @@
   CHECK(app::CheckFile("/nowhere/at/all").front() == "/nowhere/at/all: cannot be read");
 }
 
-TEST_CASE("all problems of a file are reported, in the order of its lines") {
+TEST_CASE("CheckFile: all errors of a file are reported in the order of its lines") {
   const TemporaryFile file("[[box]]\nid = 4\naddress = \"127.0.0.1:1\"\nadress = \"x\"\n");
   const auto lines = app::CheckFile(file.path());
   std::string all;
@@ -53,7 +53,7 @@
   CHECK(all.find("commands.read: is missing") != std::string::npos);
 }
 
-TEST_CASE("the example that the program prints is valid and states the defaults") {
+TEST_CASE("config::Example: the printed example is valid and states the defaults") {
   const TemporaryFile file(config::Example(app::SettingsKeys()));
   CHECK(app::CheckFile(file.path()).empty());
   const auto from_example = app::LoadSettings(file.path());
@@ -65,18 +65,18 @@
   CHECK(from_example.log.queue == 512);
 }
 
-TEST_CASE("the shipped files are valid") {
+TEST_CASE("CheckFile: the settings files in deploy/ are valid") {
   CHECK(app::CheckFile(WALNUTSPUR_ROOT "/deploy/nbd.toml").empty());
   CHECK(app::CheckFile(WALNUTSPUR_ROOT "/deploy/walnutspur.toml").empty());
 }
 
-TEST_CASE("a known key is suggested only for a similar word") {
+TEST_CASE("config::Nearest: a known key is suggested only for a similar word") {
   CHECK(config::Nearest("levl", {"level", "form"}) == "level");
   CHECK(config::Nearest("xy", {"ab", "form"}).empty());
   CHECK(config::Nearest("", {"a"}).empty());
 }
 
-TEST_CASE("the command line: no argument serves, an error is one line and code 2") {
+TEST_CASE("ParseCommand: without arguments the program serves; an error is one line with exit code 2") {
   CHECK(app::ParseCommand({}).action == app::Action::kServe);
   const auto old = app::ParseCommand({"--nbd", "f.toml", "--record", "o.pcap"});
   CHECK(old.action == app::Action::kServe);
--- a/tests/unit/decision_fixture.h
+++ b/tests/unit/decision_fixture.h
@@ -1,4 +1,4 @@
-// Fixture of the tests of the decision module's records: a state with one active target.
+// Test fixture for the decision module: a scheduler state with one active target.
 #ifndef WALNUTSPUR_TESTS_UNIT_DECISION_FIXTURE_H_
 #define WALNUTSPUR_TESTS_UNIT_DECISION_FIXTURE_H_
 
@@ -13,12 +13,13 @@
 
 namespace walnutspur::decision {
 
-// Start of the instance, us.
+// Start time of the instance, us.
 constexpr Time kStart = 1'000'000'000;
 constexpr Time kOneSecond = 1'000'000;
 constexpr Time kObjective = 400'000;
 
-// Two classes, the second one ordered by key, and one plan with a reserve and a limit.
+// Returns settings with two classes, of which the second is ordered by key, and one plan with a reserve and a
+// limit.
 inline Settings MakeSettings() {
   Settings settings;
   settings.classes.resize(2);
@@ -37,12 +38,12 @@
   return settings;
 }
 
-// A state before any event.
+// Returns a scheduler state before any event.
 inline SchedulerState MakeState(const Settings& settings, std::uint64_t seed) {
   return {settings, InitialConcurrencyLimits(settings), seed};
 }
 
-// A state with one active target "a" (shard 3, zone 1), one second after its start.
+// A scheduler state with one active target "a" (shard 3, zone 1), one second after the start of the instance.
 struct Fixture {
   explicit Fixture(const Settings& settings = MakeSettings()) : state(MakeState(settings, 7)) {
     state.started_at = kStart;
--- a/tests/unit/decision_test.cpp
+++ b/tests/unit/decision_test.cpp
@@ -1,4 +1,4 @@
-// Records, tables, accounts and eviction of the scheduler.
+// Tests the scheduler's records, tables and accounts, and the eviction of idle entries.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -21,10 +21,10 @@
 
 }  // namespace
 
-TEST_CASE("the flow table visits requests by volume and queue position") {
+TEST_CASE("FlowTable: requests are visited by volume and queue position") {
   Fixture fixture;
   Volume& first = fixture.MakeVolume("z");
-  Volume& second = fixture.MakeVolume("a");  // volumes are numbered in order of first sight
+  Volume& second = fixture.MakeVolume("a");  // volumes are numbered in the order of their first request
   fixture.Queue("1", second);
   fixture.Queue("2", first);
   fixture.Queue("3", first);
@@ -34,26 +34,26 @@
   CHECK(flows.queued == 4);
   CHECK(fixture.state.flows.flow_count() == 2);
   fixture.state.flows.Remove(retry);
-  fixture.state.flows.Remove(retry);  // it is in no queue: no effect
+  fixture.state.flows.Remove(retry);  // no effect: it is in no queue
   CHECK(flows.queued == 3);
   CHECK(QueuedIds(flows) == std::vector<RequestId>{"2", "3", "1"});
   CHECK(retry->flow->volume == &first);
   CHECK(retry->flow->shard == 3);
 }
 
-TEST_CASE("the flow table evicts flows that are idle and not in use") {
+TEST_CASE("FlowTable: only flows that are idle and not in use are evicted") {
   Fixture fixture;
   Volume& volume = fixture.MakeVolume("v");
   const RequestRef used = fixture.Queue("1", volume, 3);
   const RequestRef idle = fixture.Queue("2", volume, 4);
-  fixture.state.flows.EvictIdle({used->flow}, fixture.state.now);  // neither is older than this
+  fixture.state.flows.EvictIdle({used->flow}, fixture.state.now);  // neither flow is older
   CHECK(fixture.state.flows.flow_count() == 2);
   fixture.state.flows.EvictIdle({used->flow}, fixture.state.now + 1);
   CHECK(fixture.state.flows.flow_count() == 1);
   CHECK(fixture.state.flows.Shard(3).by_volume.size() == 1);
 }
 
-TEST_CASE("a key's chain drops requests that are finished and not in flight, from the front") {
+TEST_CASE("KeyChain: finished requests that are not in flight are removed from the front") {
   Fixture fixture;
   Volume& volume = fixture.MakeVolume("v");
   KeyChain chain;
@@ -73,7 +73,7 @@
   CHECK(chain.requests[0]->id == "3");
 }
 
-TEST_CASE("a shard has an active target only while its last one is active") {
+TEST_CASE("EndpointTable: a shard has an active target only while its latest target is active") {
   Fixture fixture;
   CHECK(fixture.state.endpoints.ActiveTarget(3) == fixture.target);
   CHECK(fixture.state.endpoints.ActiveTarget(4) == nullptr);
@@ -84,7 +84,7 @@
   CHECK(fixture.target->terminated);
 }
 
-TEST_CASE("an outcome tells whether the attempt may have run") {
+TEST_CASE("MayHaveRun: is false only for outcomes that exclude execution at the target") {
   for (const Outcome never : {Outcome::kOverloaded, Outcome::kConnectFailed, Outcome::kNotSent}) {
     CHECK_FALSE(MayHaveRun(never));
   }
@@ -94,7 +94,7 @@
   }
 }
 
-TEST_CASE("only requests with a key, of classes that call for it, are ordered") {
+TEST_CASE("SchedulerState: only requests with a key, of a class ordered by key, are ordered") {
   Fixture fixture;
   RequestState request;
   request.key = "k";
@@ -105,7 +105,7 @@
   CHECK_FALSE(fixture.state.IsOrdered(request));
 }
 
-TEST_CASE("equal seeds give equal draws from [0, 1)") {
+TEST_CASE("RandomSource: equal seeds give equal draws from [0, 1)") {
   SchedulerState first = MakeState(MakeSettings(), 5);
   SchedulerState second = MakeState(MakeSettings(), 5);
   for (int i = 0; i < 100; ++i) {
@@ -116,7 +116,7 @@
   }
 }
 
-TEST_CASE("a volume's accounts start with its reserve, and with the limit's credit since the start") {
+TEST_CASE("Volume: accounts start with the reserve and with the limit's credit since the instance's start") {
   Fixture fixture;
   const Volume& sole_volume = fixture.MakeVolume("v");
   CHECK(sole_volume.number == 1);
@@ -126,11 +126,11 @@
   CHECK(shared_volume.reserve.tokens == 2 + 2);
   CHECK(shared_volume.limit.tokens == 10);
   CHECK(&fixture.MakeVolume("v") == &sole_volume);
-  fixture.state.settings.reports_remote_usage = true;  // then each instance may use all of the reserve
+  fixture.state.settings.reports_remote_usage = true;  // each instance may use the full reserve
   CHECK(fixture.MakeVolume("x", 2).reserve.tokens == 4 + 2);
 }
 
-TEST_CASE("accounts refill at their rates up to their capacities") {
+TEST_CASE("Refill: accounts refill at their rates up to their capacities") {
   Fixture fixture;
   Volume& volume = fixture.MakeVolume("v");
   Flow& flow = *fixture.Queue("1", volume)->flow;
@@ -143,7 +143,7 @@
   Refill(fixture.state, flow);
   CHECK(volume.reserve.tokens == 2);
   CHECK(volume.limit.tokens == 10);
-  CHECK(flow.throttle_bucket.tokens == 2);  // a quarter of a second's worth
+  CHECK(flow.throttle_bucket.tokens == 2);  // a quarter of a second's credit
   Refill(fixture.state, volume);            // no time has passed
   CHECK(volume.reserve.tokens == 2);
   fixture.state.now += 60 * kOneSecond;
@@ -152,7 +152,8 @@
   CHECK(volume.limit.tokens == 40);
 }
 
-TEST_CASE("a request is charged to the reserve or to its flow's fair share, and once to the limit") {
+TEST_CASE(
+    "ChargeRequest: a request is charged to the reserve or to its flow's fair share, and once to the limit") {
   Fixture fixture;
   Volume& volume = fixture.MakeVolume("v");
   const RequestRef request = fixture.Queue("1", volume);
@@ -173,7 +174,8 @@
   CHECK(fixture.state.retry_budget.retry_count() == 1);
 }
 
-TEST_CASE("units served elsewhere draw on the reserve first, then on the flow's fair share") {
+TEST_CASE(
+    "ChargeRemoteUnits: units served elsewhere are charged to the reserve, then to the flow's fair share") {
   Fixture fixture;
   Volume& volume = fixture.MakeVolume("v");
   Flow& flow = *fixture.Queue("1", volume)->flow;
@@ -183,7 +185,7 @@
   CHECK(flow.tag.finish == 3 + 4);
 }
 
-TEST_CASE("eviction removes what is idle, replaced or finished, and nothing that is in use") {
+TEST_CASE("EvictIdle: idle, replaced and finished entries are removed, entries in use are kept") {
   Fixture fixture;
   SchedulerState& state = fixture.state;
   Volume& idle = fixture.MakeVolume("idle");
@@ -196,7 +198,7 @@
   TargetState& busy = state.endpoints.FindOrAdd("busy");
   busy.terminated = true;
   busy.attempts.push_back({idle_request, state.now, 1});
-  fixture.target->terminated = true;  // still the last known target of its shard
+  fixture.target->terminated = true;  // kept: the last known target of its shard
   RequestState ended;
   for (const bool is_quarantined : {false, true}) {
     ended.key = is_quarantined ? "quarantined" : "free";
@@ -208,7 +210,7 @@
   EvictIdle(state);
   CHECK(state.endpoints.targets().size() == 2);
   CHECK(state.key_order.size() == 1);
-  CHECK(state.volumes.size() == 2);  // an attempt in flight uses the idle one
+  CHECK(state.volumes.size() == 2);  // an attempt in flight uses the idle volume
   busy.attempts.clear();
   EvictIdle(state);
   CHECK(state.endpoints.targets().size() == 1);
@@ -218,7 +220,7 @@
   CHECK(state.table_entries() == 1 + 1 + 1 + 1 + 1);  // target, volume, request, key, flow
 }
 
-TEST_CASE("a volume outlives its last flow until the credit of its limit is full again") {
+TEST_CASE("EvictIdle: a volume without flows is kept until the credit of its limit is full again") {
   Fixture fixture;
   SchedulerState& state = fixture.state;
   state.settings.plans[0].burst = 20 * 40;  // 40 s
--- a/tests/unit/digest_test.cpp
+++ b/tests/unit/digest_test.cpp
@@ -1,4 +1,4 @@
-// Digest fields: the examples of RFC 9530, the grammar of RFC 8941, and damaged content.
+// Tests digest fields: the examples of RFC 9530, the grammar of RFC 8941, and corrupted content.
 #include "integrity/digest.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 
 const std::string kHello = "{\"hello\": \"world\"}\n";  // RFC 9530, appendix B
 
-TEST_CASE("sums agree with published values") {
+TEST_CASE("Crc32c, DigestField: results agree with published values") {
   CHECK(Crc32c("123456789") == 0xe3069283);
   CHECK(Crc32c(std::string(32, '\0')) == 0x8a9136aa);  // RFC 3720, B.4
   CHECK(Crc32c("6789", Crc32c("12345")) == Crc32c("123456789"));
@@ -22,7 +22,7 @@
         "WkppmM44T3qg==:");
 }
 
-TEST_CASE("every flipped bit of a content is detected by each algorithm") {
+TEST_CASE("Verify: each algorithm detects every flipped bit of the content") {
   std::string content = "a referral letter";
   for (const Algorithm algorithm : {Algorithm::kCrc32c, Algorithm::kSha256, Algorithm::kSha512}) {
     const std::string field = DigestField(algorithm, content);
@@ -35,7 +35,7 @@
   }
 }
 
-TEST_CASE("a field that is malformed or of an unknown algorithm is ignored") {
+TEST_CASE("Verify: a malformed field or an unknown algorithm is ignored") {
   for (const char* field : {"",
                             "sha-256",
                             "sha-256=",
@@ -64,12 +64,12 @@
   }
 }
 
-TEST_CASE("other members do not invalidate a well-formed digest") {
+TEST_CASE("Verify: other members of the field do not invalidate a well-formed digest") {
   const std::string good = DigestField(Algorithm::kCrc32c, "x");
   for (const std::string& field :
        {"md5=:AAAA:, " + good, good + ";q=1;a=\"b;,\"", "a=(1 2.5 \"x\");b, " + good,
         "  " + good + " \t, b=?1", good + ", c=tok/en:*",
-        "crc32c=:AAAA:, " + good}) {  // the last of two equal keys counts
+        "crc32c=:AAAA:, " + good}) {  // of two equal keys, the last one counts
     CAPTURE(field);
     CHECK(Verify(field, "x") == Match::kGood);
     CHECK(Verify(field, "y") == Match::kDifferent);
@@ -78,7 +78,7 @@
   CHECK(Verify("crc32c=:" + good.substr(8, 6) + ":", "x") == Match::kGood);  // padding may be missing
 }
 
-TEST_CASE("the wanted digest is the known one of the highest weight") {
+TEST_CASE("PreferredAlgorithm: returns the known algorithm of the highest weight") {
   CHECK(PreferredAlgorithm("sha-512=3, sha-256=10, unixsum=11") == Algorithm::kSha256);
   CHECK(PreferredAlgorithm("sha-256=0") == std::nullopt);
   CHECK(PreferredAlgorithm("sha-256=11, crc32c=1") == Algorithm::kCrc32c);
--- a/tests/unit/estimates_test.cpp
+++ b/tests/unit/estimates_test.cpp
@@ -1,4 +1,4 @@
-// Estimates of targets, flows and clients.
+// Tests the estimates of targets, flows and clients.
 #include "decision/estimates.h"
 
 #include <doctest/doctest.h>
@@ -9,7 +9,8 @@
 
 namespace walnutspur::decision {
 
-TEST_CASE("attempts that may still run linger at the target, others leave it") {
+TEST_CASE(
+    "AttemptsInFlight: a timed-out attempt counts until it may no longer run, a completed one does not") {
   Fixture fixture;
   Volume& volume = fixture.MakeVolume("v");
   const RequestRef timed_out = fixture.Queue("1", volume);
@@ -29,7 +30,7 @@
   CHECK(fixture.target->attempts.empty());
 }
 
-TEST_CASE("an attempt is presumed lost once one sent well after it has completed") {
+TEST_CASE("IsPresumedLost: is true once an attempt sent sufficiently later has completed") {
   Fixture fixture;
   Volume& volume = fixture.MakeVolume("v");
   const RequestRef request = fixture.Queue("1", volume);
@@ -44,7 +45,7 @@
   CHECK(AttemptsInFlight(fixture.state, *fixture.target) == 0);
 }
 
-TEST_CASE("the expected queueing delay is at least the age of the oldest attempt in the queue") {
+TEST_CASE("ExpectedQueueing: is at least the age of the oldest attempt less its service time") {
   Fixture fixture;
   Volume& volume = fixture.MakeVolume("v");
   fixture.target->latency.SetQueueing(Microseconds(1'000), fixture.state.now);
@@ -60,7 +61,7 @@
   CHECK(fixture.target->samples.service == Microseconds(20'000));
 }
 
-TEST_CASE("a target with a stale estimate is expected to queue like the others") {
+TEST_CASE("ExpectedQueueing: for a target with a stale estimate, the fleet's queueing delay is expected") {
   Fixture fixture;
   for (int i = 0; i < 100; ++i) {
     fixture.state.fleet_latency.OnCompleted(Microseconds(100'000), Microseconds(kObjective),
@@ -72,7 +73,7 @@
   CHECK(ExpectedQueueing(fixture.state, *fixture.target).count() == doctest::Approx(99'010).epsilon(0.001));
 }
 
-TEST_CASE("responses update the latency of target, fleet and flow; errors do not") {
+TEST_CASE("RecordLatency: responses update the latency of target, fleet and flow; errors do not") {
   Fixture fixture;
   Volume& volume = fixture.MakeVolume("v");
   const RequestRef request = fixture.Queue("1", volume);
@@ -95,7 +96,7 @@
   CHECK(request->flow->lateness == 4);
 }
 
-TEST_CASE("service is measured at healthy targets, and usage as reported") {
+TEST_CASE("RecordService: usage is taken as reported, and the served rate is constant during time-outs") {
   Fixture fixture;
   Volume& volume = fixture.MakeVolume("v");
   const RequestRef request = fixture.Queue("1", volume);
@@ -106,13 +107,13 @@
   CHECK(volume.usage_at == fixture.state.now);
   const double served = ServedRate(fixture.state);
   CHECK(served > 0);
-  result.outcome = Outcome::kTimedOut;  // from here on the rate stands still
+  result.outcome = Outcome::kTimedOut;  // from now on the rate is constant
   RecordService(fixture.state, *request, result, *fixture.target);
   fixture.state.now += 10 * kOneSecond;
   CHECK(ServedRate(fixture.state) == served);
 }
 
-TEST_CASE("the demanded rate at a target is its part of present demand") {
+TEST_CASE("DemandedRate: is the target's part of present demand") {
   Fixture fixture;
   Volume& volume = fixture.MakeVolume("v");
   Flow& here = *fixture.Queue("1", volume, 3)->flow;
@@ -121,11 +122,11 @@
   here.demand.units = 2;
   volume.demand.rate = 4;
   CHECK(DemandedRate(fixture.state, *fixture.target) == doctest::Approx(6));
-  here.demand.rate = 8;  // no more than all of it
+  here.demand.rate = 8;  // at most the full served rate
   CHECK(DemandedRate(fixture.state, *fixture.target) == doctest::Approx(12));
 }
 
-TEST_CASE("an interval's measurement counts attempts past their objective as late") {
+TEST_CASE("UpdateInterval: attempts past their latency objective count as late") {
   Fixture fixture;
   Volume& volume = fixture.MakeVolume("v");
   const RequestRef request = fixture.Queue("1", volume);
@@ -142,7 +143,7 @@
   CHECK(flow.lateness == 2);
 }
 
-TEST_CASE("clients that announce a short wait or disconnect late are not counted as abandoning") {
+TEST_CASE("ClientWait: clients with a short deadline or a late disconnect are not counted as abandoning") {
   Fixture fixture;
   Volume& volume = fixture.MakeVolume("v");
   const auto fraction_after = [&](Time ttl, Time age) {
--- a/tests/unit/file_store_test.cpp
+++ b/tests/unit/file_store_test.cpp
@@ -1,4 +1,5 @@
-// Files that a thread of their own writes: a disk that hangs, fails or recovers, and the scrub's cursor.
+// Tests files that are written by a separate thread, with a disk that hangs, fails or recovers, and the scrub
+// cursors.
 #include "filestore/file_store.h"
 
 #include <doctest/doctest.h>
@@ -17,7 +18,7 @@
 
 using std::chrono::milliseconds;
 
-TEST_CASE("a file that cannot be replaced stays as it was") {
+TEST_CASE("WriteFileAtomically: a file that cannot be replaced keeps its content") {
   const lab::TemporaryFolder folder;
   std::string error;
   REQUIRE(WriteFileAtomically(folder.path(), "a", "old", &error));
@@ -32,7 +33,7 @@
   CHECK_FALSE(ReadFile(folder.path() + "/b"));
 }
 
-TEST_CASE("while a disk hangs, Put returns and only the newest pending content is written") {
+TEST_CASE("FileStore: while the disk hangs, Put returns, and only the newest pending content is written") {
   std::promise<void> entered;
   std::promise<void> release;
   std::vector<std::string> written;
@@ -59,7 +60,7 @@
   CHECK(written == std::vector<std::string>{"1", "1000"});
 }
 
-TEST_CASE("a failing disk is retried and reported once, and the newest content wins") {
+TEST_CASE("FileStore: a failing write is retried and reported once, then the newest content is written") {
   std::atomic<bool> failing = true;
   std::atomic<int> attempts = 0;
   std::vector<std::string> errors;
@@ -86,13 +87,13 @@
     REQUIRE(store.Flush(milliseconds(10000)));
     CHECK(store.failed() >= 4);
     failing = true;
-    store.Put("a", "last");  // the destructor makes one more attempt and does not retry forever
+    store.Put("a", "last");  // the destructor tries once more and does not retry
   }
   CHECK(written.back() == "new");
   CHECK(errors == std::vector<std::string>{"no room", "", "no room"});
 }
 
-TEST_CASE("a scrub's cursors decode completely or not at all") {
+TEST_CASE("DecodeCursors: corrupted or truncated cursors are rejected as a unit") {
   using integrity::Cursors;
   using integrity::DecodeCursors;
   const Cursors cursors = {{"clinic letters", {160, 3, 1'700'000'000'000'000}}, {"x", {}}};
@@ -105,7 +106,7 @@
   for (std::size_t i = 0; i < bytes.size(); ++i) {
     std::string bad = bytes;
     bad[i] = static_cast<char>(bad[i] ^ 1);
-    CHECK_MESSAGE(!DecodeCursors(bad, &error), "a flipped bit in byte ", i, " was not seen");
+    CHECK_MESSAGE(!DecodeCursors(bad, &error), "a flipped bit in byte ", i, " was not detected");
   }
   CHECK_FALSE(DecodeCursors("walnutspur-scrub 2\nanything", &error));
   CHECK(error == "is of a newer version");
--- a/tests/unit/frontend_test.cpp
+++ b/tests/unit/frontend_test.cpp
@@ -1,4 +1,4 @@
-// What the front ends share: when a shutdown closes which connections, and which connection is evicted.
+// Tests the parts that the front ends share: the phases of a shutdown and the eviction of connections.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -22,12 +22,12 @@
                                     .close_partial_request_after = milliseconds(50),
                                     .close_awaiting_response_after = milliseconds(80)};
 
-TEST_CASE("a shutdown passes its phases in order, each at its limit") {
+TEST_CASE("ShutdownSequence: phases are entered in order, each at its limit") {
   ShutdownSequence shutdown(kLimits);
   CHECK_FALSE(shutdown.is_scheduled());
   shutdown.Schedule();
   CHECK(shutdown.phase() == ShutdownPhase::kScheduled);
-  CHECK_FALSE(shutdown.Advance(201 * kMillisecond));  // responses are quick: the shortest lead time holds
+  CHECK_FALSE(shutdown.Advance(201 * kMillisecond));  // responses are fast, so the minimum lead time applies
   CHECK(shutdown.phase() == ShutdownPhase::kScheduled);
   CHECK(shutdown.Advance(200 * kMillisecond));
   CHECK(shutdown.phase() == ShutdownPhase::kDraining);
@@ -46,8 +46,9 @@
   CHECK(shutdown.ShouldClose(ConnectionActivity::kAwaitingResponse));
 }
 
-// An event loop that is late calls for the first time after the deadline; and a phase that has begun stays.
-TEST_CASE("a late loop skips phases of a shutdown, and none is left again") {
+// If the event loop is late, the first call of Advance may come after the deadline. A phase that was entered
+// is never left for an earlier one.
+TEST_CASE("ShutdownSequence: a late event loop skips phases, and no earlier phase is entered again") {
   ShutdownSequence shutdown(kLimits);
   CHECK(shutdown.Advance(-60 * kMillisecond));
   CHECK(shutdown.phase() == ShutdownPhase::kClosingPartialRequest);
@@ -56,7 +57,7 @@
   CHECK(shutdown.phase() == ShutdownPhase::kClosingPartialRequest);
 }
 
-TEST_CASE("draining begins as long before the deadline as responses take") {
+TEST_CASE("ShutdownSequence: the lead time of draining follows the latency of responses") {
   ShutdownSequence shutdown(kLimits);
   for (int i = 0; i < 1000; ++i) {
     shutdown.OnResponse(400 * kMillisecond);
@@ -65,7 +66,8 @@
   CHECK(shutdown.Advance(599 * kMillisecond));
 }
 
-TEST_CASE("without limits idle connections close when draining begins, and no others ever") {
+TEST_CASE(
+    "ShutdownSequence: without limits, idle connections are closed when draining begins, others never") {
   ShutdownSequence shutdown(ShutdownLimits{});
   CHECK_FALSE(shutdown.Advance(201 * kMillisecond));
   CHECK_FALSE(shutdown.ShouldClose(ConnectionActivity::kIdle));
@@ -102,7 +104,7 @@
   std::map<std::uint64_t, std::unique_ptr<FakeClient>> clients_;
 };
 
-TEST_CASE("connections are evicted by rank, those in one rank by age, those in use never") {
+TEST_CASE("EvictionPolicy: connections are evicted by rank, then by age; connections in use never") {
   FullFrontEnd front_end;
   CHECK(front_end.Evicted(0) == nullptr);
   front_end.Add(EvictionRank::kInUse, 0);
@@ -125,7 +127,7 @@
   }
 }
 
-TEST_CASE("each rank has a grace in which a connection is not evicted") {
+TEST_CASE("EvictionPolicy: a connection is not evicted during the grace period of its rank") {
   const std::vector<std::pair<EvictionRank, Time>> graces = {
       {EvictionRank::kClosing, 0},
       {EvictionRank::kHandshake, 10 * kMillisecond},
--- a/tests/unit/limits_test.cpp
+++ b/tests/unit/limits_test.cpp
@@ -1,4 +1,4 @@
-// Slow start, poll backoff and client abandonment.
+// Tests slow start, the steady-state rate, poll backoff and client abandonment.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -31,7 +31,8 @@
   return settings;
 }();
 
-// Sends a request of `units` if it is admitted, and says so; one is always queued.
+// Sends a request of `units` if it is admitted, and returns whether it was; assumes that one is always
+// queued.
 bool SendIfAdmitted(SlowStart& slow_start, double units, double demanded_rate, Time now) {
   const bool admitted = slow_start.Admits(kSettings, units, demanded_rate, now);
   if (admitted) {
@@ -40,7 +41,7 @@
   return admitted;
 }
 
-// Units sent within ten seconds after the start.
+// Returns the units sent within ten seconds after the start.
 double UnitsSent(double steady_rate, double demanded_rate) {
   SlowStart slow_start;
   slow_start.Start(kStart, kStart, steady_rate, 0);
@@ -51,9 +52,10 @@
   return units;
 }
 
-// An endpoint list service that handles calls in turn, each 66 ms of work, times out what has been queued for
-// 2 s and handles it all the same. Returns how many instances that all call at once have no list after
-// `seconds`. `steady`: all call again within 1 s instead of backing off.
+// Simulates an endpoint list service that handles calls one after another, 66 ms each. A call times out after
+// 2 s in the queue, but the service handles it all the same. Returns the number of instances, all of which
+// call at the same moment, that have no list after `seconds`. `steady`: instances call again within 1 s
+// instead of backing off.
 int InstancesWithoutList(int instances, bool steady, int seconds) {
   std::vector<PollBackoff> backoffs(static_cast<std::size_t>(instances), PollBackoff(instances, kMaxDelay));
   std::multimap<Time, std::size_t> calls;
@@ -78,7 +80,7 @@
   return static_cast<int>(calls.size());
 }
 
-// The longest of forty delays after polls that were refused at once, and after polls that timed out.
+// The maximum of forty delays after polls that were rejected at once, and after polls that timed out.
 struct MaxDelays {
   Time rejected = 0;
   Time timed_out = 0;
@@ -100,7 +102,7 @@
 
 }  // namespace
 
-TEST_CASE("the steady-state rate stands still from the time that responses cease") {
+TEST_CASE("SteadyStateRate: the rate is constant while it is suspended") {
   SteadyStateRate suspended;
   SteadyStateRate measured;
   const Time end = kStart + 6 * kSecond;
@@ -113,12 +115,12 @@
   CHECK(suspended.Rate(end, kStart) == doctest::Approx(4).epsilon(0.1));
   CHECK(suspended.Rate(later, kStart) == suspended.Rate(end, kStart));
   CHECK(measured.Rate(later, kStart) < 0.7 * measured.Rate(end, kStart));
-  suspended.Record(2, later);  // nor does the gap count once responses are back
+  suspended.Record(2, later);  // the gap does not count after responses resume either
   measured.Record(2, later);
   CHECK(suspended.Rate(later, kStart) > 1.2 * measured.Rate(later, kStart));
 }
 
-TEST_CASE("an instance sends more where demand is above its steady rate, and less where there is none") {
+TEST_CASE("SlowStart: an instance sends more if demand exceeds its steady rate, and less without demand") {
   const double steady = UnitsSent(1, 1);
   CHECK(UnitsSent(0, 4.0 / 3) == doctest::Approx(steady).epsilon(0.2));
   CHECK(UnitsSent(1, 3) > 1.5 * steady);
@@ -126,8 +128,9 @@
   CHECK(UnitsSent(0, 0) == 0);
 }
 
-TEST_CASE("instances that were served a target's full capacity stay within the rule at any moment") {
-  std::vector<SlowStart> instances(40);  // of one unit a second each; the target starts with the least
+TEST_CASE(
+    "SlowStart: instances that together used a target's full capacity stay within the rule at any time") {
+  std::vector<SlowStart> instances(40);  // one unit per second each; the target starts at minimum capacity
   for (std::size_t i = 0; i < instances.size(); ++i) {
     instances[i].Start(kStart, kStart, 1, static_cast<double>(i) / 40);
   }
@@ -142,7 +145,7 @@
   }
 }
 
-TEST_CASE("a target is not restricted after its slow start") {
+TEST_CASE("SlowStart: a target is not limited after its slow start") {
   SlowStart recent;
   SlowStart old;
   recent.Start(kStart, kStart, 0, 0);
@@ -152,14 +155,15 @@
   CHECK(old.Admits(kSettings, 6, 0, kStart));
 }
 
-// In a large fleet, 70 instances that were restarted together never had the list again.
-TEST_CASE("a hundred instances that poll one service at the same moment all get the list in the end") {
+// Guards against a failure in a large fleet: 70 instances that were restarted together never received the
+// list again.
+TEST_CASE("PollBackoff: a hundred instances that poll at the same moment eventually receive the list") {
   CHECK(InstancesWithoutList(100, true, 25) >= 60);
   CHECK(InstancesWithoutList(100, false, 25) <= 5);
   CHECK(InstancesWithoutList(5, false, 3) == 0);
 }
 
-TEST_CASE("a poll that was refused at once is soon retried at first, whatever the number of instances") {
+TEST_CASE("PollBackoff: the first retry of a poll rejected at once is early for any number of instances") {
   PollBackoff backoff(300, kMaxDelay);
   backoff.OnPoll(kStart);
   CHECK(backoff.NextDelay(kStart + 5'000, 0.99) <= kSecond);
@@ -171,23 +175,24 @@
   CHECK(backoff.NextDelay(kStart, 0.99) <= kSecond);
 }
 
-// In a joint run, watches that fell silent right after their first list were opened again only 4 to 16 s
-// later.
+// Guards against a late reconnect: watches that received nothing after their first list were reopened only 4
+// to 16 s later.
 TEST_CASE(
-    "a subscription that breaks soon after its response is soon renewed, among any number of instances") {
+    "PollBackoff: a subscription that ends after its response is renewed early for any number of instances") {
   for (const Time lasted : {kSecond, 4 * kSecond, 60 * kSecond}) {
     PollBackoff backoff(300, kMaxDelay);
     backoff.OnPoll(kStart);
     backoff.OnResponse();
     CHECK(backoff.NextDelay(kStart + lasted, 0.99) <= kSecond);
     CHECK(backoff.NextDelay(kStart + lasted + 3 * kSecond, 0.99) <=
-          2 * kSecond);      // and again, refused at once
-    backoff.OnPoll(kStart);  // one that times out is still spread
+          2 * kSecond);      // a second failure, rejected at once
+    backoff.OnPoll(kStart);  // polls that time out are still spread
     CHECK(backoff.NextDelay(kStart + 2 * kSecond, 0.99) > 10 * kSecond);
   }
 }
 
-TEST_CASE("a known fleet size sets the poll interval, and the traffic fraction the part of a slow start") {
+TEST_CASE(
+    "PollBackoff, SlowStart: the fleet size bounds the poll delay, the traffic fraction the allowance") {
   PollBackoff backoff(300, kMaxDelay);
   backoff.SetInstanceCount(5);
   backoff.OnPoll(kStart);
@@ -198,17 +203,18 @@
   SlowStart half;
   even.Start(kStart, kStart, 0, 0);
   half.Start(kStart, kStart, 0, 0);
-  CHECK_FALSE(even.Admits(kSettings, 2, 0, kStart + 2 * kSecond));  // a hundredth
+  CHECK_FALSE(even.Admits(kSettings, 2, 0, kStart + 2 * kSecond));  // a hundredth of the allowance
   CHECK(half.Admits(half_traffic, 2, 0, kStart + 2 * kSecond));
 }
 
-TEST_CASE("clients that disconnect at random do not make all work late, however many were rejected before") {
+TEST_CASE("AbandonmentEstimate: a few early disconnects do not shorten the wait, however many are rejected") {
   AbandonmentEstimate bursts;
   AbandonmentEstimate all;
   AbandonmentEstimate none;
   Time now = kStart;
   for (int i = 0; i < 200; ++i, now += kSecond / 50) {
-    // One in eight disconnects, soon; five are rejected sooner than that, for their sake; two have responses.
+    // Of eight clients one disconnects early, five are rejected even earlier because of such disconnects, and
+    // two have responses.
     const bool disconnects = i % 8 == 0;
     const double rejected_or_served = i % 8 <= 5 ? 0.02 : 0.3;
     bursts.Record(disconnects ? 0.04 : rejected_or_served, disconnects, now);
@@ -218,15 +224,14 @@
   CHECK(bursts.SafeFraction(now) == 1);
   CHECK(all.SafeFraction(now) == doctest::Approx(0.45));
   CHECK(none.SafeFraction(now) == 1);
-  CHECK(all.SafeFraction(now + 60 * kSecond) == 1);  // it was long ago
+  CHECK(all.SafeFraction(now + 60 * kSecond) == 1);  // the disconnects have decayed
   for (int i = 0; i < 1'000; ++i) {
     all.Record(1.2, false, now);
   }
   CHECK(all.SafeFraction(now) == 1);
 }
 
-TEST_CASE(
-    "if two of three clients disconnect at an age, work has to be done by then though others would stay") {
+TEST_CASE("AbandonmentEstimate: if two of three clients disconnect at an age, the estimate is that age") {
   AbandonmentEstimate estimate;
   for (int i = 0; i < 100; ++i) {
     const bool disconnects = i % 3 != 0;
@@ -235,14 +240,14 @@
   CHECK(estimate.SafeFraction(kStart) == doctest::Approx(0.25));
 }
 
-// A change counts as announced 6 s after the service had it and could be reached: 2 s of it are for the call.
+// A change counts as announced 6 s after the service has it and is reachable; 2 s of these are for the call.
 TEST_CASE(
-    "few instances retry within 2 s however often polls failed; many spread over what the service bears") {
+    "PollBackoff: few instances retry within 2 s after any number of failures, many spread their polls") {
   for (const int instances : {1, 6, 20, 300}) {
     const MaxDelays max_delays = MeasureMaxDelays(instances);
     CHECK(max_delays.rejected <= (instances <= 20 ? 2 : 9) * kSecond);
     CHECK(max_delays.timed_out <= (instances <= 20 ? 2 : 16) * kSecond);
-    // No more than 20 calls a second from all together while they time out.
+    // All instances together make at most 20 calls per second while calls time out.
     CHECK(max_delays.timed_out >= instances * kSecond / 20);
   }
 }
--- a/tests/unit/log_test.cpp
+++ b/tests/unit/log_test.cpp
@@ -1,4 +1,4 @@
-// Logs: formats that values cannot forge, limits per kind of event, a queue that drops and counts.
+// Tests logging: escaped values, the rate limit per kind of event, and the bounded queue.
 #include "log/log.h"
 
 #include <doctest/doctest.h>
@@ -19,7 +19,7 @@
 namespace walnutspur::log {
 namespace {
 
-TEST_CASE("a value cannot add a line or a field") {
+TEST_CASE("Format: a value cannot add a line or a field") {
   const std::vector<Field> fields{{"box", "a b"}, {"what", "x\nlevel=error \"q\"\\"}, {"empty", ""}};
   const std::string plain = Format(Form::kLogfmt, 1'700'000'000'123'456, Level::kWarn, "spoilt", fields);
   CHECK(plain ==
@@ -30,7 +30,7 @@
   CHECK(json["level"] == "error");
 }
 
-TEST_CASE("events of one kind are limited, others are not, and suppressed events are counted") {
+TEST_CASE("RateLimiter: events are limited per kind, and suppressed events are counted") {
   RateLimiter limiter(2);
   int admitted = 0;
   for (int i = 0; i < 100; ++i) {
@@ -41,10 +41,10 @@
   CHECK_FALSE(limiter.Admit("a", 400'000));
   CHECK(limiter.Admit("a", 600'000) == 97u);
   CHECK(limiter.Admit("a", 1'600'000) == 0u);
-  CHECK(limiter.Admit("b", -5'000'000));  // a clock that jumps back
+  CHECK(limiter.Admit("b", -5'000'000));  // the clock was stepped back
 }
 
-TEST_CASE("a log that cannot be written blocks nobody: lines are dropped and counted") {
+TEST_CASE("Logger: if the log cannot be written, Log does not block; lines are dropped and counted") {
   char path[] = "/tmp/walnutspur-fifo-XXXXXX";
   close(mkstemp(path));
   std::remove(path);
@@ -56,13 +56,13 @@
   options.per_kind = 10000;
   {
     Logger logger(options);
-    // The pipe takes 64 KiB. Then the writer thread blocks and only the queue is left.
+    // The pipe holds 64 KiB. When it is full, the writer thread blocks and lines only fill the queue.
     const std::string large(1000, 'x');
     for (int i = 0; i < 2000; ++i) {
       logger.Log(Level::kWarn, "full", {{"v", large}});
     }
     CHECK(logger.dropped() > 0);
-    fcntl(reader, F_SETFL, 0);  // the reader blocks from now on, so the pipe is drained
+    fcntl(reader, F_SETFL, 0);  // a blocking reader, so that the pipe is drained
     std::thread drain([reader] {
       char bytes[65536];
       while (read(reader, bytes, sizeof bytes) > 0) {
@@ -73,7 +73,7 @@
   std::remove(path);
 }
 
-TEST_CASE("events below the level are not written") {
+TEST_CASE("Logger: events below the level are not written") {
   const test::TemporaryFile log_file;
   {
     Options options;
@@ -90,9 +90,9 @@
   CHECK_FALSE(std::getline(file, rest));
 }
 
-// An operator looks a kind up in docs/operators/logs.md; one that the page lacks, or has with another name,
-// is not found there when it counts.
-TEST_CASE("the operators' page has a row for each kind of event and for no other") {
+// Operators look up kinds of events in docs/operators/logs.md. They would not find a kind that the page lacks
+// or that it lists under another name.
+TEST_CASE("Event kinds: the operators' page has a row for each kind and no others") {
   std::ifstream page(WALNUTSPUR_ROOT "/docs/operators/logs.md");
   REQUIRE(page);
   std::set<std::string> documented;
--- a/tests/unit/outlier_detection_test.cpp
+++ b/tests/unit/outlier_detection_test.cpp
@@ -1,4 +1,4 @@
-// Failure probability of targets that an instance seldom uses.
+// Tests the failure probability of targets, including targets that an instance seldom uses.
 #include "routing/outlier_detection.h"
 
 #include <doctest/doctest.h>
@@ -11,7 +11,7 @@
 constexpr int kZone = 1;
 constexpr int kOtherZone = 2;
 
-// Records the same outcome `times` times, at targets that are not looked at again.
+// Records an outcome `times` times in a zone, at a target that the tests do not check.
 void RecordInZone(OutlierDetection& outliers, int times, Outcome outcome, int zone, Time now) {
   OutcomeHistory other_target;
   for (int i = 0; i < times; ++i) {
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("a target that fails is expected to fail, and after a while to be like any other") {
+TEST_CASE("OutlierDetection: a target's failures raise its failure probability, which decays with time") {
   OutlierDetection outliers;
   OutcomeHistory target;
   CHECK(outliers.FailureProbability(target, kZone, kNow) == 0);
@@ -37,7 +37,8 @@
   CHECK(outliers.FailureProbability(target, kZone, kNow + kSecond) < 0.6);
 }
 
-TEST_CASE("silence at several targets of a zone counts for an unused one, at a single target hardly") {
+TEST_CASE(
+    "OutlierDetection: several time-outs in a zone raise an unused target's probability, one hardly does") {
   OutlierDetection outliers;
   const OutcomeHistory unused;
   RecordInZone(outliers, 10, Outcome::kCompleted, kZone, kNow);
@@ -50,14 +51,15 @@
   CHECK(outliers.FailureProbability(unused, kOtherZone, kNow + 3 * kSecond) == 0);
 }
 
-TEST_CASE("an outcome counts in the histories of the target and of its zone") {
+TEST_CASE("OutlierDetection: an outcome counts in the histories of the target and of its zone") {
   OutlierDetection outliers;
   OutcomeHistory target;
   const OutcomeHistory unused;
   const auto target_failure_probability = [&] { return target.FailureProbability(0, 1, kNow); };
   outliers.Record(Outcome::kOverloaded, kZone, kNow, target);
   CHECK(target_failure_probability() == 0);
-  outliers.Record(Outcome::kErrored, kZone, kNow, target);  // the target has failed, its zone responds
+  outliers.Record(Outcome::kErrored, kZone, kNow,
+                  target);  // counts as a failure of the target, but the zone responds
   CHECK(target_failure_probability() == 0.5);
   CHECK(outliers.FailureProbability(unused, kZone, kNow) == 0);
   outliers.Record(Outcome::kTimedOut, kZone, kNow, target);
--- a/tests/unit/rate_limit_test.cpp
+++ b/tests/unit/rate_limit_test.cpp
@@ -1,4 +1,4 @@
-// Token bucket, sliding window, fair queueing tags and latency estimate.
+// Tests the token bucket, the sliding window, the fair queueing tags and the latency estimate.
 #include <doctest/doctest.h>
 
 #include "limits/fair_queue.h"
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-TEST_CASE("a token bucket accrues credit up to its capacity") {
+TEST_CASE("TokenBucket: credit accrues up to the capacity") {
   TokenBucket bucket;
   CHECK_FALSE(bucket.Covers(1));
   bucket.Refill(3, 5);
@@ -22,18 +22,18 @@
   CHECK_FALSE(bucket.Covers(3.5));
   bucket.Refill(3, 5);
   CHECK(bucket.tokens == 5);
-  bucket.tokens -= 7;  // it may be overdrawn
+  bucket.tokens -= 7;  // a bucket may be overdrawn
   bucket.Refill(1, 5);
   CHECK(bucket.tokens == -1);
 }
 
-TEST_CASE("a smaller capacity discards credit at the next refill") {
+TEST_CASE("TokenBucket: a smaller capacity discards credit at the next refill") {
   TokenBucket bucket{5};
   bucket.Refill(0, 2);
   CHECK(bucket.tokens == 2);
 }
 
-TEST_CASE("a sliding window drops the samples up to and including its start") {
+TEST_CASE("SlidingWindow: ExpireThrough removes the samples up to and including the given time") {
   SlidingWindow window;
   window.Add(kStart);
   window.Add(kStart + 1, 2.5);
@@ -50,7 +50,7 @@
   CHECK(window.TotalUnits() == 0);
 }
 
-TEST_CASE("flows are served in proportion to their weights") {
+TEST_CASE("FlowTag: flows are served in proportion to their weights") {
   FlowTag light;
   FlowTag heavy;
   VirtualClock clock;
@@ -66,7 +66,7 @@
   CHECK(heavy_served == doctest::Approx(300).epsilon(0.01));
 }
 
-TEST_CASE("an idle flow starts at the server's virtual time and saves no credit") {
+TEST_CASE("FlowTag: an idle flow starts at the server's virtual time and accumulates no credit") {
   FlowTag busy;
   VirtualClock clock;
   for (int i = 0; i < 10; ++i) {
@@ -81,7 +81,7 @@
   CHECK(idle.StartTag(clock.time) == 18);
 }
 
-TEST_CASE("the service time is a low quantile of the latencies, the rest is queueing delay") {
+TEST_CASE("LatencyEstimate: the service time of a unit converges to the latency per unit") {
   LatencyEstimate estimate;
   CHECK(estimate.unit_time() == kInitialUnitTime);
   Time now = kStart;
@@ -92,7 +92,7 @@
   CHECK(estimate.ServiceTime(3) == 3 * estimate.unit_time());
 }
 
-TEST_CASE("one slow response raises the queueing delay, not the service time") {
+TEST_CASE("LatencyEstimate: one slow response raises the queueing delay, not the service time") {
   LatencyEstimate estimate;
   Time now = kStart;
   for (int i = 0; i < 100; ++i, now += kSecond) {
@@ -101,10 +101,10 @@
   const Duration queueing = estimate.Record(110'000, 2, now);
   CHECK(queueing.count() == doctest::Approx(100'000).epsilon(0.05));
   CHECK(estimate.unit_time() < Microseconds(6'000));  // one slow response hardly raises it
-  CHECK(estimate.queueing() > 0.7 * queueing);  // after a second of silence the newest sample counts most
+  CHECK(estimate.queueing() > 0.7 * queueing);  // after a second without samples the newest one counts most
 }
 
-TEST_CASE("without samples the queueing delay decays and becomes stale") {
+TEST_CASE("LatencyEstimate: without samples the queueing delay decays and becomes stale") {
   LatencyEstimate estimate;
   estimate.SetQueueing(Microseconds(200'000), kStart);
   CHECK(estimate.ExpectedQueueing(kStart) == Microseconds(200'000));
@@ -115,7 +115,7 @@
   CHECK(estimate.SampleAge(kStart + kSecond) == Microseconds(kSecond));
 }
 
-TEST_CASE("a long queue drains no faster than time passes, and a new process has none") {
+TEST_CASE("LatencyEstimate: a long queue drains only as fast as time passes, and ResetQueueing clears it") {
   LatencyEstimate estimate;
   estimate.SetQueueing(Microseconds(5 * kSecond), kStart);
   CHECK(estimate.ExpectedQueueing(kStart + kSecond) == Microseconds(4 * kSecond));
