--- a/src/limits/abandonment_estimate.cpp
+++ b/src/limits/abandonment_estimate.cpp
@@ -5,9 +5,10 @@
 
 // Time in which the weight of a request falls to 1/e.
 constexpr Duration kDecayTime = std::chrono::seconds(5);
-// Requests assumed to have stayed in each age group beside those counted: a single one says nothing.
+// Requests that are assumed to have stayed through each age group, in addition to those counted. A single
+// disconnect among few requests must not dominate the estimate.
 constexpr double kPriorStayingRequests = 3;
-// An age counts once more than this fraction of clients has disconnected by then.
+// SafeFraction ends at the first age group by which more than this fraction of clients has disconnected.
 constexpr double kMaxDisconnectedFraction = 0.5;
 
 }  // namespace
@@ -27,10 +28,10 @@
 double AbandonmentEstimate::SafeFraction(Time now) const {
   double staying = 1;
   for (const AgeGroup& group : groups_) {
-    const double disconnected = group.disconnected.Now(now, kDecayTime);
-    staying *= 1 - disconnected / (kPriorStayingRequests + group.reached.Now(now, kDecayTime));
+    const double disconnected = group.disconnected.ValueAt(now, kDecayTime);
+    staying *= 1 - disconnected / (kPriorStayingRequests + group.reached.ValueAt(now, kDecayTime));
     if (1 - staying > kMaxDisconnectedFraction) {
-      return group.age_sum.Now(now, kDecayTime) / disconnected;
+      return group.age_sum.ValueAt(now, kDecayTime) / disconnected;
     }
   }
   return 1;
