--- a/bench/integrity/clean_blocks.cpp
+++ b/bench/integrity/clean_blocks.cpp
@@ -68,11 +68,11 @@
       request.length = kBlocksPerRead * kBlockBytes;
       client->Send(request);
     }
-    for (const nbd::Reply& reply : client->Take(kReplyTimeout)) {
+    for (const nbd::Reply& reply : client->ReceiveReplies(kReplyTimeout)) {
       --in_flight;
       counts.intact_blocks += reply.error == nbd::kOk ? static_cast<int>(kBlocksPerRead) : 0;
-      counts.corrupt_blocks += static_cast<int>(reply.bad.size());
-      counts.rejected_reads += reply.error != nbd::kOk && reply.bad.empty() ? 1 : 0;
+      counts.corrupt_blocks += static_cast<int>(reply.error_offsets.size());
+      counts.rejected_reads += reply.error != nbd::kOk && reply.error_offsets.empty() ? 1 : 0;
     }
   }
   return counts;
--- a/bench/integrity/crashes.cpp
+++ b/bench/integrity/crashes.cpp
@@ -138,7 +138,7 @@
 
   static nbd::Reply Read(nbd::BlockingClient& client, std::uint64_t block) {
     nbd::Reply reply = client.Read(block * kBlockBytes, kBlockBytes);
-    for (int i = 0; i < kReadAttempts && reply.error == nbd::kNoMemory && reply.bad.empty(); ++i) {
+    for (int i = 0; i < kReadAttempts && reply.error == nbd::kNoMemory && reply.error_offsets.empty(); ++i) {
       poll(nullptr, 0, kRetryInterval);
       reply = client.Read(block * kBlockBytes, kBlockBytes);
     }
--- a/bench/integrity/scrub.cpp
+++ b/bench/integrity/scrub.cpp
@@ -112,7 +112,7 @@
   }
 
   void ReceiveReplies() {
-    for (const nbd::Reply& reply : client_->Take(1)) {
+    for (const nbd::Reply& reply : client_->ReceiveReplies(1)) {
       const Time latency = core::Now() - in_flight_.at(reply.cookie);
       const bool served = reply.error == nbd::kOk;
       in_flight_.erase(reply.cookie);
--- a/src/app/operator_commands.cpp
+++ b/src/app/operator_commands.cpp
@@ -60,10 +60,10 @@
   const std::optional<std::uint64_t> number = ParseNumber(block);
   for (std::size_t i = 0; i < status_.nbd->volumes.size(); ++i) {
     const nbd::Volume& volume = status_.nbd->volumes[i];
-    if (!volume.checksummed || volume.front.name != export_name) {
+    if (!volume.checksummed || volume.client_export.name != export_name) {
       continue;
     }
-    const std::uint64_t blocks = volume.front.size / integrity::kBlockBytes;
+    const std::uint64_t blocks = volume.client_export.size / integrity::kBlockBytes;
     if (!number || *number >= blocks) {
       return "error: " + block + " is no block of the export; allowed are 0 to " +
              std::to_string(blocks - 1) + "\n";
--- a/src/app/status_report.cpp
+++ b/src/app/status_report.cpp
@@ -31,7 +31,7 @@
 
 json ExportStatus(const nbd::Volume& config, const Volume& volume) {
   const Volume::State state = volume.state();
-  json status = {{"name", config.front.name},
+  json status = {{"name", config.client_export.name},
                  {"box", config.target},
                  {"state", NameOf(state)},
                  {"open", volume.pending_commands()}};
--- a/src/checksummed/checksummed_exports.cpp
+++ b/src/checksummed/checksummed_exports.cpp
@@ -58,7 +58,7 @@
   for (const integrity::CorruptBlock& corrupt : result.corrupt_blocks) {
     const std::uint64_t begin = std::max(corrupt.block * integrity::kBlockBytes, request.offset);
     add_piece(begin);
-    payload->bad.push_back(begin);
+    payload->corrupt_offsets.push_back(begin);
     from = std::min((corrupt.block + 1) * integrity::kBlockBytes, end);
   }
   add_piece(end);
@@ -156,7 +156,7 @@
     return;
   }
   log::Event(log::Level::kError, log::kExportAttachFailed,
-             {{"export", exported.config->front.name}, {"error", exported.volume->error()}});
+             {{"export", exported.config->client_export.name}, {"error", exported.volume->error()}});
   exported.attach_backoff = std::clamp(exported.attach_backoff * 2, kMinAttachBackoff, kMaxAttachBackoff);
   if (!exported.suspended) {
     exported.attach_timer.Start(exported.attach_backoff);
@@ -222,7 +222,7 @@
   }
   log::Event(log::Level::kError, log::kTargetRejected,
              {{"target", exported.config->target},
-              {"export", exported.config->front.name},
+              {"export", exported.config->client_export.name},
               {"reason", "checksums need a target that offers FLUSH, and FUA or CAN_MULTI_CONN"}});
   return false;
 }
--- a/src/checksummed/io_dispatcher.cpp
+++ b/src/checksummed/io_dispatcher.cpp
@@ -32,12 +32,12 @@
   auto payload = std::const_pointer_cast<core::Payload>(result.payload);
   auto& pieces = static_cast<nbd::ReplyPayload&>(*payload).pieces;
   std::string data;
-  if (pieces.size() == 1 && pieces[0].hole == 0) {
+  if (pieces.size() == 1 && pieces[0].hole_bytes == 0) {
     return std::exchange(pieces[0].data, {});
   }
   for (const nbd::Piece& piece : pieces) {
-    if (piece.hole > 0) {
-      data.append(piece.hole, '\0');
+    if (piece.hole_bytes > 0) {
+      data.append(piece.hole_bytes, '\0');
     } else {
       data.append(piece.data);
     }
--- a/src/checksummed/scrub.cpp
+++ b/src/checksummed/scrub.cpp
@@ -56,12 +56,12 @@
     target.budget = std::make_unique<background::Budget>(options_.pressure);
     target.schedule_timer = loop::MakeTimer(base_, [this, name = volume.target] { ScheduleReads(name); });
   }
-  const auto saved = options_.cursors.find(volume.front.name);
+  const auto saved = options_.cursors.find(volume.client_export.name);
   const integrity::Cursor cursor = saved == options_.cursors.end() ? integrity::Cursor() : saved->second;
-  integrity::Scrubber scrubber(volume.front.size / integrity::kBlockBytes, options_.chunk,
+  integrity::Scrubber scrubber(volume.client_export.size / integrity::kBlockBytes, options_.chunk,
                                cursor.block / options_.chunk);
   background::JobOptions job = options_.job;
-  job.name = volume.front.name;
+  job.name = volume.client_export.name;
   job.mean_request_bytes = static_cast<double>(options_.chunk * integrity::kBlockBytes);
   background::Progress progress;
   progress.total = scrubber.total();
@@ -79,8 +79,8 @@
   integrity::Cursors cursors = options_.cursors;
   for (const Job& job : jobs_) {
     const background::Progress& progress = targets_.at(job.target).budget->progress(job.id);
-    cursors[config_.volumes[job.number].front.name] = {job.scrubber.position() * options_.chunk,
-                                                       progress.rounds, progress.since};
+    cursors[config_.volumes[job.number].client_export.name] = {job.scrubber.position() * options_.chunk,
+                                                               progress.rounds, progress.since};
   }
   cursors_saved_at_ = core::Now();
   if (cursors == saved_cursors_) {
@@ -217,7 +217,7 @@
   Job& job = jobs_[pending.job];
   const auto* reply = static_cast<const nbd::ReplyPayload*>(response.payload.get());
   // A read that has met corruption has succeeded: the corruption log has the result.
-  const bool has_corrupt_blocks = reply != nullptr && !reply->bad.empty();
+  const bool has_corrupt_blocks = reply != nullptr && !reply->corrupt_offsets.empty();
   const bool has_read = response.status == core::ResponseStatus::kServed || has_corrupt_blocks;
   int completed_chunks = 0;
   if (has_read) {
@@ -236,8 +236,8 @@
   for (const Job& job : jobs_) {
     const background::Budget& budget = *targets_.at(job.target).budget;
     const background::Progress& progress = budget.progress(job.id);
-    all.push_back({config_.volumes[job.number].front.name, progress.position, progress.total, progress.rounds,
-                   budget.Rate(job.id, core::Now()), budget.in_flight(job.id)});
+    all.push_back({config_.volumes[job.number].client_export.name, progress.position, progress.total,
+                   progress.rounds, budget.Rate(job.id, core::Now()), budget.in_flight(job.id)});
   }
   return all;
 }
--- a/src/nbd/blocking_client.cpp
+++ b/src/nbd/blocking_client.cpp
@@ -70,21 +70,21 @@
 
 void BlockingClient::CompleteHandshake(const std::string& address) {
   while (!session_.ready()) {
-    Take(timeout_ms_);
+    ReceiveReplies(timeout_ms_);
     if (session_.ended()) {
-      throw ConnectionError(address + ": " + session_.why());
+      throw ConnectionError(address + ": " + session_.error());
     }
   }
 }
 
 // Loops because a reply may arrive in parts. In the handshake it returns once the session is ready or has
 // ended.
-std::vector<Reply> BlockingClient::Take(int wait_ms) {
+std::vector<Reply> BlockingClient::ReceiveReplies(int timeout_ms) {
   const bool in_handshake = !session_.ready();
   std::vector<Reply> replies;
   while (replies.empty() && session_.ready() != in_handshake) {
     pollfd polled{fd_, POLLIN, 0};
-    if (poll(&polled, 1, wait_ms) <= 0) {
+    if (poll(&polled, 1, timeout_ms) <= 0) {
       if (in_handshake) {
         throw ConnectionError("the handshake stalls");
       }
@@ -99,7 +99,7 @@
       break;
     }
     if (session_.ended()) {
-      throw ConnectionError("the server does not speak NBD: " + session_.why());
+      throw ConnectionError("the server does not speak NBD: " + session_.error());
     }
   }
   return replies;
@@ -113,7 +113,7 @@
   return request.cookie;
 }
 
-Reply BlockingClient::Wait(std::uint64_t cookie) {
+Reply BlockingClient::WaitForReply(std::uint64_t cookie) {
   while (true) {
     const auto at = std::find_if(replies_.begin(), replies_.end(),
                                  [&](const Reply& received) { return received.cookie == cookie; });
@@ -122,7 +122,7 @@
       replies_.erase(at);
       return reply;
     }
-    std::vector<Reply> more = Take(timeout_ms_);
+    std::vector<Reply> more = ReceiveReplies(timeout_ms_);
     if (more.empty()) {
       throw ConnectionError("no answer in time");
     }
@@ -135,7 +135,7 @@
   request.type = kRead;
   request.offset = offset;
   request.length = length;
-  return Wait(Send(std::move(request)));
+  return WaitForReply(Send(std::move(request)));
 }
 
 Reply BlockingClient::Write(std::uint64_t offset, std::string data) {
@@ -144,13 +144,13 @@
   request.offset = offset;
   request.length = static_cast<std::uint32_t>(data.size());
   request.data = std::move(data);
-  return Wait(Send(std::move(request)));
+  return WaitForReply(Send(std::move(request)));
 }
 
 Reply BlockingClient::Flush() {
   Request request;
   request.type = kFlush;
-  return Wait(Send(std::move(request)));
+  return WaitForReply(Send(std::move(request)));
 }
 
 std::string DataOf(const Reply& reply) {
--- a/src/nbd/blocking_client.h
+++ b/src/nbd/blocking_client.h
@@ -38,13 +38,13 @@
   // Sends a command without waiting for its reply; returns its cookie.
   std::uint64_t Send(Request request);
   // The next replies to arrive; empty if none arrives in time. Throws ConnectionError if the connection ends.
-  std::vector<Reply> Take(int wait_ms);
+  std::vector<Reply> ReceiveReplies(int timeout_ms);
   int fd() const { return fd_; }
 
  private:
   void Connect(const std::string& address);
   void CompleteHandshake(const std::string& address);
-  Reply Wait(std::uint64_t cookie);
+  Reply WaitForReply(std::uint64_t cookie);
 
   ClientSession session_;
   int fd_ = -1;
--- a/src/nbd/byte_buffer.cpp
+++ b/src/nbd/byte_buffer.cpp
@@ -13,13 +13,13 @@
 // Moves the remaining bytes to the front once half is processed, so that the cost per byte is constant.
 std::size_t Buffer::Skip(std::size_t wanted) {
   const std::size_t skipped = std::min(wanted, size());
-  at_ += skipped;
-  if (at_ == bytes_.size()) {
+  begin_ += skipped;
+  if (begin_ == bytes_.size()) {
     bytes_.clear();
-    at_ = 0;
-  } else if (at_ > bytes_.size() / 2) {
-    bytes_.erase(0, at_);
-    at_ = 0;
+    begin_ = 0;
+  } else if (begin_ > bytes_.size() / 2) {
+    bytes_.erase(0, begin_);
+    begin_ = 0;
   }
   return skipped;
 }
--- a/src/nbd/byte_buffer.h
+++ b/src/nbd/byte_buffer.h
@@ -51,10 +51,10 @@
 class Buffer {
  public:
   void Add(std::string_view bytes) { bytes_.append(bytes); }
-  std::size_t size() const { return bytes_.size() - at_; }
+  std::size_t size() const { return bytes_.size() - begin_; }
 
   // The first bytes, at most `size`, left in place. Valid until the buffer changes.
-  std::string_view Peek(std::size_t size) const { return std::string_view{bytes_}.substr(at_, size); }
+  std::string_view Peek(std::size_t size) const { return std::string_view{bytes_}.substr(begin_, size); }
   // Removes the first bytes, at most `size`, and returns them.
   std::string Take(std::size_t size);
   // Removes the first bytes, at most `wanted`, and returns how many.
@@ -62,7 +62,7 @@
 
  private:
   std::string bytes_;
-  std::size_t at_ = 0;  // the first byte that is not processed yet
+  std::size_t begin_ = 0;  // the first byte that is not processed yet
 };
 
 }  // namespace walnutspur::nbd
--- a/src/nbd/client_connection.cpp
+++ b/src/nbd/client_connection.cpp
@@ -128,7 +128,7 @@
 
 // Without a timeout, a client that stops in the middle of a command would be waited for indefinitely.
 void ClientConnection::UpdateCommandTimer(bool command_completed) {
-  const bool runs = session_.unfinished();
+  const bool runs = session_.has_partial_command();
   if (!runs) {
     command_timer_.Stop();
   } else if (!command_timer_runs_ || command_completed) {
@@ -147,7 +147,8 @@
     }
     return;
   }
-  if (!owner_->draining() || write_closed_ || !in_flight_.empty() || session_.unfinished() || !written) {
+  if (!owner_->draining() || write_closed_ || !in_flight_.empty() || session_.has_partial_command() ||
+      !written) {
     return;
   }
   write_closed_ = true;
--- a/src/nbd/client_session.cpp
+++ b/src/nbd/client_session.cpp
@@ -18,9 +18,9 @@
   PutRequest(request, out);
 }
 
-bool ClientSession::End(std::string reason) {
+bool ClientSession::End(std::string error) {
   state_ = State::kEnded;
-  end_reason_ = std::move(reason);
+  error_ = std::move(error);
   return false;
 }
 
--- a/src/nbd/client_session.h
+++ b/src/nbd/client_session.h
@@ -31,10 +31,10 @@
   bool ready() const { return state_ == State::kReply; }
   bool ended() const { return state_ == State::kEnded; }
   // Why the session has ended.
-  const std::string& why() const { return end_reason_; }
+  const std::string& error() const { return error_; }
   std::size_t in_flight() const { return in_flight_.size(); }
   // The server sends what replies to no command.
-  bool surplus() const { return ready() && in_flight_.empty() && input_.size() > 0; }
+  bool has_unsolicited_bytes() const { return ready() && in_flight_.empty() && input_.size() > 0; }
 
   // The export, once the session is ready: its size in bytes, its transmission flags.
   std::uint64_t size() const { return size_; }
@@ -59,7 +59,7 @@
   void SendGo(std::string* out);
   void SendExportName(std::string* out);
   // Ends the session; always false, for the steps to return.
-  bool End(std::string reason);
+  bool End(std::string error);
 
   std::string name_;  // the export's
   State state_ = State::kGreeting;
@@ -70,7 +70,7 @@
   std::uint64_t size_ = 0;
   std::uint16_t flags_ = 0;
   std::map<std::uint64_t, ReplyAssembler> in_flight_;  // by cookie
-  std::string end_reason_;
+  std::string error_;
 };
 
 }  // namespace walnutspur::nbd
--- a/src/nbd/command.cpp
+++ b/src/nbd/command.cpp
@@ -41,7 +41,7 @@
   if (request.length == 0) {
     return CommandError{kInvalid, "no length"};
   }
-  if (request.oversized || request.length > target_export.largest) {
+  if (request.oversized || request.length > target_export.max_command_bytes) {
     return CommandError{kOverflow, "too long"};
   }
   if (request.offset > target_export.size || request.length > target_export.size - request.offset) {
@@ -71,8 +71,8 @@
   const auto* payload = static_cast<const ReplyPayload*>(response.payload.get());
   if (response.status == core::ResponseStatus::kServed) {
     EncodeServed(session, cookie, *payload, &out);
-  } else if (payload != nullptr && !payload->bad.empty()) {
-    session.Reply(cookie, payload->pieces, payload->bad, &out);
+  } else if (payload != nullptr && !payload->corrupt_offsets.empty()) {
+    session.Reply(cookie, payload->pieces, payload->corrupt_offsets, &out);
   } else {
     session.Reply(cookie, ErrorOf(response.status), FailureMessage(response), &out);
   }
--- a/src/nbd/config.cpp
+++ b/src/nbd/config.cpp
@@ -64,23 +64,23 @@
 
 // Clients see a checksummed export without its tags and journal.
 void ReserveChecksumRegion(const config::Table& table, Volume* volume) {
-  volume->raw_bytes = volume->front.size;
+  volume->raw_bytes = volume->client_export.size;
   volume->journal_bytes = static_cast<std::uint64_t>(table.Integer("journal"));
   const auto geometry = integrity::FitGeometry(volume->raw_bytes, volume->journal_bytes);
   if (!geometry) {
     const std::uint64_t min_bytes = volume->journal_bytes + kMinDataBlocks * integrity::kBlockBytes;
-    throw ConfigError("export '" + volume->front.name +
+    throw ConfigError("export '" + volume->client_export.name +
                       "' is smaller than its tags and journal; allowed are " + std::to_string(min_bytes) +
                       " bytes or more");
   }
-  volume->front.size = geometry->data_size();
+  volume->client_export.size = geometry->data_size();
 }
 
 Volume ParseVolume(const config::Table& table, const std::vector<std::string>& plans, double max_bytes) {
   Volume volume;
-  volume.front.name = table.Text("name");
-  volume.front.size = static_cast<std::uint64_t>(table.Integer("size"));
-  volume.front.largest = static_cast<std::uint32_t>(max_bytes);
+  volume.client_export.name = table.Text("name");
+  volume.client_export.size = static_cast<std::uint64_t>(table.Integer("size"));
+  volume.client_export.max_command_bytes = static_cast<std::uint32_t>(max_bytes);
   volume.checksummed = table.Bool("checksums");
   if (volume.checksummed) {
     ReserveChecksumRegion(table, &volume);
@@ -90,12 +90,12 @@
   volume.shard = static_cast<int>(table.Integer("shard"));
   volume.initiator_count = static_cast<int>(table.Integer("hosts"));
   if (volume.checksummed && volume.initiator_count != 1) {
-    throw ConfigError("export '" + volume.front.name + "': hosts is " +
+    throw ConfigError("export '" + volume.client_export.name + "': hosts is " +
                       std::to_string(volume.initiator_count) +
                       "; with checksums one initiator writes it: allowed is 1");
   }
   volume.target = table.Text("box");
-  volume.remote = table.Has("remote") ? table.Text("remote") : volume.front.name;
+  volume.remote = table.Has("remote") ? table.Text("remote") : volume.client_export.name;
   return volume;
 }
 
@@ -105,10 +105,11 @@
   const auto target = std::find_if(targets->begin(), targets->end(),
                                    [&](const Target& listed) { return listed.id == volume.target; });
   if (target == targets->end()) {
-    throw ConfigError("export '" + volume.front.name + "' names no box");
+    throw ConfigError("export '" + volume.client_export.name + "' names no box");
   }
   if (!target->listed && volume.shard < shards) {
-    throw ConfigError("export '" + volume.front.name + "': the shard of an unlisted box is the platform's");
+    throw ConfigError("export '" + volume.client_export.name +
+                      "': the shard of an unlisted box is the platform's");
   }
   target->shard = volume.shard;
 }
@@ -135,7 +136,7 @@
   for (const config::Table& table : Tables(root, "export")) {
     Volume volume = ParseVolume(table, plans, max_bytes);
     AssignShard(volume, shards, &config.targets);
-    config.exports.push_back(volume.front);
+    config.exports.push_back(volume.client_export);
     config.volumes.push_back(std::move(volume));
   }
   return config;
--- a/src/nbd/config.h
+++ b/src/nbd/config.h
@@ -24,7 +24,7 @@
 
 // An export as clients see it, and where its data is. In the file: [[export]].
 struct Volume {
-  Export front;                 // what is offered to clients
+  Export client_export;         // what is offered to clients
   std::string volume;           // its name at the scheduler
   std::string target;           // the id of the storage server
   std::string remote;           // the name of its export at the storage server
@@ -45,7 +45,7 @@
   std::map<std::uint16_t, int> classes;  // request class by Command
   std::vector<Target> targets;
   std::vector<Volume> volumes;
-  std::vector<Export> exports;  // Volume::front of each volume, in their order
+  std::vector<Export> exports;  // Volume::client_export of each volume, in their order
 };
 
 // The keys of the file.
--- a/src/nbd/front_end.cpp
+++ b/src/nbd/front_end.cpp
@@ -167,13 +167,13 @@
 }
 
 void FrontEnd::Respond(const core::Response& response) {
-  const auto answered = pending_.TakeAnswered(response.request);
-  if (!answered) {
+  const auto completed = pending_.TakeAnswered(response.request);
+  if (!completed) {
     return;  // the client has disconnected
   }
-  const auto [connection, cookie] = answered->origin;
+  const auto [connection, cookie] = completed->origin;
   ClientConnection& client = *clients_.at(connection);
-  shutdown_.OnResponse(answered->latency);
+  shutdown_.OnResponse(completed->latency);
   client.RemoveInFlight(cookie);
   client.Write(EncodeResponse(client.session(), cookie, response));
   client.ResumeReading();
--- a/src/nbd/option_handler.cpp
+++ b/src/nbd/option_handler.cpp
@@ -46,8 +46,8 @@
   std::string info;
   Put<std::uint16_t>(kInfoBlockSize, &info);
   Put(kMinBlockSize, &info);
-  Put(std::min(kPreferredBlockSize, offered.largest), &info);
-  Put(offered.largest, &info);
+  Put(std::min(kPreferredBlockSize, offered.max_command_bytes), &info);
+  Put(offered.max_command_bytes, &info);
   PutOptionReply(option, kRepInfo, info, out);
 }
 
--- a/src/nbd/option_handler.h
+++ b/src/nbd/option_handler.h
@@ -27,7 +27,7 @@
   explicit OptionHandler(const std::vector<Export>& exports) : exports_(exports) {}
 
   // The client has waived the zeroes behind the reply to NBD_OPT_EXPORT_NAME.
-  void WaiveZeroes() { zeroes_ = false; }
+  void OmitZeroes() { zeroes_ = false; }
 
   // Processes an option with its data and appends the replies to `out`.
   Next Handle(std::uint32_t option, std::string_view data, std::string* out);
--- a/src/nbd/payload.h
+++ b/src/nbd/payload.h
@@ -25,7 +25,7 @@
 // The data of a read.
 struct ReplyPayload : core::Payload {
   std::vector<Piece> pieces;
-  std::vector<std::uint64_t> bad;  // offsets of corrupted blocks, which no piece holds
+  std::vector<std::uint64_t> corrupt_offsets;  // offsets of corrupted blocks, which no piece holds
 };
 
 }  // namespace walnutspur::nbd
--- a/src/nbd/protocol.h
+++ b/src/nbd/protocol.h
@@ -100,8 +100,8 @@
 // An export as a server offers it.
 struct Export {
   std::string name;
-  std::uint64_t size = 0;     // bytes
-  std::uint32_t largest = 0;  // bytes of one command at most
+  std::uint64_t size = 0;  // bytes
+  std::uint32_t max_command_bytes = 0;
   std::uint16_t flags = kHasFlags | kSendFlush;
 };
 
@@ -113,21 +113,21 @@
   std::uint64_t offset = 0;
   std::uint32_t length = 0;
   std::string data;        // of a write
-  bool oversized = false;  // a write of more than Export::largest, whose data was skipped
+  bool oversized = false;  // a write of more than Export::max_command_bytes, whose data was skipped
 };
 
 // One range of the data that a read returns: bytes, or a hole.
 struct Piece {
   std::uint64_t offset = 0;
   std::string data;
-  std::uint32_t hole = 0;  // bytes of zeros, in place of data
-  std::uint64_t size() const { return hole > 0 ? hole : data.size(); }
+  std::uint32_t hole_bytes = 0;  // number of zero bytes, in place of data
+  std::uint64_t size() const { return hole_bytes > 0 ? hole_bytes : data.size(); }
 };
 
 // Appends the piece's bytes; a hole is written out as zeros.
 inline void AppendBytes(const Piece& piece, std::string* out) {
-  if (piece.hole > 0) {
-    out->append(piece.hole, '\0');
+  if (piece.hole_bytes > 0) {
+    out->append(piece.hole_bytes, '\0');
   } else {
     out->append(piece.data);
   }
@@ -137,9 +137,9 @@
 struct Reply {
   std::uint64_t cookie = 0;
   Error error = kOk;
-  std::vector<Piece> pieces;       // of a read: all of its range, in order; empty if there is an error
-  std::vector<std::uint64_t> bad;  // offsets that errors were reported for
-  std::vector<Piece> partial;      // the data that came with an error
+  std::vector<Piece> pieces;  // of a read: all of its range, in order; empty if there is an error
+  std::vector<std::uint64_t> error_offsets;  // offsets that errors were reported for
+  std::vector<Piece> partial;                // the data that came with an error
 };
 
 }  // namespace walnutspur::nbd
--- a/src/nbd/reply_assembler.cpp
+++ b/src/nbd/reply_assembler.cpp
@@ -50,7 +50,7 @@
   }
   error_ = static_cast<Error>(error);
   if (chunk_type == kErrorOffset) {
-    bad_offsets_.push_back(Get<std::uint64_t>(data, kErrorSize + message_size));
+    error_offsets_.push_back(Get<std::uint64_t>(data, kErrorSize + message_size));
   }
   return true;
 }
@@ -65,7 +65,7 @@
   if (chunk_type == kOffsetData) {
     piece.data = fields.rest();
   } else if (chunk_type == kOffsetHole && data.size() == kHoleSize) {
-    piece.hole = fields.Next<std::uint32_t>();
+    piece.hole_bytes = fields.Next<std::uint32_t>();
   }
   if (piece.size() == 0 || !IsInRange(piece) || Overlaps(piece)) {
     return false;
@@ -95,7 +95,7 @@
   }
   std::sort(pieces_.begin(), pieces_.end(),
             [](const Piece& a, const Piece& b) { return a.offset < b.offset; });
-  Reply reply{cookie, error_, {}, std::move(bad_offsets_), {}};
+  Reply reply{cookie, error_, {}, std::move(error_offsets_), {}};
   (error_ == kOk ? reply.pieces : reply.partial) = std::move(pieces_);
   return reply;
 }
--- a/src/nbd/reply_assembler.h
+++ b/src/nbd/reply_assembler.h
@@ -39,7 +39,7 @@
   std::uint32_t length_;
   Error error_ = kOk;
   std::vector<Piece> pieces_;
-  std::vector<std::uint64_t> bad_offsets_;
+  std::vector<std::uint64_t> error_offsets_;
 };
 
 }  // namespace walnutspur::nbd
--- a/src/nbd/reply_encoder.cpp
+++ b/src/nbd/reply_encoder.cpp
@@ -9,7 +9,7 @@
 namespace walnutspur::nbd {
 namespace {
 
-const char* const kDamagedMessage = "the block is damaged";
+const char* const kCorruptBlockMessage = "the block is damaged";
 
 void EncodeSimpleData(std::uint64_t cookie, const std::vector<Piece>& pieces, std::string* out) {
   PutSimple(kOk, cookie, out);
@@ -21,15 +21,15 @@
 void EncodePiece(bool done, std::uint64_t cookie, const Piece& piece, std::string* out) {
   std::string data;
   Put(piece.offset, &data);
-  if (piece.hole > 0) {
-    Put(piece.hole, &data);
+  if (piece.hole_bytes > 0) {
+    Put(piece.hole_bytes, &data);
   }
   data += piece.data;
-  PutChunk(done, piece.hole > 0 ? kOffsetHole : kOffsetData, cookie, data, out);
+  PutChunk(done, piece.hole_bytes > 0 ? kOffsetHole : kOffsetData, cookie, data, out);
 }
 
 void EncodeBadBlock(bool done, std::uint64_t cookie, std::uint64_t offset, std::string* out) {
-  const std::string message = kDamagedMessage;
+  const std::string message = kCorruptBlockMessage;
   std::string data;
   Put<std::uint32_t>(kIo, &data);
   Put(static_cast<std::uint16_t>(message.size()), &data);
@@ -71,7 +71,7 @@
 }
 
 void EncodePartialData(ReplyForm form, std::uint64_t cookie, const std::vector<Piece>& pieces,
-                       const std::vector<std::uint64_t>& bad, std::string* out) {
+                       const std::vector<std::uint64_t>& corrupt_offsets, std::string* out) {
   if (form == ReplyForm::kSimple) {
     PutSimple(kIo, cookie, out);
     return;
@@ -82,8 +82,8 @@
     data += piece.data;
     PutChunk(false, kOffsetData, cookie, data, out);
   }
-  for (std::size_t i = 0; i < bad.size(); ++i) {
-    EncodeBadBlock(i + 1 == bad.size(), cookie, bad[i], out);
+  for (std::size_t i = 0; i < corrupt_offsets.size(); ++i) {
+    EncodeBadBlock(i + 1 == corrupt_offsets.size(), cookie, corrupt_offsets[i], out);
   }
 }
 
--- a/src/nbd/reply_encoder.h
+++ b/src/nbd/reply_encoder.h
@@ -24,7 +24,7 @@
 // A read of a range with corrupted blocks: the good pieces, and an error with the offset of each bad block. A
 // simple reply holds an error and no data.
 void EncodePartialData(ReplyForm form, std::uint64_t cookie, const std::vector<Piece>& pieces,
-                       const std::vector<std::uint64_t>& bad, std::string* out);
+                       const std::vector<std::uint64_t>& corrupt_offsets, std::string* out);
 
 }  // namespace walnutspur::nbd
 
--- a/src/nbd/server_session.cpp
+++ b/src/nbd/server_session.cpp
@@ -25,13 +25,13 @@
 }
 
 void ServerSession::Reply(std::uint64_t cookie, const std::vector<Piece>& pieces,
-                          const std::vector<std::uint64_t>& bad, std::string* out) const {
-  EncodePartialData(options_.reply_form(), cookie, pieces, bad, out);
+                          const std::vector<std::uint64_t>& corrupt_offsets, std::string* out) const {
+  EncodePartialData(options_.reply_form(), cookie, pieces, corrupt_offsets, out);
 }
 
-bool ServerSession::End(std::string reason) {
+bool ServerSession::End(std::string error) {
   state_ = State::kEnded;
-  end_reason_ = std::move(reason);
+  error_ = std::move(error);
   return false;
 }
 
@@ -67,7 +67,7 @@
     return End("the client knows no fixed newstyle");
   }
   if (flags & kNoZeroes) {
-    options_.WaiveZeroes();
+    options_.OmitZeroes();
   }
   state_ = State::kOption;
   return true;
@@ -133,7 +133,7 @@
     requests->push_back(std::move(request_));
     return true;
   }
-  request_.oversized = request_.length > chosen()->largest;
+  request_.oversized = request_.length > chosen()->max_command_bytes;
   remaining_ = request_.length;
   state_ = request_.oversized ? State::kSkip : State::kData;
   return true;
--- a/src/nbd/server_session.h
+++ b/src/nbd/server_session.h
@@ -28,18 +28,18 @@
   const Export* chosen() const { return options_.chosen(); }
   bool ended() const { return state_ == State::kEnded; }
   // Whether a command has been received in part.
-  bool unfinished() const {
+  bool has_partial_command() const {
     return state_ == State::kData || state_ == State::kSkip ||
            (state_ == State::kHeader && input_.size() > 0);
   }
   // Why the session has ended; empty where the client has ended it in order.
-  const std::string& why() const { return end_reason_; }
+  const std::string& error() const { return error_; }
 
   // Each appends the reply to a command to `out`, in the negotiated form; see reply_encoder.h.
   void Reply(std::uint64_t cookie, const std::vector<Piece>& pieces, std::string* out) const;
   void Reply(std::uint64_t cookie, Error error, const std::string& message, std::string* out) const;
-  void Reply(std::uint64_t cookie, const std::vector<Piece>& pieces, const std::vector<std::uint64_t>& bad,
-             std::string* out) const;
+  void Reply(std::uint64_t cookie, const std::vector<Piece>& pieces,
+             const std::vector<std::uint64_t>& corrupt_offsets, std::string* out) const;
 
  private:
   // What the next bytes are: the client's flags, the header or the data of an option; the header or the data
@@ -55,7 +55,7 @@
   bool StepData(std::vector<Request>* requests);
   bool StepSkip(std::vector<Request>* requests);
   // Ends the session; always false, for the steps to return.
-  bool End(std::string reason);
+  bool End(std::string error);
 
   OptionHandler options_;
   State state_ = State::kFlags;
@@ -63,7 +63,7 @@
   std::uint32_t option_ = 0;     // the option whose data is received
   std::uint32_t remaining_ = 0;  // bytes of data to come, of the option or command
   Request request_;              // the command whose data is received
-  std::string end_reason_;
+  std::string error_;
 };
 
 }  // namespace walnutspur::nbd
--- a/src/nbd/target_connection.cpp
+++ b/src/nbd/target_connection.cpp
@@ -140,7 +140,7 @@
   for (Reply& reply : replies) {
     OnReply(std::move(reply));
   }
-  if (session_.ended() || session_.surplus()) {
+  if (session_.ended() || session_.has_unsolicited_bytes()) {
     owner_->OnEnd(*this);
     return;
   }
--- a/tests/net/checksummed_export_test.cpp
+++ b/tests/net/checksummed_export_test.cpp
@@ -122,7 +122,7 @@
   template <typename Call>
   nbd::Reply RetryRejected(Call call) {
     nbd::Reply reply = call();
-    for (int i = 0; i < 100 && reply.error == nbd::kNoMemory && reply.bad.empty(); ++i) {
+    for (int i = 0; i < 100 && reply.error == nbd::kNoMemory && reply.error_offsets.empty(); ++i) {
       poll(nullptr, 0, 20);
       reply = call();
     }
@@ -247,8 +247,8 @@
     // A read of all blocks returns the intact pieces and the offsets of the corrupted blocks.
     const nbd::Reply wide = fixture.Get(0, 16 * kBlockBytes);
     CHECK(wide.error == nbd::kIo);
-    CHECK(wide.bad == std::vector<std::uint64_t>{2 * kBlockBytes, 5 * kBlockBytes, 9 * kBlockBytes,
-                                                 12 * kBlockBytes, 14 * kBlockBytes});
+    CHECK(wide.error_offsets == std::vector<std::uint64_t>{2 * kBlockBytes, 5 * kBlockBytes, 9 * kBlockBytes,
+                                                           12 * kBlockBytes, 14 * kBlockBytes});
     for (const nbd::Piece& piece : wide.partial) {
       CHECK(piece.data == fixture.content.substr(piece.offset, piece.data.size()));
     }
--- a/tests/net/nbd_codec_test.cpp
+++ b/tests/net/nbd_codec_test.cpp
@@ -94,7 +94,7 @@
   CHECK(requests[2].cookie == 11);
   FeedAll(session, magic + "\0\0\0\x02\0\0\0\0\0\0\0\x0c\0\0\0\0\0\0\0\0\0\0\0\0"s, &requests);
   CHECK(session.ended());
-  CHECK(session.why().empty());
+  CHECK(session.error().empty());
 }
 
 TEST_CASE("bad magic, flags and option lengths end the session") {
@@ -106,7 +106,7 @@
     std::vector<nbd::Request> requests;
     FeedAll(session, start, &requests);
     CHECK(session.ended());
-    CHECK_FALSE(session.why().empty());
+    CHECK_FALSE(session.error().empty());
     CHECK(requests.empty());
   }
 }
@@ -174,7 +174,7 @@
   r.Chunk(true, nbd::kOffsetHole, r.At(16, "\0\0\0\x04"s));
   REQUIRE(r.replies.size() == 1);
   CHECK(r.replies[0].error == nbd::kOk);
-  CHECK(r.replies[0].pieces[0].hole == 4);
+  CHECK(r.replies[0].pieces[0].hole_bytes == 4);
   CHECK(r.replies[0].pieces[1].data == "wxyz");
 }
 
--- a/tests/net/nbd_front_end_test.cpp
+++ b/tests/net/nbd_front_end_test.cpp
@@ -216,7 +216,7 @@
   const nbd::Config config =
       nbd::LoadConfig(WALNUTSPUR_ROOT "/deploy/nbd.toml", classes, plans, settings, 10);
   REQUIRE(config.exports.size() == 1);
-  CHECK(config.exports[0].largest == 6 * 4096);
+  CHECK(config.exports[0].max_command_bytes == 6 * 4096);
   CHECK(config.classes.at(nbd::kWrite) == 1);
   CHECK(nbd::UnitsOf(config, 4097) == 2);
   CHECK(nbd::UnitsOf(config, 0) == 1);
--- a/tests/net/scenario_client.cpp
+++ b/tests/net/scenario_client.cpp
@@ -19,7 +19,7 @@
 std::string ContentOf(const nbd::Reply& reply) {
   std::string content;
   for (const nbd::Piece& piece : reply.pieces) {
-    content += piece.hole > 0 ? std::string(piece.hole, '0') : piece.data;
+    content += piece.hole_bytes > 0 ? std::string(piece.hole_bytes, '0') : piece.data;
   }
   return content;
 }
