--- a/src/checksummed/checksummed_exports.cpp
+++ b/src/checksummed/checksummed_exports.cpp
@@ -25,7 +25,7 @@
 // Time with records in the journal after which a checkpoint starts in any case, us.
 constexpr Time kMaxDirtyTime = 1'000'000;
 // First and longest backoff between attempts to attach an export, us.
-constexpr Time kMinAttachBackoff = 250'000;
+constexpr Time kInitialAttachBackoff = 250'000;
 constexpr Time kMaxAttachBackoff = 5'000'000;
 
 integrity::Command ToVolumeCommand(CommandId id, const std::shared_ptr<const nbd::CommandPayload>& payload) {
@@ -76,7 +76,7 @@
       targets_(base, config, max_connections, [this](core::Input input) { OnInput(std::move(input)); }),
       paths_(config, tracker),
       dispatcher_(config, &targets_, &paths_,
-                  {[this](std::size_t number) { return !exports_[number].suspended; },
+                  {[this](std::size_t export_index) { return !exports_[export_index].suspended; },
                    [this](const ExportIo& completed, IoStatus status, std::string data) {
                      OnIoCompleted(completed, status, std::move(data));
                    }}),
@@ -106,20 +106,20 @@
 
 // ---- volumes ----
 
-void ChecksummedExports::Attach(std::size_t number) {
-  Export& exported = exports_[number];
+void ChecksummedExports::Attach(std::size_t export_index) {
+  Export& exported = exports_[export_index];
   integrity::VolumeOptions options;
   options.size = exported.config->raw_bytes;
   exported.volume = std::make_unique<Volume>(options);
   exported.failure_logged = false;
   exported.volume->Attach();
-  Dispatch(number);
+  Dispatch(export_index);
 }
 
 // Sends the volume's storage requests and reports its results until it has no more of either. Requests that
 // end at once call this recursively; the recursive call returns and leaves the work to the outer one.
-void ChecksummedExports::Dispatch(std::size_t number) {
-  Export& exported = exports_[number];
+void ChecksummedExports::Dispatch(std::size_t export_index) {
+  Export& exported = exports_[export_index];
   if (std::exchange(exported.dispatching, true)) {
     return;
   }
@@ -130,10 +130,10 @@
       break;
     }
     for (IoRequest& request : requests) {
-      SendIo(number, std::move(request));
+      SendIo(export_index, std::move(request));
     }
     for (integrity::CommandResult& result : results) {
-      OnResult(number, std::move(result));
+      OnResult(export_index, std::move(result));
     }
   }
   exported.dispatching = false;
@@ -157,14 +157,14 @@
   }
   log::Event(log::Level::kError, log::kExportAttachFailed,
              {{"export", exported.config->client_export.name}, {"error", exported.volume->error()}});
-  exported.attach_backoff = std::clamp(exported.attach_backoff * 2, kMinAttachBackoff, kMaxAttachBackoff);
+  exported.attach_backoff = std::clamp(exported.attach_backoff * 2, kInitialAttachBackoff, kMaxAttachBackoff);
   if (!exported.suspended) {
     exported.attach_timer.Start(exported.attach_backoff);
   }
 }
 
-void ChecksummedExports::CheckpointIfDue(std::size_t number) {
-  Export& exported = exports_[number];
+void ChecksummedExports::CheckpointIfDue(std::size_t export_index) {
+  Export& exported = exports_[export_index];
   if (!exported.volume->dirty()) {
     exported.dirty_since = 0;
     return;
@@ -175,22 +175,22 @@
   if (is_due && !exported.suspended && !exported.volume->checkpointing()) {
     exported.dirty_since = now;
     exported.volume->Checkpoint();
-    Dispatch(number);
+    Dispatch(export_index);
   }
   exported.checkpoint_timer.Start(kCheckpointCheckInterval);
 }
 
 // ---- storage requests ----
 
-void ChecksummedExports::SendIo(std::size_t number, IoRequest request) {
-  Export& exported = exports_[number];
+void ChecksummedExports::SendIo(std::size_t export_index, IoRequest request) {
+  Export& exported = exports_[export_index];
   if (exported.suspended) {
     return exported.volume->OnIoCompleted(request.id, IoStatus::kNotExecuted);
   }
   const auto attempt = attempts_.find(request.command);
   const int path = attempt != attempts_.end() ? attempt->second.path
                                               : paths_.Choose(*exported.config, ToNbdRequest(request));
-  dispatcher_.Send({number, std::move(request)}, path);
+  dispatcher_.Send({export_index, std::move(request)}, path);
 }
 
 void ChecksummedExports::OnInput(core::Input input) {
@@ -202,12 +202,12 @@
 }
 
 void ChecksummedExports::OnIoCompleted(const ExportIo& completed, IoStatus status, std::string data) {
-  Export& exported = exports_[completed.number];
+  Export& exported = exports_[completed.export_index];
   if (exported.volume->state() == Volume::State::kAttaching && !IsTargetSuitable(exported)) {
     status = IoStatus::kFailed;
   }
   exported.volume->OnIoCompleted(completed.request.id, status, std::move(data));
-  Dispatch(completed.number);
+  Dispatch(completed.export_index);
 }
 
 // Whether the target offers flushes that cover all connections, on which the volume's order of writes
@@ -234,9 +234,9 @@
   if (payload->volume < 0) {
     return targets_.Start(attempt);
   }
-  const auto number = static_cast<std::size_t>(payload->volume);
+  const auto export_index = static_cast<std::size_t>(payload->volume);
   const CommandId id = AddAttempt(attempt, payload);
-  if (exports_[number].suspended) {
+  if (exports_[export_index].suspended) {
     return Report(id, Outcome::kConnectFailed);
   }
   integrity::Command command = ToVolumeCommand(id, payload);
@@ -245,20 +245,20 @@
   } else {
     ++counts_.writes;
   }
-  exports_[number].volume->Submit(std::move(command));
-  Dispatch(number);
+  exports_[export_index].volume->Submit(std::move(command));
+  Dispatch(export_index);
 }
 
 CommandId ChecksummedExports::AddAttempt(const core::StartAttempt& attempt,
                                          std::shared_ptr<const nbd::CommandPayload> payload) {
-  const auto number = static_cast<std::size_t>(payload->volume);
+  const auto export_index = static_cast<std::size_t>(payload->volume);
   const CommandId id = next_command_++;
   const Time now = core::Now();
   PendingAttempt& pending = attempts_[id];
   pending.key = {attempt.request, attempt.attempt};
-  pending.number = number;
+  pending.export_index = export_index;
   pending.started = now;
-  pending.path = paths_.Choose(*exports_[number].config, payload->request);
+  pending.path = paths_.Choose(*exports_[export_index].config, payload->request);
   pending.payload = std::move(payload);
   pending.timeout = loop::MakeTimer(base_, [this, id] { Abandon(id, Outcome::kTimedOut); });
   pending.timeout.Start(core::ExpiresAt(attempt, now) - now);
@@ -281,10 +281,10 @@
   if (found == attempts_.end()) {
     return;
   }
-  const std::size_t number = found->second.number;
+  const std::size_t export_index = found->second.export_index;
   Report(command, outcome);
-  exports_[number].volume->Abandon(command);
-  Dispatch(number);
+  exports_[export_index].volume->Abandon(command);
+  Dispatch(export_index);
 }
 
 void ChecksummedExports::Report(CommandId command, Outcome outcome, core::PayloadRef payload) {
@@ -304,7 +304,7 @@
   submit_(std::move(result));
 }
 
-void ChecksummedExports::OnResult(std::size_t number, integrity::CommandResult result) {
+void ChecksummedExports::OnResult(std::size_t export_index, integrity::CommandResult result) {
   using Status = integrity::CommandResult::Status;
   const auto found = attempts_.find(result.id);
   if (found == attempts_.end()) {
@@ -313,7 +313,7 @@
   const nbd::Request& request = found->second.payload->request;
   const bool is_read = request.type == nbd::kRead;
   if (is_read) {
-    ReportSuspectedCorruption(number, found->second, result);
+    ReportSuspectedCorruption(export_index, found->second, result);
   }
   const CommandId id = result.id;
   const Status status = result.status;
@@ -324,22 +324,22 @@
     return Report(id, Outcome::kErrored);
   }
   if (request.type == nbd::kWrite && status == Status::kCompleted) {
-    exports_[number].last_write = core::Now();
+    exports_[export_index].last_write = core::Now();
   }
   auto payload = is_read ? ReplyToRead(request, std::move(result)) : std::make_shared<nbd::ReplyPayload>();
   // A write that would have to preserve a part of a corrupt block is not retried: no attempt would succeed.
   Report(id, status == Status::kCompleted ? Outcome::kCompleted : Outcome::kCorrupted, std::move(payload));
 }
 
-void ChecksummedExports::ReportSuspectedCorruption(std::size_t number, const PendingAttempt& attempt,
+void ChecksummedExports::ReportSuspectedCorruption(std::size_t export_index, const PendingAttempt& attempt,
                                                    const integrity::CommandResult& result) {
   const std::vector<std::uint64_t> suspected =
-      paths_.RecordRead(*exports_[number].config, attempt.payload->request, attempt.path, result);
+      paths_.RecordRead(*exports_[export_index].config, attempt.payload->request, attempt.path, result);
   if (!on_suspected_corruption) {
     return;
   }
   for (const std::uint64_t block : suspected) {
-    on_suspected_corruption(number, block);
+    on_suspected_corruption(export_index, block);
   }
 }
 
--- a/src/checksummed/checksummed_exports.h
+++ b/src/checksummed/checksummed_exports.h
@@ -61,12 +61,14 @@
 
   std::size_t connections() const { return targets_.connections(); }
   // Null for an export without checksums. Valid until the export is attached again.
-  const integrity::Volume* volume(std::size_t number) const { return exports_[number].volume.get(); }
+  const integrity::Volume* volume(std::size_t export_index) const {
+    return exports_[export_index].volume.get();
+  }
   const Counts& counts() const { return counts_; }
   std::vector<PathStatus> paths();  // to targets with checksummed exports
 
   // Called with each block that did not match its tag and to which no fault could be attributed yet.
-  std::function<void(std::size_t number, std::uint64_t block)> on_suspected_corruption;
+  std::function<void(std::size_t export_index, std::uint64_t block)> on_suspected_corruption;
 
  private:
   struct Export {
@@ -83,7 +85,7 @@
   };
   struct PendingAttempt {
     loop::AttemptKey key;
-    std::size_t number = 0;  // of the export
+    std::size_t export_index = 0;  // of the export
     Time started = 0;
     int path = 0;
     std::shared_ptr<const nbd::CommandPayload> payload;
@@ -94,16 +96,16 @@
   void OnIoCompleted(const ExportIo& completed, integrity::IoStatus status, std::string data);
   bool IsTargetSuitable(const Export& exported) const;
 
-  void Attach(std::size_t number);
-  void Dispatch(std::size_t number);
+  void Attach(std::size_t export_index);
+  void Dispatch(std::size_t export_index);
   void OnAttachFailed(Export& exported);
-  void CheckpointIfDue(std::size_t number);
-  void SendIo(std::size_t number, integrity::IoRequest request);
+  void CheckpointIfDue(std::size_t export_index);
+  void SendIo(std::size_t export_index, integrity::IoRequest request);
 
   integrity::CommandId AddAttempt(const core::StartAttempt& attempt,
                                   std::shared_ptr<const nbd::CommandPayload> payload);
-  void OnResult(std::size_t number, integrity::CommandResult result);
-  void ReportSuspectedCorruption(std::size_t number, const PendingAttempt& attempt,
+  void OnResult(std::size_t export_index, integrity::CommandResult result);
+  void ReportSuspectedCorruption(std::size_t export_index, const PendingAttempt& attempt,
                                  const integrity::CommandResult& result);
   void Report(integrity::CommandId command, Outcome outcome, core::PayloadRef payload = nullptr);
   void Abandon(integrity::CommandId command, Outcome outcome);
@@ -114,7 +116,7 @@
   nbd::TargetPool targets_;
   PathTracker paths_;
   IoDispatcher dispatcher_;
-  std::vector<Export> exports_;  // by the number of the configuration's volume
+  std::vector<Export> exports_;  // by the index of the configuration's volume
   std::map<integrity::CommandId, PendingAttempt> attempts_;
   std::map<loop::AttemptKey, integrity::CommandId> commands_;
   integrity::CommandId next_command_ = 1;
--- a/src/checksummed/corruption_tracker.cpp
+++ b/src/checksummed/corruption_tracker.cpp
@@ -27,10 +27,10 @@
   }
   LoadLog();
   file_store_ = std::make_unique<filestore::FileStore>(
-      [this](const std::string& name, const std::string& bytes, std::string* why) {
+      [this](const std::string& name, const std::string& bytes, std::string* error) {
         return name == integrity::kCorruptionLogName
-                   ? log_file_->Write(bytes, why)
-                   : filestore::WriteFileAtomically(folder_, name, bytes, why);
+                   ? log_file_->Write(bytes, error)
+                   : filestore::WriteFileAtomically(folder_, name, bytes, error);
       },
       LogStoreStatus);
   save_timer_ = loop::MakeTimer(base, [this] { SaveLog(); });
--- a/src/checksummed/io_dispatcher.cpp
+++ b/src/checksummed/io_dispatcher.cpp
@@ -83,7 +83,7 @@
 
 void IoDispatcher::StartAttempt(PendingIo pending, nbd::Request request, int path,
                                 std::vector<integrity::Slice> tail) {
-  const nbd::Volume& volume = config_.volumes[pending.io.number];
+  const nbd::Volume& volume = config_.volumes[pending.io.export_index];
   auto payload = std::make_shared<nbd::CommandPayload>();
   payload->request = std::move(request);
   payload->tail = std::move(tail);
@@ -116,11 +116,11 @@
   IoStatus status = StatusOf(result, pending.is_flushing);
   const integrity::IoRequest& request = pending.io.request;
   if (status == IoStatus::kCompleted && request.fua && !pending.is_flushing) {
-    if (callbacks_.is_available(pending.io.number)) {
+    if (callbacks_.is_available(pending.io.export_index)) {
       pending.is_flushing = true;
       nbd::Request flush;
       flush.type = nbd::kFlush;
-      const int path = paths_->Choose(config_.volumes[pending.io.number], flush);
+      const int path = paths_->Choose(config_.volumes[pending.io.export_index], flush);
       return StartAttempt(std::move(pending), std::move(flush), path);
     }
     status = IoStatus::kFailed;
--- a/src/checksummed/io_dispatcher.h
+++ b/src/checksummed/io_dispatcher.h
@@ -25,7 +25,7 @@
 
 // One storage request of an export, without the data of a write.
 struct ExportIo {
-  std::size_t number = 0;  // of the export
+  std::size_t export_index = 0;  // of the export
   integrity::IoRequest request;
 };
 
@@ -36,7 +36,7 @@
  public:
   struct Callbacks {
     // Whether requests may be sent to the export's target now.
-    std::function<bool(std::size_t number)> is_available;
+    std::function<bool(std::size_t export_index)> is_available;
     // A storage request has ended; `data` is the content that a read returned.
     std::function<void(const ExportIo& completed, integrity::IoStatus status, std::string data)> on_completed;
   };
--- a/src/checksummed/scrub.cpp
+++ b/src/checksummed/scrub.cpp
@@ -12,7 +12,7 @@
 // Interval between reports of the pressure on live requests, us.
 constexpr Time kReportInterval = 200'000;
 // Longest interval between two checks for reads that are due, us.
-constexpr Time kIdleScheduleInterval = 250'000;
+constexpr Time kMaxScheduleInterval = 250'000;
 // Shortest interval between two checks for reads that are due, us.
 constexpr Time kMinScheduleInterval = 1'000;
 // Interval between saves of the cursors, us.
@@ -39,7 +39,7 @@
   }
   report_timer_.Start(kReportInterval);
   for (auto& [name, target] : targets_) {
-    target.schedule_timer.Start(kIdleScheduleInterval);
+    target.schedule_timer.Start(kMaxScheduleInterval);
   }
 }
 
@@ -49,8 +49,8 @@
   }
 }
 
-void Scrub::AddJob(std::size_t number, Time now) {
-  const nbd::Volume& volume = config_.volumes[number];
+void Scrub::AddJob(std::size_t export_index, Time now) {
+  const nbd::Volume& volume = config_.volumes[export_index];
   TargetState& target = targets_[volume.target];
   if (!target.budget) {
     target.budget = std::make_unique<background::Budget>(options_.pressure);
@@ -68,7 +68,7 @@
   progress.position = scrubber.position();
   progress.rounds = cursor.rounds;
   progress.since = std::min(cursor.since, now);  // `since` is in the future if the clock was set back
-  jobs_.push_back({number, volume.target, target.budget->Add(job, progress, now), std::move(scrubber)});
+  jobs_.push_back({export_index, volume.target, target.budget->Add(job, progress, now), std::move(scrubber)});
 }
 
 // Saves the cursors of all exports; those of exports that are currently not served are saved unchanged.
@@ -79,8 +79,8 @@
   integrity::Cursors cursors = options_.cursors;
   for (const Job& job : jobs_) {
     const background::Progress& progress = targets_.at(job.target).budget->progress(job.id);
-    cursors[config_.volumes[job.number].client_export.name] = {job.scrubber.position() * options_.chunk,
-                                                               progress.rounds, progress.since};
+    cursors[config_.volumes[job.export_index].client_export.name] = {job.scrubber.position() * options_.chunk,
+                                                                     progress.rounds, progress.since};
   }
   cursors_saved_at_ = core::Now();
   if (cursors == saved_cursors_) {
@@ -128,9 +128,9 @@
   found->second.started_at = started_at;
 }
 
-void Scrub::Recheck(std::size_t number, std::uint64_t block) {
+void Scrub::Recheck(std::size_t export_index, std::uint64_t block) {
   for (Job& job : jobs_) {
-    if (job.number == number) {
+    if (job.export_index == export_index) {
       job.scrubber.Recheck(block);
     }
   }
@@ -163,8 +163,8 @@
     }
   }
   const auto next = state.budget->NextAt(now);
-  state.schedule_timer.Start(next ? std::clamp<Time>(*next - now, kMinScheduleInterval, kIdleScheduleInterval)
-                                  : kIdleScheduleInterval);
+  state.schedule_timer.Start(next ? std::clamp<Time>(*next - now, kMinScheduleInterval, kMaxScheduleInterval)
+                                  : kMaxScheduleInterval);
 }
 
 void Scrub::StartRead(std::size_t job_index) {
@@ -185,7 +185,7 @@
 }
 
 core::RequestReceived Scrub::MakeRequest(const Job& job, const integrity::Scrubber::Range& range) {
-  const nbd::Volume& volume = config_.volumes[job.number];
+  const nbd::Volume& volume = config_.volumes[job.export_index];
   const auto bytes = static_cast<std::uint32_t>(range.count * integrity::kBlockBytes);
   core::RequestReceived received;
   received.request = request_numbers_->next++;
@@ -202,7 +202,7 @@
   payload->request.offset = range.first * integrity::kBlockBytes;
   payload->request.length = bytes;
   payload->remote = volume.remote;
-  payload->volume = static_cast<int>(job.number);
+  payload->volume = static_cast<int>(job.export_index);
   received.payload = std::move(payload);
   return received;
 }
@@ -236,7 +236,7 @@
   for (const Job& job : jobs_) {
     const background::Budget& budget = *targets_.at(job.target).budget;
     const background::Progress& progress = budget.progress(job.id);
-    all.push_back({config_.volumes[job.number].client_export.name, progress.position, progress.total,
+    all.push_back({config_.volumes[job.export_index].client_export.name, progress.position, progress.total,
                    progress.rounds, budget.Rate(job.id, core::Now()), budget.in_flight(job.id)});
   }
   return all;
--- a/src/checksummed/scrub.h
+++ b/src/checksummed/scrub.h
@@ -58,7 +58,7 @@
   // Called with each state of a target that discovery reports; `started_at` 0: long ago.
   void OnTargetState(const std::string& target, bool active, Time started_at);
   // Schedules another read of a block of an export.
-  void Recheck(std::size_t number, std::uint64_t block);
+  void Recheck(std::size_t export_index, std::uint64_t block);
   void Pause(bool paused);
   bool paused() const { return paused_; }
 
@@ -77,7 +77,7 @@
 
  private:
   struct Job {
-    std::size_t number = 0;  // of the export
+    std::size_t export_index = 0;  // of the export
     std::string target;
     background::JobId id = 0;
     integrity::Scrubber scrubber;
@@ -94,7 +94,7 @@
     loop::EventHandle deadline;
   };
 
-  void AddJob(std::size_t number, Time now);
+  void AddJob(std::size_t export_index, Time now);
   void ScheduleReads(const std::string& target);
   void StartRead(std::size_t job);
   core::RequestReceived MakeRequest(const Job& job, const integrity::Scrubber::Range& range);
