--- a/src/pcap/player.cpp
+++ b/src/pcap/player.cpp
@@ -22,10 +22,10 @@
 }
 
 Player::Player(event_base* base, const std::vector<Stream>& streams, const AddressOf& address_of,
-               Time quiet_time, std::function<void()> on_done)
+               Time idle_timeout, std::function<void()> on_done)
     : base_(base),
-      quiet_time_(quiet_time),
-      step_(loop::MakeTimer(base, [this] { StartNext(); })),
+      idle_timeout_(idle_timeout),
+      start_timer_(loop::MakeTimer(base, [this] { StartNext(); })),
       on_done_(std::move(on_done)) {
   for (const Stream& stream : streams) {
     Result& result = results_.emplace_back();
@@ -34,14 +34,14 @@
       continue;
     }
     result.sent = stream.to_server.bytes();
-    result.gap = stream.to_server.gap();
+    result.has_gap = stream.to_server.has_gap();
     auto replay = std::make_unique<Replay>();
     replay->owner = this;
     replay->number = results_.size() - 1;
     replay->address = address;
     replays_.push_back(std::move(replay));
   }
-  step_.Start(0);
+  start_timer_.Start(0);
 }
 
 // Starts streams up to the limit, in the order of the file.
@@ -58,16 +58,16 @@
 
 void Player::Start(Replay& replay) {
   Replay* self = &replay;
-  replay.quiet_timer = loop::MakeTimer(base_, [self] { self->owner->End(*self); });
+  replay.idle_timer = loop::MakeTimer(base_, [self] { self->owner->End(*self); });
   replay.stream = loop::MakeClientStream(base_);
   bufferevent* stream = replay.stream.get();
   loop::SetCallbacks(stream, self);
   bufferevent_enable(stream, EV_READ | EV_WRITE);
   loop::Write(stream, results_[replay.number].sent);
   const sockaddr_in address = loop::ToSocket(replay.address);
-  replay.quiet_timer.Start(quiet_time_);
+  replay.idle_timer.Start(idle_timeout_);
   if (!loop::Connect(stream, address)) {
-    replay.quiet_timer.Start(0);
+    replay.idle_timer.Start(0);
   }
 }
 
@@ -77,15 +77,15 @@
     return;
   }
   replay.stream.reset();
-  replay.quiet_timer.Stop();
+  replay.idle_timer.Stop();
   --open_;
   --next_;
-  step_.Start(0);
+  start_timer_.Start(0);
 }
 
 void Player::Replay::OnReadable() {
   owner->results_[number].received += loop::TakeInput(stream.get());
-  quiet_timer.Start(owner->quiet_time_);
+  idle_timer.Start(owner->idle_timeout_);
 }
 
 void Player::Replay::OnEvent(loop::EventMask what) {
--- a/src/pcap/reassembly.h
+++ b/src/pcap/reassembly.h
@@ -25,7 +25,7 @@
   // The stream up to its first gap.
   const std::string& bytes() const { return bytes_; }
   // Whether bytes are missing after bytes().
-  bool gap() const { return truncated_ || !pending_.empty(); }
+  bool has_gap() const { return truncated_ || !pending_.empty(); }
 
  private:
   void AddPending(std::uint32_t position, std::string_view bytes);
--- a/src/pcap/traffic.h
+++ b/src/pcap/traffic.h
@@ -51,14 +51,14 @@
   struct Result {
     std::string sent;
     std::string received;
-    bool gap = false;  // the stream ends at a gap in the file
+    bool has_gap = false;  // the stream ends at a gap in the file
   };
   // Where to replay a stream to; port 0: it is left out.
   using AddressOf = std::function<loop::Address(const Stream&)>;
 
-  // A stream counts as answered once it receives nothing for `quiet_time` us. `on_done` is called on the loop
-  // once all streams are.
-  Player(event_base* base, const std::vector<Stream>& streams, const AddressOf& address_of, Time quiet_time,
+  // A stream counts as answered once it receives nothing for `idle_timeout` us. `on_done` is called on the
+  // loop once all streams are.
+  Player(event_base* base, const std::vector<Stream>& streams, const AddressOf& address_of, Time idle_timeout,
          std::function<void()> on_done);
 
   // One for each stream, in their order.
@@ -71,7 +71,7 @@
     std::size_t number = 0;  // index into the results
     loop::Address address;
     bool ended = false;
-    loop::EventHandle quiet_timer;
+    loop::EventHandle idle_timer;
     loop::StreamPtr stream;
 
     // The stream's callbacks, see loop::SetCallbacks.
@@ -83,12 +83,12 @@
   void StartNext();
 
   event_base* base_;
-  Time quiet_time_;
+  Time idle_timeout_;
   std::vector<Result> results_;
   std::vector<std::unique_ptr<Replay>> replays_;  // those that have not ended, in the order of the file
   std::size_t open_ = 0;                          // open connections: the first `open_` replays
   std::size_t next_ = 0;                          // the first replay that has not started
-  loop::EventHandle step_;
+  loop::EventHandle start_timer_;
   std::function<void()> on_done_;
 };
 
--- a/tests/net/pcap_test.cpp
+++ b/tests/net/pcap_test.cpp
@@ -23,11 +23,11 @@
   side.Add(2, "efgh");         // early
   side.Add(0xfffffffe, "ab");  // in order, up to the wrap
   CHECK(side.bytes() == "ab");
-  CHECK(side.gap());
+  CHECK(side.has_gap());
   side.Add(0xfffffffe, "ab");   // retransmitted
   side.Add(0xffffffff, "bcd");  // overlaps and fills the gap
   CHECK(side.bytes() == "abcdefgh");
-  CHECK_FALSE(side.gap());
+  CHECK_FALSE(side.has_gap());
   side.Add(4, "ghij");
   CHECK(side.bytes() == "abcdefghij");
 }
@@ -38,17 +38,17 @@
   gap.Add(10, "ab");
   gap.Add(13, "d");
   CHECK(gap.bytes() == "ab");
-  CHECK(gap.gap());
+  CHECK(gap.has_gap());
   pcap::Reassembly cut(1000);
   cut.Add(10, "ab", 2);
   cut.Add(14, "ef");
   CHECK(cut.bytes() == "ab");
-  CHECK(cut.gap());
+  CHECK(cut.has_gap());
   pcap::Reassembly much(4);
   much.Add(0, "abc");
   much.Add(3, "de");
   CHECK(much.bytes() == "abc");
-  CHECK(much.gap());
+  CHECK(much.has_gap());
 }
 
 TEST_CASE("what is written reads back, also from a truncated file") {
