--- a/src/nbd/blocking_client.cpp
+++ b/src/nbd/blocking_client.cpp
@@ -25,18 +25,18 @@
       continue;
     }
     if (size <= 0) {
-      throw ConnectionError("the connection ended");
+      throw ConnectionError(std::string("cannot send to the server: ") + std::strerror(errno));
     }
     at += static_cast<std::size_t>(size);
   }
 }
 
-// Waits for some bytes.
+// Waits until bytes are received, and returns them.
 std::string Receive(int fd) {
   std::string bytes(kReceiveBytes, '\0');
   const ssize_t size = recv(fd, bytes.data(), bytes.size(), 0);
   if (size <= 0) {
-    throw ConnectionError("the connection ended");
+    throw ConnectionError("the server closed or reset the connection");
   }
   bytes.resize(static_cast<std::size_t>(size));
   return bytes;
@@ -77,8 +77,8 @@
   }
 }
 
-// Loops because a reply may arrive in parts. In the handshake it returns once the session is ready or has
-// ended.
+// Loops because a reply may arrive in parts. During the handshake the function returns once the session is
+// ready or has ended.
 std::vector<Reply> BlockingClient::ReceiveReplies(int timeout_ms) {
   const bool in_handshake = !session_.ready();
   std::vector<Reply> replies;
@@ -86,7 +86,8 @@
     pollfd polled{fd_, POLLIN, 0};
     if (poll(&polled, 1, timeout_ms) <= 0) {
       if (in_handshake) {
-        throw ConnectionError("the handshake stalls");
+        throw ConnectionError("the server did not complete the handshake within " +
+                              std::to_string(timeout_ms) + " ms");
       }
       return {};
     }
@@ -99,7 +100,7 @@
       break;
     }
     if (session_.ended()) {
-      throw ConnectionError("the server does not speak NBD: " + session_.error());
+      throw ConnectionError("the server violates the NBD protocol: " + session_.error());
     }
   }
   return replies;
@@ -124,7 +125,7 @@
     }
     std::vector<Reply> more = ReceiveReplies(timeout_ms_);
     if (more.empty()) {
-      throw ConnectionError("no answer in time");
+      throw ConnectionError("no reply from the server within " + std::to_string(timeout_ms_) + " ms");
     }
     std::move(more.begin(), more.end(), std::back_inserter(replies_));
   }
--- a/src/nbd/blocking_client.h
+++ b/src/nbd/blocking_client.h
@@ -1,5 +1,6 @@
-// An NBD client whose calls wait for their replies: for tools, simulators and tests, not for the event loop.
-// It owns its socket; one thread at a time may use it.
+// Class BlockingClient is an NBD client whose calls block until the reply arrives. It is meant for
+// command-line tools, benchmarks and tests, and must not be used on the event loop. It owns its socket; only
+// one thread at a time may use it.
 #ifndef WALNUTSPUR_NBD_BLOCKING_CLIENT_H_
 #define WALNUTSPUR_NBD_BLOCKING_CLIENT_H_
 
@@ -13,31 +14,32 @@
 
 namespace walnutspur::nbd {
 
-// How long a call waits for each of the server's messages unless the caller says otherwise, ms.
+// Default limit of the wait for each message of the server, ms.
 constexpr int kDefaultTimeoutMs = 5000;
 
 class BlockingClient {
  public:
-  // Connects and completes the handshake. `timeout_ms` bounds the wait for each of the server's messages.
-  // Throws ConnectionError with a message of one line, or loop::AddressError.
+  // Connects and completes the handshake. `timeout_ms` limits the wait for each message of the server.
+  // Throws ConnectionError with a one-line message, or loop::AddressError if the address is malformed.
   BlockingClient(const std::string& address, const std::string& export_name,
                  int timeout_ms = kDefaultTimeoutMs);
   ~BlockingClient();
   BlockingClient(const BlockingClient&) = delete;
   BlockingClient& operator=(const BlockingClient&) = delete;
 
-  // Bytes of the export.
+  // Returns the size of the export in bytes.
   std::uint64_t size() const { return session_.size(); }
 
-  // Each sends one command and waits for its reply. Throws ConnectionError if the connection ends or the
-  // timeout expires.
+  // Send one command and wait for its reply. Throw ConnectionError if the connection is closed or after
+  // the timeout.
   Reply Read(std::uint64_t offset, std::uint32_t length);
   Reply Write(std::uint64_t offset, std::string data);
   Reply Flush();
 
-  // Sends a command without waiting for its reply; returns its cookie.
+  // Sends a command without waiting for its reply, and returns its cookie.
   std::uint64_t Send(Request request);
-  // The next replies to arrive; empty if none arrives in time. Throws ConnectionError if the connection ends.
+  // Waits for the next replies and returns them; returns an empty vector if none arrives within `timeout_ms`.
+  // Throws ConnectionError if the connection is closed.
   std::vector<Reply> ReceiveReplies(int timeout_ms);
   int fd() const { return fd_; }
 
@@ -50,10 +52,10 @@
   int fd_ = -1;
   int timeout_ms_;
   std::uint64_t next_cookie_ = 1;
-  std::vector<Reply> replies_;  // received while waiting for another
+  std::vector<Reply> replies_;  // received while WaitForReply waited for another cookie
 };
 
-// The bytes of a read's pieces, holes as zeros.
+// Returns the data of a read's reply, with holes filled with zeros.
 std::string DataOf(const Reply& reply);
 
 }  // namespace walnutspur::nbd
--- a/src/nbd/byte_buffer.cpp
+++ b/src/nbd/byte_buffer.cpp
@@ -10,7 +10,8 @@
   return taken;
 }
 
-// Moves the remaining bytes to the front once half is processed, so that the cost per byte is constant.
+// Moves the remaining bytes to the start of the buffer once more than half of it has been processed, so that
+// the amortized cost per byte is constant.
 std::size_t Buffer::Skip(std::size_t wanted) {
   const std::size_t skipped = std::min(wanted, size());
   begin_ += skipped;
--- a/src/nbd/byte_buffer.h
+++ b/src/nbd/byte_buffer.h
@@ -1,4 +1,5 @@
-// Integers in network byte order, and a buffer of received bytes. Plain data; any thread.
+// Encodes and decodes integers in network byte order, and buffers received bytes. No shared state; usable
+// from any thread.
 #ifndef WALNUTSPUR_NBD_BYTE_BUFFER_H_
 #define WALNUTSPUR_NBD_BYTE_BUFFER_H_
 
@@ -12,7 +13,7 @@
 constexpr int kBitsPerByte = 8;
 constexpr unsigned kByteMask = 0xff;
 
-// Appends an integer.
+// Appends an integer in network byte order.
 template <typename T>
 void Put(T value, std::string* out) {
   for (int shift = kBitsPerByte * (sizeof(T) - 1); shift >= 0; shift -= kBitsPerByte) {
@@ -20,7 +21,7 @@
   }
 }
 
-// Reads an integer at an offset; the bytes must be there.
+// Returns the integer at offset `at`. `bytes` must contain all of its bytes.
 template <typename T>
 T Get(std::string_view bytes, std::size_t at = 0) {
   std::uint64_t value = 0;
@@ -30,7 +31,7 @@
   return static_cast<T>(value);
 }
 
-// Reads a message's fields one after the other; the bytes must be there.
+// Class FieldReader reads the fields of a message in order. The message must contain all of them.
 class FieldReader {
  public:
   explicit FieldReader(std::string_view bytes) : rest_(bytes) {}
@@ -47,22 +48,22 @@
   std::string_view rest_;
 };
 
-// Bytes that were received and not processed yet.
+// Class Buffer holds received bytes that have not been processed yet.
 class Buffer {
  public:
   void Add(std::string_view bytes) { bytes_.append(bytes); }
   std::size_t size() const { return bytes_.size() - begin_; }
 
-  // The first bytes, at most `size`, left in place. Valid until the buffer changes.
+  // Returns the first bytes, at most `size`, without removing them. Valid until the buffer changes.
   std::string_view Peek(std::size_t size) const { return std::string_view{bytes_}.substr(begin_, size); }
   // Removes the first bytes, at most `size`, and returns them.
   std::string Take(std::size_t size);
-  // Removes the first bytes, at most `wanted`, and returns how many.
+  // Removes the first bytes, at most `wanted`, and returns the number of bytes removed.
   std::size_t Skip(std::size_t wanted);
 
  private:
   std::string bytes_;
-  std::size_t begin_ = 0;  // the first byte that is not processed yet
+  std::size_t begin_ = 0;  // offset of the first byte that has not been processed
 };
 
 }  // namespace walnutspur::nbd
--- a/src/nbd/client_connection.cpp
+++ b/src/nbd/client_connection.cpp
@@ -13,17 +13,18 @@
 namespace walnutspur::nbd {
 namespace {
 
-// Beyond either limit a client's input is not read, so that a client cannot make the initiator buffer more.
+// Input of a client that exceeds either limit is not read, which bounds the memory that the client can occupy
+// in the initiator.
 constexpr std::size_t kMaxCommandsInFlight = 32;
 constexpr std::size_t kMaxUnwrittenBytes = 256 << 10;
 
-// Bytes of input that are processed at a time.
+// Number of input bytes that are processed at a time.
 constexpr std::size_t kReadBytes = 4096;
 
-// From a command's first byte to its last, us.
+// Limit of the time from the first to the last byte of a command, us.
 constexpr Time kCommandTimeout = 2'500'000;
 
-// Devices on poor links disappear without closing their connections.
+// Enables TCP keep-alive, since clients on unreliable links may disappear without closing their connections.
 void EnableKeepAlive(evutil_socket_t fd) {
   const int enabled = 1;
   setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &enabled, sizeof enabled);
@@ -65,7 +66,8 @@
   }
 }
 
-// A connection on which a command was sent is never evicted: a device is mounted on it.
+// Ranks a connection on which a command has been received as in use, so that it is never evicted: the client
+// has a device mounted on it.
 frontend::EvictionRank ClientConnection::eviction_rank() const {
   if (has_sent_command_) {
     return frontend::EvictionRank::kInUse;
@@ -79,7 +81,8 @@
          loop::UnwrittenBytes(stream_.get()) <= kMaxUnwrittenBytes;
 }
 
-// The command timer stops as well: it is not the client that delays the remaining bytes of its command.
+// Also stops the command timer: while reading is paused, it is the initiator that delays the remaining bytes
+// of the command.
 void ClientConnection::PauseReading() {
   bufferevent_disable(stream_.get(), EV_READ);
   command_timer_.Stop();
@@ -126,7 +129,8 @@
   UpdateCommandTimer(!requests.empty());
 }
 
-// Without a timeout, a client that stops in the middle of a command would be waited for indefinitely.
+// Starts the command timer while a command is incomplete: without a timeout, a client that stops in the
+// middle of a command would hold its connection indefinitely.
 void ClientConnection::UpdateCommandTimer(bool command_completed) {
   const bool runs = session_.has_partial_command();
   if (!runs) {
@@ -143,7 +147,7 @@
     if (written) {
       owner_->OnEnd(*this);
     } else {
-      handshake_timer_.Start(config_.handshake_timeout);  // the client may never read its last replies
+      handshake_timer_.Start(config_.handshake_timeout);  // the client may not read its last replies
     }
     return;
   }
--- a/src/nbd/client_connection.h
+++ b/src/nbd/client_connection.h
@@ -1,5 +1,5 @@
-// One client's connection to the NBD front end: stream, protocol session, timers, and the commands in flight.
-// The front end owns it; both belong to the thread of the event loop.
+// Class ClientConnection holds one client's connection to the NBD front end: the stream, the protocol
+// session, the timers and the commands in flight. Owned by the front end; runs on the event loop's thread.
 #ifndef WALNUTSPUR_NBD_CLIENT_CONNECTION_H_
 #define WALNUTSPUR_NBD_CLIENT_CONNECTION_H_
 
@@ -21,43 +21,43 @@
 
 class ClientConnection;
 
-// Implemented by the owner of client connections.
+// Interface that the owner of client connections implements.
 class ClientConnectionOwner {
  public:
   virtual ~ClientConnectionOwner() = default;
-  // Takes over a command that the client has sent.
+  // Called with each command that has been received completely.
   virtual void OnCommand(ClientConnection& connection, Request request) = 0;
-  // The connection has ended and is to be destroyed.
+  // Called when the connection has ended; the owner must destroy it.
   virtual void OnEnd(ClientConnection& connection) = 0;
-  // Whether the program shuts down gracefully.
+  // Returns whether the process is draining.
   virtual bool draining() const = 0;
 };
 
 class ClientConnection {
  public:
-  using CommandsInFlight = std::map<std::uint64_t, core::RequestNumber>;  // by the client's cookie
+  using CommandsInFlight = std::map<std::uint64_t, core::RequestNumber>;  // key: the client's cookie
 
   // `config` and `owner` must outlive the connection.
   ClientConnection(std::uint64_t number, const Config& config, ClientConnectionOwner* owner);
   ClientConnection(const ClientConnection&) = delete;
   ClientConnection& operator=(const ClientConnection&) = delete;
 
-  // Takes over an accepted socket and starts the timeout of the handshake. False: it cannot be used and has
-  // been closed.
+  // Takes ownership of an accepted socket and starts the handshake timer. Returns false if the socket is not
+  // usable, in which case it has been closed.
   bool Adopt(event_base* base, evutil_socket_t fd);
-  // Begins to read, and sends the greeting.
+  // Enables reading and sends the greeting.
   void Begin();
 
   void AddInFlight(std::uint64_t cookie, core::RequestNumber request) { in_flight_[cookie] = request; }
   void RemoveInFlight(std::uint64_t cookie) { in_flight_.erase(cookie); }
   void Write(const std::string& bytes);
-  // Processes what has been received, as far as the limits on commands and replies in flight allow. May
-  // destroy the connection.
+  // Processes the received bytes until the limit of commands in flight or of unwritten replies is reached.
+  // May destroy the connection.
   void ProcessInput();
-  // Reads again after a pause for capacity. May destroy the connection.
+  // Resumes reading after a pause for lack of capacity. May destroy the connection.
   void ResumeReading();
-  // Closes the connection if its session has ended, and shuts it down for writing if the program drains and
-  // nothing is in flight. May destroy the connection.
+  // Closes the connection if its session has ended, and shuts it down for writing if the process is draining
+  // and no command is in flight. May destroy the connection.
   void CloseIfIdle();
 
   std::uint64_t number() const { return number_; }
@@ -67,7 +67,7 @@
   bufferevent* stream() const { return stream_.get(); }
   evutil_socket_t fd() const { return bufferevent_getfd(stream_.get()); }
 
-  // The stream's callbacks, see loop::SetCallbacks.
+  // Callbacks of the stream; see loop::SetCallbacks.
   void OnReadable() { ProcessInput(); }
   void OnWritten() { ResumeReading(); }
   void OnEvent(loop::EventMask what);
@@ -86,10 +86,10 @@
   CommandsInFlight in_flight_;
   bool has_sent_command_ = false;
   Time connected_at_ = 0;              // us
-  loop::EventHandle handshake_timer_;  // of the handshake, and of reading the last replies
-  bool command_timer_runs_ = false;    // a part of a command has been received
-  bool write_closed_ = false;          // shut down for writing: input is dropped
-  loop::EventHandle command_timer_;    // of receiving a command that has begun
+  loop::EventHandle handshake_timer_;  // limits the handshake, and the client's read of the last replies
+  bool command_timer_runs_ = false;    // true while a command is incomplete
+  bool write_closed_ = false;          // shut down for writing; input is discarded
+  loop::EventHandle command_timer_;    // limits the time to receive a whole command
   loop::StreamPtr stream_;
 };
 
--- a/src/nbd/client_session.cpp
+++ b/src/nbd/client_session.cpp
@@ -50,11 +50,11 @@
   FieldReader fields(greeting);
   const auto magic = fields.Next<std::uint64_t>();
   if (magic != kNbdMagic || fields.Next<std::uint64_t>() != kOptionMagic) {
-    return End("bad magic of the greeting");
+    return End("the greeting of the server has an invalid magic number");
   }
   const auto flags = fields.Next<std::uint16_t>();
   if (!(flags & kFixedNewstyle)) {
-    return End("the server knows no fixed newstyle");
+    return End("the server does not support the fixed newstyle handshake");
   }
   zeroes_ = (flags & kNoZeroes) == 0;
   Put<std::uint32_t>(kFixedNewstyle | (flags & kNoZeroes), out);
@@ -72,11 +72,11 @@
   std::string data;
   Put(static_cast<std::uint32_t>(name_.size()), &data);
   data += name_;
-  Put<std::uint16_t>(0, &data);  // no particular kinds of information
+  Put<std::uint16_t>(0, &data);  // number of information types requested
   SendOption(kOptGo, data, out);
 }
 
-// For servers that do not support NBD_OPT_GO.
+// Requests the export from a server that does not support NBD_OPT_GO.
 void ClientSession::SendExportName(std::string* out) {
   state_ = State::kExportInfo;
   SendOption(kOptExportName, name_, out);
@@ -88,16 +88,18 @@
   }
   FieldReader fields(input_.Peek(kOptionReplyHeaderSize));
   if (fields.Next<std::uint64_t>() != kOptionReplyMagic) {
-    return End("bad magic of an option's reply");
+    return End("an option reply has an invalid magic number");
   }
   const auto option = fields.Next<std::uint32_t>();
   const auto type = fields.Next<std::uint32_t>();
   const auto length = fields.Next<std::uint32_t>();
   if (option != pending_option_) {
-    return End("a reply to an option that was not asked");
+    return End("an option reply is for option " + std::to_string(option) + ", expected " +
+               std::to_string(pending_option_));
   }
   if (length > kMaxOptionSize) {
-    return End("an option's reply too long");
+    return End("an option reply has " + std::to_string(length) + " bytes of data, allowed are at most " +
+               std::to_string(kMaxOptionSize));
   }
   if (input_.size() < kOptionReplyHeaderSize + length) {
     return false;
@@ -130,7 +132,7 @@
       SendExportName(out);
       return true;
     default:
-      return End("the server does not serve the export");
+      return End("the server rejected the export: reply type " + std::to_string(type));
   }
 }
 
@@ -158,7 +160,7 @@
     return StepChunk(replies);
   }
   if (magic != kSimpleReplyMagic) {
-    return End("bad magic of a reply");
+    return End("a reply has an invalid magic number");
   }
   return StepSimpleReply(replies);
 }
@@ -168,16 +170,16 @@
     return false;
   }
   FieldReader fields(input_.Peek(kSimpleReplyHeaderSize));
-  fields.Next<std::uint32_t>();  // the magic number
+  fields.Next<std::uint32_t>();  // the magic number, checked by StepReply
   const auto error = fields.Next<std::uint32_t>();
   const auto cookie = fields.Next<std::uint64_t>();
   const auto at = in_flight_.find(cookie);
   if (at == in_flight_.end()) {
-    return End("a reply with an unknown cookie");
+    return End("a reply has cookie " + std::to_string(cookie) + ", which is not in flight");
   }
   const ReplyAssembler& command = at->second;
   if (command.is_read() && structured_) {
-    return End("a simple reply to a read");
+    return End("a read got a simple reply although structured replies are negotiated");
   }
   const std::size_t size = command.is_read() && error == kOk ? command.length() : 0;
   if (input_.size() < kSimpleReplyHeaderSize + size) {
@@ -198,18 +200,19 @@
     return false;
   }
   FieldReader fields(input_.Peek(kChunkHeaderSize));
-  fields.Next<std::uint32_t>();  // the magic number
+  fields.Next<std::uint32_t>();  // the magic number, checked by StepReply
   const auto flags = fields.Next<std::uint16_t>();
   const auto type = fields.Next<std::uint16_t>();
   const auto cookie = fields.Next<std::uint64_t>();
   const auto length = fields.Next<std::uint32_t>();
   const auto at = in_flight_.find(cookie);
   if (at == in_flight_.end()) {
-    return End("a chunk with an unknown cookie");
+    return End("a reply chunk has cookie " + std::to_string(cookie) + ", which is not in flight");
   }
   ReplyAssembler& assembler = at->second;
   if (length > assembler.MaxChunkSize(type)) {
-    return End("a chunk too long");
+    return End("a reply chunk has " + std::to_string(length) +
+               " bytes of data, which is too long for its type and command");
   }
   if (input_.size() < kChunkHeaderSize + length) {
     return false;
@@ -217,7 +220,7 @@
   input_.Skip(kChunkHeaderSize);
   const std::string data = input_.Take(length);
   if (!assembler.Add(type, data)) {
-    return End("a chunk that cannot be");
+    return End("a reply chunk of type " + std::to_string(type) + " is not valid for its command");
   }
   if (flags & kChunkDone) {
     replies->push_back(assembler.Finish(cookie));
--- a/src/nbd/client_session.h
+++ b/src/nbd/client_session.h
@@ -1,6 +1,7 @@
-// The client's side of an NBD connection, without a socket: the fixed newstyle handshake for one export, then
-// commands. Received bytes go in, in pieces of any size; replies come out, and messages for the server. A
-// connection owns one, on its thread.
+// Class ClientSession implements the client side of the NBD protocol without a socket: the fixed newstyle
+// handshake for one export, then the transmission phase. The input is the received bytes, split in any way;
+// the output is replies for the caller and messages for the server. Owned by a connection and used on its
+// thread.
 #ifndef WALNUTSPUR_NBD_CLIENT_SESSION_H_
 #define WALNUTSPUR_NBD_CLIENT_SESSION_H_
 
@@ -22,30 +23,30 @@
  public:
   explicit ClientSession(std::string export_name) : name_(std::move(export_name)) {}
 
-  // Processes received bytes. Messages of the handshake are appended to `out`, complete replies to `replies`.
+  // Processes received bytes. Appends handshake messages to `out` and complete replies to `replies`.
   void Feed(std::string_view bytes, std::string* out, std::vector<Reply>* replies);
-  // Appends a command to `out` and expects its reply; the cookie must not be in flight.
+  // Appends a command to `out` and registers its cookie, which must not be in flight.
   void Send(const Request& request, std::string* out);
 
-  // The handshake is complete: commands may be sent.
+  // Returns whether the handshake is complete, so that commands may be sent.
   bool ready() const { return state_ == State::kReply; }
   bool ended() const { return state_ == State::kEnded; }
-  // Why the session has ended.
+  // Returns the protocol error that has ended the session.
   const std::string& error() const { return error_; }
   std::size_t in_flight() const { return in_flight_.size(); }
-  // The server sends what replies to no command.
+  // Returns whether the server has sent bytes although no command is in flight.
   bool has_unsolicited_bytes() const { return ready() && in_flight_.empty() && input_.size() > 0; }
 
-  // The export, once the session is ready: its size in bytes, its transmission flags.
+  // Return the size of the export in bytes and its transmission flags. Valid once the session is ready.
   std::uint64_t size() const { return size_; }
   std::uint16_t flags() const { return flags_; }
 
  private:
-  // What the next bytes are: the greeting, the reply to an option, the reply to NBD_OPT_EXPORT_NAME, the
-  // reply to a command.
+  // The message that is expected next: the greeting, the reply to an option, the reply to
+  // NBD_OPT_EXPORT_NAME, or the reply to a command.
   enum class State { kGreeting, kOptionReply, kExportInfo, kReply, kEnded };
 
-  // Each processes one message; false: more bytes are needed, or the session has ended.
+  // Process one message. Return false if more bytes are needed or the session has ended.
   bool Step(std::string* out, std::vector<Reply>* replies);
   bool StepGreeting(std::string* out);
   bool StepOptionReply(std::string* out);
@@ -58,18 +59,18 @@
   void SendOption(std::uint32_t option, std::string_view data, std::string* out);
   void SendGo(std::string* out);
   void SendExportName(std::string* out);
-  // Ends the session; always false, for the steps to return.
+  // Ends the session with an error. Always returns false, as the return value of the calling step.
   bool End(std::string error);
 
-  std::string name_;  // the export's
+  std::string name_;  // of the export
   State state_ = State::kGreeting;
   Buffer input_;
-  std::uint32_t pending_option_ = 0;  // the option that has no final reply yet
-  bool zeroes_ = true;                // the reply to NBD_OPT_EXPORT_NAME ends with zeroes
+  std::uint32_t pending_option_ = 0;  // the option that awaits its final reply
+  bool zeroes_ = true;                // NBD_FLAG_NO_ZEROES is not negotiated
   bool structured_ = false;           // structured replies are negotiated
   std::uint64_t size_ = 0;
   std::uint16_t flags_ = 0;
-  std::map<std::uint64_t, ReplyAssembler> in_flight_;  // by cookie
+  std::map<std::uint64_t, ReplyAssembler> in_flight_;  // key: cookie
   std::string error_;
 };
 
--- a/src/nbd/codec.h
+++ b/src/nbd/codec.h
@@ -1,10 +1,10 @@
-// Both sides of the NBD protocol without sockets, as one include for code that uses all of it. Each part can
-// be included alone:
-//   protocol.h        constants and messages as plain data
-//   byte_buffer.h     integers in network byte order, received bytes
+// Includes the whole NBD codec, which implements both sides of the protocol without sockets. Each header can
+// also be included by itself:
+//   protocol.h        constants, and messages as plain data
+//   byte_buffer.h     integers in network byte order, and a buffer of received bytes
 //   messages.h        encoding of messages
-//   server_session.h  a connection's server side
-//   client_session.h  a connection's client side
+//   server_session.h  server side of a connection
+//   client_session.h  client side of a connection
 #ifndef WALNUTSPUR_NBD_CODEC_H_
 #define WALNUTSPUR_NBD_CODEC_H_
 
--- a/src/nbd/command.cpp
+++ b/src/nbd/command.cpp
@@ -7,7 +7,7 @@
 
 constexpr Time kMicrosecondsPerMillisecond = 1000;
 
-// The message of a response that is not served.
+// Returns the error message for a response other than kServed.
 std::string FailureMessage(const core::Response& response) {
   switch (response.status) {
     case core::ResponseStatus::kRejected:
@@ -55,10 +55,10 @@
     case core::ResponseStatus::kServed:
       return kOk;
     case core::ResponseStatus::kRejected:
-      return kNoMemory;  // a lack of resources: a retry does no harm
+      return kNoMemory;  // lack of resources; a retry is harmless
     case core::ResponseStatus::kFailed:
     case core::ResponseStatus::kTimedOut:
-      return kIo;  // whether it took effect is unknown
+      return kIo;  // unknown whether the command took effect
     case core::ResponseStatus::kDuplicate:
       return kInvalid;
   }
--- a/src/nbd/command.h
+++ b/src/nbd/command.h
@@ -1,4 +1,5 @@
-// Checks of clients' commands, and the errors that they are answered with. No state; any thread.
+// Validates clients' commands and maps responses of the scheduler to NBD errors. No state; usable from any
+// thread.
 #ifndef WALNUTSPUR_NBD_COMMAND_H_
 #define WALNUTSPUR_NBD_COMMAND_H_
 
@@ -11,19 +12,20 @@
 
 namespace walnutspur::nbd {
 
-// Why a command is not run.
+// The error with which a command is rejected.
 struct CommandError {
   Error error = kOk;
   const char* message = "";
 };
 
-// Checks that a command's range is complete and lies within the export. Empty: it does.
+// Checks that a command's range is well-formed and lies within the export. Returns nullopt if it does.
 std::optional<CommandError> CheckRange(const Request& request, const Export& target_export);
 
-// The one mapping from response statuses to NBD errors; docs/architecture.md shows it.
+// Maps a response status to an NBD error. This is the only such mapping; docs/architecture.md shows it.
 Error ErrorOf(core::ResponseStatus status);
 
-// Encodes the scheduler's response to a command, whose payload is a ReplyPayload.
+// Encodes the scheduler's response to a command. The payload must be a ReplyPayload; it may be null
+// unless the command was served.
 std::string EncodeResponse(const ServerSession& session, std::uint64_t cookie,
                            const core::Response& response);
 
--- a/src/nbd/config.cpp
+++ b/src/nbd/config.cpp
@@ -14,16 +14,17 @@
 
 constexpr double kMicrosecondsPerSecond = 1e6;
 
-// Bytes of one command, whatever the size of a unit.
+// Maximum number of bytes that one command transfers, regardless of the size of a unit.
 constexpr double kMaxCommandBytes = 1 << 20;
 
-// Data blocks in the size that is suggested for an export without room for its tags and journal.
+// Number of data blocks in the minimum size that the error message suggests for an export that is too small
+// for its tags and journal.
 constexpr std::uint64_t kMinDataBlocks = 16;
 
 int Index(const std::vector<std::string>& names, const std::string& name) {
   const auto at = std::find(names.begin(), names.end(), name);
   if (at == names.end()) {
-    throw ConfigError("'" + name + "' is not in the settings");
+    throw ConfigError("'" + name + "' is not defined in the settings");
   }
   return static_cast<int>(at - names.begin());
 }
@@ -40,7 +41,7 @@
 const std::vector<config::Table>& Tables(const config::Table& root, const std::string& name) {
   const auto at = root.tables.find(name);
   if (at == root.tables.end()) {
-    throw ConfigError("no [[" + name + "]]");
+    throw ConfigError("section [[" + name + "]] is missing; at least one is required");
   }
   return at->second;
 }
@@ -62,15 +63,17 @@
   return target;
 }
 
-// Clients see a checksummed export without its tags and journal.
+// Reserves space for the tags and the journal of a checksummed export; the size that clients see does not
+// include them.
 void ReserveChecksumRegion(const config::Table& table, Volume* volume) {
   volume->raw_bytes = volume->client_export.size;
   volume->journal_bytes = static_cast<std::uint64_t>(table.Integer("journal"));
   const auto geometry = integrity::FitGeometry(volume->raw_bytes, volume->journal_bytes);
   if (!geometry) {
     const std::uint64_t min_bytes = volume->journal_bytes + kMinDataBlocks * integrity::kBlockBytes;
-    throw ConfigError("export '" + volume->client_export.name +
-                      "' is smaller than its tags and journal; allowed are " + std::to_string(min_bytes) +
+    throw ConfigError("export '" + volume->client_export.name + "': size is " +
+                      std::to_string(volume->raw_bytes) +
+                      " bytes, too small for its tags and journal; allowed are " + std::to_string(min_bytes) +
                       " bytes or more");
   }
   volume->client_export.size = geometry->data_size();
@@ -92,24 +95,26 @@
   if (volume.checksummed && volume.initiator_count != 1) {
     throw ConfigError("export '" + volume.client_export.name + "': hosts is " +
                       std::to_string(volume.initiator_count) +
-                      "; with checksums one initiator writes it: allowed is 1");
+                      "; an export with checksums is written by one initiator: allowed is 1");
   }
   volume.target = table.Text("box");
   volume.remote = table.Has("remote") ? table.Text("remote") : volume.client_export.name;
   return volume;
 }
 
-// Assigns the volume's shard to its target. A shard that belongs to discovery must not have a target that is
-// not in the endpoint list: its state would never change.
+// Assigns the volume's shard to its target. A target that is not in the endpoint list must not serve a shard
+// of discovery, because the state of the target would never change.
 void AssignShard(const Volume& volume, int shards, std::vector<Target>* targets) {
   const auto target = std::find_if(targets->begin(), targets->end(),
                                    [&](const Target& listed) { return listed.id == volume.target; });
   if (target == targets->end()) {
-    throw ConfigError("export '" + volume.client_export.name + "' names no box");
+    throw ConfigError("export '" + volume.client_export.name + "': box '" + volume.target +
+                      "' is not defined by a [[box]] section");
   }
   if (!target->listed && volume.shard < shards) {
-    throw ConfigError("export '" + volume.client_export.name +
-                      "': the shard of an unlisted box is the platform's");
+    throw ConfigError("export '" + volume.client_export.name + "': shard is " + std::to_string(volume.shard) +
+                      ", which belongs to discovery, but box '" + volume.target +
+                      "' has listed = false; allowed are " + std::to_string(shards) + " or more");
   }
   target->shard = volume.shard;
 }
--- a/src/nbd/config_keys.cpp
+++ b/src/nbd/config_keys.cpp
@@ -1,4 +1,4 @@
-// The keys of the file deploy/nbd.toml: type, range, default and description of each, by section.
+// Defines the keys of deploy/nbd.toml by section: type, range, default and description of each.
 #include <iterator>
 #include <utility>
 
@@ -10,10 +10,10 @@
 using config::Key;
 using config::Kind;
 
-// The largest integer that a key allows; below the largest std::int64_t, as a double.
+// Maximum value of integer keys. Ranges are doubles, so it is below the maximum of std::int64_t.
 constexpr double kMaxInt64 = 9.2e18;
 
-// Lengths of texts, in bytes.
+// Limits of the length of strings, in bytes.
 constexpr double kMaxNameBytes = 256;
 constexpr double kMaxExportNameBytes = 4096;
 constexpr double kMinAddressBytes = 3;
@@ -42,50 +42,55 @@
 
 std::vector<Key> ConnectionKeys() {
   return {
-      Required("listen", Kind::kText, kAddressRange, "where clients connect"),
+      Required("listen", Kind::kText, kAddressRange,
+               "address and port on which the front end listens for clients"),
       WithUnit(
-          Optional("handshake_s", Kind::kNumber, {0.01, 2.5}, "2.5", "a client's handshake takes no longer"),
+          Optional("handshake_s", Kind::kNumber, {0.01, 2.5}, "2.5", "time limit of a client's handshake"),
           "s"),
+      WithUnit(Optional("idle_s", Kind::kNumber, {0.1, 3600}, "30.0",
+                        "time after which a box closes an idle connection"),
+               "s"),
       WithUnit(
-          Optional("idle_s", Kind::kNumber, {0.1, 3600}, "30.0", "a box closes an idle connection after it"),
+          Optional("dial_s", Kind::kNumber, {0.001, 0.45}, "0.25",
+                   "time limit of connecting and handshake with a box; must be below the drain grace period"),
           "s"),
-      WithUnit(Optional("dial_s", Kind::kNumber, {0.001, 0.45}, "0.25",
-                        "connection and handshake at a box; under the grace of a drain"),
-               "s"),
   };
 }
 
 std::vector<Key> CommandKeys() {
   return {
       WithUnit(Optional("unit_bytes", Kind::kNumber, {1, 1 << 30}, "4096.0",
-                        "a command counts one unit for each part of this size"),
+                        "number of bytes of a command that count as one unit of load"),
                "bytes"),
-      Required("commands.read", Kind::kText, kNameRange, "the class of reads"),
-      Required("commands.write", Kind::kText, kNameRange, "the class of writes"),
-      Required("commands.flush", Kind::kText, kNameRange, "the class of flushes"),
+      Required("commands.read", Kind::kText, kNameRange, "request class of read commands"),
+      Required("commands.write", Kind::kText, kNameRange, "request class of write commands"),
+      Required("commands.flush", Kind::kText, kNameRange, "request class of flush commands"),
   };
 }
 
 std::vector<Key> TargetKeys() {
   return {
-      Required("box[].id", Kind::kText, kNameRange, "as discovery lists it"),
-      Required("box[].address", Kind::kText, kAddressRange, "where it speaks NBD"),
-      Optional("box[].paths", Kind::kTexts, kAddressRange, "", "further addresses of the same box"),
-      Optional("box[].listed", Kind::kBool, {}, "true", "whether discovery knows it"),
+      Required("box[].id", Kind::kText, kNameRange, "id of the box in discovery's endpoint list"),
+      Required("box[].address", Kind::kText, kAddressRange, "address and port of the box's NBD server"),
+      Optional("box[].paths", Kind::kTexts, kAddressRange, "",
+               "further addresses of the same box, one per network path"),
+      Optional("box[].listed", Kind::kBool, {}, "true", "whether the box is in discovery's endpoint list"),
   };
 }
 
 std::vector<Key> ExportKeys() {
   return {
-      Required("export[].name", Kind::kText, kExportNameRange, "as clients ask for it"),
-      Required("export[].volume", Kind::kText, kNameRange, "the volume's name in the decisions"),
-      Required("export[].plan", Kind::kText, kNameRange, "its plan, of the settings"),
-      Required("export[].shard", Kind::kInteger, {0, 1 << 30}, "where its data lies"),
-      Optional("export[].hosts", Kind::kInteger, {1, 1 << 20}, "1", "initiators that reach it"),
-      Required("export[].box", Kind::kText, kNameRange, "the box that holds it"),
-      Optional("export[].remote", Kind::kText, kExportNameRange, "", "its name at the box; the same without"),
+      Required("export[].name", Kind::kText, kExportNameRange, "name of the export that clients request"),
+      Required("export[].volume", Kind::kText, kNameRange, "name of the volume in requests to the scheduler"),
+      Required("export[].plan", Kind::kText, kNameRange, "plan of the export, as defined in the settings"),
+      Required("export[].shard", Kind::kInteger, {0, 1 << 30}, "shard that stores the data of the export"),
+      Optional("export[].hosts", Kind::kInteger, {1, 1 << 20}, "1",
+               "number of initiators that serve the export"),
+      Required("export[].box", Kind::kText, kNameRange, "id of the box that stores the export"),
+      Optional("export[].remote", Kind::kText, kExportNameRange, "",
+               "name of the export at the box; default: the value of `name`"),
       WithUnit(Required("export[].size", Kind::kInteger, {1, kMaxInt64},
-                        "of the export at the box; with checksums clients see less"),
+                        "size of the export at the box; if `checksums` is on, clients see a smaller size"),
                "bytes"),
   };
 }
@@ -93,10 +98,12 @@
 std::vector<Key> ChecksumKeys() {
   return {
       Optional("export[].checksums", Kind::kBool, {}, "false",
-               "tags for its blocks in a region at its end, which `integrity format` lays out"),
-      WithUnit(Optional("export[].journal", Kind::kInteger, {4 << 20, 1 << 30}, "4194304",
-                        "with checksums: what writes wait in before they go in place"),
-               "bytes"),
+               "store a tag for each block in a region at the end of the export, which `integrity format` "
+               "initializes"),
+      WithUnit(
+          Optional("export[].journal", Kind::kInteger, {4 << 20, 1 << 30}, "4194304",
+                   "size of the journal of an export with checksums; it stores writes until a checkpoint"),
+          "bytes"),
   };
 }
 
--- a/src/nbd/error.h
+++ b/src/nbd/error.h
@@ -1,4 +1,4 @@
-// The errors that this folder throws. Their texts are single lines for operators.
+// Exceptions thrown by the NBD code. Each message is a single line for operators.
 #ifndef WALNUTSPUR_NBD_ERROR_H_
 #define WALNUTSPUR_NBD_ERROR_H_
 
@@ -6,13 +6,13 @@
 
 namespace walnutspur::nbd {
 
-// A configuration file that cannot be read or does not fit the settings.
+// The configuration file cannot be read, is invalid, or is inconsistent with the settings.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// A blocking connection that cannot be opened, has ended, or stays silent for too long.
+// A blocking connection cannot be opened, has been closed, or has received no message within the timeout.
 class ConnectionError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/nbd/front_end.cpp
+++ b/src/nbd/front_end.cpp
@@ -13,8 +13,8 @@
 namespace walnutspur::nbd {
 namespace {
 
-// Idle connections close as soon as the front end drains, others once they are idle: NBD cannot mark a
-// response as a connection's last.
+// While the front end drains, idle connections are closed at once and busy ones when they become idle,
+// because an NBD reply cannot announce that the connection will be closed.
 constexpr frontend::ShutdownLimits kShutdownLimits = {};
 
 constexpr frontend::EvictionLimits kEvictionLimits = {.handshake_grace = std::chrono::milliseconds(30),
@@ -147,7 +147,7 @@
   received.attributes.key = volume.volume + "/" + std::to_string(request.offset);
   received.attributes.units = UnitsOf(config_, request.length);
   if (volume.checksummed && request.type == kWrite) {
-    // The target writes it twice: into the journal, and in place later.
+    // The target writes the data twice: to the journal, and in place at the next checkpoint.
     received.attributes.units = std::min(2 * received.attributes.units, settings_.max_request_units);
   }
   received.attributes.shard = volume.shard;
@@ -186,8 +186,8 @@
   pending_.SetShutdownDeadline(deadline);
 }
 
-// While the front end drains, further commands are rejected without an attempt, and a connection with nothing
-// in flight is shut down for writing; what it still sends is read until the client closes it.
+// While the front end drains, further commands are rejected without an attempt, and a connection without
+// commands in flight is shut down for writing; its input is read and discarded until the client closes it.
 void FrontEnd::AdvanceShutdown(Time left) {
   if (shutdown_.Advance(left)) {
     listener_.Close();
--- a/src/nbd/front_end.h
+++ b/src/nbd/front_end.h
@@ -1,8 +1,8 @@
-// The NBD front end: accepts clients, submits their commands to the scheduler thread, and sends each response
-// once.
+// Class FrontEnd accepts NBD clients, submits their commands to the scheduler thread and sends the response
+// to each command exactly once.
 //
-// Owned by the initiator; runs on the loop's thread. Requests go out through `submit`; responses come in by
-// Respond.
+// Owned by the initiator; runs on the event loop's thread. Requests are passed to `submit`; responses are
+// delivered by Respond.
 #ifndef WALNUTSPUR_NBD_FRONT_END_H_
 #define WALNUTSPUR_NBD_FRONT_END_H_
 
@@ -30,8 +30,8 @@
 
 class FrontEnd : public core::FrontEnd, private ClientConnectionOwner {
  public:
-  // Listens at the config's address; throws loop::ListenError or loop::AddressError if it cannot.
-  // `max_connections` bounds the clients. All references and pointers must outlive the front end.
+  // Starts listening on Config::listen; throws loop::ListenError or loop::AddressError on failure.
+  // `max_connections` limits the number of clients. All references and pointers must outlive the front end.
   FrontEnd(event_base* base, const Config& config, const Settings& settings, std::size_t max_connections,
            core::RequestNumbers* request_numbers, core::SubmitInput submit);
   ~FrontEnd() override;
@@ -44,16 +44,16 @@
   void AdvanceShutdown(Time left) override;
   std::size_t connections() const override { return clients_.size(); }
 
-  // The port that it listens on.
+  // Returns the port that the front end listens on.
   int port() const { return listener_.port(); }
 
-  // Called with each connection's stream once it is accepted.
+  // Called with the stream of each connection that is accepted.
   std::function<void(bufferevent*)> on_accept;
 
  private:
-  // Where a request came from.
+  // The connection and command that a request originates from.
   struct RequestOrigin {
-    std::uint64_t connection = 0;  // its number
+    std::uint64_t connection = 0;  // ClientConnection::number()
     std::uint64_t cookie = 0;      // chosen by the client
   };
 
@@ -79,7 +79,7 @@
   frontend::ShutdownSequence shutdown_;
   frontend::EvictionPolicy eviction_;
   std::uint64_t next_client_ = 1;
-  std::unordered_map<std::uint64_t, std::unique_ptr<ClientConnection>> clients_;  // by number
+  std::unordered_map<std::uint64_t, std::unique_ptr<ClientConnection>> clients_;  // key: its number
   frontend::PendingRequests<RequestOrigin> pending_;
   loop::Listener listener_;
 };
--- a/src/nbd/messages.h
+++ b/src/nbd/messages.h
@@ -1,5 +1,5 @@
-// Encodes the messages of the NBD protocol, but for the replies to commands (reply_encoder.h). No state; any
-// thread.
+// Encodes the messages of the NBD protocol, except replies to commands (see reply_encoder.h). No state;
+// usable from any thread.
 #ifndef WALNUTSPUR_NBD_MESSAGES_H_
 #define WALNUTSPUR_NBD_MESSAGES_H_
 
@@ -11,13 +11,13 @@
 
 namespace walnutspur::nbd {
 
-// The first message of a server.
+// Returns the first message of a server.
 std::string Greeting();
 
-// The first message of a client; its options follow.
+// Returns the first message of a client, which is followed by options.
 std::string ClientFlags();
 
-// Each appends one message to `out`.
+// Append one message to `out`.
 void PutOption(std::uint32_t option, std::string_view data, std::string* out);
 void PutOptionReply(std::uint32_t option, std::uint32_t type, std::string_view data, std::string* out);
 void PutRequest(const Request& request, std::string* out);
--- a/src/nbd/option_handler.cpp
+++ b/src/nbd/option_handler.cpp
@@ -10,12 +10,13 @@
 namespace walnutspur::nbd {
 namespace {
 
-// The block sizes that NBD_INFO_BLOCK_SIZE states, in bytes. Commands need no alignment.
+// Block sizes announced by NBD_INFO_BLOCK_SIZE, in bytes. Commands need not be aligned.
 constexpr std::uint32_t kMinBlockSize = 1;
 constexpr std::uint32_t kPreferredBlockSize = 512;
 
-// The name in the data of NBD_OPT_INFO or NBD_OPT_GO: its length, itself, and a counted list of the kinds of
-// information wanted, which is not heeded. Empty optional: the data is malformed.
+// Returns the export name in the data of NBD_OPT_INFO or NBD_OPT_GO, or nullopt if the data is malformed. The
+// data consists of the length of the name, the name, and a counted list of requested information types, which
+// is ignored.
 std::optional<std::string_view> ParseInfoRequest(std::string_view data) {
   constexpr std::size_t kLengthSize = sizeof(std::uint32_t);
   constexpr std::size_t kCountSize = sizeof(std::uint16_t);
--- a/src/nbd/option_handler.h
+++ b/src/nbd/option_handler.h
@@ -1,5 +1,6 @@
-// The server's side of option haggling: the part of the handshake in which a client lists exports, negotiates
-// the form of replies and chooses an export. Belongs to a ServerSession, on its thread.
+// Class OptionHandler implements the server side of option haggling: the part of the handshake in which a
+// client lists exports, negotiates the form of replies and chooses an export. Owned by a ServerSession and
+// used on its thread.
 #ifndef WALNUTSPUR_NBD_OPTION_HANDLER_H_
 #define WALNUTSPUR_NBD_OPTION_HANDLER_H_
 
@@ -15,24 +16,24 @@
 
 class OptionHandler {
  public:
-  // What comes after an option.
+  // The next step of the session after an option.
   enum class Next {
-    kOption,         // another option
-    kTransmission,   // commands: chosen() is set
-    kAborted,        // the session ends: the client has sent NBD_OPT_ABORT
-    kUnknownExport,  // the session ends: NBD_OPT_EXPORT_NAME has no reply for an error
+    kOption,         // the client sends another option
+    kTransmission,   // the client sends commands; chosen() is set
+    kAborted,        // the session ends because the client has sent NBD_OPT_ABORT
+    kUnknownExport,  // the session ends because NBD_OPT_EXPORT_NAME has no error reply
   };
 
   // `exports` must outlive the handler.
   explicit OptionHandler(const std::vector<Export>& exports) : exports_(exports) {}
 
-  // The client has waived the zeroes behind the reply to NBD_OPT_EXPORT_NAME.
+  // Omits the zeroes after the reply to NBD_OPT_EXPORT_NAME, if the client has negotiated NBD_FLAG_NO_ZEROES.
   void OmitZeroes() { zeroes_ = false; }
 
-  // Processes an option with its data and appends the replies to `out`.
+  // Processes an option and its data, and appends the replies to `out`.
   Next Handle(std::uint32_t option, std::string_view data, std::string* out);
 
-  // The export for transmission; null until it is chosen.
+  // Returns the export that the client has chosen; null until then.
   const Export* chosen() const { return chosen_; }
   ReplyForm reply_form() const { return reply_form_; }
 
--- a/src/nbd/payload.h
+++ b/src/nbd/payload.h
@@ -1,5 +1,5 @@
-// NBD commands and replies as the scheduler thread passes them between the front end and the target pools,
-// without looking inside. Shared and immutable once submitted.
+// Payloads of NBD requests and responses. The scheduler thread passes them between the front end and the
+// target pool as opaque data. Shared, and immutable once submitted.
 #ifndef WALNUTSPUR_NBD_PAYLOAD_H_
 #define WALNUTSPUR_NBD_PAYLOAD_H_
 
@@ -15,17 +15,17 @@
 
 // A client's command.
 struct CommandPayload : core::Payload {
-  Request request;                     // with the client's cookie; each attempt gets a cookie of its own
-  std::vector<integrity::Slice> tail;  // of a write: data that follows the request's own
-  std::string remote;                  // the name of the export at the target
+  Request request;  // with the client's cookie; each attempt is sent with a separate cookie
+  std::vector<integrity::Slice> tail;  // of a write: data that follows the data in `request`
+  std::string remote;                  // name of the export at the target
   int path = 0;                        // index into Target::addresses
-  int volume = -1;                     // index into Config::volumes where the export is checksummed; else -1
+  int volume = -1;                     // index into Config::volumes if the export is checksummed, else -1
 };
 
 // The data of a read.
 struct ReplyPayload : core::Payload {
   std::vector<Piece> pieces;
-  std::vector<std::uint64_t> corrupt_offsets;  // offsets of corrupted blocks, which no piece holds
+  std::vector<std::uint64_t> corrupt_offsets;  // offsets of corrupted blocks, which are not part of `pieces`
 };
 
 }  // namespace walnutspur::nbd
--- a/src/nbd/reply_assembler.cpp
+++ b/src/nbd/reply_assembler.cpp
@@ -9,11 +9,11 @@
 namespace walnutspur::nbd {
 namespace {
 
-// Sizes of the fixed parts of a chunk's data, in bytes.
+// Sizes of the fixed-size parts of a chunk's data, in bytes.
 constexpr std::size_t kOffsetSize = 8;
 constexpr std::size_t kHoleSize = 12;         // offset and length
-constexpr std::size_t kErrorSize = 6;         // error and length of the message
-constexpr std::size_t kErrorOffsetSize = 14;  // error, length of the message, and the offset behind it
+constexpr std::size_t kErrorSize = 6;         // error, length of the message
+constexpr std::size_t kErrorOffsetSize = 14;  // error, length of the message, offset after the message
 
 }  // namespace
 
@@ -31,7 +31,8 @@
   return chunk_type & kErrorChunkBit ? AddError(chunk_type, data) : AddData(chunk_type, data);
 }
 
-// Errors of unknown types count too: the protocol has them begin like the known ones.
+// Unknown types of error chunks are accepted too, since the protocol requires the same initial fields of all
+// error chunks.
 bool ReplyAssembler::AddError(std::uint16_t chunk_type, std::string_view data) {
   if (data.size() < kErrorSize) {
     return false;
--- a/src/nbd/reply_assembler.h
+++ b/src/nbd/reply_assembler.h
@@ -1,4 +1,5 @@
-// Assembles the structured reply to one command from its chunks. Belongs to a ClientSession, on its thread.
+// Class ReplyAssembler assembles the structured reply to one command from its chunks. Owned by a
+// ClientSession and used on its thread.
 #ifndef WALNUTSPUR_NBD_REPLY_ASSEMBLER_H_
 #define WALNUTSPUR_NBD_REPLY_ASSEMBLER_H_
 
@@ -19,13 +20,14 @@
   std::uint64_t offset() const { return offset_; }
   std::uint32_t length() const { return length_; }
 
-  // Bytes of data that a chunk of this type may have at most.
+  // Returns the maximum number of data bytes in a chunk of this type.
   std::uint64_t MaxChunkSize(std::uint16_t chunk_type) const;
 
-  // Adds a chunk. False: the protocol forbids it as a part of this reply.
+  // Adds a chunk. Returns false if the protocol does not allow the chunk in this reply.
   bool Add(std::uint16_t chunk_type, std::string_view data);
 
-  // The reply, once its last chunk has been added. A read that was not covered in full counts as an error.
+  // Returns the reply; must be called after the last chunk has been added. If the chunks do not cover the
+  // whole range of a read, the reply is an error.
   Reply Finish(std::uint64_t cookie);
 
  private:
--- a/src/nbd/reply_encoder.cpp
+++ b/src/nbd/reply_encoder.cpp
@@ -76,7 +76,7 @@
     PutSimple(kIo, cookie, out);
     return;
   }
-  for (const Piece& piece : pieces) {  // never holes: verified data is held as bytes
+  for (const Piece& piece : pieces) {  // never holes, since verified data is stored as bytes
     std::string data;
     Put(piece.offset, &data);
     data += piece.data;
--- a/src/nbd/reply_encoder.h
+++ b/src/nbd/reply_encoder.h
@@ -1,5 +1,5 @@
-// Encodes a server's replies to commands, in the form that the connection has negotiated. No state; any
-// thread.
+// Encodes a server's replies to commands in the form that the connection has negotiated. No state; usable
+// from any thread.
 #ifndef WALNUTSPUR_NBD_REPLY_ENCODER_H_
 #define WALNUTSPUR_NBD_REPLY_ENCODER_H_
 
@@ -11,18 +11,17 @@
 
 namespace walnutspur::nbd {
 
-// The form of replies.
 enum class ReplyForm { kSimple, kStructured };
 
-// The data of a read. A simple reply has holes written out as zeros.
+// Appends the reply to a successful read. A simple reply has holes expanded to zeros.
 void EncodeData(ReplyForm form, std::uint64_t cookie, const std::vector<Piece>& pieces, std::string* out);
 
-// A reply without data; `message` says why, where the form has room for it.
+// Appends a reply without data. `message` describes the error; a simple reply does not contain it.
 void EncodeStatus(ReplyForm form, std::uint64_t cookie, Error error, const std::string& message,
                   std::string* out);
 
-// A read of a range with corrupted blocks: the good pieces, and an error with the offset of each bad block. A
-// simple reply holds an error and no data.
+// Appends the reply to a read of a range with corrupted blocks: the intact pieces, and an error with the
+// offset of each corrupted block. A simple reply contains the error and no data.
 void EncodePartialData(ReplyForm form, std::uint64_t cookie, const std::vector<Piece>& pieces,
                        const std::vector<std::uint64_t>& corrupt_offsets, std::string* out);
 
--- a/src/nbd/server_session.cpp
+++ b/src/nbd/server_session.cpp
@@ -61,10 +61,10 @@
   }
   const auto flags = Get<std::uint32_t>(input_.Take(kClientFlagsSize));
   if (flags & ~std::uint32_t{kFixedNewstyle | kNoZeroes}) {
-    return End("unknown client flags");
+    return End("the client sent unknown handshake flags: " + std::to_string(flags));
   }
   if (!(flags & kFixedNewstyle)) {
-    return End("the client knows no fixed newstyle");
+    return End("the client does not support the fixed newstyle handshake");
   }
   if (flags & kNoZeroes) {
     options_.OmitZeroes();
@@ -80,12 +80,13 @@
   const std::string header = input_.Take(kOptionHeaderSize);
   FieldReader fields(header);
   if (fields.Next<std::uint64_t>() != kOptionMagic) {
-    return End("bad magic of an option");
+    return End("an option has an invalid magic number");
   }
   option_ = fields.Next<std::uint32_t>();
   remaining_ = fields.Next<std::uint32_t>();
   if (remaining_ > kMaxOptionSize) {
-    return End("an option too long");
+    return End("an option has " + std::to_string(remaining_) + " bytes of data, allowed are at most " +
+               std::to_string(kMaxOptionSize));
   }
   state_ = State::kOptionData;
   return true;
@@ -106,7 +107,7 @@
     case OptionHandler::Next::kAborted:
       return End("");
     case OptionHandler::Next::kUnknownExport:
-      return End("no such export");
+      return End("the client requested an unknown export");
   }
   return false;
 }
@@ -118,7 +119,7 @@
   const std::string header = input_.Take(kRequestHeaderSize);
   FieldReader fields(header);
   if (fields.Next<std::uint32_t>() != kRequestMagic) {
-    return End("bad magic of a request");
+    return End("a request has an invalid magic number");
   }
   request_ = {};
   request_.flags = fields.Next<std::uint16_t>();
@@ -149,7 +150,7 @@
   return true;
 }
 
-// The data of an oversized write is dropped as it is received, so that it takes no memory.
+// Discards the data of an oversized write as it is received, so that the write occupies no memory.
 bool ServerSession::StepSkip(std::vector<Request>* requests) {
   remaining_ -= static_cast<std::uint32_t>(input_.Skip(remaining_));
   if (remaining_ > 0) {
--- a/src/nbd/server_session.h
+++ b/src/nbd/server_session.h
@@ -1,6 +1,6 @@
-// The server's side of an NBD connection, without a socket: the fixed newstyle handshake, then commands.
-// Received bytes go in, in pieces of any size; commands come out, and messages for the client. A connection
-// owns one, on its thread.
+// Class ServerSession implements the server side of the NBD protocol without a socket: the fixed newstyle
+// handshake, then the transmission phase. The input is the received bytes, split in any way; the output is
+// commands for the caller and messages for the client. Owned by a connection and used on its thread.
 #ifndef WALNUTSPUR_NBD_SERVER_SESSION_H_
 #define WALNUTSPUR_NBD_SERVER_SESSION_H_
 
@@ -20,33 +20,32 @@
   // `exports` must outlive the session.
   explicit ServerSession(const std::vector<Export>& exports) : options_(exports) {}
 
-  // Processes received bytes. Replies of the handshake are appended to `out`, complete commands to
-  // `requests`.
+  // Processes received bytes. Appends handshake replies to `out` and complete commands to `requests`.
   void Feed(std::string_view bytes, std::string* out, std::vector<Request>* requests);
 
-  // The export in use; null until transmission begins.
+  // Returns the export in use; null until the transmission phase begins.
   const Export* chosen() const { return options_.chosen(); }
   bool ended() const { return state_ == State::kEnded; }
-  // Whether a command has been received in part.
+  // Returns whether a command has been received only in part.
   bool has_partial_command() const {
     return state_ == State::kData || state_ == State::kSkip ||
            (state_ == State::kHeader && input_.size() > 0);
   }
-  // Why the session has ended; empty where the client has ended it in order.
+  // Returns the protocol error that has ended the session; empty if the client has ended it regularly.
   const std::string& error() const { return error_; }
 
-  // Each appends the reply to a command to `out`, in the negotiated form; see reply_encoder.h.
+  // Append the reply to a command to `out`, in the negotiated form; see reply_encoder.h.
   void Reply(std::uint64_t cookie, const std::vector<Piece>& pieces, std::string* out) const;
   void Reply(std::uint64_t cookie, Error error, const std::string& message, std::string* out) const;
   void Reply(std::uint64_t cookie, const std::vector<Piece>& pieces,
              const std::vector<std::uint64_t>& corrupt_offsets, std::string* out) const;
 
  private:
-  // What the next bytes are: the client's flags, the header or the data of an option; the header or the data
-  // of a command, or the data of a command that is too long.
+  // The bytes that are expected next: the client's flags, the header or the data of an option, the header or
+  // the data of a command, or the data of an oversized write, which is discarded.
   enum class State { kFlags, kOption, kOptionData, kHeader, kData, kSkip, kEnded };
 
-  // Each processes one message or part of one; false: more bytes are needed, or the session has ended.
+  // Process one message or a part of one. Return false if more bytes are needed or the session has ended.
   bool Step(std::string* out, std::vector<Request>* requests);
   bool StepFlags();
   bool StepOption();
@@ -54,15 +53,16 @@
   bool StepHeader(std::vector<Request>* requests);
   bool StepData(std::vector<Request>* requests);
   bool StepSkip(std::vector<Request>* requests);
-  // Ends the session; always false, for the steps to return.
+  // Ends the session; `error` is empty for a regular end. Always returns false, as the return value of the
+  // calling step.
   bool End(std::string error);
 
   OptionHandler options_;
   State state_ = State::kFlags;
   Buffer input_;
-  std::uint32_t option_ = 0;     // the option whose data is received
-  std::uint32_t remaining_ = 0;  // bytes of data to come, of the option or command
-  Request request_;              // the command whose data is received
+  std::uint32_t option_ = 0;     // the option whose data is being received
+  std::uint32_t remaining_ = 0;  // data bytes of the option or command that are still to be received
+  Request request_;              // the command whose data is being received
   std::string error_;
 };
 
--- a/src/nbd/target_connection.cpp
+++ b/src/nbd/target_connection.cpp
@@ -10,16 +10,17 @@
 namespace walnutspur::nbd {
 namespace {
 
-// Attempts that use one connection at a time; beyond them another one is opened.
+// Maximum number of concurrent attempts on one connection; further attempts open another connection.
 constexpr std::size_t kMaxAttempts = 16;
 
-// An idle connection closes after this fraction of the time after which its target closes it.
+// An idle connection is closed after this fraction of the target's idle timeout, so that the initiator
+// closes it before the target does.
 constexpr double kIdleTimeoutFraction = 0.8;
 
-// Bytes from which a slice is shared with the stream; fewer are cheaper to copy.
+// Minimum size of a slice that is shared with the stream, in bytes; smaller slices are cheaper to copy.
 constexpr std::size_t kMinSharedBytes = 2048;
 
-// Appends a slice, a large one without a copy of its bytes.
+// Appends a slice; a large slice is appended by reference, without a copy of its bytes.
 void AppendSlice(evbuffer* output, const integrity::Slice& slice) {
   if (slice.bytes.size() < kMinSharedBytes) {
     evbuffer_add(output, slice.bytes.data(), slice.bytes.size());
@@ -31,7 +32,7 @@
     const std::unique_ptr<Owner> released(static_cast<Owner*>(arg));
   };
   if (evbuffer_add_reference(output, slice.bytes.data(), slice.bytes.size(), release, owner.get()) == 0) {
-    static_cast<void>(owner.release());  // the buffer owns it now
+    static_cast<void>(owner.release());  // now owned by the buffer
   }
 }
 
@@ -57,23 +58,23 @@
   return true;
 }
 
-// The timeout is shorter than the grace period of a drain, so that no attempt that waits for the connection
-// reaches a target that has been draining for longer.
+// The connect timeout is shorter than the drain grace period, so that an attempt that waits for the
+// connection cannot reach a target whose grace period has expired.
 bool TargetConnection::Connect(const sockaddr_in& address) {
   connect_timer_.Start(config_.connect_timeout);
   return loop::Connect(stream_.get(), address);
 }
 
 Request TargetConnection::MakeRequest(const Request& command, std::uint64_t cookie) const {
-  Request request;  // without data, which is sent without a copy
+  Request request;  // without the data, which Send appends without a copy
   request.flags = command.flags;
   request.type = command.type;
   request.offset = command.offset;
   request.length = command.length;
   request.cookie = cookie;
-  // A flush covers the writes on its own connection, unless the target can do otherwise (kCanMultiConn), and
-  // a write and the flush after it may use two connections. Such a write is made durable by itself (FUA)
-  // where the target supports that.
+  // Unless the target offers kCanMultiConn, a flush covers only the writes on the same connection, and a
+  // write and the flush after it may use different connections. In this case FUA makes each write durable by
+  // itself, if the target supports FUA.
   if (request.type == kWrite && (session_.flags() & (kSendFua | kCanMultiConn)) == kSendFua) {
     request.flags |= kFua;
   }
--- a/src/nbd/target_connection.h
+++ b/src/nbd/target_connection.h
@@ -1,5 +1,6 @@
-// One connection to an export at a storage server: stream, protocol session, timers, and the attempts that
-// use it, several at a time. The pool owns it; both belong to the thread of the event loop.
+// Class TargetConnection holds one connection to an export at a storage server: the stream, the protocol
+// session, the timers and the concurrent attempts that use the connection. Owned by a TargetPool; runs on the
+// event loop's thread.
 #ifndef WALNUTSPUR_NBD_TARGET_CONNECTION_H_
 #define WALNUTSPUR_NBD_TARGET_CONNECTION_H_
 
@@ -25,7 +26,7 @@
 
 class TargetConnection;
 
-// An export at a target, by one of the target's addresses.
+// An export at a target, reached by one of the target's addresses.
 struct TargetExport {
   TargetId target;
   std::string remote;  // name of the export
@@ -33,21 +34,21 @@
   bool operator==(const TargetExport&) const = default;
 };
 
-// Implemented by the owner of target connections.
+// Interface that the owner of target connections implements.
 class TargetConnectionOwner {
  public:
   virtual ~TargetConnectionOwner() = default;
-  // The handshake is complete: the attempt can be sent.
+  // Called for each waiting attempt when the handshake is complete, so that the attempt can be sent.
   virtual void OnReady(TargetConnection& connection, const loop::AttemptKey& key) = 0;
-  // The target has replied to an attempt.
+  // Called when the target has replied to an attempt.
   virtual void OnReply(const loop::AttemptKey& key, Reply reply) = 0;
-  // The connection has ended and is to be destroyed.
+  // Called when the connection has ended; the owner must destroy it.
   virtual void OnEnd(TargetConnection& connection) = 0;
 };
 
 class TargetConnection {
  public:
-  using AttemptsInFlight = std::map<std::uint64_t, loop::AttemptKey>;  // by cookie
+  using AttemptsInFlight = std::map<std::uint64_t, loop::AttemptKey>;  // key: cookie
 
   // `config` and `owner` must outlive the connection.
   TargetConnection(std::uint64_t number, TargetExport target_export, const Config& config,
@@ -55,24 +56,25 @@
   TargetConnection(const TargetConnection&) = delete;
   TargetConnection& operator=(const TargetConnection&) = delete;
 
-  // Makes the stream; whether it could be made.
+  // Creates the stream. Returns false on failure.
   bool Open(event_base* base);
-  // Begins to connect; whether it has begun. Connection and handshake have one timeout.
+  // Starts to connect. Returns false on failure. One timeout covers connecting and the handshake.
   bool Connect(const sockaddr_in& address);
 
   // Adds an attempt that waits for the handshake.
   void AddWaiting(const loop::AttemptKey& key) { waiting_.push_back(key); }
-  // Sends an attempt's command, once ready.
+  // Sends the command of an attempt. The session must be ready.
   void Send(const loop::AttemptKey& key, std::uint64_t cookie,
             const std::shared_ptr<const CommandPayload>& command);
-  // Drops an attempt, whose reply is not passed on; cookie 0: it was not sent. Afterwards the connection
-  // takes no new attempt, since those behind a command that is stuck would be delayed by it.
+  // Removes an attempt; a later reply to it is ignored. Cookie 0 denotes an attempt that was not sent. If the
+  // attempt was sent, the connection accepts no further attempts, since a command that is stuck at the target
+  // would delay them.
   void Abandon(const loop::AttemptKey& key, std::uint64_t cookie);
-  // Takes no new attempt from here on.
+  // Makes the connection accept no further attempts.
   void Retire() { retired_ = true; }
   void StopIdleTimer() { idle_timer_.Stop(); }
-  // Without attempts: closes a connection that takes no new one at once, and another one before the storage
-  // server closes it.
+  // If the connection has no attempts: closes it at once if it is retired, else before the storage server's
+  // idle timeout expires.
   void StartIdleTimer();
 
   std::uint64_t number() const { return number_; }
@@ -80,23 +82,23 @@
   const ClientSession& session() const { return session_; }
   const AttemptsInFlight& in_flight() const { return in_flight_; }
   const std::vector<loop::AttemptKey>& waiting() const { return waiting_; }
-  // Attempts that use it.
+  // Returns the number of attempts that use the connection.
   std::size_t load() const { return in_flight_.size() + waiting_.size(); }
   bool AcceptsAttempts() const;
-  // Whether the kernel has taken the last byte of a command; cookie 0: never.
+  // Returns whether the kernel has accepted all bytes of a command; false for cookie 0.
   bool IsWritten(std::uint64_t cookie) const;
-  // Whether some attempt has not been written in full.
+  // Returns whether any attempt has not been written completely.
   bool HasUnwrittenAttempts() const;
 
-  // The stream's callbacks, see loop::SetCallbacks.
+  // Callbacks of the stream; see loop::SetCallbacks.
   void OnReadable();
   void OnEvent(loop::EventMask what);
 
  private:
-  // A command that may not be written in full.
+  // A command that may not have been written completely.
   struct UnwrittenCommand {
     std::uint64_t cookie = 0;
-    std::uint64_t end = 0;  // where it ends in all that was handed to the stream, in bytes
+    std::uint64_t end = 0;  // position of its end among all bytes passed to the stream
   };
 
   Request MakeRequest(const Request& command, std::uint64_t cookie) const;
@@ -109,10 +111,10 @@
   const Config& config_;
   TargetConnectionOwner* owner_;
   ClientSession session_;
-  AttemptsInFlight in_flight_;             // without those abandoned
-  std::vector<loop::AttemptKey> waiting_;  // for the handshake
+  AttemptsInFlight in_flight_;             // without abandoned attempts
+  std::vector<loop::AttemptKey> waiting_;  // attempts that wait for the handshake
   std::vector<UnwrittenCommand> unwritten_;
-  std::uint64_t bytes_queued_ = 0;  // handed to the stream since the start
+  std::uint64_t bytes_queued_ = 0;  // total passed to the stream
   bool retired_ = false;
   loop::EventHandle connect_timer_;
   loop::EventHandle idle_timer_;
--- a/src/nbd/target_pool.cpp
+++ b/src/nbd/target_pool.cpp
@@ -11,8 +11,8 @@
 
 namespace walnutspur::nbd {
 
-// No reply of NBD proves that a write was not run, not even that of a server that shuts down. A read has no
-// effect, so there the error can be taken at its word.
+// No NBD reply proves that a write was not executed, not even the reply of a server that shuts down. A read
+// has no effect, so its error can be mapped to "overloaded".
 Outcome OutcomeOf(Error error, std::uint16_t command) {
   if (error == kOk) {
     return Outcome::kCompleted;
@@ -29,7 +29,7 @@
 
 // ---- connections ----
 
-// The least loaded connection that accepts an attempt.
+// Returns the connection with the fewest attempts among those that accept attempts; null if there is none.
 TargetConnection* TargetPool::FindConnection(const TargetExport& target_export) {
   TargetConnection* best = nullptr;
   for (const auto& [number, connection] : connections_) {
@@ -76,7 +76,7 @@
   return std::nullopt;
 }
 
-// Attempts whose commands were never written in full were not run; the others may have been.
+// Attempts whose commands were not written completely have not been executed; the others may have been.
 void TargetPool::OnEnd(TargetConnection& connection) {
   const auto at = connections_.find(connection.number());
   if (at == connections_.end()) {
@@ -92,8 +92,8 @@
   }
 }
 
-// Commands that were not written in full are withdrawn. A part of them may be in the stream already, so their
-// connection is closed. A connection without attempts is closed too.
+// Cancels the commands that have not been written completely. A part of such a command may already have been
+// sent, so its connection is closed. Connections without attempts in flight are closed too.
 void TargetPool::Drain(const TargetId& target) {
   std::vector<TargetConnection*> closed;
   for (const auto& [number, connection] : connections_) {
@@ -171,7 +171,7 @@
   Abandon({request, attempt}, Outcome::kCancelled);
 }
 
-// NBD cannot cancel a command. The attempt ends here, and the target's reply to it is dropped.
+// NBD has no means to cancel a command: the attempt ends, and a later reply of the target is ignored.
 void TargetPool::Abandon(const loop::AttemptKey& key, Outcome outcome) {
   const auto at = pending_.find(key);
   if (at == pending_.end()) {
--- a/src/nbd/target_pool.h
+++ b/src/nbd/target_pool.h
@@ -1,8 +1,8 @@
-// Carries out attempts over NBD: a pool of connections to storage servers, each used by several attempts at a
-// time.
+// Class TargetPool executes attempts over NBD on a pool of connections to storage servers. Each connection is
+// used by several attempts at a time.
 //
-// Owned by ChecksummedExports, which passes the attempts on; runs on the loop's thread. Results go out
-// through `submit`.
+// Owned by ChecksummedExports, which forwards attempts to it; runs on the event loop's thread. Results are
+// passed to `submit`.
 #ifndef WALNUTSPUR_NBD_TARGET_POOL_H_
 #define WALNUTSPUR_NBD_TARGET_POOL_H_
 
@@ -24,7 +24,7 @@
 
 class TargetPool : public core::Connector, private TargetConnectionOwner {
  public:
-  // `max_connections` bounds the connections to all targets. `config` must outlive the pool.
+  // `max_connections` limits the number of connections to all targets. `config` must outlive the pool.
   TargetPool(event_base* base, const Config& config, std::size_t max_connections, core::SubmitInput submit);
 
   // core::Connector
@@ -33,7 +33,7 @@
   void Drain(const TargetId& target) override;
 
   std::size_t connections() const { return connections_.size(); }
-  // The transmission flags of an export, as long as a connection to it is ready; else empty.
+  // Returns the transmission flags of an export, or nullopt if no connection to the export is ready.
   std::optional<std::uint16_t> flags(const TargetId& target, const std::string& remote) const;
 
  private:
@@ -41,7 +41,7 @@
   struct PendingAttempt {
     core::StartAttempt attempt;
     TargetConnection* connection = nullptr;
-    std::uint64_t cookie = 0;  // 0: waits for the handshake
+    std::uint64_t cookie = 0;  // 0: the attempt waits for the handshake
     Time started_at = 0;       // us
     loop::EventHandle timeout;
   };
@@ -62,11 +62,11 @@
   core::SubmitInput submit_;
   std::uint64_t next_connection_ = 1;
   std::uint64_t next_cookie_ = 1;
-  std::unordered_map<std::uint64_t, std::unique_ptr<TargetConnection>> connections_;  // by number
+  std::unordered_map<std::uint64_t, std::unique_ptr<TargetConnection>> connections_;  // key: its number
   std::map<loop::AttemptKey, PendingAttempt> pending_;
 };
 
-// The outcome of an attempt whose reply was received in full.
+// Returns the outcome of an attempt whose reply was received completely.
 Outcome OutcomeOf(Error error, std::uint16_t command);
 
 }  // namespace walnutspur::nbd
