--- a/src/checksummed/checksummed_exports.cpp
+++ b/src/checksummed/checksummed_exports.cpp
@@ -18,13 +18,13 @@
 using integrity::IoStatus;
 using integrity::Volume;
 
-// Interval between checks whether a checkpoint is due, us.
+// Interval between checks for a due checkpoint, us.
 constexpr Time kCheckpointCheckInterval = 50'000;
 // Time without writes after which a checkpoint starts, us.
 constexpr Time kIdleBeforeCheckpoint = 200'000;
-// Time with records in the journal after which a checkpoint starts in any case, us.
+// Maximum time for which the journal may have records before a checkpoint starts, even during writes, us.
 constexpr Time kMaxDirtyTime = 1'000'000;
-// First and longest backoff between attempts to attach an export, us.
+// Initial and maximum backoff between attempts to attach an export, us.
 constexpr Time kInitialAttachBackoff = 250'000;
 constexpr Time kMaxAttachBackoff = 5'000'000;
 
@@ -43,7 +43,8 @@
   return command;
 }
 
-// The reply to a read: pieces of intact data around the corrupt blocks, of which nothing is passed on.
+// Returns the reply to a read: the pieces of intact data between corrupt blocks, and the offsets of the
+// corrupt blocks, whose data is not passed on.
 std::shared_ptr<nbd::ReplyPayload> ReplyToRead(const nbd::Request& request, integrity::CommandResult result) {
   auto payload = std::make_shared<nbd::ReplyPayload>();
   const std::uint64_t end = request.offset + request.length;
@@ -116,8 +117,9 @@
   Dispatch(export_index);
 }
 
-// Sends the volume's storage requests and reports its results until it has no more of either. Requests that
-// end at once call this recursively; the recursive call returns and leaves the work to the outer one.
+// Sends the volume's storage requests and reports its results until the volume has no more of either. A
+// request that completes synchronously calls this function recursively; the recursive call returns
+// immediately, and the outer call continues with the new requests and results.
 void ChecksummedExports::Dispatch(std::size_t export_index) {
   Export& exported = exports_[export_index];
   if (std::exchange(exported.dispatching, true)) {
@@ -149,8 +151,8 @@
   }
 }
 
-// Logs the failure once for each attempt to attach, and schedules another one with a backoff: a target that
-// did not answer may recover, and an operator may restore the export.
+// Logs the failure once per attempt to attach and schedules the next attempt with a backoff: a target that
+// did not respond may recover, and an operator may repair the export.
 void ChecksummedExports::OnAttachFailed(Export& exported) {
   if (std::exchange(exported.failure_logged, true)) {
     return;
@@ -210,12 +212,12 @@
   Dispatch(completed.export_index);
 }
 
-// Whether the target offers flushes that cover all connections, on which the volume's order of writes
-// depends.
+// Returns whether the target offers flushes that cover the writes of all connections, on which the volume's
+// order of writes depends.
 bool ChecksummedExports::IsTargetSuitable(const Export& exported) const {
   const auto flags = targets_.flags(exported.config->target, exported.config->remote);
   if (!flags) {
-    return false;  // the connection has closed; the next attempt to attach checks again
+    return false;  // the connection has been closed; the next attempt to attach checks again
   }
   if ((*flags & nbd::kSendFlush) && (*flags & (nbd::kSendFua | nbd::kCanMultiConn))) {
     return true;
@@ -274,8 +276,8 @@
   Abandon(found->second, Outcome::kCancelled);
 }
 
-// Ends the attempt. The volume's storage requests continue: they cannot be cancelled, and the volume must
-// know how they end.
+// Ends the attempt. The volume's storage requests continue, since they cannot be cancelled and the volume
+// needs their results.
 void ChecksummedExports::Abandon(CommandId command, Outcome outcome) {
   const auto found = attempts_.find(command);
   if (found == attempts_.end()) {
@@ -327,7 +329,7 @@
     exports_[export_index].last_write = core::Now();
   }
   auto payload = is_read ? ReplyToRead(request, std::move(result)) : std::make_shared<nbd::ReplyPayload>();
-  // A write that would have to preserve a part of a corrupt block is not retried: no attempt would succeed.
+  // A write that would have to preserve a part of a corrupt block is not retried: no attempt can succeed.
   Report(id, status == Status::kCompleted ? Outcome::kCompleted : Outcome::kCorrupted, std::move(payload));
 }
 
--- a/src/checksummed/checksummed_exports.h
+++ b/src/checksummed/checksummed_exports.h
@@ -1,21 +1,21 @@
-// Executes attempts on checksummed exports: one integrity::Volume for each, on top of the connections of an
-// nbd::TargetPool. Attempts on other exports pass through to the pool.
+// Class ChecksummedExports executes attempts on checksummed exports. It uses one integrity::Volume per
+// export, on top of the connections of an nbd::TargetPool, to which it forwards attempts on other exports.
 //
-// An attempt is one command of a volume, which issues as many storage requests as it needs; all those of a
-// read go by one path. Requests that are in flight when the attempt ends are awaited by the volume, not by
-// the scheduler. Checkpoints are not requests of the scheduler; the cost of a write counts its units twice
-// for them.
+// An attempt is one command of a volume, for which the volume issues any number of storage requests; all
+// storage requests of a read use the same path. If requests are still in flight when the attempt ends, the
+// volume waits for them, but the scheduler does not. The scheduler is not aware of checkpoints; instead, the
+// units of a write are counted twice.
 //
-// Failures and their guards:
-// - A target without a flush that covers all connections would break the volume's order of writes. An export
-//   is attached only if its target offers FLUSH, and FUA or CAN_MULTI_CONN; nothing is written before.
-// - A target that is draining must not get requests, but a volume keeps issuing them. They end as not
-//   executed, so that commands fail and the journal keeps its records until the target is active again.
-// - An export cannot be attached because the target does not answer or an operator has to repair it. The
-//   failure is logged once and the attachment retried with a backoff.
+// Failures and how they are handled:
+// - A target whose flush does not cover all connections would break the volume's order of writes. An export
+//   is attached only if its target offers FLUSH, and FUA or CAN_MULTI_CONN; nothing is written before that.
+// - A draining target must not receive requests, but a volume continues to issue them. They are completed as
+//   not executed, so that commands fail and the journal retains its records until the target is active again.
+// - An export cannot be attached because the target does not respond or an operator has to repair the export.
+//   The failure is logged once per attempt, and the attachment is retried with a backoff.
 //
-// Owned by the initiator; runs on the event loop's thread. Errors are outcomes of attempts and log events;
-// nothing is thrown.
+// Owned by the initiator; runs on the event loop's thread. Errors are reported as outcomes of attempts and as
+// log events; nothing is thrown.
 #ifndef WALNUTSPUR_CHECKSUMMED_CHECKSUMMED_EXPORTS_H_
 #define WALNUTSPUR_CHECKSUMMED_CHECKSUMMED_EXPORTS_H_
 
@@ -40,7 +40,7 @@
 
 namespace walnutspur::checksummed {
 
-// Commands of clients and of the scrub since the start.
+// Number of commands of clients and of the scrub since the process started.
 struct Counts {
   std::uint64_t reads = 0;
   std::uint64_t writes = 0;
@@ -48,44 +48,46 @@
 
 class ChecksummedExports : public core::Connector {
  public:
-  // `max_connections` bounds the connections to all targets. `tracker` must outlive this; `submit` takes the
-  // results of attempts.
+  // `max_connections` limits the number of connections to all targets. `tracker` must outlive this object;
+  // `submit` receives the results of attempts.
   ChecksummedExports(event_base* base, const nbd::Config& config, std::size_t max_connections,
                      CorruptionTracker* tracker, core::SubmitInput submit);
 
   void Start(const core::StartAttempt& attempt) override;
   void Cancel(core::RequestNumber request, int attempt) override;
-  // No request is sent to a target that is draining or terminated, checkpoints included, until it is active.
+  // Stops all requests to a target that is draining or terminated, including checkpoints, until Activate.
   void Drain(const TargetId& target) override;
   void Activate(const TargetId& target);
 
   std::size_t connections() const { return targets_.connections(); }
-  // Null for an export without checksums. Valid until the export is attached again.
+  // Returns the volume of an export; null for an export without checksums. Valid until the export is attached
+  // again.
   const integrity::Volume* volume(std::size_t export_index) const {
     return exports_[export_index].volume.get();
   }
   const Counts& counts() const { return counts_; }
-  std::vector<PathStatus> paths();  // to targets with checksummed exports
+  // Returns the status of the paths to targets with checksummed exports.
+  std::vector<PathStatus> paths();
 
-  // Called with each block that did not match its tag and to which no fault could be attributed yet.
+  // Called with each block that does not match its tag and whose fault has not been attributed yet.
   std::function<void(std::size_t export_index, std::uint64_t block)> on_suspected_corruption;
 
  private:
   struct Export {
     const nbd::Volume* config = nullptr;
-    std::unique_ptr<integrity::Volume> volume;  // null: an export without checksums
-    bool suspended = true;        // its target takes no requests, until it is known to be active
-    bool dispatching = false;     // guards Dispatch against reentry
-    bool failure_logged = false;  // of the latest attachment
-    Time last_write = 0;          // when the latest write was answered
-    Time dirty_since = 0;         // since when the journal has records; 0: it has none
-    Time attach_backoff = 0;      // us before the next attempt to attach, after a failure
+    std::unique_ptr<integrity::Volume> volume;  // null for an export without checksums
+    bool suspended = true;                      // no requests are sent until the target is known to be active
+    bool dispatching = false;                   // prevents reentry into Dispatch
+    bool failure_logged = false;                // the failure of the latest attempt to attach has been logged
+    Time last_write = 0;                        // time of completion of the latest write
+    Time dirty_since = 0;                       // time since which the journal has records; 0 if it has none
+    Time attach_backoff = 0;                    // us; delay of the next attempt to attach after a failure
     loop::EventHandle checkpoint_timer;
     loop::EventHandle attach_timer;
   };
   struct PendingAttempt {
     loop::AttemptKey key;
-    std::size_t export_index = 0;  // of the export
+    std::size_t export_index = 0;
     Time started = 0;
     int path = 0;
     std::shared_ptr<const nbd::CommandPayload> payload;
@@ -116,7 +118,7 @@
   nbd::TargetPool targets_;
   PathTracker paths_;
   IoDispatcher dispatcher_;
-  std::vector<Export> exports_;  // by the index of the configuration's volume
+  std::vector<Export> exports_;  // index: position in Config::volumes
   std::map<integrity::CommandId, PendingAttempt> attempts_;
   std::map<loop::AttemptKey, integrity::CommandId> commands_;
   integrity::CommandId next_command_ = 1;
--- a/src/checksummed/corruption_tracker.cpp
+++ b/src/checksummed/corruption_tracker.cpp
@@ -9,7 +9,7 @@
 namespace walnutspur::checksummed {
 namespace {
 
-// Delay from a change of the log to its save, us, so that one save covers many changes.
+// Delay between a change of the log and its save, us. One save then covers many changes.
 constexpr Time kSaveDelay = 1'000'000;
 
 void LogStoreStatus(const std::string& error) {
--- a/src/checksummed/corruption_tracker.h
+++ b/src/checksummed/corruption_tracker.h
@@ -1,10 +1,10 @@
-// The known corruption of blocks and HTTP objects: open investigations, the corruption log, and the folder
-// that preserves the log across restarts. Called by PathTracker for blocks and by the
-// initiator for HTTP objects.
+// Class CorruptionTracker records the known corruption of blocks and HTTP objects: open investigations, the
+// corruption log, and the folder that preserves the log across restarts. Called by PathTracker for blocks and
+// by the initiator for HTTP objects.
 //
-// Owned by the initiator; runs on the event loop's thread. Once this has been constructed, only the file
-// store's thread writes to the folder. A folder that cannot be written is logged; serving continues and the
-// newest log is written as soon as that works.
+// Owned by the initiator; runs on the event loop's thread. After construction, only the file store's thread
+// writes to the folder. If the folder cannot be written, an event is logged, serving continues, and the
+// latest log is written as soon as the folder is writable again.
 #ifndef WALNUTSPUR_CHECKSUMMED_CORRUPTION_TRACKER_H_
 #define WALNUTSPUR_CHECKSUMMED_CORRUPTION_TRACKER_H_
 
@@ -22,25 +22,26 @@
 
 class CorruptionTracker {
  public:
-  // `folder` stores the log; empty: it is in memory only. A stored log that cannot be decoded is logged as an
-  // event and moved aside by the next save.
+  // `folder` is the folder that stores the log; if it is empty, the log is held in memory only. If a stored
+  // log cannot be decoded, an event is logged and the next save moves the file aside.
   CorruptionTracker(event_base* base, const std::string& folder);
   ~CorruptionTracker();
   CorruptionTracker(const CorruptionTracker&) = delete;
   CorruptionTracker& operator=(const CorruptionTracker&) = delete;
 
-  // Adds a reading of a block, or of an HTTP object, on a target that has `paths` paths. An attribution is
-  // added to the corruption log and logged as an event.
+  // Adds a reading of a block or of an HTTP object on a target that has `paths` paths. Returns the fault
+  // attribution if this reading completes one; it is also added to the corruption log and logged as an event.
   std::optional<integrity::FaultAttribution> AddReading(const integrity::BlockLocation& location, int paths,
                                                         const integrity::Reading& reading, Time now);
-  // Whether no investigation is open and no block is known to be corrupt: a good reading has no effect then.
+  // Returns whether no investigation is open and no block is known to be corrupt. A good reading has no
+  // effect in this state.
   bool has_no_known_corruption() const {
     return investigations_.open_count() == 0 && corruption_log_.corrupt_count() == 0;
   }
 
   const integrity::CorruptionInvestigations& investigations() const { return investigations_; }
   const integrity::CorruptionLog& corruption_log() const { return corruption_log_; }
-  filestore::FileStore* file_store() { return file_store_.get(); }  // null: nothing is stored
+  filestore::FileStore* file_store() { return file_store_.get(); }  // null if nothing is stored
   const std::string& folder() const { return folder_; }
 
  private:
@@ -53,7 +54,7 @@
   std::unique_ptr<integrity::CorruptionLogFile> log_file_;  // written on the file store's thread
   std::unique_ptr<filestore::FileStore> file_store_;
   loop::EventHandle save_timer_;
-  bool save_scheduled_ = false;  // a scheduled save is not postponed by later attributions
+  bool save_scheduled_ = false;  // later attributions do not postpone a scheduled save
 };
 
 }  // namespace walnutspur::checksummed
--- a/src/checksummed/io_dispatcher.cpp
+++ b/src/checksummed/io_dispatcher.cpp
@@ -9,9 +9,9 @@
 using integrity::IoKind;
 using integrity::IoStatus;
 
-// The first request number of volumes; those of the scheduler are lower.
+// First request number of storage requests. The request numbers of the scheduler are lower.
 constexpr core::RequestNumber kFirstInternalRequest = core::RequestNumber{1} << 63;
-// Timeout of one storage request, us.
+// Timeout of a storage request, us.
 constexpr Time kIoTimeout = 2'000'000;
 
 IoStatus StatusOf(const core::AttemptResult& result, bool is_flushing) {
@@ -20,14 +20,14 @@
       return IoStatus::kCompleted;
     case Outcome::kConnectFailed:
     case Outcome::kOverloaded:
-      // The write before the flush has been executed.
+      // Before a flush starts, the write has already been executed.
       return is_flushing ? IoStatus::kFailed : IoStatus::kNotExecuted;
     default:
       return IoStatus::kFailed;
   }
 }
 
-// Moves the data out of a reply that was made for this attempt alone.
+// Moves the data out of the reply. The reply is not shared: it was created for this attempt only.
 std::string TakeData(const core::AttemptResult& result) {
   auto payload = std::const_pointer_cast<core::Payload>(result.payload);
   auto& pieces = static_cast<nbd::ReplyPayload&>(*payload).pieces;
--- a/src/checksummed/io_dispatcher.h
+++ b/src/checksummed/io_dispatcher.h
@@ -1,10 +1,11 @@
-// Sends the storage requests of checksummed volumes to their targets, as internal attempts on the connections
-// of an nbd::TargetPool, and reports their completions. A write that must be durable when it completes is
-// followed by a flush, since not every target supports FUA.
+// Class IoDispatcher sends the storage requests of checksummed volumes to their targets, as internal attempts
+// on the connections of an nbd::TargetPool, and reports their completion. A write that must be durable on
+// completion is followed by a flush, since not every target supports FUA.
 //
 // Owned by ChecksummedExports; runs on the event loop's thread. Each request is completed exactly once, with
-// an integrity::IoStatus. A failure after which the target may have executed the request is kFailed, never
-// kNotExecuted: the volume would otherwise report a write as not executed that may still take effect.
+// an integrity::IoStatus. A failure after which the target may have executed the request is reported as
+// kFailed, never as kNotExecuted: otherwise the volume would report a write that may still take effect as not
+// executed.
 #ifndef WALNUTSPUR_CHECKSUMMED_IO_DISPATCHER_H_
 #define WALNUTSPUR_CHECKSUMMED_IO_DISPATCHER_H_
 
@@ -23,35 +24,35 @@
 
 namespace walnutspur::checksummed {
 
-// One storage request of an export, without the data of a write.
+// A storage request of an export, without the data of a write.
 struct ExportIo {
-  std::size_t export_index = 0;  // of the export
+  std::size_t export_index = 0;
   integrity::IoRequest request;
 };
 
-// The request that a storage request becomes on the connection, without its id.
+// Converts a storage request to an NBD request without a cookie.
 nbd::Request ToNbdRequest(const integrity::IoRequest& volume_request);
 
 class IoDispatcher {
  public:
   struct Callbacks {
-    // Whether requests may be sent to the export's target now.
+    // Returns whether requests may currently be sent to the export's target.
     std::function<bool(std::size_t export_index)> is_available;
-    // A storage request has ended; `data` is the content that a read returned.
+    // Called when a storage request has completed or failed; `data` is the result of a read.
     std::function<void(const ExportIo& completed, integrity::IoStatus status, std::string data)> on_completed;
   };
 
-  // All pointers must outlive this.
+  // All references and pointers must outlive the dispatcher.
   IoDispatcher(const nbd::Config& config, nbd::TargetPool* targets, PathTracker* paths, Callbacks callbacks);
 
   void Send(ExportIo export_io, int path);
-  // Handles the result of an attempt that this has started; false if another component has started it.
+  // Handles the result of an attempt. Returns false if the dispatcher has not started the attempt.
   bool OnResult(const core::AttemptResult& result);
 
  private:
   struct PendingIo {
     ExportIo io;
-    bool is_flushing = false;  // the write has completed, and the flush that makes it durable is in flight
+    bool is_flushing = false;  // the write has completed; the flush that makes it durable is in flight
   };
 
   void StartAttempt(PendingIo pending, nbd::Request request, int path,
--- a/src/checksummed/path_tracker.cpp
+++ b/src/checksummed/path_tracker.cpp
@@ -14,13 +14,13 @@
   return {volume.target, volume.remote, block};
 }
 
-// The blocks of a request that is not empty.
+// Return the first and the last block of a request, which must not be empty.
 std::uint64_t FirstBlockOf(const nbd::Request& request) { return request.offset / integrity::kBlockBytes; }
 std::uint64_t LastBlockOf(const nbd::Request& request) {
   return (request.offset + request.length - 1) / integrity::kBlockBytes;
 }
 
-// The reading of one block that a read on this path has given.
+// Returns the reading of one block that results from a read on this path.
 integrity::Reading ReadingOf(const integrity::CommandResult& result, std::uint64_t block, int path) {
   const auto corrupt =
       std::find_if(result.corrupt_blocks.begin(), result.corrupt_blocks.end(),
--- a/src/checksummed/scrub.cpp
+++ b/src/checksummed/scrub.cpp
@@ -11,9 +11,9 @@
 
 // Interval between reports of the pressure on live requests, us.
 constexpr Time kReportInterval = 200'000;
-// Longest interval between two checks for reads that are due, us.
+// Maximum interval between checks for due reads, us.
 constexpr Time kMaxScheduleInterval = 250'000;
-// Shortest interval between two checks for reads that are due, us.
+// Minimum interval between checks for due reads, us.
 constexpr Time kMinScheduleInterval = 1'000;
 // Interval between saves of the cursors, us.
 constexpr Time kSaveCursorsInterval = 10'000'000;
@@ -67,11 +67,11 @@
   progress.total = scrubber.total();
   progress.position = scrubber.position();
   progress.rounds = cursor.rounds;
-  progress.since = std::min(cursor.since, now);  // `since` is in the future if the clock was set back
+  progress.since = std::min(cursor.since, now);  // `since` may be in the future if the clock was set back
   jobs_.push_back({export_index, volume.target, target.budget->Add(job, progress, now), std::move(scrubber)});
 }
 
-// Saves the cursors of all exports; those of exports that are currently not served are saved unchanged.
+// Saves the cursors of all exports. Cursors of exports that are currently not served are saved unchanged.
 void Scrub::SaveCursors() {
   if (!options_.save_cursors) {
     return;
@@ -90,7 +90,8 @@
   options_.save_cursors(integrity::Encode(saved_cursors_));
 }
 
-// Reports the pressure of the last interval. One without live requests counts as one without pressure.
+// Reports the pressure of the last interval to the budgets. An interval without live requests counts as an
+// interval without pressure.
 void Scrub::ReportPressure() {
   background::Report report;
   if (responses_ > 0) {
@@ -216,7 +217,7 @@
   pending_reads_.erase(found);
   Job& job = jobs_[pending.job];
   const auto* reply = static_cast<const nbd::ReplyPayload*>(response.payload.get());
-  // A read that has met corruption has succeeded: the corruption log has the result.
+  // A read that detects corruption is successful: its result is in the corruption log.
   const bool has_corrupt_blocks = reply != nullptr && !reply->corrupt_offsets.empty();
   const bool has_read = response.status == core::ResponseStatus::kServed || has_corrupt_blocks;
   int completed_chunks = 0;
