--- a/src/pcap/capture.h
+++ b/src/pcap/capture.h
@@ -1,6 +1,6 @@
-// Capture files in pcap format: TCP streams read from them and written to them. Nothing is captured live.
-// Called by Recorder and by the programs' replay. Objects have no shared state; each belongs to one thread.
-// Errors are CaptureError.
+// Reads TCP streams from capture files in pcap format and writes them to such files. There is no live
+// capture. Used by Recorder and app::Replay. Objects have no shared state; each must be used on one thread.
+// Errors are reported as CaptureError.
 #ifndef WALNUTSPUR_PCAP_CAPTURE_H_
 #define WALNUTSPUR_PCAP_CAPTURE_H_
 
@@ -22,41 +22,41 @@
 
 namespace walnutspur::pcap {
 
-// A TCP stream as recorded in a file.
+// A TCP stream recorded in a file.
 struct Stream {
   explicit Stream(std::size_t max_bytes) : to_server(max_bytes), to_client(max_bytes) {}
   Endpoint client;
   Endpoint server;
   Reassembly to_server;
   Reassembly to_client;
-  bool opened = false;    // the file has its first segment
-  bool finished = false;  // the file has a FIN or RST of it
+  bool opened = false;    // the file contains its SYN segment
+  bool finished = false;  // the file contains a FIN or RST segment of the stream
 };
 
-// Bytes that are stored of each direction of a stream, unless the caller sets another limit.
+// Default maximum number of bytes that are stored per direction of a stream.
 constexpr std::size_t kDefaultMaxStreamBytes = 16 << 20;
 
-// Reads the TCP streams of a file, in the order of their first packets. `max_bytes` bounds the bytes that are
-// stored of each direction of each stream. Throws CaptureError if it is not a pcap file; of a truncated file
-// it returns the streams up to its end.
+// Returns the TCP streams of a file in the order of their first packets. `max_bytes` limits the number of
+// bytes that are stored per direction of each stream. Throws CaptureError if the file is not a pcap file. For
+// a truncated file, returns the streams up to its end.
 std::vector<Stream> ReadStreams(const std::string& path, std::size_t max_bytes = kDefaultMaxStreamBytes);
 
-// Writes streams to a file, as IPv4 packets.
+// Class Writer writes TCP streams to a capture file as IPv4 packets.
 class Writer {
  public:
-  // Throws CaptureError. After `max_bytes` of data in all, further data is not written.
+  // Opens the file; throws CaptureError on failure. Data beyond a total of `max_bytes` is not written.
   Writer(const std::string& path, std::size_t max_bytes);
-  // Closes the streams that are open.
+  // Closes all open streams.
   ~Writer();
   Writer(const Writer&) = delete;
   Writer& operator=(const Writer&) = delete;
 
-  using Id = std::uint64_t;  // of a stream; from 1
-  // Begins a stream with the segments of its handshake.
+  using Id = std::uint64_t;  // id of a stream; the first is 1
+  // Starts a stream by writing the segments of its handshake, and returns its id.
   Id Open(const Endpoint& client, const Endpoint& server);
-  // Writes data of an open stream.
+  // Writes data of a stream. Has no effect if the stream is not open.
   void Data(Id stream, bool to_server, std::string_view bytes);
-  // Ends a stream with the segments of its closing, and flushes the file.
+  // Ends a stream by writing its FIN segments, and flushes the file. Has no effect if the stream is not open.
   void Close(Id stream);
 
  private:
--- a/src/pcap/capture_reader.cpp
+++ b/src/pcap/capture_reader.cpp
@@ -1,4 +1,4 @@
-// Reads capture files: ReadStreams.
+// Implements ReadStreams.
 #include <pcap/pcap.h>
 
 #include <compare>
@@ -10,26 +10,26 @@
 namespace walnutspur::pcap {
 namespace {
 
-// The two ends of a connection.
+// The two endpoints of a connection.
 struct ConnectionKey {
   Endpoint client;
   Endpoint server;
   auto operator<=>(const ConnectionKey&) const = default;
 };
 
-// Assigns segments to streams.
+// Class StreamTable assigns segments to streams.
 class StreamTable {
  public:
   explicit StreamTable(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
   void Add(const Segment& segment);
-  // The streams in the order of their first segments; the table is empty afterwards.
+  // Moves out the streams, in the order of their first segments.
   std::vector<Stream> Take() {
     return {std::make_move_iterator(streams_.begin()), std::make_move_iterator(streams_.end())};
   }
 
  private:
-  // A stream, and the direction of a segment of it.
+  // The stream and the direction that a segment belongs to; `stream` is null if there is none.
   struct Match {
     Stream* stream = nullptr;
     bool to_server = false;
@@ -56,7 +56,8 @@
   return {};
 }
 
-// If the file does not have the first segment, the end with the higher port is taken for the client.
+// If the file does not contain the first segment, the endpoint with the higher port is assumed to be the
+// client.
 StreamTable::Match StreamTable::Open(const Segment& segment) {
   const bool from_client_port = !segment.Has(kSyn) && segment.from.port > segment.to.port;
   const bool to_server = IsFirst(segment) || from_client_port;
@@ -68,7 +69,7 @@
   return {&stream, to_server};
 }
 
-// A first segment on a port that is used again begins another stream; a retransmitted one does not.
+// A first segment starts another stream if the port is reused, but not if the segment is a retransmission.
 void StreamTable::Add(const Segment& segment) {
   Match match = Find(segment);
   const bool port_is_reused =
--- a/src/pcap/capture_writer.cpp
+++ b/src/pcap/capture_writer.cpp
@@ -1,4 +1,4 @@
-// Writes capture files: Writer.
+// Implements Writer.
 #include <pcap/pcap.h>
 #include <sys/time.h>
 
@@ -9,9 +9,9 @@
 namespace walnutspur::pcap {
 namespace {
 
-// Bytes of data in one packet.
+// Maximum number of data bytes in one packet.
 constexpr std::size_t kMaxSegmentBytes = 1400;
-// Bytes of the longest packet, for the file's header.
+// Maximum packet length in the header of the file, in bytes.
 constexpr int kSnapshotLength = 65535;
 constexpr std::size_t kIpv4AddressSize = 4;  // bytes
 
--- a/src/pcap/error.h
+++ b/src/pcap/error.h
@@ -1,4 +1,4 @@
-// The error that the functions of this folder throw.
+// The exception thrown by the functions in this folder.
 #ifndef WALNUTSPUR_PCAP_ERROR_H_
 #define WALNUTSPUR_PCAP_ERROR_H_
 
@@ -6,7 +6,7 @@
 
 namespace walnutspur::pcap {
 
-// A capture file that cannot be read or written.
+// A capture file cannot be read or written. The message is a single line.
 class CaptureError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/pcap/player.cpp
+++ b/src/pcap/player.cpp
@@ -6,12 +6,12 @@
 namespace walnutspur::pcap {
 namespace {
 
-// Streams that are replayed at the same time.
+// Maximum number of streams that are replayed concurrently.
 constexpr std::size_t kMaxOpenStreams = 64;
 
 }  // namespace
 
-// A client of NBD begins with its flags, of which the first three bytes are zero, and an option.
+// An NBD client first sends its 4 bytes of flags, of which the first three are zero, and then an option.
 bool LooksLikeNbd(const std::string& bytes) {
   constexpr std::size_t kFlagsSize = 4;
   constexpr std::string_view kZeroFlags("\0\0\0", 3);
@@ -44,7 +44,7 @@
   start_timer_.Start(0);
 }
 
-// Starts streams up to the limit, in the order of the file.
+// Starts streams in the order of the file until the limit of concurrent streams is reached.
 void Player::StartNext() {
   std::erase_if(replays_, [](const auto& replay) { return replay->ended; });
   while (open_ < kMaxOpenStreams && next_ < replays_.size()) {
@@ -71,7 +71,7 @@
   }
 }
 
-// The replay is erased in a later turn of the loop: its callbacks may be running.
+// The replay is erased in a later iteration of the event loop, since one of its callbacks may be running.
 void Player::End(Replay& replay) {
   if (std::exchange(replay.ended, true)) {
     return;
--- a/src/pcap/reassembly.cpp
+++ b/src/pcap/reassembly.cpp
@@ -13,7 +13,7 @@
 void Reassembly::Add(std::uint32_t sequence, std::string_view bytes, std::size_t missing_bytes) {
   Begin(sequence);
   const auto ahead = static_cast<std::int32_t>(sequence - next_sequence_);  // sequence numbers wrap around
-  if (ahead < 0) {  // a retransmission, in full or in part
+  if (ahead < 0) {  // a complete or partial retransmission
     const auto known = static_cast<std::size_t>(-static_cast<std::int64_t>(ahead));
     if (known < bytes.size()) {
       Add(next_sequence_, bytes.substr(known), missing_bytes);
@@ -34,14 +34,14 @@
   }
   bytes_.append(bytes);
   next_sequence_ += static_cast<std::uint32_t>(bytes.size());
-  if (missing_bytes > 0) {  // whatever follows is behind a gap
+  if (missing_bytes > 0) {  // all further bytes are after a gap
     truncated_ = true;
     return;
   }
   AppendPending();
 }
 
-// Of segments at the same position the longest is stored.
+// Stores a segment that is after a gap. Of several segments at the same position, the longest is stored.
 void Reassembly::AddPending(std::uint32_t position, std::string_view bytes) {
   std::string& held = pending_[position];
   if (bytes.size() <= held.size()) {
@@ -51,7 +51,7 @@
   held = bytes;
 }
 
-// Appends the segments that the stream has caught up with.
+// Appends the pending segments that are no longer after a gap.
 void Reassembly::AppendPending() {
   while (!pending_.empty() && pending_.begin()->first <= bytes_.size()) {
     const auto node = pending_.extract(pending_.begin());
--- a/src/pcap/reassembly.h
+++ b/src/pcap/reassembly.h
@@ -1,4 +1,5 @@
-// Puts the segments of one direction of a TCP stream in order. Plain data; any thread.
+// Class Reassembly puts the segments of one direction of a TCP stream in order. No shared state; usable from
+// any thread.
 #ifndef WALNUTSPUR_PCAP_REASSEMBLY_H_
 #define WALNUTSPUR_PCAP_REASSEMBLY_H_
 
@@ -12,19 +13,19 @@
 
 class Reassembly {
  public:
-  // At most `max_bytes` are stored; the stream counts as truncated there.
+  // Stores at most `max_bytes`; a longer stream is truncated.
   explicit Reassembly(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  // Sets the sequence number of the first byte; later calls have no effect.
+  // Sets the sequence number of the first byte. Further calls have no effect.
   void Begin(std::uint32_t first);
-  // Adds a segment. Without a Begin before, the first one begins the stream. `missing_bytes` at the segment's
-  // end were not captured.
+  // Adds a segment. If Begin has not been called, the first segment starts the stream. `missing_bytes` is the
+  // number of bytes at the end of the segment that were not captured.
   void Add(std::uint32_t sequence, std::string_view bytes, std::size_t missing_bytes = 0);
 
   bool begun() const { return begun_; }
-  // The stream up to its first gap.
+  // Returns the bytes of the stream up to its first gap.
   const std::string& bytes() const { return bytes_; }
-  // Whether bytes are missing after bytes().
+  // Returns whether bytes are missing after bytes().
   bool has_gap() const { return truncated_ || !pending_.empty(); }
 
  private:
@@ -33,10 +34,10 @@
 
   std::size_t max_bytes_;
   bool begun_ = false;
-  bool truncated_ = false;           // nothing more can be appended
-  std::uint32_t next_sequence_ = 0;  // of the byte behind bytes_
+  bool truncated_ = false;           // no more bytes can be appended
+  std::uint32_t next_sequence_ = 0;  // sequence number of the byte after bytes_
   std::string bytes_;
-  std::map<std::uint32_t, std::string> pending_;  // segments behind a gap, by position in the stream
+  std::map<std::uint32_t, std::string> pending_;  // segments after a gap; key: position in the stream
   std::size_t pending_bytes_ = 0;
 };
 
--- a/src/pcap/recorder.cpp
+++ b/src/pcap/recorder.cpp
@@ -40,7 +40,8 @@
   evbuffer_add_cb(bufferevent_get_output(stream), on_sent, tap.get());
 }
 
-// Peeks, because a bufferevent freezes the start of its output, where copying out fails.
+// Uses evbuffer_peek, since a bufferevent freezes the start of its output buffer, which makes
+// evbuffer_copyout fail.
 void Recorder::Record(Tap& tap, bool to_server, evbuffer* buffer, std::size_t added) {
   if (added == 0) {
     return;
--- a/src/pcap/segment.cpp
+++ b/src/pcap/segment.cpp
@@ -24,7 +24,7 @@
 constexpr std::uint32_t kTypeServiceVlan = 0x88a8;
 
 constexpr std::uint8_t kProtocolTcp = 6;
-constexpr std::uint32_t kFragmentMask = 0x3fff;  // "more fragments", and the offset of a fragment
+constexpr std::uint32_t kFragmentMask = 0x3fff;  // the "more fragments" flag and the fragment offset
 
 std::uint32_t ReadBigEndian(View bytes, std::size_t at, std::size_t size) {
   std::uint32_t value = 0;
@@ -65,10 +65,10 @@
   return PacketOfType(type, frame.substr(kLinuxCookedHeaderSize));
 }
 
-// The sizes of an IP packet with a TCP segment.
+// The sizes of an IP packet that contains a TCP segment.
 struct IpExtent {
   std::size_t header = 0;  // bytes of the IP header
-  std::size_t total = 0;   // bytes of the packet as it was sent
+  std::size_t total = 0;   // bytes of the packet, including those that were not captured
 };
 
 std::optional<IpExtent> ParseIpv4(View packet, Segment* segment) {
@@ -101,7 +101,7 @@
   return std::nullopt;
 }
 
-// The sum of 16-bit words that checksums of IP and TCP are made of.
+// Adds the 16-bit words of `bytes` to a sum, from which PutChecksum computes the checksum of IP or TCP.
 std::uint32_t AddWords(View bytes, std::uint32_t sum) {
   for (std::size_t i = 0; i < bytes.size(); i += 2) {
     sum += i + 1 < bytes.size() ? ReadBigEndian(bytes, i, 2) : ReadBigEndian(bytes, i, 1) << 8;
@@ -143,7 +143,7 @@
   PutBigEndian(65535, 2, &tcp);                    // the window
   PutBigEndian(0, 4, &tcp);                        // the checksum, no urgent data
   tcp += segment.bytes;
-  // A pseudo header of addresses, protocol and size counts too.
+  // The checksum also covers a pseudo header that consists of the addresses, the protocol and the size.
   const auto pseudo_sum = static_cast<std::uint32_t>(kProtocolTcp + tcp.size());
   const std::uint32_t address_sum = AddWords(segment.from.address + segment.to.address, pseudo_sum);
   PutChecksum(AddWords(tcp, address_sum), kChecksumAt, &tcp);
@@ -185,7 +185,7 @@
   segment.to.port = static_cast<std::uint16_t>(ReadBigEndian(packet, tcp + 2, 2));
   segment.sequence = ReadBigEndian(packet, tcp + 4, 4);
   segment.flags = static_cast<std::uint8_t>(packet[tcp + 13]);
-  const std::size_t end = std::min(extent->total, packet.size());  // the link may pad what is short
+  const std::size_t end = std::min(extent->total, packet.size());  // the link layer may pad short packets
   segment.bytes = data < end ? packet.substr(data, end - data) : View();
   segment.missing_bytes = extent->total - data - segment.bytes.size();
   return segment;
--- a/src/pcap/segment.h
+++ b/src/pcap/segment.h
@@ -1,4 +1,5 @@
-// TCP segments in IP packets: read from captured frames, and written as IPv4 packets. No state; any thread.
+// Parses TCP segments from captured frames and encodes them as IPv4 packets. No state; usable from any
+// thread.
 #ifndef WALNUTSPUR_PCAP_SEGMENT_H_
 #define WALNUTSPUR_PCAP_SEGMENT_H_
 
@@ -11,39 +12,39 @@
 
 namespace walnutspur::pcap {
 
-// The flags of a TCP header.
+// Flags of the TCP header.
 constexpr std::uint8_t kFin = 1;
 constexpr std::uint8_t kSyn = 2;
 constexpr std::uint8_t kRst = 4;
 constexpr std::uint8_t kPush = 8;
 constexpr std::uint8_t kAck = 16;
 
-// One end of a TCP connection.
+// One endpoint of a TCP connection.
 struct Endpoint {
   std::string address;  // in network byte order: 4 bytes (IPv4) or 16 (IPv6)
   std::uint16_t port = 0;
   auto operator<=>(const Endpoint&) const = default;
 };
 
-// A captured TCP segment. `bytes` points into the frame that it was read from.
+// A captured TCP segment. `bytes` points into the frame that the segment was parsed from.
 struct Segment {
   Endpoint from;
   Endpoint to;
-  std::uint32_t sequence = 0;  // number of its first byte
+  std::uint32_t sequence = 0;  // sequence number of the first byte, or of SYN
   std::uint8_t flags = 0;
   std::string_view bytes;
-  std::size_t missing_bytes = 0;  // at its end, which the capture left out
+  std::size_t missing_bytes = 0;  // number of bytes at its end that were not captured
 
   bool Has(std::uint8_t flag) const { return (flags & flag) != 0; }
 };
 
-// The IP packet in a frame of a link type (DLT_*); empty if there is none.
+// Returns the IP packet in a frame of a link type (DLT_*); empty if the frame contains none.
 std::string_view IpPacket(int link_type, std::string_view frame);
 
-// Reads a TCP segment. Empty for anything else, fragments of packets included.
+// Parses the TCP segment in an IP packet. Returns nullopt for other packets and for fragments.
 std::optional<Segment> ParseSegment(std::string_view packet);
 
-// A segment to be written, and the addresses of its packet, which are IPv4.
+// A segment to be encoded, with the IPv4 addresses of its packet.
 struct OutgoingSegment {
   Endpoint from;
   Endpoint to;
@@ -53,7 +54,7 @@
   std::string_view bytes;
 };
 
-// The IPv4 packet of a segment, with checksums.
+// Returns the IPv4 packet of a segment, including checksums.
 std::string EncodePacket(const OutgoingSegment& segment);
 
 }  // namespace walnutspur::pcap
--- a/src/pcap/traffic.h
+++ b/src/pcap/traffic.h
@@ -1,5 +1,6 @@
-// Traffic between the front ends and capture files: a Player replays a file's streams to the front ends, a
-// Recorder writes the front ends' traffic to a file. Both belong to the thread of the event loop.
+// Transfers traffic between capture files and the front ends: Player replays the streams of a file to the
+// front ends, and Recorder writes the traffic of the front ends to a file. Both run on the thread of the
+// event loop.
 #ifndef WALNUTSPUR_PCAP_TRAFFIC_H_
 #define WALNUTSPUR_PCAP_TRAFFIC_H_
 
@@ -21,51 +22,53 @@
 
 namespace walnutspur::pcap {
 
-// Records the bytes received and sent on the streams that it is attached to. It must outlive them.
+// Class Recorder records the bytes that are received and sent on the streams it is attached to. It must
+// outlive these streams.
 class Recorder {
  public:
-  // Throws CaptureError. At most `max_bytes` of data are written.
+  // Opens the file; throws CaptureError on failure. Writes at most `max_bytes` of data.
   Recorder(const std::string& path, std::size_t max_bytes) : writer_(path, max_bytes) {}
 
-  // Records a stream of a front end from here on.
+  // Starts to record a stream of a front end.
   void Attach(bufferevent* stream);
 
  private:
   struct Tap {
     Recorder* owner = nullptr;
     bufferevent* stream = nullptr;
-    Writer::Id id = 0;  // 0: nothing has been received or sent yet
+    Writer::Id id = 0;  // 0 until bytes are received or sent
   };
   void Record(Tap& tap, bool to_server, evbuffer* buffer, std::size_t added);
 
   Writer writer_;
-  // By stream. libevent does not report that a stream is freed: another one at its address replaces it.
+  // Key: stream. libevent does not report when a stream is freed, so an entry is replaced when another stream
+  // is attached at the same address.
   std::unordered_map<bufferevent*, std::unique_ptr<Tap>> taps_;
 };
 
-// Replays the clients' side of a file's streams to the front ends, over connections of its own, so that the
-// front ends' parsers read the bytes as from clients. Stores the responses.
+// Class Player replays the client side of the streams of a file to the front ends and stores the responses.
+// It uses TCP connections, so that the front ends parse the bytes in the same way as those of clients.
 class Player {
  public:
-  // One stream's result.
+  // The result of one stream.
   struct Result {
     std::string sent;
     std::string received;
-    bool has_gap = false;  // the stream ends at a gap in the file
+    bool has_gap = false;  // the stream in the file ends at a gap
   };
-  // Where to replay a stream to; port 0: it is left out.
+  // Returns the address to which a stream is replayed; with port 0 the stream is skipped.
   using AddressOf = std::function<loop::Address(const Stream&)>;
 
-  // A stream counts as answered once it receives nothing for `idle_timeout` us. `on_done` is called on the
-  // loop once all streams are.
+  // The replay of a stream ends when no bytes have been received for `idle_timeout` us. `on_done` is called
+  // on the event loop's thread when all replays have ended.
   Player(event_base* base, const std::vector<Stream>& streams, const AddressOf& address_of, Time idle_timeout,
          std::function<void()> on_done);
 
-  // One for each stream, in their order.
+  // Returns one result per stream, in the order of the streams.
   const std::vector<Result>& results() const { return results_; }
 
  private:
-  // One stream's connection.
+  // The connection that replays one stream.
   struct Replay {
     Player* owner = nullptr;
     std::size_t number = 0;  // index into the results
@@ -74,7 +77,7 @@
     loop::EventHandle idle_timer;
     loop::StreamPtr stream;
 
-    // The stream's callbacks, see loop::SetCallbacks.
+    // Callbacks of the stream; see loop::SetCallbacks.
     void OnReadable();
     void OnEvent(loop::EventMask what);
   };
@@ -85,14 +88,14 @@
   event_base* base_;
   Time idle_timeout_;
   std::vector<Result> results_;
-  std::vector<std::unique_ptr<Replay>> replays_;  // those that have not ended, in the order of the file
-  std::size_t open_ = 0;                          // open connections: the first `open_` replays
-  std::size_t next_ = 0;                          // the first replay that has not started
+  std::vector<std::unique_ptr<Replay>> replays_;  // replays that have not ended, in the order of the file
+  std::size_t open_ = 0;  // number of open connections, which are the first of `replays_`
+  std::size_t next_ = 0;  // index of the first replay that has not started
   loop::EventHandle start_timer_;
   std::function<void()> on_done_;
 };
 
-// Whether a client's first bytes are those of NBD.
+// Returns whether `bytes`, the first bytes of a client, are those of the NBD protocol.
 bool LooksLikeNbd(const std::string& bytes);
 
 }  // namespace walnutspur::pcap
