--- a/tests/net/checksummed_export_test.cpp
+++ b/tests/net/checksummed_export_test.cpp
@@ -1,4 +1,5 @@
-// Checksummed exports on sockets: an initiator between an NBD client and a storage server that corrupts data.
+// Tests checksummed exports over sockets: an initiator between an NBD client and a storage server that
+// corrupts data.
 #include <doctest/doctest.h>
 #include <poll.h>
 #include <sys/socket.h>
@@ -27,7 +28,7 @@
 
 constexpr std::uint64_t kSize = 16 << 20;
 
-// Random bytes drawn from the storage server's generator.
+// Returns random bytes from the storage server's generator.
 std::string RandomData(lab::StorageServer& server, std::size_t size) {
   std::string data(size, '\0');
   server.WithDevice([&](lab::BlockDevice& disk) {
@@ -38,7 +39,7 @@
   return data;
 }
 
-// An initiator, its storage server with one export, its discovery and an NBD client.
+// Runs an initiator, a storage server with one export, a fake discovery service and an NBD client.
 struct ExportFixture {
   explicit ExportFixture(int paths, bool scrub = false, std::uint64_t seed = 1,
                          std::uint16_t flags = lab::StorageServerOptions().flags)
@@ -62,7 +63,7 @@
   }
   ~ExportFixture() { StopInitiator(); }
 
-  // The deploy file: one target with so many paths and one checksummed export.
+  // Returns a deploy file with one target that has `paths` paths, and one checksummed export.
   std::string DeployFile(int paths) const {
     std::string text =
         "listen = \"127.0.0.1:0\"\nunit_bytes = 65536\n[commands]\nread = \"read\"\nwrite = \"write\"\nflush "
@@ -85,7 +86,7 @@
     options.flags = flags;
     return options;
   }
-  // Lists the target in the given state.
+  // Sets the state of the target in the endpoint list.
   void ListTarget(EndpointState state) {
     lab::ListedEndpoint endpoint;
     endpoint.id = "a";
@@ -93,32 +94,33 @@
     endpoint.state = state;
     discovery.Set(endpoint);
   }
-  // Starts the initiator and attaches the client.
+  // Starts the initiator, connects the client and waits until the export is attached.
   void StartInitiator() {
     auto json = BasicConfig();
     json["discovery"] = "127.0.0.1:" + std::to_string(discovery.port());
     initiator = std::make_unique<app::Initiator>(app::ParseConfig(json), options);
     thread = std::thread([this] { initiator->Run(); });
     client = Connect();
-    // Until the endpoint list has arrived a read is rejected or waits.
+    // Until the endpoint list has been received, a read is rejected or waits.
     const int attempts = server_is_suitable ? 200 : 1;
     for (int i = 0; i < attempts && client->Read(0, 512).error != nbd::kOk; ++i) {
       poll(nullptr, 0, 10);
     }
   }
-  // Detaches the client and stops the initiator.
+  // Disconnects the client and stops the initiator.
   void StopInitiator() {
     client.reset();
     initiator->Halt();
     thread.join();
     initiator.reset();
   }
-  // A new client of the export.
+  // Returns a new client of the export.
   std::unique_ptr<nbd::BlockingClient> Connect() {
     return std::make_unique<nbd::BlockingClient>(
         "127.0.0.1:" + std::to_string(initiator->nbd_front()->port()), "letters");
   }
-  // Retries rejections: they change nothing and may happen whenever the machine is short of cores.
+  // Repeats a call that is rejected. A rejected command is not executed, and rejections are expected when the
+  // machine is short of processor time.
   template <typename Call>
   nbd::Reply RetryRejected(Call call) {
     nbd::Reply reply = call();
@@ -128,20 +130,20 @@
     }
     return reply;
   }
-  // Writes and reads through the client.
+  // Write and read through the client.
   nbd::Reply Put(std::uint64_t offset, const std::string& data) {
     return RetryRejected([&] { return client->Write(offset, data); });
   }
   nbd::Reply Get(std::uint64_t offset, std::uint32_t length) {
     return RetryRejected([&] { return client->Read(offset, length); });
   }
-  // Writes random blocks and remembers them in `content`.
+  // Writes random blocks and stores them in `content`.
   void Write(std::uint64_t block, std::size_t blocks = 1) {
     const std::string data = RandomData(server, blocks * kBlockBytes);
     REQUIRE(Put(block * kBlockBytes, data).error == nbd::kOk);
     content.replace(block * kBlockBytes, data.size(), data);
   }
-  // Waits until checkpoints have written all data to its place and the storage server is idle.
+  // Waits until checkpoints have written all data in place and the storage server is idle.
   void WaitForCheckpoint() {
     for (int i = 0; i < 400; ++i) {
       const std::uint64_t before = server.commands();
@@ -150,31 +152,31 @@
         return;
       }
     }
-    FAIL("checkpoints never end");
+    FAIL("the storage server still receives commands after the wait for checkpoints");
   }
-  // Reads the block until the corruption log has an entry for it; data that is served must be what was
-  // written.
+  // Reads a block until the corruption log has an entry for it, and returns the entry. Data that is served
+  // must be equal to the data that was written.
   std::optional<integrity::CorruptionEntry> FindCorruption(std::uint64_t block) {
     for (int i = 0; i < 14; ++i) {
       const nbd::Reply reply = client->Read(block * kBlockBytes, kBlockBytes);
       if (reply.error == nbd::kOk) {
         CHECK(nbd::DataOf(reply) == content.substr(block * kBlockBytes, kBlockBytes));
       }
-      integrity::CorruptionLog ledger;
-      std::string what;
-      integrity::CorruptionLogFile(folder.path()).Load(&ledger, &what);
-      if (const auto* entry = ledger.Find({"a", "disk", block})) {
+      integrity::CorruptionLog corruption_log;
+      std::string error;
+      integrity::CorruptionLogFile(folder.path()).Load(&corruption_log, &error);
+      if (const auto* entry = corruption_log.Find({"a", "disk", block})) {
         return *entry;
       }
       if (i > 2) {
         poll(nullptr, 0, 300);
       }
     }
-    FAIL("nothing was found of block ", block);
+    FAIL("the corruption log has no entry for block ", block);
     return std::nullopt;
   }
 
-  bool server_is_suitable = true;  // whether it has the flags that checksummed exports need
+  bool server_is_suitable = true;  // whether the server offers the flags that checksummed exports require
   lab::TemporaryFolder folder;
   lab::StorageServer server;
   lab::DiscoveryThread discovery;
@@ -185,7 +187,8 @@
   std::string content = std::string(4 << 20, '\0');
 };
 
-TEST_CASE("what is written is read, aligned or not, before and after a checkpoint and after a restart") {
+TEST_CASE(
+    "checksummed export: aligned and unaligned writes are read back, also after a checkpoint and a restart") {
   ExportFixture fixture(1);
   for (int i = 0; i < 60; ++i) {
     const auto offset = fixture.server.WithDevice([](lab::BlockDevice& d) { return d.Draw(1 << 20); });
@@ -193,36 +196,38 @@
     REQUIRE(fixture.Put(offset, data).error == nbd::kOk);
     fixture.content.replace(offset, data.size(), data);
   }
-  const auto all = [&] {
+  const auto check_all = [&] {
     for (std::uint64_t at = 0; at < (1 << 20); at += 65536) {
       CHECK(nbd::DataOf(fixture.Get(at, 65536)) == fixture.content.substr(at, 65536));
     }
   };
-  all();
+  check_all();
   REQUIRE(fixture.RetryRejected([&] { return fixture.client->Flush(); }).error == nbd::kOk);
   fixture.WaitForCheckpoint();
-  all();
+  check_all();
   fixture.Write(3);
   fixture.StopInitiator();  // with one record in the journal
   fixture.StartInitiator();
-  all();
+  check_all();
   CHECK(fixture.client->size() ==
         integrity::FitGeometry(kSize, integrity::kDefaultJournalBytes)->data_size());
 }
 
 TEST_CASE(
-    "corruption of each kind over sockets: detected, never served, attributed and reported with its offset") {
+    "checksummed export: each kind of corruption is detected, attributed, reported by offset and not "
+    "served") {
   for (const int paths : {1, 2}) {
     CAPTURE(paths);
     ExportFixture fixture(paths);
     fixture.Write(0, 16);
     fixture.WaitForCheckpoint();
-    fixture.Write(0, 16);  // a second generation, so that there is stale content
+    fixture.Write(0, 16);  // overwrites the blocks, so that stale content exists
     fixture.WaitForCheckpoint();
     lab::Fault lost_write{Damage::kLostWrite, -1, 2 * kBlockBytes, 3 * kBlockBytes};
-    lab::Fault astray{Damage::kMisdirectedWrite, -1, 5 * kBlockBytes, 6 * kBlockBytes, 9 * kBlockBytes};
-    lab::Fault torn{Damage::kTornWrite, -1, 12 * kBlockBytes, 13 * kBlockBytes};
-    for (const auto& fault : {lost_write, astray, torn}) {
+    lab::Fault misdirected_write{Damage::kMisdirectedWrite, -1, 5 * kBlockBytes, 6 * kBlockBytes,
+                                 9 * kBlockBytes};
+    lab::Fault torn_write{Damage::kTornWrite, -1, 12 * kBlockBytes, 13 * kBlockBytes};
+    for (const auto& fault : {lost_write, misdirected_write, torn_write}) {
       fixture.server.AddFault(fault);
     }
     fixture.Write(2);
@@ -237,19 +242,19 @@
     CHECK(fixture.FindCorruption(5)->fault == Fault::kLostWrite);
     CHECK(fixture.FindCorruption(9)->fault == Fault::kMisdirectedWrite);
     CHECK(fixture.FindCorruption(5)->fault ==
-          Fault::kMisdirectedWrite);  // now that the misplaced block is known
+          Fault::kMisdirectedWrite);  // attributed again, since the misplaced block is now known
     fixture.server.AddFault({Damage::kStaleRead, -1, 7 * kBlockBytes, 8 * kBlockBytes});
     CHECK(fixture.FindCorruption(7)->fault == Fault::kStaleRead);
     fixture.server.AddFault(
         {Damage::kTransitBitFlip, 0, 1 * kBlockBytes, 2 * kBlockBytes, 0, paths == 1 ? 1 : -1});
     CHECK(fixture.FindCorruption(1)->fault == (paths == 1 ? Fault::kMemory : Fault::kPath));
     fixture.server.ClearFaults();
-    // A read of all blocks returns the intact pieces and the offsets of the corrupted blocks.
-    const nbd::Reply wide = fixture.Get(0, 16 * kBlockBytes);
-    CHECK(wide.error == nbd::kIo);
-    CHECK(wide.error_offsets == std::vector<std::uint64_t>{2 * kBlockBytes, 5 * kBlockBytes, 9 * kBlockBytes,
-                                                           12 * kBlockBytes, 14 * kBlockBytes});
-    for (const nbd::Piece& piece : wide.partial) {
+    // A read of all blocks returns the pieces of intact data and the offsets of the corrupted blocks.
+    const nbd::Reply reply = fixture.Get(0, 16 * kBlockBytes);
+    CHECK(reply.error == nbd::kIo);
+    CHECK(reply.error_offsets == std::vector<std::uint64_t>{2 * kBlockBytes, 5 * kBlockBytes, 9 * kBlockBytes,
+                                                            12 * kBlockBytes, 14 * kBlockBytes});
+    for (const nbd::Piece& piece : reply.partial) {
       CHECK(piece.data == fixture.content.substr(piece.offset, piece.data.size()));
     }
     for (const std::uint64_t block : {2, 5, 9, 12, 14}) {
@@ -259,19 +264,19 @@
   }
 }
 
-TEST_CASE("a draining target gets nothing new, not even checkpoint writes, and resumes afterwards") {
+TEST_CASE("checksummed export: a draining target gets no commands or checkpoints until it is active again") {
   ExportFixture fixture(1);
   fixture.Write(0, 8);
   fixture.ListTarget(EndpointState::kDraining);
-  // Ten rejections in a row: a single one may have other causes.
-  for (int i = 0, refused = 0; i < 400 && refused < 10; ++i) {
-    refused = fixture.client->Read(0, 512).error == nbd::kOk ? 0 : refused + 1;
+  // Waits for ten consecutive rejections, since a single rejection may have other causes.
+  for (int i = 0, rejected = 0; i < 400 && rejected < 10; ++i) {
+    rejected = fixture.client->Read(0, 512).error == nbd::kOk ? 0 : rejected + 1;
     poll(nullptr, 0, 10);
   }
   const std::uint64_t commands_before = fixture.server.commands();
-  poll(nullptr, 0, 1300);  // a checkpoint would be due
+  poll(nullptr, 0, 1300);  // a checkpoint is due within this time
   CHECK(fixture.client->Write(0, std::string(kBlockBytes, 'x')).error ==
-        nbd::kNoMemory);  // rejected: it never ran
+        nbd::kNoMemory);  // rejected: the write was not executed
   CHECK(fixture.server.commands() == commands_before);
   fixture.ListTarget(EndpointState::kActive);
   for (int i = 0; i < 200 && fixture.client->Read(0, 512).error != nbd::kOk; ++i) {
@@ -280,23 +285,23 @@
   CHECK(nbd::DataOf(fixture.Get(0, 8 * kBlockBytes)) == fixture.content.substr(0, 8 * kBlockBytes));
 }
 
-TEST_CASE("the scrub detects corruption that no client reads") {
+TEST_CASE("scrub: corruption that no client has read is detected") {
   ExportFixture fixture(1, true);
   fixture.Write(0, 16);
   fixture.WaitForCheckpoint();
   fixture.server.AddFault({Damage::kStoredBitFlip, -1, 11 * kBlockBytes, 12 * kBlockBytes});
-  integrity::CorruptionLog ledger;
-  std::string what;
-  for (int i = 0; i < 100 && !ledger.IsCorrupt({"a", "disk", 11}); ++i) {
+  integrity::CorruptionLog corruption_log;
+  std::string error;
+  for (int i = 0; i < 100 && !corruption_log.IsCorrupt({"a", "disk", 11}); ++i) {
     poll(nullptr, 0, 100);
-    integrity::CorruptionLogFile(fixture.folder.path()).Load(&ledger, &what);
+    integrity::CorruptionLogFile(fixture.folder.path()).Load(&corruption_log, &error);
   }
-  REQUIRE(ledger.IsCorrupt({"a", "disk", 11}));
-  CHECK(ledger.Find({"a", "disk", 11})->fault == Fault::kAtRest);
-  CHECK(ledger.entries().size() == 1);
+  REQUIRE(corruption_log.IsCorrupt({"a", "disk", 11}));
+  CHECK(corruption_log.Find({"a", "disk", 11})->fault == Fault::kAtRest);
+  CHECK(corruption_log.entries().size() == 1);
 }
 
-TEST_CASE("a target that cannot order writes gets none, and is distinguished from an unreachable one") {
+TEST_CASE("checksummed export: a target without the required flush support gets no writes") {
   for (const std::uint16_t lacks : {nbd::kSendFlush, std::uint16_t(nbd::kSendFua | nbd::kCanMultiConn)}) {
     ExportFixture fixture(1, false, 1,
                           static_cast<std::uint16_t>(lab::StorageServerOptions().flags & ~lacks));
@@ -309,7 +314,8 @@
   }
 }
 
-TEST_CASE("an operator queries a running process, and the scrub resumes where the last process stopped") {
+TEST_CASE(
+    "control socket: operator commands are executed; the scrub resumes at its position after a restart") {
   ExportFixture fixture(1, true);
   const std::string path = app::ControlPath(fixture.folder.path());
   const auto query = [&](const std::string& line) { return app::SendControlCommand(path, line); };
@@ -328,7 +334,7 @@
   CHECK(query("recheck nothing 1").starts_with("error: there is no export"));
   CHECK(query("format letters").starts_with("error: unknown command; allowed are"));
   CHECK(query(std::string(600, 'x')).starts_with("error: the line is too long"));
-  // A second process in the same directory does not take over the control socket.
+  // A second process that uses the same folder does not take over the control socket.
   CHECK_THROWS_WITH(app::Control(fixture.initiator->base(), path, nullptr),
                     (path + " belongs to another process that runs").c_str());
   status = nlohmann::json::parse(query("status"));
@@ -336,13 +342,13 @@
   const auto rounds = status["scrub"]["exports"][0]["rounds"].get<std::uint64_t>();
   fixture.StopInitiator();
   CHECK_FALSE(std::filesystem::exists(path));
-  std::string what;
+  std::string error;
   const auto cursors =
-      integrity::DecodeCursors(*filestore::ReadFile(fixture.folder.path() + "/scrub.cursor"), &what);
+      integrity::DecodeCursors(*filestore::ReadFile(fixture.folder.path() + "/scrub.cursor"), &error);
   REQUIRE(cursors);
   CHECK(cursors->at("letters").block / 16 + 1 >= position);
   CHECK(cursors->at("letters").rounds >= rounds);
-  fixture.options.scrub.job.max_requests_per_second = 0.1;  // so that it stays where it resumes
+  fixture.options.scrub.job.max_requests_per_second = 0.1;  // keeps the resumed position
   fixture.options.scrub.job.min_requests_per_second = 0;
   fixture.StartInitiator();
   status = nlohmann::json::parse(query("status"));
@@ -350,7 +356,7 @@
   CHECK(status["scrub"]["exports"][0]["rounds"] >= rounds);
 }
 
-TEST_CASE("a stale control socket is replaced, and a file of another kind is not") {
+TEST_CASE("control socket: a stale socket is replaced, a file of another kind is not") {
   const lab::TemporaryFolder folder;
   const std::string path = app::ControlPath(folder.path());
   const loop::EventBasePtr base(event_base_new());
@@ -359,7 +365,7 @@
   path.copy(address.sun_path, sizeof address.sun_path - 1);
   const int fd = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
   REQUIRE(bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
-  close(fd);  // its file stays
+  close(fd);  // the file remains
   { const app::Control control(base.get(), path, nullptr); }
   folder.Put("control.sock", "a letter");
   CHECK_THROWS_WITH(app::Control(base.get(), path, nullptr), (path + " is there and is no socket").c_str());
@@ -367,7 +373,7 @@
   CHECK_THROWS(app::Control(base.get(), path + std::string(120, 'x'), nullptr));
 }
 
-TEST_CASE("an unformatted export is rejected, and not a byte of it changes") {
+TEST_CASE("checksummed export: an unformatted export is rejected and not modified") {
   ExportFixture fixture(1);
   fixture.StopInitiator();
   fixture.server.WithDevice([](lab::BlockDevice& disk) {
--- a/tests/net/nbd_codec_test.cpp
+++ b/tests/net/nbd_codec_test.cpp
@@ -1,4 +1,4 @@
-// The NBD codec against bytes of the public specification.
+// Tests the NBD codec against byte sequences from the public specification.
 #include <doctest/doctest.h>
 
 #include "core/engine.h"
@@ -15,7 +15,7 @@
 constexpr std::uint16_t kFlags = nbd::kHasFlags | nbd::kSendFlush;
 const std::vector<nbd::Export> kExports = {{"a", 1 << 20, 65536, kFlags}, {"other", 4096, 4096, kFlags}};
 
-// Feeds byte by byte: parsing must not depend on how messages are split.
+// Feeds the bytes one at a time, since parsing must not depend on how messages are split.
 std::string FeedAll(nbd::ServerSession& session, const std::string& bytes,
                     std::vector<nbd::Request>* requests) {
   std::string out;
@@ -25,12 +25,12 @@
   return out;
 }
 
-TEST_CASE("the greeting is fixed newstyle without zeroes") {
+TEST_CASE("NBD greeting: it announces fixed newstyle and no zeroes") {
   CHECK(nbd::Greeting() == "NBDMAGICIHAVEOPT\x00\x03"s);
   CHECK(nbd::ClientFlags() == "\0\0\0\x03"s);
 }
 
-TEST_CASE("GO answers with the export's size, its block sizes and an acknowledgement") {
+TEST_CASE("ServerSession: the reply to GO has the export's size, its block sizes and an acknowledgement") {
   nbd::ServerSession session(kExports);
   std::vector<nbd::Request> requests;
   const std::string out = FeedAll(session, "\0\0\0\x03"s + GoOption("a"), &requests);
@@ -41,7 +41,8 @@
   CHECK(session.chosen()->name == "a");
 }
 
-TEST_CASE("options: INFO stays in the handshake, unknown ones are unsupported, ABORT ends it") {
+TEST_CASE(
+    "ServerSession: INFO stays in the handshake, unknown options are unsupported, ABORT ends the session") {
   nbd::ServerSession session(kExports);
   std::vector<nbd::Request> requests;
   std::string out = FeedAll(session, "\0\0\0\x03"s + GoOption("a", 6), &requests);
@@ -60,14 +61,15 @@
   CHECK(session.ended());
 }
 
-TEST_CASE("EXPORT_NAME gives size, flags and, unless waived, 124 zeroes; an unknown name ends it") {
-  for (const bool waived : {true, false}) {
+TEST_CASE(
+    "ServerSession: EXPORT_NAME returns size, flags and optional zeroes; an unknown name ends the session") {
+  for (const bool no_zeroes : {true, false}) {
     nbd::ServerSession session(kExports);
     std::vector<nbd::Request> requests;
     const std::string out = FeedAll(
-        session, (waived ? "\0\0\0\x03"s : "\0\0\0\x01"s) + kOptionMagic + "\0\0\0\x01\0\0\0\x01"s + "a",
+        session, (no_zeroes ? "\0\0\0\x03"s : "\0\0\0\x01"s) + kOptionMagic + "\0\0\0\x01\0\0\0\x01"s + "a",
         &requests);
-    CHECK(out == "\0\0\0\0\0\x10\0\0\0\x05"s + std::string(waived ? 0 : 124, '\0'));
+    CHECK(out == "\0\0\0\0\0\x10\0\0\0\x05"s + std::string(no_zeroes ? 0 : 124, '\0'));
     CHECK(session.chosen());
   }
   nbd::ServerSession session(kExports);
@@ -76,7 +78,8 @@
   CHECK(session.ended());
 }
 
-TEST_CASE("commands are parsed; an oversized write is skipped, not buffered; DISC ends the session") {
+TEST_CASE(
+    "ServerSession: commands are parsed, data of an oversized write is discarded, DISC ends the session") {
   nbd::ServerSession session(kExports);
   std::vector<nbd::Request> requests;
   FeedAll(session, "\0\0\0\x03"s + GoOption("other"), &requests);
@@ -97,7 +100,7 @@
   CHECK(session.error().empty());
 }
 
-TEST_CASE("bad magic, flags and option lengths end the session") {
+TEST_CASE("ServerSession: an invalid magic number, flag or option length ends the session") {
   const std::string starts[] = {"\0\0\0\x07"s, "\0\0\0\x02"s, "\0\0\0\x03IHAVEOPS\0\0\0\x03\0\0\0\0"s,
                                 "\0\0\0\x03IHAVEOPT\0\0\0\x03\x7f\0\0\0"s,
                                 "\0\0\0\x03"s + GoOption("a") + std::string(28, 'x')};
@@ -111,7 +114,7 @@
   }
 }
 
-TEST_CASE("replies are structured only where that was negotiated") {
+TEST_CASE("ServerSession: replies are structured only if structured replies are negotiated") {
   nbd::ServerSession session(kExports);
   std::vector<nbd::Request> requests;
   std::string out;
@@ -130,7 +133,7 @@
   CHECK(out == magic + "\0\x01\x80\x01"s + cookie + "\0\0\0\x08\0\0\0\x05\0\x02no"s);
 }
 
-// A client session in transmission, with one read of 8 bytes at 16 in flight.
+// A client session in the transmission phase, with a read of 8 bytes at offset 16 in flight.
 struct PendingRead {
   PendingRead() : session("a") {
     nbd::ServerSession server(kExports);
@@ -166,7 +169,7 @@
   std::vector<nbd::Reply> replies;
 };
 
-TEST_CASE("a reply in several chunks is assembled in any order") {
+TEST_CASE("ClientSession: a reply of several chunks is assembled in any order of the chunks") {
   PendingRead r;
   CHECK(r.session.size() == 1 << 20);
   r.Chunk(false, nbd::kOffsetData, r.At(20, "wxyz"));
@@ -178,43 +181,43 @@
   CHECK(r.replies[0].pieces[1].data == "wxyz");
 }
 
-TEST_CASE("an error among the chunks, or a missing chunk, never yields a complete reply") {
-  PendingRead torn;
-  torn.Chunk(false, nbd::kOffsetData, torn.At(16, "abcd"));
-  torn.Chunk(false, nbd::kErrorOffset, "\0\0\0\x05\0\0"s + torn.At(20, ""));
-  torn.Chunk(true, nbd::kOffsetData, torn.At(20, "wxyz"));
-  REQUIRE(torn.replies.size() == 1);
-  CHECK(torn.replies[0].error == nbd::kIo);
-  CHECK(torn.replies[0].pieces.empty());
+TEST_CASE("ClientSession: a reply with an error chunk or a missing chunk is an error") {
+  PendingRead with_error;
+  with_error.Chunk(false, nbd::kOffsetData, with_error.At(16, "abcd"));
+  with_error.Chunk(false, nbd::kErrorOffset, "\0\0\0\x05\0\0"s + with_error.At(20, ""));
+  with_error.Chunk(true, nbd::kOffsetData, with_error.At(20, "wxyz"));
+  REQUIRE(with_error.replies.size() == 1);
+  CHECK(with_error.replies[0].error == nbd::kIo);
+  CHECK(with_error.replies[0].pieces.empty());
   PendingRead missing;
   missing.Chunk(true, nbd::kOffsetData, missing.At(16, "abcd"));
   REQUIRE(missing.replies.size() == 1);
   CHECK(missing.replies[0].error == nbd::kIo);
-  PendingRead none;
-  none.Chunk(true, nbd::kNone, "");
-  CHECK(none.replies[0].error == nbd::kIo);
-  PendingRead unknown;  // an error of a later version of the specification
-  unknown.Chunk(true, 0x8007, "\0\0\0\x1c\0\0"s);
-  CHECK(unknown.replies[0].error == nbd::kNoSpace);
+  PendingRead without_data;
+  without_data.Chunk(true, nbd::kNone, "");
+  CHECK(without_data.replies[0].error == nbd::kIo);
+  PendingRead unknown_error;  // an error type of a later version of the specification
+  unknown_error.Chunk(true, 0x8007, "\0\0\0\x1c\0\0"s);
+  CHECK(unknown_error.replies[0].error == nbd::kNoSpace);
 }
 
-TEST_CASE("invalid chunks end the connection") {
-  const auto ends = [](auto play) {
+TEST_CASE("ClientSession: an invalid chunk ends the session") {
+  const auto ends = [](auto feed) {
     PendingRead r;
-    play(r);
+    feed(r);
     CHECK(r.session.ended());
     CHECK(r.replies.empty());
   };
   ends([](PendingRead& r) { r.Chunk(true, nbd::kNone, "", 6); });                  // unknown cookie
-  ends([](PendingRead& r) { r.Chunk(false, nbd::kOffsetData, r.At(15, "a")); });   // before the range
-  ends([](PendingRead& r) { r.Chunk(false, nbd::kOffsetData, r.At(23, "ab")); });  // past it
+  ends([](PendingRead& r) { r.Chunk(false, nbd::kOffsetData, r.At(15, "a")); });   // starts before the range
+  ends([](PendingRead& r) { r.Chunk(false, nbd::kOffsetData, r.At(23, "ab")); });  // ends after the range
   ends([](PendingRead& r) { r.Chunk(false, nbd::kOffsetHole, r.At(16, "\xff\xff\xff\xff")); });
   ends([](PendingRead& r) { r.Chunk(false, nbd::kOffsetData, r.At(16, std::string(9, 'a'))); });  // oversized
   ends([](PendingRead& r) { r.Chunk(false, nbd::kError, std::string(70'000, 'a')); });
-  ends([](PendingRead& r) { r.Chunk(true, nbd::kError, "\0\0\0\0\0\0"s); });      // error 0
-  ends([](PendingRead& r) { r.Chunk(true, nbd::kError, "\0\0\0\x05\0\x09"s); });  // longer than the chunk
+  ends([](PendingRead& r) { r.Chunk(true, nbd::kError, "\0\0\0\0\0\0"s); });      // error code 0
+  ends([](PendingRead& r) { r.Chunk(true, nbd::kError, "\0\0\0\x05\0\x09"s); });  // message too long
   ends([](PendingRead& r) { r.Chunk(true, 7, ""); });                             // unknown type
-  ends([](PendingRead& r) {                                                       // twice the same bytes
+  ends([](PendingRead& r) {                                                       // overlapping data
     r.Chunk(false, nbd::kOffsetData, r.At(16, "ab"));
     r.Chunk(false, nbd::kOffsetData, r.At(17, "b"));
   });
@@ -230,7 +233,7 @@
   });
 }
 
-TEST_CASE("a server without structured replies and GO is supported") {
+TEST_CASE("ClientSession: a server without structured replies and GO is supported") {
   nbd::ClientSession session("a");
   std::string out;
   std::vector<nbd::Reply> replies;
@@ -251,7 +254,7 @@
   CHECK(replies[0].pieces[0].data == "hi");
 }
 
-TEST_CASE("no reply of a target proves that a write never ran") {
+TEST_CASE("OutcomeOf: no error reply to a write or flush counts as not executed") {
   CHECK(nbd::OutcomeOf(nbd::kOk, nbd::kWrite) == Outcome::kCompleted);
   for (const nbd::Error error : {nbd::kShutdown, nbd::kNoMemory, nbd::kIo, nbd::kNoSpace}) {
     CHECK(nbd::OutcomeOf(error, nbd::kWrite) == Outcome::kErrored);
@@ -261,7 +264,7 @@
   CHECK(nbd::OutcomeOf(nbd::kIo, nbd::kRead) == Outcome::kErrored);
 }
 
-TEST_CASE("response statuses map to NBD errors") {
+TEST_CASE("ErrorOf: each response status maps to its NBD error") {
   CHECK(nbd::ErrorOf(core::ResponseStatus::kServed) == nbd::kOk);
   CHECK(nbd::ErrorOf(core::ResponseStatus::kRejected) == nbd::kNoMemory);
   CHECK(nbd::ErrorOf(core::ResponseStatus::kFailed) == nbd::kIo);
--- a/tests/net/nbd_front_end_test.cpp
+++ b/tests/net/nbd_front_end_test.cpp
@@ -1,4 +1,4 @@
-// NBD on sockets: incomplete replies, stalled handshakes, invalid commands, connections that idle.
+// Tests NBD over sockets: incomplete replies, stalled handshakes, invalid commands and idle connections.
 #include <doctest/doctest.h>
 
 #include "nbd/config.h"
@@ -12,7 +12,7 @@
 using namespace std::string_literals;
 using core::Protocol;
 
-// A connection that has negotiated export a.
+// Returns a connection that has completed the handshake for export "a".
 Socket NegotiatedConnection(const ScenarioRunner& runner) {
   Socket socket = Socket::Connect(runner.nbd_port());
   socket.Send(nbd::ClientFlags() + GoOption("a"));
@@ -23,7 +23,7 @@
   return socket;
 }
 
-TEST_CASE("a target's chunks reach the client complete or as an error") {
+TEST_CASE("NBD read: a reply in chunks reaches the client complete or as an error") {
   ScenarioRunner runner(Protocol::kNbd);
   runner.Play(R"(
     client c send read
@@ -33,14 +33,14 @@
   CHECK(runner.last_response().body == std::string(2048, 'r') + std::string(2048, '0'));
   for (const char* bad : {"torn", "short"}) {
     CAPTURE(bad);
-    // The read is idempotent, so it is retried until its attempts are used up.
+    // A read is idempotent, so it is retried until the maximum number of attempts is reached.
     runner.Play("client c send read\n target a expect read\n target a send "s + bad +
                 "\n target a expect read\n target a send " + bad +
                 "\n target a expect read\n target a send " + bad + "\n client c expect refused");
   }
 }
 
-TEST_CASE("a connection that ends inside a chunk, or names an unknown cookie, is closed") {
+TEST_CASE("NBD target connection: a partial chunk or an unknown cookie closes it; only reads are retried") {
   ScenarioRunner runner(Protocol::kNbd);
   runner.Play(R"(
     client c send read
@@ -61,7 +61,7 @@
     target a expect nothing 100)");
 }
 
-TEST_CASE("a handshake that stalls at a client times out and leaves nothing") {
+TEST_CASE("NBD front end: a handshake that stalls at the client times out and its connection is closed") {
   for (const char* start : {"", "\\x00\\x00", "\\x00\\x00\\x00\\x03IHAV",
                             "\\x00\\x00\\x00\\x03IHAVEOPT\\x00\\x00\\x00\\x07\\x00\\x00\\x00\\x07\\x00"}) {
     CAPTURE(start);
@@ -73,16 +73,16 @@
 }
 
 TEST_CASE(
-    "a handshake that stalls at a target never ran anything: the write is rejected, no connection is left") {
+    "NBD target connection: when the handshake stalls, the waiting write is rejected and the connection is "
+    "closed") {
   ScenarioRunner runner(Protocol::kNbd);
-  runner.Play("client c send write");  // the target's listener accepts the connection and stays silent
-  runner.Play(
-      "client c expect refused\n wait 150");  // the scheduler may give up before the handshake times out
+  runner.Play("client c send write");                 // the target accepts the connection and sends nothing
+  runner.Play("client c expect refused\n wait 150");  // the response may precede the handshake time-out
   runner.Halt();
   CHECK(runner.initiator().nbd_target_connections() == 0);
 }
 
-TEST_CASE("a write that waits for a handshake when its target begins to drain never reaches it") {
+TEST_CASE("NBD target connection: a write that waits for the handshake is not sent once the target drains") {
   ScenarioRunner runner(Protocol::kNbd);
   runner.Play(R"(
     client c send write
@@ -93,7 +93,7 @@
     target a expect nothing 600)");
 }
 
-TEST_CASE("several commands are in flight at once and matched by cookie") {
+TEST_CASE("NBD front end: concurrent commands are matched to replies by cookie") {
   ScenarioRunner runner(Protocol::kNbd);
   runner.Play(R"(
     client c send read
@@ -106,7 +106,7 @@
     client c expect served
     client c close
     client d send read)");
-  // The other commands were abandoned, so their connection takes nothing new.
+  // The other commands were abandoned, so their connection accepts no further attempts.
   runner.Play(R"(
     target a expect closed
     target a expect read
@@ -114,7 +114,7 @@
     client d expect served)");
 }
 
-TEST_CASE("a write to a target whose flush covers one connection only is durable by itself") {
+TEST_CASE("NBD target connection: if a flush covers only one connection, writes have FUA") {
   ScenarioRunner runner(Protocol::kNbd);
   runner.Play("client c send write\n target a expect write");
   CHECK(runner.target_nbd_request("a").flags == nbd::kFua);
@@ -122,7 +122,7 @@
   CHECK(runner.target_nbd_request("a").flags == 0);
 }
 
-TEST_CASE("a disconnect cancels the commands in flight") {
+TEST_CASE("NBD front end: a DISC command cancels the commands in flight") {
   ScenarioRunner runner(Protocol::kNbd);
   runner.Play(R"(
     client c send write
@@ -132,7 +132,7 @@
     target a expect closed)");
 }
 
-TEST_CASE("invalid commands get an error and never reach a target") {
+TEST_CASE("NBD front end: an invalid command gets an error reply and never reaches a target") {
   ScenarioRunner runner(Protocol::kNbd);
   runner.Play("client c send read\n target a expect read\n target a send ok\n client c expect served");
   const struct {
@@ -158,16 +158,17 @@
   runner.Play("target a expect nothing 50");
 }
 
-TEST_CASE("a client that stops inside a command is disconnected in time, whatever trickles in") {
+TEST_CASE(
+    "NBD front end: a client that completes no command in time is disconnected, even if it sends slowly") {
   ScenarioRunner runner(Protocol::kNbd);
   std::string command;
   nbd::Request request;
   request.type = nbd::kWrite;
   request.length = 4096;
   nbd::PutRequest(request, &command);
-  SUBCASE("inside its header") { command.resize(9); }
-  SUBCASE("inside its data") {}
-  SUBCASE("inside data that is too long") { command.replace(24, 4, "\x7f\xff\xff\xff"); }
+  SUBCASE("in the header") { command.resize(9); }
+  SUBCASE("in the data") {}
+  SUBCASE("in the data of an oversized write") { command.replace(24, 4, "\x7f\xff\xff\xff"); }
   Socket socket = NegotiatedConnection(runner);
   const Time before = core::Now();
   socket.Send(command);
@@ -179,10 +180,9 @@
   runner.Play("target a expect nothing 1");
 }
 
-TEST_CASE(
-    "silent NBD connections leave room for a normal client; one with a request is not closed for them") {
+TEST_CASE("NBD front end: silent connections are evicted for a client; a connection with a request is not") {
   auto config = BasicConfig();
-  config["limits"]["sockets"] = 100;  // six clients
+  config["limits"]["sockets"] = 100;  // allows six clients
   ScenarioRunner runner(Protocol::kNbd, config);
   runner.Play("client c send read\n target a expect read\n target a send ok\n client c expect served");
   std::vector<Socket> silent;
@@ -208,7 +208,7 @@
   CHECK(runner.initiator().nbd_front()->connections() <= 6);
 }
 
-TEST_CASE("the shipped NBD deploy file is valid; invalid ones are reported") {
+TEST_CASE("NBD configuration: deploy/nbd.toml is valid, and invalid text is rejected") {
   Settings settings;
   settings.max_request_units = 6;
   const std::vector<std::string> classes = {"read", "write", "sweep"};
--- a/tests/net/nbd_storage_server.cpp
+++ b/tests/net/nbd_storage_server.cpp
@@ -1,12 +1,12 @@
-// The NBD side of the storage servers that a scenario plays.
+// Implements the fake storage servers of the scenarios for NBD.
 #include "scenario_limits.h"
 #include "storage_server.h"
 
 namespace walnutspur::test {
 namespace {
 
-constexpr std::uint32_t kHalf = kNbdRequestBytes / 2;
-constexpr std::uint64_t kUnknownCookieOffset = 1000;  // added to a cookie to get one that is not in use
+constexpr std::uint32_t kHalfRequestBytes = kNbdRequestBytes / 2;
+constexpr std::uint64_t kUnknownCookieOffset = 1000;  // added to a cookie to obtain an unused one
 
 nbd::Error ErrorFor(const std::string& kind) {
   if (kind.starts_with("ok")) {
@@ -55,26 +55,27 @@
   return out;
 }
 
-// The second half of the data first, then a hole before it.
+// Returns a reply with data for the first half of the range, then a hole for the second half.
 std::string NbdStorageServer::SplitResponse() const {
   std::string hole;
-  nbd::Put<std::uint64_t>(kHalf, &hole);
-  nbd::Put<std::uint32_t>(kHalf, &hole);
+  nbd::Put<std::uint64_t>(kHalfRequestBytes, &hole);
+  nbd::Put<std::uint32_t>(kHalfRequestBytes, &hole);
   std::string out;
-  nbd::PutChunk(false, nbd::kOffsetData, nbd_request_.cookie, DataAt(0, kHalf), &out);
+  nbd::PutChunk(false, nbd::kOffsetData, nbd_request_.cookie, DataAt(0, kHalfRequestBytes), &out);
   nbd::PutChunk(true, nbd::kOffsetHole, nbd_request_.cookie, hole, &out);
   return out;
 }
 
-// An error between two chunks of data.
+// Returns a reply with an error chunk between two data chunks.
 std::string NbdStorageServer::TornResponse() const {
   std::string error;
   nbd::Put<std::uint32_t>(nbd::kIo, &error);
   nbd::Put<std::uint16_t>(0, &error);
   std::string out;
-  nbd::PutChunk(false, nbd::kOffsetData, nbd_request_.cookie, DataAt(0, kHalf), &out);
-  nbd::PutChunk(false, nbd::kErrorOffset, nbd_request_.cookie, error + DataAt(kHalf, 0), &out);
-  nbd::PutChunk(true, nbd::kOffsetData, nbd_request_.cookie, DataAt(kHalf, kHalf), &out);
+  nbd::PutChunk(false, nbd::kOffsetData, nbd_request_.cookie, DataAt(0, kHalfRequestBytes), &out);
+  nbd::PutChunk(false, nbd::kErrorOffset, nbd_request_.cookie, error + DataAt(kHalfRequestBytes, 0), &out);
+  nbd::PutChunk(true, nbd::kOffsetData, nbd_request_.cookie, DataAt(kHalfRequestBytes, kHalfRequestBytes),
+                &out);
   return out;
 }
 
@@ -83,14 +84,14 @@
   if (kind == "noise") {
     return "noise, and no reply of any kind";
   }
-  if (kind == "huge") {  // only the header of the chunk, with a length that exceeds any request
+  if (kind == "huge") {  // only the chunk header, with a length that exceeds any request
     nbd::PutChunk(true, nbd::kOffsetData, nbd_request_.cookie, "", &out);
     return out.replace(16, 4, "\xc0\x01\x02\x03");
   }
-  if (kind == "short") {  // done before all bytes are covered
-    return SingleChunk(kHalf);
+  if (kind == "short") {  // the last chunk, although it does not cover the whole range
+    return SingleChunk(kHalfRequestBytes);
   }
-  if (kind == "half") {  // ends inside a chunk
+  if (kind == "half") {  // truncated within a chunk
     out = SingleChunk(kNbdRequestBytes);
     out.resize(out.size() / 2);
     return out;
@@ -118,8 +119,8 @@
   } else {
     last_connection_->session->Reply(nbd_request_.cookie, ErrorFor(kind), "", &out);
   }
-  const std::string surplus = kind == "ok-and-more" ? "m" : "";  // too short to be parsed as a reply
-  return out + surplus;
+  const std::string unsolicited = kind == "ok-and-more" ? "m" : "";  // too short to be parsed as a reply
+  return out + unsolicited;
 }
 
 }  // namespace walnutspur::test
--- a/tests/net/pcap_test.cpp
+++ b/tests/net/pcap_test.cpp
@@ -1,4 +1,4 @@
-// pcap files: reassembly of streams, replay to the front ends, writing and reading back.
+// Tests capture files: reassembly of streams, writing and reading, recording and replay.
 #include <doctest/doctest.h>
 
 #include <filesystem>
@@ -17,52 +17,52 @@
 const pcap::Endpoint kClient{"\x7f\0\0\x01"s, 40000};
 const pcap::Endpoint kServer{"\x7f\0\0\x02"s, 3000};
 
-TEST_CASE("segments are reassembled: early, retransmitted, overlapping, past the sequence number wrap") {
-  pcap::Reassembly side(1000);
-  side.Begin(0xfffffffe);
-  side.Add(2, "efgh");         // early
-  side.Add(0xfffffffe, "ab");  // in order, up to the wrap
-  CHECK(side.bytes() == "ab");
-  CHECK(side.has_gap());
-  side.Add(0xfffffffe, "ab");   // retransmitted
-  side.Add(0xffffffff, "bcd");  // overlaps and fills the gap
-  CHECK(side.bytes() == "abcdefgh");
-  CHECK_FALSE(side.has_gap());
-  side.Add(4, "ghij");
-  CHECK(side.bytes() == "abcdefghij");
+TEST_CASE("Reassembly: early, retransmitted and overlapping segments are put in order, also across a wrap") {
+  pcap::Reassembly direction(1000);
+  direction.Begin(0xfffffffe);
+  direction.Add(2, "efgh");         // out of order
+  direction.Add(0xfffffffe, "ab");  // in order, up to the wrap of the sequence number
+  CHECK(direction.bytes() == "ab");
+  CHECK(direction.has_gap());
+  direction.Add(0xfffffffe, "ab");   // retransmitted
+  direction.Add(0xffffffff, "bcd");  // overlaps and fills the gap
+  CHECK(direction.bytes() == "abcdefgh");
+  CHECK_FALSE(direction.has_gap());
+  direction.Add(4, "ghij");
+  CHECK(direction.bytes() == "abcdefghij");
 }
 
-TEST_CASE("bytes after a gap, truncated segments and bytes over the limit are left out") {
-  pcap::Reassembly gap(1000);
-  gap.Begin(10);
-  gap.Add(10, "ab");
-  gap.Add(13, "d");
-  CHECK(gap.bytes() == "ab");
-  CHECK(gap.has_gap());
-  pcap::Reassembly cut(1000);
-  cut.Add(10, "ab", 2);
-  cut.Add(14, "ef");
-  CHECK(cut.bytes() == "ab");
-  CHECK(cut.has_gap());
-  pcap::Reassembly much(4);
-  much.Add(0, "abc");
-  much.Add(3, "de");
-  CHECK(much.bytes() == "abc");
-  CHECK(much.has_gap());
+TEST_CASE("Reassembly: bytes after a gap, after a truncated segment and over the limit are discarded") {
+  pcap::Reassembly with_gap(1000);
+  with_gap.Begin(10);
+  with_gap.Add(10, "ab");
+  with_gap.Add(13, "d");
+  CHECK(with_gap.bytes() == "ab");
+  CHECK(with_gap.has_gap());
+  pcap::Reassembly truncated(1000);
+  truncated.Add(10, "ab", 2);
+  truncated.Add(14, "ef");
+  CHECK(truncated.bytes() == "ab");
+  CHECK(truncated.has_gap());
+  pcap::Reassembly over_limit(4);
+  over_limit.Add(0, "abc");
+  over_limit.Add(3, "de");
+  CHECK(over_limit.bytes() == "abc");
+  CHECK(over_limit.has_gap());
 }
 
-TEST_CASE("what is written reads back, also from a truncated file") {
+TEST_CASE("Writer: written streams are read back, also from a truncated file") {
   TemporaryFile file;
   const std::string large(5000, 'x');
   {
     pcap::Writer writer(file.path(), 1 << 20);
-    const auto one = writer.Open(kClient, kServer);
-    const auto two = writer.Open({"\x7f\0\0\x01"s, 40001}, kServer);
-    writer.Data(one, true, "ping");
-    writer.Data(two, true, large);
-    writer.Data(one, false, "pong");
-    writer.Close(one);
-    writer.Data(two, false, "late");
+    const auto first = writer.Open(kClient, kServer);
+    const auto second = writer.Open({"\x7f\0\0\x01"s, 40001}, kServer);
+    writer.Data(first, true, "ping");
+    writer.Data(second, true, large);
+    writer.Data(first, false, "pong");
+    writer.Close(first);
+    writer.Data(second, false, "late");
   }
   const auto streams = pcap::ReadStreams(file.path());
   REQUIRE(streams.size() == 2);
@@ -83,7 +83,7 @@
   CHECK_THROWS(pcap::ReadStreams(file.path()));
 }
 
-TEST_CASE("the writer respects its size limit") {
+TEST_CASE("Writer: data beyond the size limit is not written") {
   TemporaryFile file;
   {
     pcap::Writer writer(file.path(), 10);
@@ -92,7 +92,7 @@
   CHECK(pcap::ReadStreams(file.path())[0].to_server.bytes().size() == 10);
 }
 
-// Serves a write and a read, recording them in a capture.
+// Serves a write and a read, and records them in a capture file.
 void Record(Protocol protocol, const std::string& path) {
   app::Options options;
   options.record = path;
@@ -110,7 +110,7 @@
     wait 50)");
 }
 
-// Replays a capture to a new initiator, whose targets see the recorded requests.
+// Records traffic and replays it to a new initiator. The targets must receive the recorded requests.
 void RecordAndReplay(Protocol protocol) {
   const TemporaryFile file;
   Record(protocol, file.path());
@@ -133,7 +133,7 @@
   if (protocol == Protocol::kNbd) {
     CHECK(result.received == recorded);
   }
-  if (protocol == Protocol::kHttp) {  // equal except for the date
+  if (protocol == Protocol::kHttp) {  // the responses differ only in the date
     CHECK(result.received.size() == recorded.size());
     CHECK(recorded.starts_with("HTTP/1.1 200 OK\r\n"));
     CHECK(recorded.ends_with("stored"));
@@ -141,8 +141,8 @@
   }
 }
 
-TEST_CASE("traffic served over HTTP is recorded and replayed") { RecordAndReplay(Protocol::kHttp); }
-TEST_CASE("traffic served over NBD is recorded and replayed") { RecordAndReplay(Protocol::kNbd); }
+TEST_CASE("Player: recorded HTTP traffic is replayed") { RecordAndReplay(Protocol::kHttp); }
+TEST_CASE("Player: recorded NBD traffic is replayed") { RecordAndReplay(Protocol::kNbd); }
 
 }  // namespace
 }  // namespace walnutspur::test
