--- a/src/checksummed/io_dispatcher.cpp
+++ b/src/checksummed/io_dispatcher.cpp
@@ -9,9 +9,9 @@
 using integrity::IoKind;
 using integrity::IoStatus;
 
-// The first request number of volumes; those of the scheduler are lower.
+// First request number of storage requests. The request numbers of the scheduler are lower.
 constexpr core::RequestNumber kFirstInternalRequest = core::RequestNumber{1} << 63;
-// Timeout of one storage request, us.
+// Timeout of a storage request, us.
 constexpr Time kIoTimeout = 2'000'000;
 
 IoStatus StatusOf(const core::AttemptResult& result, bool is_flushing) {
@@ -20,24 +20,24 @@
       return IoStatus::kCompleted;
     case Outcome::kConnectFailed:
     case Outcome::kOverloaded:
-      // The write before the flush has been executed.
+      // Before a flush starts, the write has already been executed.
       return is_flushing ? IoStatus::kFailed : IoStatus::kNotExecuted;
     default:
       return IoStatus::kFailed;
   }
 }
 
-// Moves the data out of a reply that was made for this attempt alone.
+// Moves the data out of the reply. The reply is not shared: it was created for this attempt only.
 std::string TakeData(const core::AttemptResult& result) {
   auto payload = std::const_pointer_cast<core::Payload>(result.payload);
   auto& pieces = static_cast<nbd::ReplyPayload&>(*payload).pieces;
   std::string data;
-  if (pieces.size() == 1 && pieces[0].hole == 0) {
+  if (pieces.size() == 1 && pieces[0].hole_bytes == 0) {
     return std::exchange(pieces[0].data, {});
   }
   for (const nbd::Piece& piece : pieces) {
-    if (piece.hole > 0) {
-      data.append(piece.hole, '\0');
+    if (piece.hole_bytes > 0) {
+      data.append(piece.hole_bytes, '\0');
     } else {
       data.append(piece.data);
     }
@@ -83,7 +83,7 @@
 
 void IoDispatcher::StartAttempt(PendingIo pending, nbd::Request request, int path,
                                 std::vector<integrity::Slice> tail) {
-  const nbd::Volume& volume = config_.volumes[pending.io.number];
+  const nbd::Volume& volume = config_.volumes[pending.io.export_index];
   auto payload = std::make_shared<nbd::CommandPayload>();
   payload->request = std::move(request);
   payload->tail = std::move(tail);
@@ -116,11 +116,11 @@
   IoStatus status = StatusOf(result, pending.is_flushing);
   const integrity::IoRequest& request = pending.io.request;
   if (status == IoStatus::kCompleted && request.fua && !pending.is_flushing) {
-    if (callbacks_.is_available(pending.io.number)) {
+    if (callbacks_.is_available(pending.io.export_index)) {
       pending.is_flushing = true;
       nbd::Request flush;
       flush.type = nbd::kFlush;
-      const int path = paths_->Choose(config_.volumes[pending.io.number], flush);
+      const int path = paths_->Choose(config_.volumes[pending.io.export_index], flush);
       return StartAttempt(std::move(pending), std::move(flush), path);
     }
     status = IoStatus::kFailed;
--- a/src/nbd/command.cpp
+++ b/src/nbd/command.cpp
@@ -7,7 +7,7 @@
 
 constexpr Time kMicrosecondsPerMillisecond = 1000;
 
-// The message of a response that is not served.
+// Returns the error message for a response other than kServed.
 std::string FailureMessage(const core::Response& response) {
   switch (response.status) {
     case core::ResponseStatus::kRejected:
@@ -41,7 +41,7 @@
   if (request.length == 0) {
     return CommandError{kInvalid, "no length"};
   }
-  if (request.oversized || request.length > target_export.largest) {
+  if (request.oversized || request.length > target_export.max_command_bytes) {
     return CommandError{kOverflow, "too long"};
   }
   if (request.offset > target_export.size || request.length > target_export.size - request.offset) {
@@ -55,10 +55,10 @@
     case core::ResponseStatus::kServed:
       return kOk;
     case core::ResponseStatus::kRejected:
-      return kNoMemory;  // a lack of resources: a retry does no harm
+      return kNoMemory;  // lack of resources; a retry is harmless
     case core::ResponseStatus::kFailed:
     case core::ResponseStatus::kTimedOut:
-      return kIo;  // whether it took effect is unknown
+      return kIo;  // unknown whether the command took effect
     case core::ResponseStatus::kDuplicate:
       return kInvalid;
   }
@@ -71,8 +71,8 @@
   const auto* payload = static_cast<const ReplyPayload*>(response.payload.get());
   if (response.status == core::ResponseStatus::kServed) {
     EncodeServed(session, cookie, *payload, &out);
-  } else if (payload != nullptr && !payload->bad.empty()) {
-    session.Reply(cookie, payload->pieces, payload->bad, &out);
+  } else if (payload != nullptr && !payload->corrupt_offsets.empty()) {
+    session.Reply(cookie, payload->pieces, payload->corrupt_offsets, &out);
   } else {
     session.Reply(cookie, ErrorOf(response.status), FailureMessage(response), &out);
   }
