--- a/src/background/budget.cpp
+++ b/src/background/budget.cpp
@@ -36,7 +36,7 @@
 
 // ---- pressure ----
 
-void Pressure::Take(const Report& report, Time now) {
+void Pressure::AddReport(const LoadReport& report, Time now) {
   const bool overloaded = report.missed_fraction > options_.max_missed_fraction ||
                           report.queued_fraction > options_.max_queued_fraction;
   // Failure: background work and the pressure that it causes alternate, and live requests suffer in every
@@ -70,7 +70,7 @@
 
 void Budget::Resume(JobId job, Time now) {
   Job& resumed = jobs_.at(job);
-  PayDebts(resumed, now);
+  ReduceDebts(resumed, now);
   resumed.paused = false;
 }
 
@@ -86,7 +86,7 @@
   return std::max(options.min_requests_per_second, rate * pressure_.Speed(now));
 }
 
-void Budget::PayDebts(Job& job, Time now) const {
+void Budget::ReduceDebts(Job& job, Time now) const {
   const double rate = Rate(job, now);
   const double elapsed = Seconds(now - job.updated_at);
   job.request_debt = std::max(0.0, job.request_debt - elapsed * rate);
@@ -94,7 +94,7 @@
   job.updated_at = std::max(job.updated_at, now);
 }
 
-std::optional<Time> Budget::WaitOf(const Job& job, Time now) const {
+std::optional<Time> Budget::WaitTime(const Job& job, Time now) const {
   if (suspended_ || job.paused || job.in_flight >= job.options.max_in_flight) {
     return std::nullopt;
   }
@@ -110,21 +110,21 @@
 }
 
 // By priority; among equals the one that has done less of its round.
-bool Budget::GoesBefore(const Job& job, const Job& other) {
+bool Budget::HasPrecedence(const Job& job, const Job& other) {
   if (job.options.priority != other.options.priority) {
     return job.options.priority > other.options.priority;
   }
   return DoneFraction(job.progress) < DoneFraction(other.progress);
 }
 
-std::optional<JobId> Budget::Next(Time now) {
+std::optional<JobId> Budget::GrantNext(Time now) {
   Job* best = nullptr;
   JobId best_id = 0;
   for (auto& [id, job] : jobs_) {
-    if (WaitOf(job, now) != Time{0}) {
+    if (WaitTime(job, now) != Time{0}) {
       continue;
     }
-    if (best == nullptr || GoesBefore(job, *best)) {
+    if (best == nullptr || HasPrecedence(job, *best)) {
       best = &job;
       best_id = id;
     }
@@ -132,16 +132,16 @@
   if (best == nullptr) {
     return std::nullopt;
   }
-  PayDebts(*best, now);
+  ReduceDebts(*best, now);
   best->request_debt += 1;
   ++best->in_flight;
   return best_id;
 }
 
-std::optional<Time> Budget::NextAt(Time now) const {
+std::optional<Time> Budget::NextGrantTime(Time now) const {
   std::optional<Time> earliest;
   for (const auto& [id, job] : jobs_) {
-    const std::optional<Time> wait = WaitOf(job, now);
+    const std::optional<Time> wait = WaitTime(job, now);
     if (wait && (!earliest || now + *wait < *earliest)) {
       earliest = now + *wait;
     }
@@ -149,9 +149,9 @@
   return earliest;
 }
 
-void Budget::Done(JobId job, std::uint64_t units, std::uint64_t bytes, Time now) {
+void Budget::Complete(JobId job, std::uint64_t units, std::uint64_t bytes, Time now) {
   Job& done = jobs_.at(job);
-  PayDebts(done, now);
+  ReduceDebts(done, now);
   done.in_flight = std::max(0, done.in_flight - 1);
   done.bytes_debt += static_cast<double>(bytes);
   Progress& progress = done.progress;
@@ -163,7 +163,7 @@
   }
 }
 
-void Budget::Return(JobId job) {
+void Budget::ReturnGrant(JobId job) {
   Job& returned = jobs_.at(job);
   returned.in_flight = std::max(0, returned.in_flight - 1);
   returned.request_debt = std::max(0.0, returned.request_debt - 1);
--- a/src/background/budget.h
+++ b/src/background/budget.h
@@ -31,7 +31,7 @@
 };
 
 // The load on live requests at one target since the last report.
-struct Report {
+struct LoadReport {
   double missed_fraction = 0;  // of the requests, those that missed their latency objective
   double queued_fraction = 0;  // of the open requests, those that wait for the concurrency limit
 };
@@ -48,7 +48,7 @@
 class Pressure {
  public:
   explicit Pressure(const PressureOptions& options = {}) : options_(options) {}
-  void Take(const Report& report, Time now);
+  void AddReport(const LoadReport& report, Time now);
   double Speed(Time now) const;
 
  private:
@@ -71,7 +71,7 @@
   explicit Budget(const PressureOptions& pressure = {}) : pressure_(pressure) {}
 
   JobId Add(const JobOptions& options, const Progress& progress, Time now);
-  void Take(const Report& report, Time now) { pressure_.Take(report, now); }
+  void AddReport(const LoadReport& report, Time now) { pressure_.AddReport(report, now); }
 
   void Pause(JobId job);
   void Resume(JobId job, Time now);
@@ -79,14 +79,15 @@
   // start or terminated.
   void Suspend(bool suspended) { suspended_ = suspended; }
 
-  // Grants a request to the job that may send one now, if there is one; it is in flight until Done or Return.
-  std::optional<JobId> Next(Time now);
+  // Grants a request to the job that may send one now, if there is one; it is in flight until Complete or
+  // ReturnGrant.
+  std::optional<JobId> GrantNext(Time now);
   // The earliest time at which Next may grant a request; nothing if only another call can change that.
-  std::optional<Time> NextAt(Time now) const;
+  std::optional<Time> NextGrantTime(Time now) const;
   // Ends a granted request that has done `units` of the round; 0 if it failed and is to be repeated.
-  void Done(JobId job, std::uint64_t units, std::uint64_t bytes, Time now);
+  void Complete(JobId job, std::uint64_t units, std::uint64_t bytes, Time now);
   // Returns a grant that was not used.
-  void Return(JobId job);
+  void ReturnGrant(JobId job);
 
   const Progress& progress(JobId job) const { return jobs_.at(job).progress; }
   int in_flight(JobId job) const { return jobs_.at(job).in_flight; }
@@ -106,10 +107,10 @@
   };
   double Rate(const Job& job, Time now) const;
   // Reduces the debts by the time that has passed.
-  void PayDebts(Job& job, Time now) const;
+  void ReduceDebts(Job& job, Time now) const;
   // Time until the debts of a job are paid, us; nothing if only another call can let it send.
-  std::optional<Time> WaitOf(const Job& job, Time now) const;
-  static bool GoesBefore(const Job& job, const Job& other);
+  std::optional<Time> WaitTime(const Job& job, Time now) const;
+  static bool HasPrecedence(const Job& job, const Job& other);
 
   Pressure pressure_;
   std::map<JobId, Job> jobs_;
--- a/src/checksummed/scrub.cpp
+++ b/src/checksummed/scrub.cpp
@@ -92,7 +92,7 @@
 
 // Reports the pressure of the last interval. One without live requests counts as one without pressure.
 void Scrub::ReportPressure() {
-  background::Report report;
+  background::LoadReport report;
   if (responses_ > 0) {
     report.missed_fraction = static_cast<double>(missed_objectives_) / static_cast<double>(responses_);
   }
@@ -101,7 +101,7 @@
   missed_objectives_ = 0;
   max_queued_fraction_ = 0;
   for (auto& [name, target] : targets_) {
-    target.budget->Take(report, core::Now());
+    target.budget->AddReport(report, core::Now());
   }
   if (core::Now() - cursors_saved_at_ >= kSaveCursorsInterval) {
     SaveCursors();
@@ -155,14 +155,14 @@
   TargetState& state = targets_.at(target);
   const Time now = core::Now();
   state.budget->Suspend(!state.active || !IsWarmedUp(state, now));
-  while (const auto granted = state.budget->Next(now)) {
+  while (const auto granted = state.budget->GrantNext(now)) {
     for (std::size_t i = 0; i < jobs_.size(); ++i) {
       if (jobs_[i].target == target && jobs_[i].id == *granted) {
         StartRead(i);
       }
     }
   }
-  const auto next = state.budget->NextAt(now);
+  const auto next = state.budget->NextGrantTime(now);
   state.schedule_timer.Start(next ? std::clamp<Time>(*next - now, kMinScheduleInterval, kIdleScheduleInterval)
                                   : kIdleScheduleInterval);
 }
@@ -171,7 +171,7 @@
   Job& job = jobs_[job_index];
   const auto range = job.scrubber.Next();
   if (!range) {
-    return targets_.at(job.target).budget->Return(job.id);
+    return targets_.at(job.target).budget->ReturnGrant(job.id);
   }
   core::RequestReceived received = MakeRequest(job, *range);
   const core::RequestNumber request = received.request;
@@ -228,7 +228,7 @@
   }
   const std::uint64_t bytes = has_read ? pending.range.count * integrity::kBlockBytes : 0;
   targets_.at(job.target)
-      .budget->Done(job.id, static_cast<std::uint64_t>(completed_chunks), bytes, core::Now());
+      .budget->Complete(job.id, static_cast<std::uint64_t>(completed_chunks), bytes, core::Now());
 }
 
 std::vector<Scrub::Status> Scrub::status() const {
--- a/tests/unit/budget_test.cpp
+++ b/tests/unit/budget_test.cpp
@@ -10,31 +10,31 @@
 namespace {
 
 constexpr Time kSec = 1'000'000;
-const Report kCalm{0, 0.1};
-const Report kBusy{0.1, 0.1};
+const LoadReport kCalm{0, 0.1};
+const LoadReport kBusy{0.1, 0.1};
 
 // Runs a job that always has work for `seconds`; a request takes `latency` microseconds. Returns the requests
 // started in each second.
-std::vector<int> Play(Budget& budget, Time from, int seconds, const std::vector<Report>& reports,
+std::vector<int> Play(Budget& budget, Time from, int seconds, const std::vector<LoadReport>& reports,
                       Time latency = 1000) {
   std::vector<int> started(static_cast<std::size_t>(seconds));
   std::multimap<Time, JobId> running;
   for (Time now = from; now < from + seconds * kSec; now += 1000) {
     const auto second = static_cast<std::size_t>((now - from) / kSec);
     if ((now - from) % (kSec / 4) == 0) {
-      budget.Take(reports[second % reports.size()], now);
+      budget.AddReport(reports[second % reports.size()], now);
     }
     while (!running.empty() && running.begin()->first <= now) {
-      budget.Done(running.begin()->second, 1, 4096, now);
+      budget.Complete(running.begin()->second, 1, 4096, now);
       running.erase(running.begin());
     }
-    while (const auto job = budget.Next(now)) {
+    while (const auto job = budget.GrantNext(now)) {
       ++started[second];
       running.emplace(now + latency, *job);
     }
   }
   while (!running.empty()) {
-    budget.Done(running.begin()->second, 1, 4096, from + seconds * kSec);
+    budget.Complete(running.begin()->second, 1, 4096, from + seconds * kSec);
     running.erase(running.begin());
   }
   return started;
@@ -74,7 +74,7 @@
   const JobId job = budget.Add(BasicJob(), {}, 0);
   budget.Suspend(true);
   CHECK(Play(budget, 0, 2, {kCalm}) == std::vector<int>{0, 0});
-  CHECK_FALSE(budget.NextAt(2 * kSec));
+  CHECK_FALSE(budget.NextGrantTime(2 * kSec));
   budget.Suspend(false);
   budget.Pause(job);
   CHECK(Play(budget, 2 * kSec, 1, {kCalm}) == std::vector<int>{0});
@@ -88,21 +88,21 @@
   options.max_in_flight = 3;
   const JobId job = budget.Add(options, {}, 0);
   for (int i = 0; i < 100; ++i) {
-    budget.Take(kCalm, i);
+    budget.AddReport(kCalm, i);
   }
   int started = 0;
   for (Time now = 0; now < kSec; now += 1000) {
-    started += budget.Next(now).has_value() ? 1 : 0;
+    started += budget.GrantNext(now).has_value() ? 1 : 0;
   }
   CHECK(started == 3);
   CHECK(budget.in_flight(job) == 3);
   for (int i = 0; i < 3; ++i) {
-    budget.Done(job, 1, 50'000'000, kSec);  // 150 MB at 100 MB/s
+    budget.Complete(job, 1, 50'000'000, kSec);  // 150 MB at 100 MB/s
   }
-  CHECK_FALSE(budget.Next(kSec));
-  REQUIRE(budget.NextAt(kSec));
-  CHECK(*budget.NextAt(kSec) == kSec + kSec * 3 / 2);
-  CHECK(budget.Next(kSec + kSec * 3 / 2));
+  CHECK_FALSE(budget.GrantNext(kSec));
+  REQUIRE(budget.NextGrantTime(kSec));
+  CHECK(*budget.NextGrantTime(kSec) == kSec + kSec * 3 / 2);
+  CHECK(budget.GrantNext(kSec + kSec * 3 / 2));
 }
 
 TEST_CASE("the higher priority goes first, equals share, and unfinished requests are not counted") {
@@ -114,12 +114,12 @@
   low.max_in_flight = 1;
   const JobId low_job = budget.Add(low, {}, 0);
   const JobId high_job = budget.Add(high, {}, 0);
-  CHECK(budget.Next(0) == high_job);
-  CHECK(budget.Next(0) == low_job);
-  budget.Return(high_job);
+  CHECK(budget.GrantNext(0) == high_job);
+  CHECK(budget.GrantNext(0) == low_job);
+  budget.ReturnGrant(high_job);
   CHECK(budget.in_flight(high_job) == 0);
-  CHECK(budget.Next(0) == high_job);  // the returned request did not use up its turn
-  budget.Done(high_job, 0, 0, 1);     // failed: the cursor does not advance
+  CHECK(budget.GrantNext(0) == high_job);  // the returned request did not use up its turn
+  budget.Complete(high_job, 0, 0, 1);      // failed: the cursor does not advance
   CHECK(budget.progress(high_job).position == 0);
 }
 
@@ -142,7 +142,7 @@
 TEST_CASE("without recent reports it halves its speed") {
   Pressure pressure;
   for (int i = 0; i < 40; ++i) {
-    pressure.Take(kCalm, i);
+    pressure.AddReport(kCalm, i);
   }
   CHECK(pressure.Speed(40) == doctest::Approx(1));
   CHECK(pressure.Speed(10 * kSec) == doctest::Approx(0.5));
