--- a/src/filestore/atomic_file.cpp
+++ b/src/filestore/atomic_file.cpp
@@ -61,11 +61,11 @@
 }  // namespace
 
 bool WriteFileAtomically(const std::string& folder, const std::string& name, std::string_view bytes,
-                         std::string* what) {
+                         std::string* error) {
   const std::string path = folder + "/" + name;
   const std::string next = path + ".new";
   const auto fail = [&](const char* step) {
-    *what = std::string(step) + " " + next + ": " + std::strerror(errno);
+    *error = std::string(step) + " " + next + ": " + std::strerror(errno);
     std::remove(next.c_str());
     return false;
   };
--- a/src/filestore/atomic_file.h
+++ b/src/filestore/atomic_file.h
@@ -13,9 +13,9 @@
 
 namespace walnutspur::filestore {
 
-// False, with one line in `what`, if the file could not be made durable; the old one is then still there.
+// False, with one line in `error`, if the file could not be made durable; the old one is then still there.
 bool WriteFileAtomically(const std::string& folder, const std::string& name, std::string_view bytes,
-                         std::string* what);
+                         std::string* error);
 // Nothing if there is no such file or it cannot be read.
 std::optional<std::string> ReadFile(const std::string& path);
 
--- a/src/filestore/file_store.cpp
+++ b/src/filestore/file_store.cpp
@@ -60,10 +60,10 @@
     PendingFile file = TakePending();
     writing_ = true;
     lock.unlock();
-    std::string what;
-    const bool written = write_(file.name, file.bytes, &what);
+    std::string error;
+    const bool written = write_(file.name, file.bytes, &error);
     if (written == failing) {
-      report_status_(written ? "" : what);
+      report_status_(written ? "" : error);
     }
     failing = !written;
     lock.lock();
--- a/src/filestore/file_store.h
+++ b/src/filestore/file_store.h
@@ -20,8 +20,8 @@
 
 class FileStore {
  public:
-  // Writes one file; false, with one line in `what`, on failure.
-  using Write = std::function<bool(const std::string& name, const std::string& bytes, std::string* what)>;
+  // Writes one file; false, with one line in `error`, on failure.
+  using Write = std::function<bool(const std::string& name, const std::string& bytes, std::string* error)>;
   // Called with the error when writes begin to fail, and with an empty one when they succeed again.
   using ReportStatus = std::function<void(const std::string& error)>;
 
