--- a/src/app/fleet_settings.cpp
+++ b/src/app/fleet_settings.cpp
@@ -51,10 +51,10 @@
   }
 
  private:
-  void Add(const std::string& key, const std::string& what) {
+  void Add(const std::string& key, const std::string& error) {
     const std::string path = "fleet." + key;
     const auto line = root_.lines.find(path);
-    problems_->push_back({line == root_.lines.end() ? 0 : line->second, path, what});
+    problems_->push_back({line == root_.lines.end() ? 0 : line->second, path, error});
   }
 
   void CheckNames(const fleet::FleetOptions& options) {
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -78,7 +78,7 @@
     settings.fleet = ReadFleet(root, &problems);
   }
   if (!problems.empty()) {
-    throw ConfigError(config::Line(path, problems.front()));
+    throw ConfigError(config::FormatProblem(path, problems.front()));
   }
   settings.log = ReadLog(root);
   settings.digests = ReadDigests(root);
@@ -106,7 +106,7 @@
   }
   std::vector<std::string> lines;
   for (const config::Problem& problem : document.problems) {
-    lines.push_back(config::Line(path, problem));
+    lines.push_back(config::FormatProblem(path, problem));
   }
   return lines;
 }
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -57,7 +57,7 @@
         const toml::table parsed = toml::parse("x = " + key.default_value);
         Store(key, path, *parsed.get("x"), 0, out);
       } else if (key.required && !out->lines.contains(path)) {
-        problems_.push_back({line, key.path, "is missing; allowed is " + Allowed(key)});
+        problems_.push_back({line, key.path, "is missing; allowed is " + DescribeAllowed(key)});
       }
     }
   }
@@ -82,22 +82,22 @@
     if (result.value) {
       out->values[path] = std::move(*result.value);
     } else {
-      problems_.push_back({line, key.path, result.problem + "; allowed is " + Allowed(key)});
+      problems_.push_back({line, key.path, result.error + "; allowed is " + DescribeAllowed(key)});
     }
   }
 
   void ReadTables(const toml::node& node, const std::string& full_path, const std::string& path, int line,
                   Table* out) {
-    const std::string problem = "must stand as [[" + full_path + "]]";
+    const std::string error = "must stand as [[" + full_path + "]]";
     const toml::array* items = node.as_array();
     if (items == nullptr) {
-      problems_.push_back({line, full_path, problem});
+      problems_.push_back({line, full_path, error});
       return;
     }
     for (const toml::node& item : *items) {
       const int item_line = static_cast<int>(item.source().begin.line);
       if (!item.is_table()) {
-        problems_.push_back({item_line, full_path, problem});
+        problems_.push_back({item_line, full_path, error});
         continue;
       }
       Table& table = out->tables[path].emplace_back();
@@ -113,7 +113,7 @@
         known.push_back(key.path.substr(scope.size()));
       }
     }
-    const std::string nearest = Nearest(path, known);
+    const std::string nearest = NearestWord(path, known);
     const std::string hint = nearest.empty() ? "" : "; the nearest is " + nearest;
     problems_.push_back({line, scope + path, "is no known key" + hint});
   }
@@ -158,7 +158,7 @@
   return std::get<double>(value);
 }
 
-std::string Nearest(const std::string& word, const std::vector<std::string>& known) {
+std::string NearestWord(const std::string& word, const std::vector<std::string>& known) {
   std::string best;
   std::size_t min_edits = kMaxEdits + 1;
   for (const std::string& other : known) {
@@ -183,9 +183,9 @@
     std::stable_sort(document.problems.begin(), document.problems.end(),
                      [](const Problem& a, const Problem& b) { return a.line < b.line; });
   } catch (const toml::parse_error& error) {
-    std::string what(error.description());
-    std::replace(what.begin(), what.end(), '\n', ' ');
-    document.problems = {{static_cast<int>(error.source().begin.line), "", "is no TOML: " + what}};
+    std::string description(error.description());
+    std::replace(description.begin(), description.end(), '\n', ' ');
+    document.problems = {{static_cast<int>(error.source().begin.line), "", "is no TOML: " + description}};
   }
   return document;
 }
@@ -202,12 +202,12 @@
   return Read(text.str(), keys);
 }
 
-std::string Line(const std::string& file, const Problem& problem) {
+std::string FormatProblem(const std::string& file, const Problem& problem) {
   return file + (problem.line > 0 ? ":" + std::to_string(problem.line) : "") + ": " +
-         (problem.key.empty() ? "" : problem.key + ": ") + problem.what;
+         (problem.key.empty() ? "" : problem.key + ": ") + problem.error;
 }
 
-std::string Example(const std::vector<Key>& keys) {
+std::string FormatExample(const std::vector<Key>& keys) {
   std::ostringstream out;
   std::string section;
   for (const Key& key : keys) {
@@ -219,7 +219,7 @@
       out << SectionHeader(section);
     }
     const std::string name = at_root ? key.path : key.path.substr(dot + 1);
-    out << "# " << key.description << "; " << Allowed(key) << "\n";
+    out << "# " << key.description << "; " << DescribeAllowed(key) << "\n";
     if (key.default_value.empty()) {
       out << "# " << name << " = ...\n";
     } else {
--- a/src/config/schema.h
+++ b/src/config/schema.h
@@ -28,14 +28,14 @@
   std::string default_value = {};               // as written in a file; empty: none
   std::vector<std::string> allowed_words = {};  // the only texts allowed; empty: any
   bool required = false;                        // a file without the key has a problem
-  std::string description = {};                 // printed by Example
+  std::string description = {};                 // printed by FormatExample
 };
 
 // What is wrong with a document.
 struct Problem {
   int line = 0;     // from 1; 0: the file as such
   std::string key;  // its path; empty: no single key
-  std::string what;
+  std::string error;
 };
 
 using Value = std::variant<bool, std::int64_t, double, std::string, std::vector<std::string>>;
@@ -70,16 +70,16 @@
 Document ReadFile(const std::string& path, const std::vector<Key>& keys);
 
 // Formats a problem as "FILE:LINE: KEY: WHAT", without line or key where there is none.
-std::string Line(const std::string& file, const Problem& problem);
+std::string FormatProblem(const std::string& file, const Problem& problem);
 
 // Describes the values that a key allows: "a number from 0.01 to 2.5 s".
-std::string Allowed(const Key& key);
+std::string DescribeAllowed(const Key& key);
 
 // The word of `known` with the least edit distance (Levenshtein) to `word`; empty if none is similar.
-std::string Nearest(const std::string& word, const std::vector<std::string>& known);
+std::string NearestWord(const std::string& word, const std::vector<std::string>& known);
 
 // A commented TOML file with all keys and their defaults.
-std::string Example(const std::vector<Key>& keys);
+std::string FormatExample(const std::vector<Key>& keys);
 
 }  // namespace walnutspur::config
 
--- a/src/config/value_reader.cpp
+++ b/src/config/value_reader.cpp
@@ -12,7 +12,7 @@
 
 constexpr int kSignificantDigits = 12;  // of numbers in messages
 
-ValueResult Invalid(std::string problem) { return {std::nullopt, std::move(problem)}; }
+ValueResult Invalid(std::string error) { return {std::nullopt, std::move(error)}; }
 ValueResult Valid(Value value) { return {std::move(value), ""}; }
 
 bool InRange(const Key& key, double value) { return value >= key.min && value <= key.max; }
@@ -123,7 +123,7 @@
   return Invalid("has no type");
 }
 
-std::string Allowed(const Key& key) {
+std::string DescribeAllowed(const Key& key) {
   std::string words;
   for (const std::string& word : key.allowed_words) {
     words += (words.empty() ? "\"" : ", \"") + word + "\"";
--- a/src/config/value_reader.h
+++ b/src/config/value_reader.h
@@ -16,7 +16,7 @@
 // A value, or else what is wrong with it.
 struct ValueResult {
   std::optional<Value> value;
-  std::string problem;
+  std::string error;
 };
 
 // Reads the value of a key and checks type, range and words.
--- a/src/lab/commands/keys.cpp
+++ b/src/lab/commands/keys.cpp
@@ -14,7 +14,7 @@
   const CLI::App* const cli =
       program.add_subcommand("keys", "Print all keys of an experiment file, with their defaults");
   return {cli, [] {
-            std::fputs(config::Example(ExperimentKeys()).c_str(), stdout);
+            std::fputs(config::FormatExample(ExperimentKeys()).c_str(), stdout);
             return kExitOk;
           }};
 }
--- a/src/lab/sim/experiment_file.cpp
+++ b/src/lab/sim/experiment_file.cpp
@@ -311,7 +311,7 @@
 Experiment ParseExperiment(const std::string& text, const std::string& file) {
   const config::Document document = config::Read(text, ExperimentKeys());
   if (!document.problems.empty()) {
-    throw ExperimentError(config::Line(file, document.problems.front()));
+    throw ExperimentError(config::FormatProblem(file, document.problems.front()));
   }
   const Table& root = document.root;
   Experiment experiment;
--- a/src/nbd/config.cpp
+++ b/src/nbd/config.cpp
@@ -32,7 +32,8 @@
   config::Document document = config::Read(text, Keys());
   if (!document.problems.empty()) {
     const config::Problem& first = document.problems.front();
-    throw ConfigError(config::Line("line " + std::to_string(first.line), {0, first.key, first.what}));
+    throw ConfigError(
+        config::FormatProblem("line " + std::to_string(first.line), {0, first.key, first.error}));
   }
   return std::move(document.root);
 }
--- a/tests/unit/config_test.cpp
+++ b/tests/unit/config_test.cpp
@@ -54,7 +54,7 @@
 }
 
 TEST_CASE("the example that the program prints is valid and states the defaults") {
-  const TemporaryFile file(config::Example(app::SettingsKeys()));
+  const TemporaryFile file(config::FormatExample(app::SettingsKeys()));
   CHECK(app::CheckFile(file.path()).empty());
   const auto from_example = app::LoadSettings(file.path());
   const TemporaryFile empty("");
@@ -71,9 +71,9 @@
 }
 
 TEST_CASE("a known key is suggested only for a similar word") {
-  CHECK(config::Nearest("levl", {"level", "form"}) == "level");
-  CHECK(config::Nearest("xy", {"ab", "form"}).empty());
-  CHECK(config::Nearest("", {"a"}).empty());
+  CHECK(config::NearestWord("levl", {"level", "form"}) == "level");
+  CHECK(config::NearestWord("xy", {"ab", "form"}).empty());
+  CHECK(config::NearestWord("", {"a"}).empty());
 }
 
 TEST_CASE("the command line: no argument serves, an error is one line and code 2") {
