--- a/tests/faults/clock_step_test.cpp
+++ b/tests/faults/clock_step_test.cpp
@@ -28,7 +28,7 @@
   std::int64_t step_ms;
   std::int64_t step_at_ms;     // after the process's start
   std::int64_t targets_up_ms;  // for how long the targets have been up
-  Time settle;                 // us after the start from which requests count
+  Time settle_time;            // us after the start from which requests count
   StepResult result;
 };
 
@@ -38,7 +38,7 @@
   return duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-void Play(StepCase& step) {
+void RunCase(StepCase& step) {
   const std::string sign = step.step_ms < 0 ? "" : "+";
   lab::soak::TestbedOptions options = FaultyProcessOptions("clock@" + std::to_string(step.step_at_ms) + "=" +
                                                            sign + std::to_string(step.step_ms));
@@ -46,7 +46,7 @@
   options.load.connections = 8;
   options.load.think_time = 15'000;
   LoadRun run(options, 6 * kSecond);
-  step.result = {run.ServedFraction(step.settle), run.FindViolations()};
+  step.result = {run.ServedFraction(step.settle_time), run.FindViolations()};
 }
 
 void CheckServed(const std::vector<StepCase>& cases) {
@@ -54,7 +54,7 @@
     CAPTURE(each.step_ms);
     CAPTURE(each.targets_up_ms);
     CHECK(each.result.served > 0.98);
-    CHECK_MESSAGE(each.result.violations.empty(), FirstOf(each.result.violations));
+    CHECK_MESSAGE(each.result.violations.empty(), DescribeFirst(each.result.violations));
   }
 }
 
@@ -65,7 +65,7 @@
   for (const std::int64_t step_ms : {-3'600'000, -10'000, -1'000, 1'000, 10'000, 3'600'000}) {
     cases.push_back({step_ms, 2'000, 10 * kMillisecondsPerMinute, 0, {}});
   }
-  PlayAll(cases, Play);
+  RunAllConcurrently(cases, RunCase);
   CheckServed(cases);
 }
 
@@ -75,7 +75,7 @@
     cases.push_back({step_ms, 0, 500, 3 * kSecond, {}});                          // in slow start
     cases.push_back({step_ms, 0, 10 * kMillisecondsPerMinute, 3 * kSecond, {}});  // in steady state
   }
-  PlayAll(cases, Play);
+  RunAllConcurrently(cases, RunCase);
   CheckServed(cases);
 }
 
--- a/tests/faults/endpoint_lease_test.cpp
+++ b/tests/faults/endpoint_lease_test.cpp
@@ -79,7 +79,7 @@
 }
 
 // Discovery fails, one target begins to drain, and 9 s later discovery works again.
-FaultResult PlayDrainDuring(DiscoveryFault fault, int configured_instances) {
+FaultResult RunDrainDuring(DiscoveryFault fault, int configured_instances) {
   Testbed testbed(Options(configured_instances));
   testbed.StartAll();
   testbed.RunFor(kSecond / 5);
@@ -111,7 +111,9 @@
   FaultResult result;
 };
 
-void Play(FaultCase& played) { played.result = PlayDrainDuring(played.fault, played.configured_instances); }
+void RunCase(FaultCase& fault_case) {
+  fault_case.result = RunDrainDuring(fault_case.fault, fault_case.configured_instances);
+}
 
 }  // namespace
 
@@ -125,13 +127,13 @@
     cases.push_back({"cuts answers", DiscoveryFault::kCutsAnswers, instances, {}});
     cases.push_back({"refuses", DiscoveryFault::kRefuses, instances, {}});
   }
-  PlayAll(cases, Play);
+  RunAllConcurrently(cases, RunCase);
   for (const FaultCase& each : cases) {
     CAPTURE(each.name);
     CAPTURE(each.configured_instances);
     const FaultResult& result = each.result;
     CHECK_MESSAGE(result.violations.empty(), result.violations.size(),
-                  " violations, first: ", FirstOf(result.violations));
+                  " violations, first: ", DescribeFirst(result.violations));
     CHECK(result.served_before > 0.95);
     CheckResumed(result.after);
     if (each.fault == DiscoveryFault::kRefuses) {  // nothing can be announced meanwhile
@@ -153,7 +155,7 @@
   const Time ended_at = core::Now();
   StopClients(testbed);
   const std::vector<Violation> violations = FindViolations(testbed.record(), {});
-  CHECK_MESSAGE(violations.empty(), violations.size(), " violations, first: ", FirstOf(violations));
+  CHECK_MESSAGE(violations.empty(), violations.size(), " violations, first: ", DescribeFirst(violations));
   CheckResumed(ServiceByShard(testbed.record(), ended_at - 2 * kSecond, ended_at));
 }
 
--- a/tests/faults/fault_fixture.h
+++ b/tests/faults/fault_fixture.h
@@ -1,7 +1,7 @@
 // What the tests of a real process under faults have in common: a run of one process under load, and cases
 // that run at the same time.
 //
-// Owner and thread: the test case; PlayAll runs each of its cases on a thread of its own.
+// Owner and thread: the test case; RunAllConcurrently runs each of its cases on a thread of its own.
 #ifndef WALNUTSPUR_TESTS_FAULTS_FAULT_FIXTURE_H_
 #define WALNUTSPUR_TESTS_FAULTS_FAULT_FIXTURE_H_
 
@@ -52,9 +52,9 @@
     StopClients(testbed_);
   }
 
-  // Of the requests that were sent from `settle` us after the clients' start on.
-  double ServedFraction(Time settle = 0) {
-    return lab::soak::ServedFraction(testbed_.record(), began_at_ + settle, ended_at_);
+  // Of the requests that were sent from `settle_time` us after the clients' start on.
+  double ServedFraction(Time settle_time = 0) {
+    return lab::soak::ServedFraction(testbed_.record(), began_at_ + settle_time, ended_at_);
   }
   // Connections that ended between requests while the clients were sending.
   int idle_ends() const { return idle_ends_; }
@@ -71,17 +71,17 @@
 };
 
 // The first violation in words, for the message of a check; empty where there is none.
-inline std::string FirstOf(const std::vector<lab::soak::Violation>& violations) {
+inline std::string DescribeFirst(const std::vector<lab::soak::Violation>& violations) {
   return violations.empty() ? "" : violations.front().invariant + ": " + violations.front().description;
 }
 
-// Calls `play(case)` for all cases at the same time: they wait most of their time.
-template <typename Case, typename Play>
-void PlayAll(std::vector<Case>& cases, Play play) {
+// Calls `run(case)` for all cases at the same time: they wait most of their time.
+template <typename Case, typename Run>
+void RunAllConcurrently(std::vector<Case>& cases, Run run) {
   std::vector<std::thread> threads;
   threads.reserve(cases.size());
   for (Case& each : cases) {
-    threads.emplace_back([&each, play] { play(each); });
+    threads.emplace_back([&each, run] { run(each); });
   }
   for (std::thread& thread : threads) {
     thread.join();
--- a/tests/faults/system_call_test.cpp
+++ b/tests/faults/system_call_test.cpp
@@ -21,19 +21,19 @@
   double served = 0;
   int idle_ends = 0;  // connections that ended between requests
   std::vector<lab::soak::Violation> violations = {};
-  bool runs_on = false;
+  bool still_running = false;
 };
 
-void Play(CallCase& played) {
-  lab::soak::TestbedOptions options = FaultyProcessOptions(played.faults);
+void RunCase(CallCase& fault_case) {
+  lab::soak::TestbedOptions options = FaultyProcessOptions(fault_case.faults);
   options.load.connections = 8;
   options.load.think_time = 200'000;
   options.load.reconnect_fraction = 0.2;
   LoadRun run(options, 6 * kSecond);
-  played.idle_ends = run.idle_ends();
-  played.runs_on = run.IsRunning();
-  played.served = run.ServedFraction();
-  played.violations = run.FindViolations();
+  fault_case.idle_ends = run.idle_ends();
+  fault_case.still_running = run.IsRunning();
+  fault_case.served = run.ServedFraction();
+  fault_case.violations = run.FindViolations();
 }
 
 }  // namespace
@@ -54,13 +54,13 @@
   cases.push_back({"readv@500=ECONNRESET/0.02;writev@500=EPIPE/0.02", 0.8});
   cases.push_back({"readv@500=ETIMEDOUT/0.02;writev@500=EHOSTUNREACH/0.02", 0.8});
   cases.push_back({"writev@500=delay150/0.02", 0.9});
-  PlayAll(cases, Play);
+  RunAllConcurrently(cases, RunCase);
   for (const CallCase& each : cases) {
     CAPTURE(each.faults);
     CHECK_MESSAGE(each.violations.empty(), each.violations.size(),
-                  " violations, first: ", FirstOf(each.violations));
+                  " violations, first: ", DescribeFirst(each.violations));
     CHECK(each.served > each.min_served);
-    CHECK(each.runs_on);
+    CHECK(each.still_running);
     if (each.faults.rfind("accept4", 0) == 0) {  // no idle connection makes room for what cannot be accepted
       CHECK(each.idle_ends <= 1);                // by chance one is idle for 2 s after its first request
     }
