--- a/src/app/command_line.cpp
+++ b/src/app/command_line.cpp
@@ -96,7 +96,7 @@
     integrity->require_subcommand(1);
     CLI::App* format = AddOnExport(integrity, "format", "Lay out tags and journal; the export's data is lost",
                                    Action::kFormat);
-    format->add_option("--journal", command_.integrity.journal, "Bytes of the journal")
+    format->add_option("--journal", command_.integrity.journal_bytes, "Bytes of the journal")
         ->check(CLI::Range(kMinJournalBytes, kMaxJournalBytes))
         ->capture_default_str();
     format->add_flag("--force", command_.integrity.force, "Even if it is formatted already");
@@ -105,7 +105,7 @@
                 "Read every block and compare it with its tag; exit code 1 if one is corrupted",
                 Action::kVerify);
     AddOnFolder(integrity, "ledger", "Print the damage ledger of a folder", "The settings' integrity.folder",
-                Action::kShowLedger);
+                Action::kShowCorruptionLog);
     status_ = AddOnFolder(integrity, "status", "What a running process knows, as JSON",
                           "The process's integrity.folder", Action::kSendCommand);
     CLI::App* scrub = AddOnFolder(integrity, "scrub", "Tell a running process's scrub something",
@@ -119,7 +119,7 @@
     CLI::App* app = Add(parent, name, description, action);
     app->add_option("ADDRESS", command_.integrity.address, "Where the target speaks NBD: 127.0.0.1:10810")
         ->required();
-    app->add_option("EXPORT", command_.integrity.remote, "The export's name at the target")->required();
+    app->add_option("EXPORT", command_.integrity.export_name, "The export's name at the target")->required();
     return app;
   }
 
--- a/src/app/command_line.h
+++ b/src/app/command_line.h
@@ -18,7 +18,7 @@
   kFormat,
   kShowSuperblock,
   kVerify,
-  kShowLedger,
+  kShowCorruptionLog,
   kSendCommand,
   kPrintMessage
 };
--- a/src/app/control.cpp
+++ b/src/app/control.cpp
@@ -120,7 +120,7 @@
 struct Control::Client {
   Control* owner = nullptr;
   std::uint64_t number = 0;
-  bool answered = false;
+  bool responded = false;
   loop::EventHandle timeout;
   std::unique_ptr<bufferevent, loop::Deleter<bufferevent_free>> stream;
 };
@@ -169,13 +169,13 @@
       [](bufferevent* stream, void* arg) {  // also called once before anything is written
         auto* self = static_cast<Client*>(arg);
         const bool written = evbuffer_get_length(bufferevent_get_output(stream)) == 0;
-        if (self->answered && written) {
+        if (self->responded && written) {
           self->owner->clients_.erase(self->number);
         }
       },
       [](bufferevent*, auto events, void* arg) {
         auto* self = static_cast<Client*>(arg);
-        if ((events & BEV_EVENT_ERROR) != 0 || !self->answered) {
+        if ((events & BEV_EVENT_ERROR) != 0 || !self->responded) {
           self->owner->clients_.erase(self->number);
         }
       },
@@ -189,11 +189,11 @@
   std::string input(evbuffer_get_length(buffer), '\0');
   evbuffer_copyout(buffer, input.data(), input.size());
   const bool complete = input.find('\n') != std::string::npos || input.size() > kMaxLineBytes;
-  if (client.answered || !complete) {
+  if (client.responded || !complete) {
     return;
   }
   const std::string response = Respond(input);
-  client.answered = true;
+  client.responded = true;
   bufferevent_write(client.stream.get(), response.data(), response.size());
 }
 
--- a/src/app/fleet_publisher.cpp
+++ b/src/app/fleet_publisher.cpp
@@ -22,7 +22,7 @@
     log::Event(warning ? log::Level::kWarn : log::Level::kInfo, kind, fields);
   };
   result.on_size = [on_size = hooks.on_size](int live, double part) { on_size(FleetSize{live, part}); };
-  result.on_end = hooks.on_expelled;
+  result.on_end = hooks.on_removed;
   return result;
 }
 
--- a/src/app/fleet_publisher.h
+++ b/src/app/fleet_publisher.h
@@ -19,8 +19,8 @@
 class FleetPublisher {
  public:
   struct Hooks {
-    std::function<void(FleetSize size)> on_size;                 // the number of members has changed
-    std::function<void(const std::string& reason)> on_expelled;  // the process has to end
+    std::function<void(FleetSize size)> on_size;                // the number of members has changed
+    std::function<void(const std::string& reason)> on_removed;  // the process has to end
     std::function<bool()> is_draining;
   };
 
--- a/src/app/graceful_shutdown.cpp
+++ b/src/app/graceful_shutdown.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // After SIGTERM the platform still routes new clients here for this long, us.
-constexpr Time kAcceptNewClients = 450'000;
+constexpr Time kAcceptDuration = 450'000;
 
 // From the last response to the end of the event loop, us.
 constexpr Time kResponseMargin = 100'000;
@@ -33,8 +33,8 @@
     return;
   }
   const Time begun_at = core::Now();
-  close_idle_timer_.Start(kAcceptNewClients);
-  const Time duration = std::min(kLongestPlatformDeadline, longest_deadline) + kEndAfterLongestDeadline;
+  close_idle_timer_.Start(kAcceptDuration);
+  const Time duration = std::min(kMaxPlatformDeadline, longest_deadline) + kEndAfterMaxDeadline;
   end_timer_.Start(duration);
   ends_at_ = begun_at + duration;
   on_begin_();
--- a/src/app/initiator.cpp
+++ b/src/app/initiator.cpp
@@ -70,7 +70,7 @@
   }
   OpenDiscovery();
   StartScheduler();
-  StartReadyTimer(options.ready_by);
+  StartReadyTimer(options.ready_timeout);
   if (options.fleet) {
     JoinFleet(*options.fleet);
   }
@@ -191,9 +191,9 @@
 void Initiator::JoinFleet(const fleet::FleetOptions& options) {
   FleetPublisher::Hooks hooks;
   hooks.on_size = [this](FleetSize size) { scheduler_->Submit(core::FleetResized{size}); };
-  hooks.on_expelled = [this](const std::string& reason) {
+  hooks.on_removed = [this](const std::string& reason) {
     failure_ = "fleet: " + reason;
-    Halt();
+    StopNow();
   };
   hooks.is_draining = [this] { return shutdown_->begun(); };
   fleet_ = std::make_unique<FleetPublisher>(base_.get(), options, http_targets_.get(), hooks);
@@ -250,7 +250,7 @@
 
 void Initiator::Stop() { signals_->RequestShutdown(); }
 
-void Initiator::Halt() { event_base_loopbreak(base_.get()); }
+void Initiator::StopNow() { event_base_loopbreak(base_.get()); }
 
 void Initiator::RequestShutdown() { shutdown_->Begin(config_.longest_deadline); }
 
--- a/src/app/initiator.h
+++ b/src/app/initiator.h
@@ -51,14 +51,14 @@
   // Requests a graceful shutdown, like SIGTERM; callable from any thread.
   void Stop();
   // Ends Run at once, with requests unanswered; callable from any thread.
-  void Halt();
+  void StopNow();
   // Makes SIGHUP reload the configuration by `read`, which throws if it is invalid. Called before Run;
   // without it the signal is not handled. The caller may block SIGHUP before; Run unblocks it.
-  void ReloadBy(std::function<http::Config()> read) { reload_->set_reader(std::move(read)); }
+  void EnableReload(std::function<http::Config()> read) { reload_->set_reader(std::move(read)); }
 
   event_base* base() { return base_.get(); }
-  http::FrontEnd& front() { return *http_front_end_; }
-  nbd::FrontEnd* nbd_front() { return nbd_front_end_.get(); }  // null: none
+  http::FrontEnd& http_front_end() { return *http_front_end_; }
+  nbd::FrontEnd* nbd_front_end() { return nbd_front_end_.get(); }  // null: none
   const pcap::Player* player() const { return replay_ ? &replay_->player() : nullptr; }
   std::size_t nbd_target_connections() const { return exports_ ? exports_->connections() : 0; }
 
--- a/src/app/integrity_tool.cpp
+++ b/src/app/integrity_tool.cpp
@@ -124,7 +124,7 @@
 }
 
 // Performs one step of formatting. Returns whether it has succeeded.
-bool Perform(nbd::BlockingClient& client, const integrity::IoRequest& step) {
+bool PerformStep(nbd::BlockingClient& client, const integrity::IoRequest& step) {
   const nbd::Reply reply =
       step.kind == integrity::IoKind::kFlush ? client.Flush() : client.Write(step.offset, step.data);
   if (reply.error != nbd::kOk) {
@@ -210,10 +210,10 @@
   std::uint64_t bad_ = 0;
 };
 
-void PrintEntry(const integrity::BlockLocation& place, const integrity::CorruptionEntry& entry,
+void PrintEntry(const integrity::BlockLocation& location, const integrity::CorruptionEntry& entry,
                 std::FILE* out) {
-  std::fprintf(out, "%s %s block %" PRIu64 " %s%s first %s last %s times %u", place.target.c_str(),
-               place.remote.c_str(), place.block, NameOf(entry.fault), entry.repaired ? " mended" : "",
+  std::fprintf(out, "%s %s block %" PRIu64 " %s%s first %s last %s times %u", location.target.c_str(),
+               location.remote.c_str(), location.block, NameOf(entry.fault), entry.repaired ? " mended" : "",
                FormatTime(entry.first_seen).c_str(), FormatTime(entry.last_seen).c_str(), entry.times);
   if (entry.path >= 0) {
     std::fprintf(out, " path %d", entry.path);
@@ -224,14 +224,14 @@
   std::fprintf(out, "\n");
 }
 
-void LoadLedger(const std::string& folder, integrity::CorruptionLog* ledger) {
-  std::string what;
+void LoadCorruptionLog(const std::string& folder, integrity::CorruptionLog* corruption_log) {
+  std::string error;
   integrity::CorruptionLogFile file(folder);
-  switch (file.Load(ledger, &what)) {
+  switch (file.Load(corruption_log, &error)) {
     case integrity::CorruptionLogFile::LoadResult::kMissing:
       throw IntegrityToolError("there is no " + file.path());
     case integrity::CorruptionLogFile::LoadResult::kRejected:
-      throw IntegrityToolError(what);
+      throw IntegrityToolError(error);
     case integrity::CorruptionLogFile::LoadResult::kLoaded:
       break;
   }
@@ -240,13 +240,13 @@
 }  // namespace
 
 int Format(const IntegrityOptions& options, std::FILE* out) {
-  nbd::BlockingClient client(options.address, options.remote);
+  nbd::BlockingClient client(options.address, options.export_name);
   CheckFormattable(ReadSuperblock(client), options.force);
   std::random_device device;
   const std::uint64_t id = static_cast<std::uint64_t>(device()) << kRandomBits | device();
   for (const integrity::IoRequest& step :
-       integrity::FormatPlan(client.size(), options.journal, id, kReadBytes)) {
-    if (!Perform(client, step)) {
+       integrity::FormatPlan(client.size(), options.journal_bytes, id, kReadBytes)) {
+    if (!PerformStep(client, step)) {
       throw IntegrityToolError("the target did not write at " + std::to_string(step.offset) +
                                ": nothing is formatted");
     }
@@ -260,7 +260,7 @@
 }
 
 int ShowSuperblock(const IntegrityOptions& options, std::FILE* out) {
-  nbd::BlockingClient client(options.address, options.remote);
+  nbd::BlockingClient client(options.address, options.export_name);
   const Superblock super = RequireSuperblock(client);
   std::fprintf(out,
                "id %016" PRIx64 "\nversion %d\nblocks %" PRIu64 "\njournal %" PRIu64 "\nepoch %" PRIu64
@@ -271,7 +271,7 @@
 }
 
 int Verify(const IntegrityOptions& options, std::FILE* out) {
-  nbd::BlockingClient client(options.address, options.remote);
+  nbd::BlockingClient client(options.address, options.export_name);
   Verifier verifier(&client, out);
   verifier.VerifyAll();
   verifier.PrintSummary();
@@ -292,15 +292,15 @@
   return 0;
 }
 
-int ShowLedger(const IntegrityOptions& options, std::FILE* out) {
-  integrity::CorruptionLog ledger;
-  LoadLedger(options.folder, &ledger);
-  for (const auto& [place, entry] : ledger.entries()) {
-    PrintEntry(place, entry, out);
+int ShowCorruptionLog(const IntegrityOptions& options, std::FILE* out) {
+  integrity::CorruptionLog corruption_log;
+  LoadCorruptionLog(options.folder, &corruption_log);
+  for (const auto& [location, entry] : corruption_log.entries()) {
+    PrintEntry(location, entry, out);
   }
-  std::fprintf(out, "%zu damaged, %zu in all, %" PRIu64 " dropped\n", ledger.corrupt_count(),
-               ledger.entries().size(), ledger.dropped());
-  return ledger.corrupt_count() == 0 ? 0 : 1;
+  std::fprintf(out, "%zu damaged, %zu in all, %" PRIu64 " dropped\n", corruption_log.corrupt_count(),
+               corruption_log.entries().size(), corruption_log.dropped());
+  return corruption_log.corrupt_count() == 0 ? 0 : 1;
 }
 
 }  // namespace walnutspur::app
--- a/src/app/integrity_tool.h
+++ b/src/app/integrity_tool.h
@@ -14,12 +14,12 @@
 
 // The arguments of all commands; each uses some.
 struct IntegrityOptions {
-  std::string address;              // of the target's NBD listener: host:port
-  std::string remote;               // name of the export there
-  std::uint64_t journal = 4 << 20;  // bytes of a new journal
-  bool force = false;               // format an export that is formatted already
-  std::string folder;               // holds the corruption ledger and the control socket
-  std::vector<std::string> words;   // the command for a running process
+  std::string address;                    // of the target's NBD listener: host:port
+  std::string export_name;                // name of the export there
+  std::uint64_t journal_bytes = 4 << 20;  // bytes of a new journal
+  bool force = false;                     // format an export that is formatted already
+  std::string folder;                     // holds the corruption ledger and the control socket
+  std::vector<std::string> words;         // the command for a running process
 };
 
 // Formats an export: lays out checksums and journal. The data of the export is lost.
@@ -36,7 +36,7 @@
 int SendCommand(const IntegrityOptions& options, std::FILE* out);
 
 // Prints the corruption ledger of a folder.
-int ShowLedger(const IntegrityOptions& options, std::FILE* out);
+int ShowCorruptionLog(const IntegrityOptions& options, std::FILE* out);
 
 }  // namespace walnutspur::app
 
--- a/src/app/options.h
+++ b/src/app/options.h
@@ -18,7 +18,7 @@
   std::string folder;  // holds corruption ledger, scrub cursors and control socket; empty: none of them
   checksummed::ScrubOptions scrub;
   std::optional<fleet::FleetOptions> fleet;  // empty: not a member of a fleet
-  Time ready_by =
+  Time ready_timeout =
       8'000'000;       // us after the start; the latest time to report ready, with or without endpoints
   std::string replay;  // pcap file to replay to the front ends before shutting down; empty: none
 };
--- a/src/app/output_dispatcher.cpp
+++ b/src/app/output_dispatcher.cpp
@@ -7,7 +7,7 @@
 
 OutputDispatcher::OutputDispatcher(event_base* base, const OutputDestinations& destinations,
                                    core::SubmitInput submit)
-    : base_(base), to_(destinations), submit_(std::move(submit)) {}
+    : base_(base), destinations_(destinations), submit_(std::move(submit)) {}
 
 void OutputDispatcher::Dispatch(const std::vector<core::Output>& outputs) {
   for (const core::Output& output : outputs) {
@@ -17,19 +17,19 @@
 
 core::FrontEnd& OutputDispatcher::FrontEndOf(core::Protocol protocol) const {
   if (protocol == core::Protocol::kNbd) {
-    return *to_.nbd;
+    return *destinations_.nbd;
   }
   if (protocol == core::Protocol::kInternal) {
-    return *to_.scrub;
+    return *destinations_.scrub;
   }
-  return *to_.http;
+  return *destinations_.http;
 }
 
 core::Connector& OutputDispatcher::ConnectorOf(core::Protocol protocol) const {
   if (protocol != core::Protocol::kHttp) {
-    return *to_.exports;
+    return *destinations_.exports;
   }
-  return *to_.http_targets;
+  return *destinations_.http_targets;
 }
 
 // The client may have disconnected after the engine decided: then nothing is sent.
@@ -50,30 +50,30 @@
 }
 
 void OutputDispatcher::Execute(const core::DrainTarget& output) const {
-  to_.http_targets->Drain(output.target);
-  if (to_.exports != nullptr) {
-    to_.exports->Drain(output.target);
+  destinations_.http_targets->Drain(output.target);
+  if (destinations_.exports != nullptr) {
+    destinations_.exports->Drain(output.target);
   }
-  if (to_.scrub != nullptr) {
-    to_.scrub->OnTargetState(output.target, false, 0);
+  if (destinations_.scrub != nullptr) {
+    destinations_.scrub->OnTargetState(output.target, false, 0);
   }
 }
 
 void OutputDispatcher::Execute(const core::ActivateTarget& output) const {
-  if (to_.exports != nullptr) {
-    to_.exports->Activate(output.target);
+  if (destinations_.exports != nullptr) {
+    destinations_.exports->Activate(output.target);
   }
-  if (to_.scrub != nullptr) {
-    to_.scrub->OnTargetState(output.target, true, output.started_at);
+  if (destinations_.scrub != nullptr) {
+    destinations_.scrub->OnTargetState(output.target, true, output.started_at);
   }
 }
 
 void OutputDispatcher::Execute(const core::Response& output) const {
-  if (to_.scrub != nullptr && output.protocol != core::Protocol::kInternal) {
-    to_.scrub->ObserveResponse(output);
+  if (destinations_.scrub != nullptr && output.protocol != core::Protocol::kInternal) {
+    destinations_.scrub->ObserveResponse(output);
   }
-  if (to_.fleet != nullptr) {
-    to_.fleet->CountResponse();
+  if (destinations_.fleet != nullptr) {
+    destinations_.fleet->CountResponse();
   }
   FrontEndOf(output.protocol).Respond(output);
 }
@@ -88,10 +88,12 @@
   timers_[number].Start(output.delay);
 }
 
-void OutputDispatcher::Execute(const core::OpenWatch& /*output*/) const { to_.discovery->OpenWatch(); }
+void OutputDispatcher::Execute(const core::OpenWatch& /*output*/) const {
+  destinations_.discovery->OpenWatch();
+}
 
 void OutputDispatcher::Execute(const core::StartHealthCheck& output) const {
-  to_.http_targets->CheckHealth(output.target);
+  destinations_.http_targets->CheckHealth(output.target);
 }
 
 }  // namespace walnutspur::app
--- a/src/app/output_dispatcher.h
+++ b/src/app/output_dispatcher.h
@@ -50,7 +50,7 @@
   core::Connector& ConnectorOf(core::Protocol protocol) const;
 
   event_base* base_;
-  OutputDestinations to_;
+  OutputDestinations destinations_;
   core::SubmitInput submit_;
   std::uint64_t next_timer_ = 0;
   std::map<std::uint64_t, loop::EventHandle> timers_;  // armed ones, in order of arming
--- a/src/app/process_signals.cpp
+++ b/src/app/process_signals.cpp
@@ -6,7 +6,7 @@
 namespace walnutspur::app {
 namespace {
 
-sigset_t HangupOnly() {
+sigset_t HangupSignalSet() {
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGHUP);
@@ -31,12 +31,12 @@
     return;
   }
   hangup_.Start();
-  const sigset_t hangup = HangupOnly();
+  const sigset_t hangup = HangupSignalSet();
   pthread_sigmask(SIG_UNBLOCK, &hangup, nullptr);
 }
 
 void ProcessSignals::BlockReload() {
-  const sigset_t hangup = HangupOnly();
+  const sigset_t hangup = HangupSignalSet();
   pthread_sigmask(SIG_BLOCK, &hangup, nullptr);
 }
 
--- a/src/app/status_report.cpp
+++ b/src/app/status_report.cpp
@@ -22,7 +22,7 @@
   }
 }
 
-json LedgerStatus(const checksummed::CorruptionTracker& corruption) {
+json CorruptionLogStatus(const checksummed::CorruptionTracker& corruption) {
   return {{"damaged", corruption.corruption_log().corrupt_count()},
           {"all", corruption.corruption_log().entries().size()},
           {"dropped", corruption.corruption_log().dropped()},
@@ -89,7 +89,7 @@
 }  // namespace
 
 std::string StatusReport(const StatusSources& sources) {
-  const json report = {{"ledger", LedgerStatus(*sources.corruption)},
+  const json report = {{"ledger", CorruptionLogStatus(*sources.corruption)},
                        {"exports", ExportsStatus(sources)},
                        {"paths", PathsStatus(sources.exports)},
                        {"scrub", ScrubStatus(sources.scrub)}};
--- a/src/app/time_limits.h
+++ b/src/app/time_limits.h
@@ -7,9 +7,9 @@
 namespace walnutspur::app {
 
 // The platform treats a longer client deadline as this one, us.
-constexpr Time kLongestPlatformDeadline = 3'000'000;
+constexpr Time kMaxPlatformDeadline = 3'000'000;
 // From the longest deadline to the end of the process, us. The platform sends SIGKILL 0.7 s after it.
-constexpr Time kEndAfterLongestDeadline = 600'000;
+constexpr Time kEndAfterMaxDeadline = 600'000;
 
 }  // namespace walnutspur::app
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -50,7 +50,7 @@
     }
   }
   walnutspur::app::Initiator initiator(std::move(config), options);
-  initiator.ReloadBy([path] { return walnutspur::app::LoadConfig(path); });
+  initiator.EnableReload([path] { return walnutspur::app::LoadConfig(path); });
   initiator.Run();
 }
 
@@ -80,7 +80,7 @@
     case Action::kCheck:
       return Check(command.files);
     case Action::kExample:
-      std::fputs(walnutspur::config::Example(walnutspur::app::SettingsKeys()).c_str(), stdout);
+      std::fputs(walnutspur::config::FormatExample(walnutspur::app::SettingsKeys()).c_str(), stdout);
       return 0;
     case Action::kVersion:
       std::puts("walnutspur " WALNUTSPUR_VERSION);
@@ -93,8 +93,8 @@
       return walnutspur::app::Verify(command.integrity, stdout);
     case Action::kSendCommand:
       return walnutspur::app::SendCommand(command.integrity, stdout);
-    case Action::kShowLedger:
-      return walnutspur::app::ShowLedger(command.integrity, stdout);
+    case Action::kShowCorruptionLog:
+      return walnutspur::app::ShowCorruptionLog(command.integrity, stdout);
     case Action::kPrintMessage:
       return PrintMessage(command);
   }
--- a/tests/net/checksummed_export_test.cpp
+++ b/tests/net/checksummed_export_test.cpp
@@ -109,14 +109,14 @@
   // Detaches the client and stops the initiator.
   void StopInitiator() {
     client.reset();
-    initiator->Halt();
+    initiator->StopNow();
     thread.join();
     initiator.reset();
   }
   // A new client of the export.
   std::unique_ptr<nbd::BlockingClient> Connect() {
     return std::make_unique<nbd::BlockingClient>(
-        "127.0.0.1:" + std::to_string(initiator->nbd_front()->port()), "letters");
+        "127.0.0.1:" + std::to_string(initiator->nbd_front_end()->port()), "letters");
   }
   // Retries rejections: they change nothing and may happen whenever the machine is short of cores.
   template <typename Call>
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -162,10 +162,10 @@
     config["known"] = {{"revision", 1}, {"complete", false}, {"members", nlohmann::json::array()}};
   }
   app::Options options;
-  options.ready_by = 100'000;
+  options.ready_timeout = 100'000;
   app::Initiator initiator(app::ParseConfig(config), options);
   std::thread loop([&] { initiator.Run(); });
-  Socket client = Socket::Connect(initiator.front().port());
+  Socket client = Socket::Connect(initiator.http_front_end().port());
   HttpMessage response;
   const Time end = core::Now() + 4'000'000;
   do {
@@ -178,7 +178,7 @@
               "1.2\r\nX-IO: units=1,shard=0,hosts=1\r\n\r\n");
   CHECK(ReadHttpMessage(client, &response, 4'000));
   CHECK(response.Status() == "503");
-  initiator.Halt();
+  initiator.StopNow();
   loop.join();
 }
 
--- a/tests/net/misbehaving_client_test.cpp
+++ b/tests/net/misbehaving_client_test.cpp
@@ -163,7 +163,7 @@
     client d expect served)");
   CHECK(core::Now() - before < 1'000'000);
   runner.Halt();
-  CHECK(runner.initiator().front().connections() <= 36);
+  CHECK(runner.initiator().http_front_end().connections() <= 36);
 }
 
 TEST_CASE("a loop that stalls closes no connection whose request has arrived but is unread") {
--- a/tests/net/nbd_front_end_test.cpp
+++ b/tests/net/nbd_front_end_test.cpp
@@ -68,7 +68,7 @@
     ScenarioRunner runner(Protocol::kNbd);
     runner.Play("client c send bytes \""s + start + "\"\n client c expect closed");
     runner.Halt();
-    CHECK(runner.initiator().nbd_front()->connections() == 0);
+    CHECK(runner.initiator().nbd_front_end()->connections() == 0);
   }
 }
 
@@ -205,7 +205,7 @@
     target a send ok
     client c expect served)");
   runner.Halt();
-  CHECK(runner.initiator().nbd_front()->connections() <= 6);
+  CHECK(runner.initiator().nbd_front_end()->connections() <= 6);
 }
 
 TEST_CASE("the shipped NBD deploy file is valid; invalid ones are reported") {
--- a/tests/net/scenario_runner.cpp
+++ b/tests/net/scenario_runner.cpp
@@ -103,7 +103,7 @@
   http::Config parsed = app::ParseConfig(config);
   parsed.digests = digests;
   initiator_ = std::make_unique<app::Initiator>(std::move(parsed), options);
-  initiator_->ReloadBy([this] {
+  initiator_->EnableReload([this] {
     if (invalid_config_) {
       throw InvalidConfigError();
     }
@@ -111,9 +111,9 @@
     reloaded["discovery"] = discovery_.Address();
     return app::ParseConfig(reloaded);
   });
-  http_port_ = initiator_->front().port();
-  if (initiator_->nbd_front()) {
-    nbd_port_ = initiator_->nbd_front()->port();
+  http_port_ = initiator_->http_front_end().port();
+  if (initiator_->nbd_front_end()) {
+    nbd_port_ = initiator_->nbd_front_end()->port();
   }
   thread_ = std::thread([this] {
     initiator_->Run();
@@ -122,7 +122,7 @@
 }
 
 void ScenarioRunner::Halt() {
-  initiator_->Halt();
+  initiator_->StopNow();
   if (thread_.joinable()) {
     thread_.join();
   }
