--- a/src/app/command_line.cpp
+++ b/src/app/command_line.cpp
@@ -14,7 +14,7 @@
 
 constexpr const char* kDescription =
     "walnutspur: an initiator for a shared pool of storage targets.\n"
-    "Without a command it serves, as BALANCER_CONFIG describes.\n";
+    "Without a command, it serves clients with the configuration file that BALANCER_CONFIG names.\n";
 
 constexpr const char* kFooter =
     "Examples:\n"
@@ -23,7 +23,7 @@
     "  walnutspur check deploy/walnutspur.toml deploy/nbd.toml\n"
     "  walnutspur integrity format 127.0.0.1:10810 clinic-calendar\n"
     "  walnutspur integrity status /var/lib/walnutspur\n"
-    "Exit codes: 0 done, 1 it could not be done or a file is wrong, 2 the command line is wrong.";
+    "Exit codes: 0 success; 1 failure, invalid file or corruption found; 2 invalid command line.";
 
 // The grammar of the command line, and the command that it fills in.
 class Parser {
@@ -71,55 +71,69 @@
 
   void AddServe() {
     cli_.add_option("--config", command_.config,
-                    "The platform's configuration (JSON), before BALANCER_CONFIG");
-    cli_.add_option("--settings", command_.settings, "Our own settings (TOML); see `walnutspur example`");
-    cli_.add_option("--nbd", command_.options.nbd, "Open the NBD front that this file (TOML) describes");
+                    "Platform configuration file (JSON); overrides BALANCER_CONFIG");
+    cli_.add_option("--settings", command_.settings,
+                    "Settings file of walnutspur (TOML); see `walnutspur example`");
+    cli_.add_option("--nbd", command_.options.nbd, "Open the NBD front end that this file (TOML) configures");
     cli_.add_option("--record", command_.options.record,
-                    "Write what the fronts receive and send to this pcap");
+                    "Record the traffic of all clients to this pcap file");
     cli_.add_option("--replay", command_.options.replay,
-                    "Play the clients' side of this pcap to the fronts, then end");
-    Add(&cli_, "serve", "Serve until SIGTERM (this is what happens without a command)", Action::kServe);
+                    "Replay the client side of this pcap file to the front ends, then exit");
+    Add(&cli_, "serve", "Serve clients until SIGTERM (the default without a command)", Action::kServe);
   }
 
   void AddTools() {
     CLI::App* check =
-        Add(&cli_, "check", "Say all that is wrong with settings' files, a line each", Action::kCheck);
-    check->add_option("FILE", command_.files, "JSON of the platform, TOML of the NBD front, or our settings")
+        Add(&cli_, "check", "Check configuration and settings files and print every error, one per line",
+            Action::kCheck);
+    check
+        ->add_option(
+            "FILE", command_.files,
+            "Platform configuration (JSON), NBD front end configuration (TOML) or settings file (TOML)")
         ->required();
-    Add(&cli_, "example", "Print our settings with their defaults, commented", Action::kExample);
+    Add(&cli_, "example", "Print a commented settings file with all keys and their defaults",
+        Action::kExample);
     Add(&cli_, "version", "Print the version", Action::kVersion);
   }
 
   void AddIntegrity() {
     CLI::App* integrity = cli_.add_subcommand(
-        "integrity", "Checksummed exports, offline or of a running process, and the damage ledger");
+        "integrity",
+        "Manage checksummed exports, offline or in a running process, and print the corruption log");
     integrity->require_subcommand(1);
-    CLI::App* format = AddOnExport(integrity, "format", "Lay out tags and journal; the export's data is lost",
-                                   Action::kFormat);
-    format->add_option("--journal", command_.integrity.journal_bytes, "Bytes of the journal")
+    CLI::App* format = AddOnExport(
+        integrity, "format", "Write the tags and journal of an export; erases its data", Action::kFormat);
+    format->add_option("--journal", command_.integrity.journal_bytes, "Size of the journal in bytes")
         ->check(CLI::Range(kMinJournalBytes, kMaxJournalBytes))
         ->capture_default_str();
-    format->add_flag("--force", command_.integrity.force, "Even if it is formatted already");
-    AddOnExport(integrity, "show", "Print the superblock", Action::kShowSuperblock);
+    format->add_flag("--force", command_.integrity.force,
+                     "Format the export even if it is already formatted");
+    AddOnExport(integrity, "show", "Print the superblock of an export", Action::kShowSuperblock);
     AddOnExport(integrity, "verify",
-                "Read every block and compare it with its tag; exit code 1 if one is corrupted",
+                "Read every block of an export and compare it with its tag; exit with 1 if one is corrupted",
                 Action::kVerify);
-    AddOnFolder(integrity, "ledger", "Print the damage ledger of a folder", "The settings' integrity.folder",
-                Action::kShowCorruptionLog);
-    status_ = AddOnFolder(integrity, "status", "What a running process knows, as JSON",
-                          "The process's integrity.folder", Action::kSendCommand);
-    CLI::App* scrub = AddOnFolder(integrity, "scrub", "Tell a running process's scrub something",
-                                  "The process's integrity.folder", Action::kSendCommand);
-    scrub->add_option("WORDS", command_.integrity.words, "pause, resume, or recheck EXPORT BLOCK")
+    AddOnFolder(integrity, "ledger",
+                "Print the corruption log of a folder; exit with 1 if it lists corrupted blocks",
+                "Folder that integrity.folder names in the settings file", Action::kShowCorruptionLog);
+    status_ = AddOnFolder(integrity, "status", "Print the status of a running process as JSON",
+                          "Folder that integrity.folder names in the process's settings file",
+                          Action::kSendCommand);
+    CLI::App* scrub = AddOnFolder(
+        integrity, "scrub", "Pause, resume or direct the scrub of a running process",
+        "Folder that integrity.folder names in the process's settings file", Action::kSendCommand);
+    scrub
+        ->add_option("WORDS", command_.integrity.words,
+                     "Command for the scrub: pause, resume or recheck EXPORT BLOCK")
         ->required();
   }
 
   CLI::App* AddOnExport(CLI::App* parent, const std::string& name, const std::string& description,
                         Action action) {
     CLI::App* app = Add(parent, name, description, action);
-    app->add_option("ADDRESS", command_.integrity.address, "Where the target speaks NBD: 127.0.0.1:10810")
+    app->add_option("ADDRESS", command_.integrity.address,
+                    "Address of the target's NBD listener, for example 127.0.0.1:10810")
         ->required();
-    app->add_option("EXPORT", command_.integrity.export_name, "The export's name at the target")->required();
+    app->add_option("EXPORT", command_.integrity.export_name, "Name of the export at the target")->required();
     return app;
   }
 
--- a/src/app/control.cpp
+++ b/src/app/control.cpp
@@ -45,8 +45,8 @@
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
   if (path.size() >= sizeof address.sun_path) {
-    throw ControlError("the path " + path + " is too long for a socket; allowed are " +
-                       std::to_string(sizeof address.sun_path - 1) + " bytes");
+    throw ControlError("control socket path " + path + " has " + std::to_string(path.size()) +
+                       " bytes; allowed: at most " + std::to_string(sizeof address.sun_path - 1));
   }
   std::memcpy(address.sun_path, path.data(), path.size());
   return address;
@@ -78,11 +78,11 @@
     return;
   }
   if (!S_ISSOCK(existing.st_mode)) {
-    throw ControlError(path + " is there and is no socket");
+    throw ControlError(path + " exists and is not a socket");
   }
   if (const int fd = Connect(path); fd >= 0) {
     close(fd);
-    throw ControlError(path + " belongs to another process that runs");
+    throw ControlError(path + " is in use by another running process");
   }
   unlink(path.c_str());
 }
@@ -91,7 +91,7 @@
 int BindSocket(const std::string& path, const sockaddr_un& address) {
   const int fd = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
   if (fd < 0) {
-    ThrowErrno("cannot make a socket for", path);
+    ThrowErrno("cannot create a socket for", path);
   }
   const mode_t previous_mask = umask(kOwnerOnlyUmask);
   const bool bound = bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
@@ -142,7 +142,7 @@
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, kBacklog, fd));
   if (!listener_) {
     close(fd);
-    ThrowErrno("cannot listen at", path_);
+    ThrowErrno("cannot listen on", path_);
   }
 }
 
@@ -200,7 +200,7 @@
 std::string Control::Respond(const std::string& input) const {
   const std::size_t end = input.find('\n');
   if (end == std::string::npos || end > kMaxLineBytes) {
-    return "error: the line is too long; allowed are " + std::to_string(kMaxLineBytes) + " bytes\n";
+    return "error: the line is too long; allowed: at most " + std::to_string(kMaxLineBytes) + " bytes\n";
   }
   std::istringstream line(input.substr(0, end));
   Words words;
@@ -213,7 +213,7 @@
 std::string SendControlCommand(const std::string& path, const std::string& line, int timeout_ms) {
   const int fd = Connect(path);
   if (fd < 0) {
-    ThrowErrno("no process answers at", path);
+    ThrowErrno("cannot connect to control socket", path);
   }
   const timeval timeout{timeout_ms / kMillisPerSecond, timeout_ms % kMillisPerSecond * kMicrosPerMilli};
   setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
@@ -221,10 +221,10 @@
   std::string response;
   const bool sent = send(fd, text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size());
   const bool received = sent && ReadAll(fd, &response);
-  const std::string reason = received ? "it ended the connection" : std::strerror(errno);
+  const std::string reason = received ? "the process closed the connection" : std::strerror(errno);
   close(fd);
   if (!received || response.empty()) {
-    throw ControlError("no answer came from " + path + ": " + reason);
+    throw ControlError("no response from control socket " + path + ": " + reason);
   }
   return response;
 }
--- a/src/app/fleet_library.cpp
+++ b/src/app/fleet_library.cpp
@@ -21,7 +21,7 @@
       return library;
     }
   }
-  throw FleetError(std::string("fleet: cannot load: ") + dlerror());
+  throw FleetError(std::string("fleet: cannot load ") + kLibrary + ": " + dlerror());
 }
 
 }  // namespace
@@ -30,7 +30,8 @@
                                         fleet::FleetHooks hooks) {
   const auto open = reinterpret_cast<fleet::Open*>(dlsym(LoadLibrary(), fleet::kEntry));
   if (open == nullptr) {
-    throw FleetError(std::string("fleet: ") + kLibrary + " is none of this version");
+    throw FleetError(std::string("fleet: ") + kLibrary + " is of another version: it does not export " +
+                     fleet::kEntry);
   }
   return std::unique_ptr<fleet::Fleet>(open(base, options, std::move(hooks)));
 }
--- a/src/app/fleet_settings.cpp
+++ b/src/app/fleet_settings.cpp
@@ -59,23 +59,24 @@
 
   void CheckNames(const fleet::FleetOptions& options) {
     if (options.fleet.empty()) {
-      Add("id", "is missing; a fleet has a name of 1 to 64 bytes");
+      Add("id", "missing; allowed: a name of 1 to 64 bytes for the fleet");
     }
     if (options.name.empty()) {
-      Add("name", "is missing; each initiator has a name of 1 to 64 bytes");
+      Add("name", "missing; allowed: a name of 1 to 64 bytes for this initiator");
     }
   }
 
   void CheckAddresses(const fleet::FleetOptions& options) {
     if (!IsAddress(options.listen)) {
-      Add("listen", "is no address; allowed is host:port, numeric");
+      Add("listen", "\"" + options.listen + "\" is not an address; allowed: host:port with a numeric host");
     }
     if (!options.advertise.empty() && !IsAddress(options.advertise)) {
-      Add("advertise", "is no address; allowed is host:port, numeric");
+      Add("advertise",
+          "\"" + options.advertise + "\" is not an address; allowed: host:port with a numeric host");
     }
     for (const std::string& peer : options.peers) {
       if (!IsAddress(peer)) {
-        Add("peers", "holds \"" + peer + "\"; allowed is host:port, numeric");
+        Add("peers", "\"" + peer + "\" is not an address; allowed: host:port with a numeric host");
       }
     }
   }
@@ -84,15 +85,14 @@
   void CheckRoster(const std::vector<std::string>& roster) {
     const std::size_t size = roster.size();
     if (size == 0) {
-      Add("roster", "is missing; allowed are the names of 3, 5 or 7 members");
+      Add("roster", "missing; allowed: the names of 3, 5 or 7 members");
     } else if (size != 3 && size != 5 && size != 7) {
-      Add("roster",
-          "has " + std::to_string(size) + " names; allowed are 3, 5 or 7, so that there is a majority");
+      Add("roster", "has " + std::to_string(size) + " names; allowed: 3, 5 or 7, so that a majority exists");
     }
     std::set<std::string> names;
     for (const std::string& name : roster) {
       if (!names.insert(name).second) {
-        Add("roster", "names \"" + name + "\" twice; each is allowed once");
+        Add("roster", "contains \"" + name + "\" more than once; allowed: each name once");
       }
     }
   }
--- a/src/app/initiator.cpp
+++ b/src/app/initiator.cpp
@@ -34,7 +34,7 @@
 loop::EventBasePtr MakeEventBase() {
   static const int result = evthread_use_pthreads();
   if (result != 0) {
-    throw EventLoopError("libevent has no threads");
+    throw EventLoopError("libevent cannot enable its thread support");
   }
   return loop::EventBasePtr(event_base_new());
 }
@@ -49,7 +49,7 @@
   try {
     return config.known.is_object() ? http::ReadEndpointList(config, config.known) : http::EndpointList{};
   } catch (const std::exception& error) {
-    throw ConfigError(std::string("'known' cannot be read: ") + error.what());
+    throw ConfigError(std::string("'known' is not a valid endpoint list: ") + error.what());
   }
 }
 
--- a/src/app/integrity_tool.cpp
+++ b/src/app/integrity_tool.cpp
@@ -45,8 +45,9 @@
     const auto size = static_cast<std::uint32_t>(std::min<std::uint64_t>(kReadBytes, length - data.size()));
     const nbd::Reply reply = client.Read(offset + data.size(), size);
     if (reply.error != nbd::kOk) {
-      throw IntegrityToolError("the target cannot read " + std::to_string(size) + " bytes at " +
-                               std::to_string(offset + data.size()));
+      throw IntegrityToolError("the target cannot read " + std::to_string(size) + " bytes at offset " +
+                               std::to_string(offset + data.size()) + ": NBD error " +
+                               std::to_string(reply.error));
     }
     data += nbd::DataOf(reply);
   }
@@ -56,7 +57,8 @@
 DecodedSuperblock ReadSuperblock(nbd::BlockingClient& client) {
   const std::uint64_t blocks = client.size() / kBlockBytes;
   if (blocks <= kSuperblockCopies) {
-    throw IntegrityToolError("the export is smaller than its reserved region");
+    throw IntegrityToolError("the export has " + std::to_string(client.size()) +
+                             " bytes, too few for its superblocks");
   }
   const std::string data =
       ReadRange(client, (blocks - kSuperblockCopies) * kBlockBytes, kSuperblockCopies * kBlockBytes);
@@ -118,9 +120,9 @@
   }
   if (existing.state == SuperblockState::kValid) {
     throw IntegrityToolError(
-        "the export is formatted already; --force formats it anew, and all data is lost");
+        "the export is already formatted; --force formats it again and erases all of its data");
   }
-  throw IntegrityToolError(existing.error + "; --force formats it nevertheless");
+  throw IntegrityToolError(existing.error + "; --force formats the export anyway");
 }
 
 // Performs one step of formatting. Returns whether it has succeeded.
@@ -229,7 +231,7 @@
   integrity::CorruptionLogFile file(folder);
   switch (file.Load(corruption_log, &error)) {
     case integrity::CorruptionLogFile::LoadResult::kMissing:
-      throw IntegrityToolError("there is no " + file.path());
+      throw IntegrityToolError("corruption log file " + file.path() + " does not exist");
     case integrity::CorruptionLogFile::LoadResult::kRejected:
       throw IntegrityToolError(error);
     case integrity::CorruptionLogFile::LoadResult::kLoaded:
@@ -247,8 +249,8 @@
   for (const integrity::IoRequest& step :
        integrity::FormatPlan(client.size(), options.journal_bytes, id, kReadBytes)) {
     if (!PerformStep(client, step)) {
-      throw IntegrityToolError("the target did not write at " + std::to_string(step.offset) +
-                               ": nothing is formatted");
+      throw IntegrityToolError("the target failed a write or flush at offset " + std::to_string(step.offset) +
+                               "; the export is not formatted");
     }
   }
   const Superblock super = RequireSuperblock(client);
--- a/src/app/operator_commands.cpp
+++ b/src/app/operator_commands.cpp
@@ -32,26 +32,27 @@
   }
   if (command == "fleet") {
     if (fleet_ == nullptr) {
-      return "error: there is no fleet: the settings have no [fleet] table\n";
+      return "error: not a member of a fleet: the settings file has no [fleet] table\n";
     }
     return fleet_->Execute({words.begin() + 1, words.end()});
   }
   if (command == "pause" || command == "resume" || command == "recheck") {
     return ExecuteScrub(words);
   }
-  return "error: unknown command; allowed are status, fleet view, pause, resume and recheck EXPORT BLOCK\n";
+  return "error: unknown command \"" + command +
+         "\"; allowed: status, fleet view, pause, resume, recheck EXPORT BLOCK\n";
 }
 
 std::string OperatorCommands::ExecuteScrub(const std::vector<std::string>& words) {
   if (scrub_ == nullptr) {
-    return "error: there is no scrub: [scrub] on is false, or no export has checksums\n";
+    return "error: the scrub is not running: scrub.on is false, or no export has checksums\n";
   }
   if (words[0] != "recheck") {
     scrub_->Pause(words[0] == "pause");
     return "ok\n";
   }
   if (words.size() != 3) {
-    return "error: recheck takes an export's name and a block's number\n";
+    return "error: recheck requires the name of an export and the number of a block\n";
   }
   return Recheck(words[1], words[2]);
 }
@@ -65,13 +66,13 @@
     }
     const std::uint64_t blocks = volume.front.size / integrity::kBlockBytes;
     if (!number || *number >= blocks) {
-      return "error: " + block + " is no block of the export; allowed are 0 to " +
+      return "error: " + block + " is not a block number of export " + export_name + "; allowed: 0 to " +
              std::to_string(blocks - 1) + "\n";
     }
     scrub_->Recheck(i, *number);
     return "ok\n";
   }
-  return "error: there is no export " + export_name + " with checksums\n";
+  return "error: no checksummed export is named " + export_name + "\n";
 }
 
 }  // namespace walnutspur::app
--- a/src/app/platform.cpp
+++ b/src/app/platform.cpp
@@ -38,7 +38,7 @@
   const char* end = text.data() + text.size();
   const auto parsed = std::from_chars(text.data(), end, seed, kSeedBase);
   if (parsed.ec != std::errc() || parsed.ptr != end) {
-    throw ConfigError("'seed' is not a hexadecimal number");
+    throw ConfigError("'seed' is \"" + text + "\"; allowed: a hexadecimal number of at most 64 bits");
   }
   return seed;
 }
@@ -47,14 +47,16 @@
   config->shards = extra.value("shards", 0);
   config->writes = extra.value("changesData", config->writes);
   if (!config->writes.empty() && config->writes.size() != config->settings.classes.size()) {
-    throw ConfigError("'changesData' does not fit the classes");
+    throw ConfigError("'settings.extra.changesData' has " + std::to_string(config->writes.size()) +
+                      " elements; allowed: one for each of the " +
+                      std::to_string(config->settings.classes.size()) + " classes");
   }
 }
 
 void ParseSettings(const json& settings, http::Config* config) {
   config->settings = simulator::ParseSettings(settings);
   if (config->settings.classes.empty()) {
-    throw ConfigError("'settings' has no classes");
+    throw ConfigError("'settings.classes' is empty; allowed: at least one class");
   }
   config->settings.sends_retry_after = true;  // HTTP carries it, whatever the simulator's protocol forwards
   config->names = ParseAllNames(settings);
--- a/src/app/settings_keys.cpp
+++ b/src/app/settings_keys.cpp
@@ -28,27 +28,29 @@
        .kind = Kind::kText,
        .default_value = "\"warn\"",
        .allowed_words = {"debug", "info", "warn", "error", "off"},
-       .description = "events under this level are not logged"},
+       .description = "minimum level of the events that are logged"},
       {.path = "log.form",
        .kind = Kind::kText,
        .default_value = "\"logfmt\"",
        .allowed_words = {"logfmt", "json"},
-       .description = "how a line is written"},
-      TextKey("log.file", kMaxPathBytes, "where lines go; empty: standard error"),
+       .description = "format of the log lines"},
+      TextKey("log.file", kMaxPathBytes, "file that the log is written to; empty: standard error"),
       {.path = "log.queue",
        .kind = Kind::kInteger,
        .min = 16,
        .max = 65536,
        .unit = "lines",
        .default_value = "512",
-       .description = "lines that wait to be written; beyond, the oldest is dropped and counted"},
+       .description = "maximum number of lines that wait to be written; beyond it, the oldest line is "
+                      "dropped and counted"},
       {.path = "log.per_kind",
        .kind = Kind::kNumber,
        .min = 0.1,
        .max = 10000,
        .unit = "lines a second",
        .default_value = "5.0",
-       .description = "lines of one kind of event; suppressed ones are counted in its next line"},
+       .description = "maximum rate of lines for each kind of event; the next line of a kind counts its "
+                      "suppressed lines"},
   };
 }
 
@@ -57,15 +59,18 @@
       {.path = "integrity.digests",
        .kind = Kind::kBool,
        .default_value = "false",
-       .description = "digest fields (RFC 9530) of requests and responses are verified and forwarded"},
+       .description =
+           "whether digest fields (RFC 9530) of requests and responses are verified and forwarded"},
       {.path = "integrity.compute",
        .kind = Kind::kText,
        .default_value = "\"crc32c\"",
        .allowed_words = {"crc32c", "sha-256", "sha-512", "none"},
-       .description = "the digest added to writes that have none, and requested of targets"},
-      TextKey("integrity.folder", kMaxPathBytes,
-              "holds the corruption log, the scrub's cursors and the control socket; empty: the log is "
-              "in memory"),
+       .description =
+           "algorithm of the digest that is added to writes without one and requested from targets"},
+      TextKey(
+          "integrity.folder", kMaxPathBytes,
+          "folder of the corruption log, the scrub's cursors and the control socket; empty: the corruption "
+          "log is kept in memory only"),
   };
 }
 
@@ -74,28 +79,28 @@
       {.path = "scrub.on",
        .kind = Kind::kBool,
        .default_value = "false",
-       .description = "checksummed exports are read in the background, round after round"},
+       .description = "whether the scrub reads checksummed exports in the background, in repeated rounds"},
       {.path = "scrub.bytes",
        .kind = Kind::kNumber,
        .min = 4096,
        .max = 1e10,
        .unit = "bytes a second",
        .default_value = "8388608.0",
-       .description = "at most, at a target"},
+       .description = "maximum rate of bytes that the scrub reads from a target"},
       {.path = "scrub.requests",
        .kind = Kind::kNumber,
        .min = 0.1,
        .max = 1e5,
        .unit = "requests a second",
        .default_value = "100.0",
-       .description = "at most, at a target"},
+       .description = "maximum rate of requests that the scrub sends to a target"},
       {.path = "scrub.in_flight",
        .kind = Kind::kInteger,
        .min = 1,
        .max = 16,
        .unit = "requests",
        .default_value = "1",
-       .description = "at most, at a target"},
+       .description = "maximum number of the scrub's requests in flight at a target"},
   };
 }
 
@@ -107,58 +112,61 @@
        .max = 1000,
        .unit = "requests a second",
        .default_value = "1.0",
-       .description = "guaranteed whatever the load; 0: the scrub may stop"},
+       .description =
+           "minimum rate of the scrub's requests, guaranteed under any load; 0: the scrub may stop"},
       {.path = "scrub.wish",
        .kind = Kind::kNumber,
        .min = 0,
        .max = 3650,
        .unit = "days",
        .default_value = "7.0",
-       .description = "every block is to be read within this time; 0: no such goal"},
+       .description = "goal for the duration of a round, in which the scrub reads every block; 0: no goal"},
       {.path = "scrub.most_missed",
        .kind = Kind::kNumber,
        .min = 0,
        .max = 1,
        .default_value = "0.02",
-       .description = "fraction of live requests that may miss their latency objective before the scrub "
-                      "slows to its floor"},
+       .description = "fraction of clients' requests that may miss their latency objective before the scrub "
+                      "slows down to scrub.floor"},
   };
 }
 
 std::vector<config::Key> NbdKeys() {
   return {
       TextKey("nbd.file", kMaxPathBytes,
-              "the NBD front end's file, as --nbd; empty: there is no such front end"),
+              "configuration file of the NBD front end, like the option --nbd; empty: no NBD front end"),
   };
 }
 
 std::vector<config::Key> FleetKeys() {
   return {
-      TextKey("fleet.id", kMaxNameBytes, "the fleet's name; empty: there is no fleet"),
-      TextKey("fleet.name", kMaxNameBytes, "this initiator's, unique in the fleet"),
-      TextKey("fleet.listen", kMaxNameBytes, "host:port, UDP, numeric"),
-      TextKey("fleet.advertise", kMaxNameBytes, "host:port where others reach it; empty: as listen"),
-      TextKey("fleet.building", kMaxNameBytes, "where it runs"),
+      TextKey("fleet.id", kMaxNameBytes, "name of the fleet; empty: no fleet"),
+      TextKey("fleet.name", kMaxNameBytes, "name of this initiator, unique in the fleet"),
+      TextKey("fleet.listen", kMaxNameBytes,
+              "UDP address that this initiator listens on: host:port with a numeric host"),
+      TextKey("fleet.advertise", kMaxNameBytes,
+              "address where other members reach this initiator: host:port; empty: fleet.listen"),
+      TextKey("fleet.building", kMaxNameBytes, "name of the building that this initiator runs in"),
       TextKey("fleet.key_file", kMaxPathBytes,
-              "holds the fleet's key of 16 to 4096 bytes; empty: datagrams carry no tag"),
+              "file with the fleet's key of 16 to 4096 bytes; empty: datagrams carry no authentication tag"),
       {.path = "fleet.peers",
        .kind = Kind::kTexts,
        .max = kMaxNameBytes,
        .default_value = "[]",
-       .description = "host:port of members that are contacted first"},
+       .description = "addresses (host:port) of the members that are contacted first"},
       {.path = "fleet.roster",
        .kind = Kind::kTexts,
        .min = 1,
        .max = kMaxNameBytes,
        .default_value = "[]",
-       .description = "names of the 3, 5 or 7 members whose majority decides"},
+       .description = "names of the 3, 5 or 7 members that decide by majority"},
       {.path = "fleet.period_ms",
        .kind = Kind::kInteger,
        .min = 10,
        .max = 10000,
        .unit = "ms",
        .default_value = "200",
-       .description = "between probes of members"},
+       .description = "interval between probes of members"},
   };
 }
 
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -57,7 +57,7 @@
         const toml::table parsed = toml::parse("x = " + key.default_value);
         Store(key, path, *parsed.get("x"), 0, out);
       } else if (key.required && !out->lines.contains(path)) {
-        problems_.push_back({line, key.path, "is missing; allowed is " + DescribeAllowed(key)});
+        problems_.push_back({line, key.path, "missing; allowed: " + DescribeAllowed(key)});
       }
     }
   }
@@ -82,13 +82,13 @@
     if (result.value) {
       out->values[path] = std::move(*result.value);
     } else {
-      problems_.push_back({line, key.path, result.error + "; allowed is " + DescribeAllowed(key)});
+      problems_.push_back({line, key.path, result.error + "; allowed: " + DescribeAllowed(key)});
     }
   }
 
   void ReadTables(const toml::node& node, const std::string& full_path, const std::string& path, int line,
                   Table* out) {
-    const std::string error = "must stand as [[" + full_path + "]]";
+    const std::string error = "must be an array of tables, written as [[" + full_path + "]]";
     const toml::array* items = node.as_array();
     if (items == nullptr) {
       problems_.push_back({line, full_path, error});
@@ -114,8 +114,8 @@
       }
     }
     const std::string nearest = NearestWord(path, known);
-    const std::string hint = nearest.empty() ? "" : "; the nearest is " + nearest;
-    problems_.push_back({line, scope + path, "is no known key" + hint});
+    const std::string hint = nearest.empty() ? "" : "; the nearest known key is " + nearest;
+    problems_.push_back({line, scope + path, "unknown key" + hint});
   }
 
   const std::vector<Key>& keys_;
@@ -185,7 +185,7 @@
   } catch (const toml::parse_error& error) {
     std::string description(error.description());
     std::replace(description.begin(), description.end(), '\n', ' ');
-    document.problems = {{static_cast<int>(error.source().begin.line), "", "is no TOML: " + description}};
+    document.problems = {{static_cast<int>(error.source().begin.line), "", "invalid TOML: " + description}};
   }
   return document;
 }
--- a/src/config/value_reader.cpp
+++ b/src/config/value_reader.cpp
@@ -27,40 +27,40 @@
 
 ValueResult ReadBool(const toml::node& node) {
   if (!node.is_boolean()) {
-    return Invalid("is not true or false");
+    return Invalid("not a boolean");
   }
   return Valid(node.as_boolean()->get());
 }
 
 ValueResult ReadInteger(const Key& key, const toml::node& node) {
   if (!node.is_integer()) {
-    return Invalid("is not a whole number");
+    return Invalid("not an integer");
   }
   const std::int64_t value = node.as_integer()->get();
   if (!InRange(key, static_cast<double>(value))) {
-    return Invalid("is out of range");
+    return Invalid(std::to_string(value) + " is out of range");
   }
   return Valid(value);
 }
 
 ValueResult ReadNumber(const Key& key, const toml::node& node) {
   if (!node.is_number()) {
-    return Invalid("is not a number");
+    return Invalid("not a number");
   }
   const double value = *node.value<double>();
   if (!std::isfinite(value) || !InRange(key, value)) {
-    return Invalid("is out of range");
+    return Invalid("value out of range");
   }
   return Valid(value);
 }
 
 ValueResult ReadText(const Key& key, const toml::node& node) {
   if (!node.is_string()) {
-    return Invalid("is not a text");
+    return Invalid("not a string");
   }
   const std::string& value = node.as_string()->get();
   if (!IsAllowedText(key, value)) {
-    return Invalid("cannot be \"" + value + "\"");
+    return Invalid("\"" + value + "\" is not allowed");
   }
   return Valid(value);
 }
@@ -68,16 +68,16 @@
 ValueResult ReadTexts(const Key& key, const toml::node& node) {
   const toml::array* items = node.as_array();
   if (items == nullptr) {
-    return Invalid("is not a list of texts");
+    return Invalid("not an array of strings");
   }
   std::vector<std::string> values;
   for (const toml::node& item : *items) {
     if (!item.is_string()) {
-      return Invalid("is not a list of texts");
+      return Invalid("not an array of strings");
     }
     values.push_back(item.as_string()->get());
     if (!IsAllowedText(key, values.back())) {
-      return Invalid("cannot hold \"" + values.back() + "\"");
+      return Invalid("element \"" + values.back() + "\" is not allowed");
     }
   }
   return Valid(values);
@@ -100,9 +100,9 @@
     return "one of " + words;
   }
   if (key.max > 0) {
-    return "a text of " + FormatNumber(key.min) + " to " + FormatNumber(key.max) + " bytes";
+    return "a string of " + FormatNumber(key.min) + " to " + FormatNumber(key.max) + " bytes";
   }
-  return "a text";
+  return "a string";
 }
 
 }  // namespace
@@ -120,7 +120,7 @@
     case Kind::kTexts:
       return ReadTexts(key, node);
   }
-  return Invalid("has no type");
+  return Invalid("the schema defines no type for this key");
 }
 
 std::string DescribeAllowed(const Key& key) {
@@ -132,13 +132,13 @@
     case Kind::kBool:
       return "true or false";
     case Kind::kInteger:
-      return "a whole number " + DescribeRange(key);
+      return "an integer " + DescribeRange(key);
     case Kind::kNumber:
       return "a number " + DescribeRange(key);
     case Kind::kText:
       return DescribeText(key, words);
     case Kind::kTexts:
-      return words.empty() ? "a list of texts" : "a list of " + words;
+      return words.empty() ? "an array of strings" : "an array of " + words;
   }
   return "";
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -26,7 +26,7 @@
   }
   const char* path = std::getenv("BALANCER_CONFIG");
   if (path == nullptr) {
-    throw walnutspur::app::ConfigError("BALANCER_CONFIG names no file");
+    throw walnutspur::app::ConfigError("no configuration file is given: set BALANCER_CONFIG or use --config");
   }
   return path;
 }
--- a/tests/fleet/fleet_settings_test.cpp
+++ b/tests/fleet/fleet_settings_test.cpp
@@ -37,16 +37,16 @@
 name = "a"
 listen = "127.0.0.1:7000"
 )";
-  CheckReported({good, "fleet.roster: is missing; allowed are the names of 3, 5 or 7 members"});
+  CheckReported({good, "fleet.roster: missing; allowed: the names of 3, 5 or 7 members"});
   CheckReported(
-      {good + R"(roster = ["a", "b", "c", "d"])", ":5: fleet.roster: has 4 names; allowed are 3, 5 or 7"});
-  CheckReported({good + R"(roster = ["a", "b", "a"])", R"(:5: fleet.roster: names "a" twice)"});
+      {good + R"(roster = ["a", "b", "c", "d"])", ":5: fleet.roster: has 4 names; allowed: 3, 5 or 7"});
+  CheckReported({good + R"(roster = ["a", "b", "a"])", R"(:5: fleet.roster: contains "a" more than once)"});
   CheckReported({R"([fleet]
 roster = ["a", "b", "c"]
 id = "f"
 name = "a"
 listen = "x")",
-                 ":5: fleet.listen: is no address; allowed is host:port"});
+                 R"(:5: fleet.listen: "x" is not an address; allowed: host:port)"});
 }
 
 }  // namespace walnutspur
--- a/tests/net/checksummed_export_test.cpp
+++ b/tests/net/checksummed_export_test.cpp
@@ -323,14 +323,15 @@
   CHECK(query("pause") == "ok\n");
   CHECK(nlohmann::json::parse(query("status"))["scrub"]["paused"] == true);
   CHECK(query("recheck letters 3") == "ok\n");
-  CHECK(query("recheck letters 99999999").starts_with("error: 99999999 is no block"));
-  CHECK(query("recheck letters x").starts_with("error: x is no block"));
-  CHECK(query("recheck nothing 1").starts_with("error: there is no export"));
-  CHECK(query("format letters").starts_with("error: unknown command; allowed are"));
+  CHECK(query("recheck letters 99999999")
+            .starts_with("error: 99999999 is not a block number of export letters"));
+  CHECK(query("recheck letters x").starts_with("error: x is not a block number of export letters"));
+  CHECK(query("recheck nothing 1").starts_with("error: no checksummed export is named nothing"));
+  CHECK(query("format letters").starts_with("error: unknown command \"format\"; allowed:"));
   CHECK(query(std::string(600, 'x')).starts_with("error: the line is too long"));
   // A second process in the same directory does not take over the control socket.
   CHECK_THROWS_WITH(app::Control(fixture.initiator->base(), path, nullptr),
-                    (path + " belongs to another process that runs").c_str());
+                    (path + " is in use by another running process").c_str());
   status = nlohmann::json::parse(query("status"));
   const auto position = status["scrub"]["exports"][0]["position"].get<std::uint64_t>();
   const auto rounds = status["scrub"]["exports"][0]["rounds"].get<std::uint64_t>();
@@ -362,7 +363,7 @@
   close(fd);  // its file stays
   { const app::Control control(base.get(), path, nullptr); }
   folder.Put("control.sock", "a letter");
-  CHECK_THROWS_WITH(app::Control(base.get(), path, nullptr), (path + " is there and is no socket").c_str());
+  CHECK_THROWS_WITH(app::Control(base.get(), path, nullptr), (path + " exists and is not a socket").c_str());
   CHECK(filestore::ReadFile(path) == "a letter");
   CHECK_THROWS(app::Control(base.get(), path + std::string(120, 'x'), nullptr));
 }
--- a/tests/unit/config_test.cpp
+++ b/tests/unit/config_test.cpp
@@ -17,17 +17,16 @@
     const char* text;
     const char* line;
   } kCases[] = {
-      {"[log]\nlevle = \"warn\"", ":2: log.levle: is no known key; the nearest is log.level"},
-      {"[log]\nlevel = \"loud\"", R"(:2: log.level: cannot be "loud"; allowed is one of "debug", "info")"},
-      {"[log]\n\nqueue = 3",
-       ":3: log.queue: is out of range; allowed is a whole number from 16 to 65536 lines"},
-      {"[log]\nqueue = 20.5", ":2: log.queue: is not a whole number"},
-      {"[log]\nper_kind = nan", ":2: log.per_kind: is out of range"},
-      {"[log]\nfile = 3", ":2: log.file: is not a text"},
-      {"[integrity]\ndigests = 1", ":2: integrity.digests: is not true or false"},
-      {"[[log]]\nlevel = \"warn\"", ":1: log: is no known key"},
-      {"zzz = 1", ":1: zzz: is no known key"},
-      {"[log\nlevel = 3", ": is no TOML"},
+      {"[log]\nlevle = \"warn\"", ":2: log.levle: unknown key; the nearest known key is log.level"},
+      {"[log]\nlevel = \"loud\"", R"(:2: log.level: "loud" is not allowed; allowed: one of "debug", "info")"},
+      {"[log]\n\nqueue = 3", ":3: log.queue: 3 is out of range; allowed: an integer from 16 to 65536 lines"},
+      {"[log]\nqueue = 20.5", ":2: log.queue: not an integer"},
+      {"[log]\nper_kind = nan", ":2: log.per_kind: value out of range"},
+      {"[log]\nfile = 3", ":2: log.file: not a string"},
+      {"[integrity]\ndigests = 1", ":2: integrity.digests: not a boolean"},
+      {"[[log]]\nlevel = \"warn\"", ":1: log: unknown key"},
+      {"zzz = 1", ":1: zzz: unknown key"},
+      {"[log\nlevel = 3", ": invalid TOML"},
   };
   for (const auto& invalid : kCases) {
     const TemporaryFile file(invalid.text);
@@ -48,9 +47,9 @@
     all += line + "\n";
   }
   CAPTURE(all);
-  CHECK(all.find(":2: box[].id: is not a text") < all.find(":4: box[].adress"));
-  CHECK(all.find("the nearest is address") != std::string::npos);
-  CHECK(all.find("commands.read: is missing") != std::string::npos);
+  CHECK(all.find(":2: box[].id: not a string") < all.find(":4: box[].adress"));
+  CHECK(all.find("the nearest known key is address") != std::string::npos);
+  CHECK(all.find("commands.read: missing") != std::string::npos);
 }
 
 TEST_CASE("the example that the program prints is valid and states the defaults") {
