--- a/src/app/command_line.cpp
+++ b/src/app/command_line.cpp
@@ -25,7 +25,7 @@
     "  walnutspur integrity status /var/lib/walnutspur\n"
     "Exit codes: 0 success; 1 failure, invalid file or corruption found; 2 invalid command line.";
 
-// The grammar of the command line, and the command that it fills in.
+// Defines the grammar of the command line and parses arguments into a Command.
 class Parser {
  public:
   Parser() {
--- a/src/app/command_line.h
+++ b/src/app/command_line.h
@@ -1,4 +1,4 @@
-// The command line: the action to perform and its arguments. Read once by main.
+// Parses the command line into the action to perform and its arguments. Called once, by main.
 #ifndef WALNUTSPUR_APP_COMMAND_LINE_H_
 #define WALNUTSPUR_APP_COMMAND_LINE_H_
 
@@ -28,15 +28,15 @@
   Action action = Action::kServe;
   Options options;                 // kServe
   std::string settings;            // kServe: the settings file; empty: none
-  std::string config;              // kServe: the platform's configuration; empty: as BALANCER_CONFIG says
+  std::string config;              // kServe: the platform's configuration; empty: BALANCER_CONFIG names it
   std::vector<std::string> files;  // kCheck
   IntegrityOptions integrity;      // the actions on checksummed exports and running processes
-  std::string message;             // kPrintMessage: help, or what is wrong
+  std::string message;             // kPrintMessage: help or an error
   int exit_code = 0;               // kPrintMessage
 };
 
-// Parses the arguments, without the program's name; none at all mean kServe. An invalid command line results
-// in kPrintMessage with exit code 2.
+// Parses the arguments, without the program's name. Without arguments, the action is kServe. An invalid
+// command line results in kPrintMessage with exit code 2.
 Command ParseCommand(std::vector<std::string> arguments);
 
 }  // namespace walnutspur::app
--- a/src/app/configuration_reload.h
+++ b/src/app/configuration_reload.h
@@ -1,4 +1,4 @@
-// The reload of the platform's configuration while the process runs.
+// Reloads the platform's configuration while the process runs.
 //
 // Owned by the Initiator; runs on the event-loop thread.
 #ifndef WALNUTSPUR_APP_CONFIGURATION_RELOAD_H_
@@ -17,14 +17,14 @@
   // Reads and checks the complete configuration; throws std::exception if it is invalid.
   using Reader = std::function<http::Config()>;
 
-  // Updates `config` and `discovery`, which have to outlive this object.
+  // Updates `config` and `discovery`, which must outlive this object.
   ConfigurationReload(http::Config* config, http::DiscoveryClient* discovery);
 
   void set_reader(Reader reader) { reader_ = std::move(reader); }
   bool enabled() const { return static_cast<bool>(reader_); }
 
-  // Reads the configuration and takes over the address of discovery; all other settings hold until the
-  // process ends. An invalid configuration is logged and changes nothing.
+  // Reads the configuration and applies the address of discovery; changes of other settings take effect only
+  // after a restart. An invalid configuration is logged and changes nothing.
   void Reload();
 
  private:
--- a/src/app/control.cpp
+++ b/src/app/control.cpp
@@ -20,25 +20,25 @@
 namespace walnutspur::app {
 namespace {
 
-// Clients that are served at a time; further ones are closed at once.
+// Maximum number of connected clients; further connections are closed immediately.
 constexpr std::size_t kMaxClients = 4;
 
-// Bytes of a command.
+// Maximum length of a command line, bytes.
 constexpr std::size_t kMaxLineBytes = 512;
 
-// From a client's connection to its end, us.
+// Time after which the connection of a client is closed, us.
 constexpr Time kClientTimeout = 2'000'000;
 
-// Connections that the kernel completes before they are accepted.
+// Maximum number of connections that wait to be accepted.
 constexpr int kBacklog = 8;
 
-// The umask that leaves the socket to its owner alone.
+// The umask that gives only the owner access to the socket.
 constexpr mode_t kOwnerOnlyUmask = 0177;
 
 constexpr int kMillisPerSecond = 1000;
 constexpr suseconds_t kMicrosPerMilli = 1000;
 
-// Bytes of a response that are received at a time.
+// Size of the buffer for received parts of a response, bytes.
 constexpr std::size_t kReadBytes = 4096;
 
 sockaddr_un AddressOf(const std::string& path) {
@@ -52,7 +52,7 @@
   return address;
 }
 
-// A descriptor that is connected to the socket, or -1 with errno.
+// Returns a descriptor that is connected to the socket, or -1 with the error in errno.
 int Connect(const std::string& path) {
   const sockaddr_un address = AddressOf(path);
   const int fd = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -71,7 +71,8 @@
   throw ControlError(step + " " + path + ": " + std::strerror(errno));
 }
 
-// Removes the socket of a process that has died.
+// Removes the socket of a process that no longer runs. Throws ControlError if the path is not a socket or a
+// running process uses it.
 void RemoveStaleSocket(const std::string& path) {
   struct stat existing {};
   if (lstat(path.c_str(), &existing) != 0) {
@@ -87,7 +88,7 @@
   unlink(path.c_str());
 }
 
-// A descriptor that is bound to the path and can be opened by this user only.
+// Returns a descriptor that is bound to the path; only this user can connect to it.
 int BindSocket(const std::string& path, const sockaddr_un& address) {
   const int fd = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
   if (fd < 0) {
@@ -103,7 +104,7 @@
   return fd;
 }
 
-// Reads until the end of the connection. Returns whether it has been reached without an error.
+// Reads until the peer closes the connection. Returns false after a read error.
 bool ReadAll(int fd, std::string* text) {
   std::array<char, kReadBytes> buffer{};
   while (true) {
@@ -166,7 +167,7 @@
         auto* self = static_cast<Client*>(arg);
         self->owner->OnRead(*self);
       },
-      [](bufferevent* stream, void* arg) {  // also called once before anything is written
+      [](bufferevent* stream, void* arg) {  // also called once before a response is written
         auto* self = static_cast<Client*>(arg);
         const bool written = evbuffer_get_length(bufferevent_get_output(stream)) == 0;
         if (self->responded && written) {
--- a/src/app/control.h
+++ b/src/app/control.h
@@ -1,9 +1,10 @@
-// The control socket: the operators' way into a running process, a Unix socket in the configured folder.
+// The control socket: a Unix socket in the configured folder, through which operators send commands to a
+// running process.
 //
-// A client sends one line of words and reads the response until the end of the connection. The socket can be
-// opened by the user of the process only (0600) and is removed at the end; one that a dead process left is
-// replaced, one on which a process still responds is left alone. Owned by the Initiator; runs on the
-// event-loop thread.
+// A client sends a command, one line of words, and reads the response until the connection is closed. Only
+// the user of the process can open the socket (mode 0600). The process removes it when it exits, replaces the
+// socket of a process that no longer runs, and leaves the socket of a running process as it is. Owned by the
+// Initiator; runs on the event-loop thread.
 #ifndef WALNUTSPUR_APP_CONTROL_H_
 #define WALNUTSPUR_APP_CONTROL_H_
 
@@ -21,14 +22,14 @@
 
 namespace walnutspur::app {
 
-// The server's side of the control socket.
+// Class Control listens on the control socket and responds to commands.
 class Control {
  public:
   using Words = std::vector<std::string>;
-  // Returns the response to a command, which is given by its words.
+  // Executes a command, given as its words, and returns the response.
   using Execute = std::function<std::string(const Words&)>;
 
-  // Listens at `path`. Throws ControlError if it cannot.
+  // Listens at `path`. Throws ControlError on failure.
   Control(event_base* base, const std::string& path, Execute execute);
   ~Control();
   Control(const Control&) = delete;
@@ -49,15 +50,15 @@
   std::uint64_t next_client_ = 1;
 };
 
-// How long a client waits for each part of a response, ms.
+// Maximum time that a client waits for each part of a response, ms.
 constexpr int kControlTimeoutMs = 2000;
 
-// Sends a command, one line without its end, to the process that listens at `path`, and returns the response.
-// Blocks. Throws ControlError if there is no response.
+// Sends a command, one line without a line end, to the process that listens at `path`, and returns the
+// response. Blocks. Throws ControlError if there is no response.
 std::string SendControlCommand(const std::string& path, const std::string& line,
                                int timeout_ms = kControlTimeoutMs);
 
-// The path of the control socket in a folder.
+// Returns the path of the control socket in a folder.
 inline std::string ControlPath(const std::string& folder) { return folder + "/control.sock"; }
 
 }  // namespace walnutspur::app
--- a/src/app/endpoint_list.h
+++ b/src/app/endpoint_list.h
@@ -1,4 +1,4 @@
-// The handling of an endpoint list from discovery or from the configuration.
+// Applies an endpoint list from discovery or from the configuration to the HTTP and NBD targets.
 //
 // Called by the Initiator on the event-loop thread.
 #ifndef WALNUTSPUR_APP_ENDPOINT_LIST_H_
@@ -11,10 +11,12 @@
 
 namespace walnutspur::app {
 
-// Updates the addresses of `targets` by a list that is received as `update`.
+// Updates the addresses in `targets` from `list`. If `update` is a full one, removes the targets that it
+// does not list.
 void UpdateAddresses(const EndpointUpdate& update, const http::EndpointList& list, http::TargetPool* targets);
 
-// Adds the NBD targets that discovery doesn't list to a complete update, which would drain them otherwise.
+// Adds the NBD targets that discovery does not list to a full or cached update. Otherwise the scheduler would
+// drain them.
 void AddUnlistedTargets(const nbd::Config& config, EndpointUpdate* update);
 
 }  // namespace walnutspur::app
--- a/src/app/errors.h
+++ b/src/app/errors.h
@@ -1,4 +1,4 @@
-// The errors that this folder throws. Each message is one line, ready to be shown to an operator.
+// Exceptions that this folder throws. Each message is one line for an operator.
 //
 // All derive from std::runtime_error, so that main() and embedding programs can catch them as one.
 #ifndef WALNUTSPUR_APP_ERRORS_H_
@@ -20,7 +20,7 @@
   using std::runtime_error::runtime_error;
 };
 
-// The fleet library cannot be loaded, or this process has to leave its fleet.
+// The fleet library cannot be loaded, or this process must leave its fleet.
 class FleetError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/app/fleet_library.h
+++ b/src/app/fleet_library.h
@@ -1,4 +1,4 @@
-// The fleet library, which is loaded only where the settings have a [fleet] table.
+// Loads the fleet library. It is loaded only if the settings file has a [fleet] table.
 //
 // Called once, while the Initiator is constructed.
 #ifndef WALNUTSPUR_APP_FLEET_LIBRARY_H_
@@ -10,8 +10,9 @@
 
 namespace walnutspur::app {
 
-// Loads libwalnutspur_fleet.so, from beside the program or from the folder above, and joins the fleet. The
-// library stays loaded until the process ends. Throws std::runtime_error (FleetError if it cannot be loaded).
+// Loads libwalnutspur_fleet.so from the program's folder or its parent folder, and joins the fleet. The
+// library stays loaded until the process exits. Throws std::runtime_error (FleetError if it cannot be
+// loaded).
 std::unique_ptr<fleet::Fleet> OpenFleet(event_base* base, const fleet::FleetOptions& options,
                                         fleet::FleetHooks hooks);
 
--- a/src/app/fleet_publisher.h
+++ b/src/app/fleet_publisher.h
@@ -1,4 +1,5 @@
-// This process as a member of its fleet: publishes its state and load, and passes on what the fleet reports.
+// Publishes the state and load of this process to its fleet, and forwards the events of the fleet to the
+// Initiator.
 //
 // Owned by the Initiator; runs on the event-loop thread.
 #ifndef WALNUTSPUR_APP_FLEET_PUBLISHER_H_
@@ -20,7 +21,7 @@
  public:
   struct Hooks {
     std::function<void(FleetSize size)> on_size;                // the number of members has changed
-    std::function<void(const std::string& reason)> on_removed;  // the process has to end
+    std::function<void(const std::string& reason)> on_removed;  // the process must terminate
     std::function<bool()> is_draining;
   };
 
@@ -30,11 +31,11 @@
 
   // Counts a response towards the published load.
   void CountResponse() { ++responses_; }
-  // Publishes now, and then once a period.
+  // Publishes immediately, and then once per interval.
   void Publish();
-  // Announces to the other members that this one leaves.
+  // Announces to the other members that this process leaves the fleet.
   void Leave() { fleet_->Leave(); }
-  // Executes an operator's command; returns JSON, or a line that starts with "error: ".
+  // Executes an operator's command. Returns JSON, or a line that starts with "error: ".
   std::string Execute(const std::vector<std::string>& words) { return fleet_->Execute(words); }
 
  private:
--- a/src/app/fleet_settings.cpp
+++ b/src/app/fleet_settings.cpp
@@ -81,7 +81,7 @@
     }
   }
 
-  // The roster elects by majority: an odd number of members, and few enough to agree quickly.
+  // The roster decides by majority: its size must be odd, and small enough for quick agreement.
   void CheckRoster(const std::vector<std::string>& roster) {
     const std::size_t size = roster.size();
     if (size == 0) {
--- a/src/app/fleet_settings.h
+++ b/src/app/fleet_settings.h
@@ -1,4 +1,4 @@
-// The [fleet] table of the settings file. Called while the file is read, on the thread that reads it.
+// Reads the [fleet] table of the settings file. Called on the thread that reads the file.
 #ifndef WALNUTSPUR_APP_FLEET_SETTINGS_H_
 #define WALNUTSPUR_APP_FLEET_SETTINGS_H_
 
@@ -10,8 +10,8 @@
 
 namespace walnutspur::app {
 
-// The options of the table; empty if it is missing or sets nothing. Appends to `problems` what the schema of
-// single keys can't express.
+// Returns the options of the table, or nullopt if the table is missing or empty. Appends to `problems` the
+// errors that the schema, which checks each key by itself, cannot detect.
 std::optional<fleet::FleetOptions> ReadFleet(const config::Table& root,
                                              std::vector<config::Problem>* problems);
 
--- a/src/app/graceful_shutdown.cpp
+++ b/src/app/graceful_shutdown.cpp
@@ -10,10 +10,10 @@
 namespace walnutspur::app {
 namespace {
 
-// After SIGTERM the platform still routes new clients here for this long, us.
+// Time for which new clients are accepted, us: the platform still routes them here for so long after SIGTERM.
 constexpr Time kAcceptDuration = 450'000;
 
-// From the last response to the end of the event loop, us.
+// Time between the deadline of the last responses and the stop of the event loop, us.
 constexpr Time kResponseMargin = 100'000;
 
 // Time between two calls of FrontEnd::AdvanceShutdown, us.
@@ -56,8 +56,8 @@
   }
 }
 
-// Connections are shut down before they are closed, however late the loop is: closing a socket with unread
-// bytes would reset the connection.
+// Connections are shut down before they are closed, even if the event loop runs late: closing a socket with
+// unread bytes would reset the connection.
 void GracefulShutdown::End() {
   for (core::FrontEnd* front_end : front_ends_()) {
     front_end->AdvanceShutdown(-kResponseMargin);
--- a/src/app/initiator.cpp
+++ b/src/app/initiator.cpp
@@ -19,16 +19,17 @@
 namespace walnutspur::app {
 namespace {
 
-// Connections of NBD clients, and likewise to NBD targets.
+// Maximum number of connections of NBD clients, and also of connections to NBD targets.
 constexpr std::size_t kMaxNbdConnections = 64;
 
-// Descriptors of the process for each NBD connection that it allows: each of the two gets a sixteenth.
+// Number of sockets of the process per allowed NBD connection: a sixteenth of them for the connections of NBD
+// clients, and a sixteenth for those to NBD targets.
 constexpr int kSocketsPerNbdConnection = 16;
 
-// Bytes of recorded traffic; the platform counts files as memory.
+// Maximum size of the recorded traffic, bytes; the platform counts files as memory.
 constexpr std::size_t kMaxRecordedBytes = 64 << 20;
 
-// Freed memory that is not returned to the kernel, bytes.
+// Amount of freed memory that is not returned to the kernel, bytes.
 constexpr int kRetainedHeapBytes = 4 << 20;
 
 loop::EventBasePtr MakeEventBase() {
@@ -39,7 +40,8 @@
   return loop::EventBasePtr(event_base_new());
 }
 
-// Buffers of journal records and checkpoints would otherwise be mapped and unmapped each time, page by page.
+// Keeps freed memory in the process. Otherwise the buffer of each journal record and checkpoint would be
+// mapped and unmapped page by page.
 void RetainFreedMemory() {
   mallopt(M_MMAP_THRESHOLD, kRetainedHeapBytes);
   mallopt(M_TRIM_THRESHOLD, kRetainedHeapBytes);
@@ -109,7 +111,7 @@
   http_front_end_ = std::make_unique<http::FrontEnd>(base_.get(), config_, &request_numbers_, submit_);
 }
 
-// Over HTTP a target has one path, and a digest covers all of an object, which counts as block 0.
+// Over HTTP a target has one path, and a digest covers a complete object, which is recorded as block 0.
 void Initiator::OnObjectRead(const TargetId& target, const std::string& uri, bool good,
                              const std::string& body) {
   if (good && corruption_->has_no_known_corruption()) {
@@ -176,13 +178,13 @@
   if (!config_.known.is_object()) {
     return;
   }
-  // The endpoints known at the last start may be outdated: the watch requests the changes since.
+  // The endpoints in the configuration may be outdated: the watch requests the changes since then.
   discovery_->SetCachedList(known);
   OnEndpointList({EndpointUpdateKind::kCached, known.endpoints}, known);
 }
 
-// Without endpoints, clients are rejected without harm; the platform would never use an initiator that
-// doesn't report ready.
+// Reports ready after `delay` even without endpoints: rejecting clients does no harm, but the platform never
+// uses an initiator that does not report ready.
 void Initiator::StartReadyTimer(Time delay) {
   ready_timer_ = loop::MakeTimer(base_.get(), [this] { http_front_end_->set_ready(); });
   ready_timer_.Start(delay);
@@ -220,7 +222,7 @@
   replay_ = std::make_unique<Replay>(base_.get(), path, targets, [this] { RequestShutdown(); });
 }
 
-// A process without a control socket serves as well, so that a failure is logged only.
+// A failure is only logged, since the process can serve clients without a control socket.
 void Initiator::OpenControl(const std::string& folder) {
   StatusSources status;
   status.nbd = &nbd_;
--- a/src/app/initiator.h
+++ b/src/app/initiator.h
@@ -1,7 +1,7 @@
-// One initiator, also to be embedded: constructs front ends, scheduler, connectors and discovery, and
-// connects them on one event loop.
+// Class Initiator constructs the front ends, the scheduler, the connectors and the discovery client, and
+// connects them on one event loop. It can be embedded in other programs.
 //
-// The event loop belongs to the thread that calls Run; the scheduler has a thread of its own.
+// The event loop runs on the thread that calls Run; the scheduler has its own thread.
 #ifndef WALNUTSPUR_APP_INITIATOR_H_
 #define WALNUTSPUR_APP_INITIATOR_H_
 
@@ -39,21 +39,22 @@
 
 class Initiator {
  public:
-  // Opens the listeners and starts the scheduler thread. Throws std::exception with a message of one line.
+  // Opens the listeners and starts the scheduler thread. Throws std::exception with a one-line message.
   explicit Initiator(http::Config config, const Options& options = {});
   ~Initiator();
   Initiator(const Initiator&) = delete;
   Initiator& operator=(const Initiator&) = delete;
 
-  // Serves until a shutdown is requested and all accepted requests are answered. Throws FleetError if an
+  // Serves until a shutdown is requested and all accepted requests have a response. Throws FleetError if an
   // older process of the fleet has the same name.
   void Run();
   // Requests a graceful shutdown, like SIGTERM; callable from any thread.
   void Stop();
-  // Ends Run at once, with requests unanswered; callable from any thread.
+  // Ends Run immediately, without responses to the requests in flight; callable from any thread.
   void StopNow();
-  // Makes SIGHUP reload the configuration by `read`, which throws if it is invalid. Called before Run;
-  // without it the signal is not handled. The caller may block SIGHUP before; Run unblocks it.
+  // Makes SIGHUP reload the configuration with `read`, which throws if the configuration is invalid. Must be
+  // called before Run; without this call, SIGHUP is not handled. The caller may block SIGHUP earlier; Run
+  // unblocks it.
   void EnableReload(std::function<http::Config()> read) { reload_->set_reader(std::move(read)); }
 
   event_base* base() { return base_.get(); }
@@ -82,7 +83,7 @@
   void OnObjectRead(const TargetId& target, const std::string& uri, bool good, const std::string& body);
   std::vector<core::FrontEnd*> FrontEnds();
 
-  // Declared so that each member is destroyed before those it uses.
+  // Declared in an order that destroys each member before the members that it uses.
   http::Config config_;
   loop::EventBasePtr base_;
   core::SubmitInput submit_;
@@ -100,7 +101,7 @@
   std::unique_ptr<Control> control_;                          // null: no control socket
   std::unique_ptr<Replay> replay_;                            // null: none
   std::unique_ptr<FleetPublisher> fleet_;                     // null: not a member of a fleet
-  std::string failure_;                                       // why Run has to throw; empty: it doesn't
+  std::string failure_;                                       // error that Run throws; empty: none
   std::unique_ptr<OutputDispatcher> dispatcher_;
   std::unique_ptr<ConfigurationReload> reload_;
   std::unique_ptr<GracefulShutdown> shutdown_;
--- a/src/app/integrity_tool.cpp
+++ b/src/app/integrity_tool.cpp
@@ -27,15 +27,15 @@
 // Bytes of one read or write.
 constexpr std::uint32_t kReadBytes = 256 << 10;
 
-// Copies of a tag block, written in turn.
+// Number of copies of a tag block, which are written alternately.
 constexpr std::uint64_t kTagBlockSlots = 2;
 
-// Copies of the superblock; they are the last blocks of the export.
+// Number of copies of the superblock, which are the last blocks of the export.
 constexpr std::uint64_t kSuperblockCopies = 2;
 
 constexpr std::int64_t kMicrosPerSecond = 1'000'000;
 
-// Bits of one draw from the random device.
+// Number of bits that one call of the random device returns.
 constexpr int kRandomBits = 32;
 constexpr std::string_view kErrorPrefix = "error: ";
 
@@ -67,7 +67,7 @@
                           integrity::DecodeSuperblock(copies.substr(kBlockBytes), client.size()));
 }
 
-// The superblock of a formatted export; throws if it is not formatted.
+// Returns the superblock of an export. Throws IntegrityToolError if the export is not formatted.
 Superblock RequireSuperblock(nbd::BlockingClient& client) {
   const DecodedSuperblock read = ReadSuperblock(client);
   if (read.state != SuperblockState::kValid) {
@@ -85,7 +85,8 @@
   return text.data();
 }
 
-// The blocks whose newest content is in the journal: their place may hold any older content.
+// Returns the blocks whose newest content is in the journal. Their place in the data region may hold any
+// older content.
 std::set<std::uint64_t> BlocksInJournal(nbd::BlockingClient& client, const Superblock& super) {
   const std::string data = ReadRange(client, super.geometry.journal_offset, super.geometry.journal_size);
   const std::string_view journal = data;
@@ -125,14 +126,14 @@
   throw IntegrityToolError(existing.error + "; --force formats the export anyway");
 }
 
-// Performs one step of formatting. Returns whether it has succeeded.
+// Performs one step of formatting. Returns whether it succeeded.
 bool PerformStep(nbd::BlockingClient& client, const integrity::IoRequest& step) {
   const nbd::Reply reply =
       step.kind == integrity::IoKind::kFlush ? client.Flush() : client.Write(step.offset, step.data);
   if (reply.error != nbd::kOk) {
     return false;
   }
-  return !step.fua || client.Flush().error == nbd::kOk;  // the client has no FUA
+  return !step.fua || client.Flush().error == nbd::kOk;  // the client does not support FUA
 }
 
 // Verifies the blocks of an export, one tag block after the other.
@@ -152,13 +153,13 @@
 
   void PrintSummary() const {
     std::fprintf(out_, "%" PRIu64 " good, %" PRIu64 " empty or in the journal, %" PRIu64 " damaged\n", good_,
-                 skipped_, bad_);
+                 skipped_, corrupted_);
   }
 
-  std::uint64_t bad() const { return bad_; }
+  std::uint64_t corrupted() const { return corrupted_; }
 
  private:
-  // The newer intact slot of a tag block, if there is one.
+  // Returns the newer valid slot of a tag block, or nullopt if no slot is valid.
   std::optional<integrity::TagBlock> ReadTags(std::uint64_t index) {
     const std::string data =
         ReadRange(client_, super_.geometry.SlotOffset(index, 0), kTagBlockSlots * kBlockBytes);
@@ -178,7 +179,7 @@
         std::min<std::uint64_t>(integrity::kTagsPerBlock, super_.geometry.blocks - first);
     const std::optional<integrity::TagBlock> tags = ReadTags(index);
     if (!tags) {
-      bad_ += count;
+      corrupted_ += count;
       return;
     }
     const std::string content = ReadRange(client_, first * kBlockBytes, count * kBlockBytes);
@@ -199,7 +200,7 @@
       ++good_;
       return;
     }
-    ++bad_;
+    ++corrupted_;
     std::fprintf(out_, "block %" PRIu64 ": damaged\n", block);
   }
 
@@ -209,7 +210,7 @@
   std::set<std::uint64_t> in_journal_;
   std::uint64_t good_ = 0;
   std::uint64_t skipped_ = 0;  // never written, or newest content in the journal
-  std::uint64_t bad_ = 0;
+  std::uint64_t corrupted_ = 0;
 };
 
 void PrintEntry(const integrity::BlockLocation& location, const integrity::CorruptionEntry& entry,
@@ -277,7 +278,7 @@
   Verifier verifier(&client, out);
   verifier.VerifyAll();
   verifier.PrintSummary();
-  return verifier.bad() == 0 ? 0 : 1;
+  return verifier.corrupted() == 0 ? 0 : 1;
 }
 
 int SendCommand(const IntegrityOptions& options, std::FILE* out) {
--- a/src/app/integrity_tool.h
+++ b/src/app/integrity_tool.h
@@ -1,7 +1,8 @@
-// The commands of `walnutspur integrity`: checksummed exports and the corruption ledger, for operators.
+// Implements the commands of `walnutspur integrity`, with which operators manage checksummed exports and read
+// the corruption log.
 //
-// Each command prints to `out` and returns the exit code of the program: 0 all is well, 1 corruption was
-// found. Each blocks, and throws std::runtime_error with a message of one line if it cannot be completed.
+// Each command prints to `out` and returns the exit code of the program: 0 on success, 1 if corruption was
+// found. It blocks, and throws std::runtime_error with a one-line message if it cannot be completed.
 #ifndef WALNUTSPUR_APP_INTEGRITY_TOOL_H_
 #define WALNUTSPUR_APP_INTEGRITY_TOOL_H_
 
@@ -12,13 +13,13 @@
 
 namespace walnutspur::app {
 
-// The arguments of all commands; each uses some.
+// The arguments of the commands; each command uses some of them.
 struct IntegrityOptions {
-  std::string address;                    // of the target's NBD listener: host:port
-  std::string export_name;                // name of the export there
-  std::uint64_t journal_bytes = 4 << 20;  // bytes of a new journal
-  bool force = false;                     // format an export that is formatted already
-  std::string folder;                     // holds the corruption ledger and the control socket
+  std::string address;                    // address of the target's NBD listener: host:port
+  std::string export_name;                // name of the export at the target
+  std::uint64_t journal_bytes = 4 << 20;  // size of a new journal
+  bool force = false;                     // format the export even if it is already formatted
+  std::string folder;                     // holds the corruption log and the control socket
   std::vector<std::string> words;         // the command for a running process
 };
 
@@ -35,7 +36,7 @@
 // Sends a command to the running process that uses the folder, and prints the response.
 int SendCommand(const IntegrityOptions& options, std::FILE* out);
 
-// Prints the corruption ledger of a folder.
+// Prints the corruption log of a folder.
 int ShowCorruptionLog(const IntegrityOptions& options, std::FILE* out);
 
 }  // namespace walnutspur::app
--- a/src/app/operator_commands.h
+++ b/src/app/operator_commands.h
@@ -1,6 +1,7 @@
-// The commands that operators send to a running process by the control socket.
+// Executes the commands that operators send to a running process through the control socket.
 //
-// Owned by the Initiator; runs on the event-loop thread. No command changes the decisions on requests.
+// Owned by the Initiator; runs on the event-loop thread. No command affects the scheduling of clients'
+// requests.
 #ifndef WALNUTSPUR_APP_OPERATOR_COMMANDS_H_
 #define WALNUTSPUR_APP_OPERATOR_COMMANDS_H_
 
@@ -15,11 +16,11 @@
 
 class OperatorCommands {
  public:
-  // `scrub` and `fleet` may be null. All arguments have to outlive this object.
+  // `scrub` and `fleet` may be null. All arguments must outlive this object.
   OperatorCommands(const StatusSources& status, checksummed::Scrub* scrub, FleetPublisher* fleet);
 
-  // Executes a command, given by its words. Returns the response; a line that starts with "error: " if the
-  // command cannot be executed.
+  // Executes a command, given as its words. Returns the response, which is a line that starts with "error: "
+  // if the command cannot be executed.
   std::string Execute(const std::vector<std::string>& words);
 
  private:
--- a/src/app/output_dispatcher.cpp
+++ b/src/app/output_dispatcher.cpp
@@ -32,7 +32,7 @@
   return *destinations_.http_targets;
 }
 
-// The client may have disconnected after the engine decided: then nothing is sent.
+// If the client has disconnected since the scheduler decided, nothing is sent to the target.
 void OutputDispatcher::Execute(const core::StartAttempt& output) const {
   if (FrontEndOf(output.protocol).IsClientConnected(output.request)) {
     ConnectorOf(output.protocol).Start(output);
--- a/src/app/output_dispatcher.h
+++ b/src/app/output_dispatcher.h
@@ -1,4 +1,4 @@
-// The dispatch of the engine's outputs to front ends, connectors, discovery and timers.
+// Dispatches the scheduler's outputs to front ends, connectors, discovery and timers.
 //
 // Owned by the Initiator; runs on the event-loop thread.
 #ifndef WALNUTSPUR_APP_OUTPUT_DISPATCHER_H_
@@ -20,7 +20,7 @@
 
 namespace walnutspur::app {
 
-// What outputs are dispatched to; owned by the Initiator.
+// The components that outputs are dispatched to; owned by the Initiator.
 struct OutputDestinations {
   http::DiscoveryClient* discovery = nullptr;
   http::FrontEnd* http = nullptr;
@@ -53,7 +53,7 @@
   OutputDestinations destinations_;
   core::SubmitInput submit_;
   std::uint64_t next_timer_ = 0;
-  std::map<std::uint64_t, loop::EventHandle> timers_;  // armed ones, in order of arming
+  std::map<std::uint64_t, loop::EventHandle> timers_;  // armed timers, in order of arming
 };
 
 }  // namespace walnutspur::app
--- a/src/app/platform.cpp
+++ b/src/app/platform.cpp
@@ -58,7 +58,7 @@
   if (config->settings.classes.empty()) {
     throw ConfigError("'settings.classes' is empty; allowed: at least one class");
   }
-  config->settings.sends_retry_after = true;  // HTTP carries it, whatever the simulator's protocol forwards
+  config->settings.sends_retry_after = true;  // HTTP has Retry-After; the simulator's protocol may omit it
   config->names = ParseAllNames(settings);
   ParseExtra(settings.value("extra", json::object()), config);
   const json limits = settings.value("limits", json::object());
--- a/src/app/platform.h
+++ b/src/app/platform.h
@@ -1,5 +1,5 @@
-// The platform's configuration of one initiator: a JSON file, whose settings are those of the simulator's
-// protocol.
+// Reads the platform's configuration of one initiator: a JSON file whose `settings` have the format of the
+// simulator's protocol.
 //
 // Read before the Initiator is constructed, and again on a reload.
 #ifndef WALNUTSPUR_APP_PLATFORM_H_
@@ -12,7 +12,7 @@
 
 namespace walnutspur::app {
 
-// Throws std::exception with a message of one line if the configuration is invalid.
+// Parses a configuration. Throws std::exception with a one-line message if the configuration is invalid.
 http::Config ParseConfig(const nlohmann::json& document);
 
 // Reads and parses a file. Throws ConfigError with a message that names the file.
--- a/src/app/process_signals.h
+++ b/src/app/process_signals.h
@@ -1,4 +1,4 @@
-// The signals of the process, delivered on the event loop.
+// Handles the signals of the process on the event loop.
 //
 // SIGTERM and SIGINT request a graceful shutdown, SIGHUP a reload of the configuration. Owned by the
 // Initiator; callbacks run on the event-loop thread.
@@ -13,23 +13,23 @@
 
 class ProcessSignals {
  public:
-  // Ignores SIGPIPE from now on: a write to a closed connection is an error code instead.
+  // Ignores SIGPIPE from now on: a write to a closed connection returns an error instead.
   ProcessSignals(event_base* base, const std::function<void()>& on_shutdown, std::function<void()> on_reload);
 
-  // Handles signals from now on; SIGHUP, and its unblocking, only with `handle_reload`.
+  // Starts to handle the signals. Unblocks and handles SIGHUP only if `handle_reload` is true.
   void Start(bool handle_reload);
 
   // Requests a shutdown like SIGTERM; callable from any thread.
   void RequestShutdown() { shutdown_requested_.Activate(); }
 
-  // Blocks SIGHUP until Start, so that one which arrives during the start doesn't end the process.
+  // Blocks SIGHUP until Start, so that a SIGHUP during the start does not terminate the process.
   static void BlockReload();
 
  private:
   loop::EventHandle terminate_;
   loop::EventHandle interrupt_;
   loop::EventHandle hangup_;
-  // Separate from the signals' events: activating one of those by hand calls nothing.
+  // Separate from the events of the signals: activating one of these manually does not call its callback.
   loop::EventHandle shutdown_requested_;
 };
 
--- a/src/app/replay.cpp
+++ b/src/app/replay.cpp
@@ -13,7 +13,7 @@
 namespace walnutspur::app {
 namespace {
 
-// Where a stream is sent to; port 0: nowhere.
+// Returns the address that a stream is sent to; port 0 if no front end has its protocol.
 loop::Address AddressOf(const ReplayTargets& targets, const pcap::Stream& stream) {
   if (!pcap::LooksLikeNbd(stream.to_server.bytes())) {
     return {targets.http_config->listen.host, static_cast<std::uint16_t>(targets.http->port())};
--- a/src/app/replay.h
+++ b/src/app/replay.h
@@ -1,5 +1,4 @@
-// The replay of recorded traffic: the client side of each recorded stream is sent to the front end whose
-// protocol it speaks.
+// Replays recorded traffic: sends the client side of each recorded stream to the front end of its protocol.
 //
 // Owned by the Initiator; runs on the event-loop thread.
 #ifndef WALNUTSPUR_APP_REPLAY_H_
@@ -23,14 +22,14 @@
   const http::Config* http_config = nullptr;
   const http::FrontEnd* http = nullptr;
   const nbd::Config* nbd_config = nullptr;
-  const nbd::FrontEnd* nbd = nullptr;  // null: streams of NBD are not sent
+  const nbd::FrontEnd* nbd = nullptr;  // null: NBD streams are not replayed
 };
 
-// One replay of a pcap file, from its construction on.
+// Replays one pcap file, starting with its construction.
 class Replay {
  public:
-  // At the end a summary is printed and `on_finished` called. Throws std::exception if the file at `path`
-  // cannot be read.
+  // Starts the replay. At its end, prints a summary and calls `on_finished`. Throws std::exception if the
+  // file at `path` cannot be read.
   Replay(event_base* base, const std::string& path, const ReplayTargets& targets,
          std::function<void()> on_finished);
 
--- a/src/app/scrub_setup.cpp
+++ b/src/app/scrub_setup.cpp
@@ -14,13 +14,14 @@
 namespace walnutspur::app {
 namespace {
 
-// How long a read of the scrub may be queued, us.
+// Maximum time for which a read of the scrub may be queued, us.
 constexpr Time kScrubDeadline = 5'000'000;
 
-// Weight of the scrub's request class and of its plan: next to none, so that clients' requests come first.
+// Priority weight of the scrub's request class and plan. It is close to 0, so that clients' requests are
+// served first.
 constexpr double kScrubPriorityWeight = 0.01;
 
-// The file of the cursors, in the folder of the corruption log.
+// Name of the file of the cursors, in the folder of the corruption log.
 constexpr const char* kCursorFile = "scrub.cursor";
 
 int AddScrubClass(walnutspur::Settings* settings) {
@@ -32,8 +33,8 @@
   return static_cast<int>(settings->classes.size()) - 1;
 }
 
-// The minimum of the scrub is the reserved rate of its plan, its budget the rate. Beyond the minimum it gets
-// next to no share of the remaining capacity.
+// Adds the plan of the scrub. Its reserved rate is the scrub's minimum, and its rate is the scrub's budget.
+// Beyond the minimum, the scrub gets almost no share of the remaining capacity.
 int AddScrubPlan(const checksummed::ScrubOptions& options, const nbd::Config& nbd,
                  walnutspur::Settings* settings) {
   const double units = nbd::UnitsOf(nbd, static_cast<std::uint32_t>(options.chunk * integrity::kBlockBytes));
--- a/src/app/scrub_setup.h
+++ b/src/app/scrub_setup.h
@@ -1,4 +1,4 @@
-// The setup of the scrub: the request class, plan and cursors that it starts with.
+// Sets up the scrub: the request class, plan and cursors that it starts with.
 //
 // Called once, while the Initiator is constructed and before the Scheduler receives its settings.
 #ifndef WALNUTSPUR_APP_SCRUB_SETUP_H_
@@ -11,8 +11,8 @@
 
 namespace walnutspur::app {
 
-// Appends a request class and a plan for the scrub to `settings`; clients have no names for them. Returns
-// `options` completed by both, and by the cursors that are stored beside the corruption ledger.
+// Appends a request class and a plan for the scrub to `settings`; they have no names, so that clients cannot
+// use them. Returns `options` with both, and with the cursors that are stored beside the corruption log.
 checksummed::ScrubOptions SetUpScrub(checksummed::ScrubOptions options, const nbd::Config& nbd,
                                      checksummed::CorruptionTracker* corruption,
                                      walnutspur::Settings* settings);
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr double kMicrosPerDay = 86400e6;
-// A file with one of these tables is the configuration of an NBD front end, any other a settings file.
+// A file with one of these tables is the configuration of an NBD front end; any other is a settings file.
 constexpr std::array<const char*, 3> kNbdTables = {"\n[commands]", "\n[[box]]", "\n[[export]]"};
 
 log::Options ReadLog(const config::Table& root) {
--- a/src/app/settings_keys.cpp
+++ b/src/app/settings_keys.cpp
@@ -13,7 +13,7 @@
 constexpr double kMaxPathBytes = 4096;
 constexpr double kMaxNameBytes = fleet::kMaxNameLength;
 
-// A text of at most `max_bytes`, empty by default.
+// Returns a key for a text of at most `max_bytes`, which is empty by default.
 config::Key TextKey(const char* path, double max_bytes, const char* description) {
   return {.path = path,
           .kind = Kind::kText,
--- a/src/app/settings_keys.h
+++ b/src/app/settings_keys.h
@@ -1,4 +1,4 @@
-// The keys of the settings file, by table: type, range, default and description of each.
+// Defines the keys of the settings file, by table: type, range, default and description of each.
 //
 // Immutable after the first call; callable from any thread.
 #ifndef WALNUTSPUR_APP_SETTINGS_KEYS_H_
@@ -10,7 +10,7 @@
 
 namespace walnutspur::app {
 
-// In the order in which the example prints them.
+// Returns the keys in the order in which `walnutspur example` prints them.
 const std::vector<config::Key>& SettingsKeys();
 
 }  // namespace walnutspur::app
--- a/src/app/status_report.h
+++ b/src/app/status_report.h
@@ -1,6 +1,6 @@
-// The status of a running process as JSON, for operators.
+// Reports the status of a running process as JSON, for operators.
 //
-// Reads on the event-loop thread; changes nothing.
+// Called on the event-loop thread; changes no state.
 #ifndef WALNUTSPUR_APP_STATUS_REPORT_H_
 #define WALNUTSPUR_APP_STATUS_REPORT_H_
 
@@ -13,7 +13,7 @@
 
 namespace walnutspur::app {
 
-// What the report is about; owned by the Initiator.
+// The components whose status is reported; owned by the Initiator.
 struct StatusSources {
   const nbd::Config* nbd = nullptr;
   const checksummed::CorruptionTracker* corruption = nullptr;
@@ -21,7 +21,7 @@
   const checksummed::Scrub* scrub = nullptr;           // null: no scrub
 };
 
-// The report, indented, with a line end.
+// Returns the report as indented JSON that ends with a line break.
 std::string StatusReport(const StatusSources& sources);
 
 }  // namespace walnutspur::app
--- a/src/app/time_limits.h
+++ b/src/app/time_limits.h
@@ -6,9 +6,10 @@
 
 namespace walnutspur::app {
 
-// The platform treats a longer client deadline as this one, us.
+// Maximum deadline of a client, us; the platform treats a longer deadline as this one.
 constexpr Time kMaxPlatformDeadline = 3'000'000;
-// From the longest deadline to the end of the process, us. The platform sends SIGKILL 0.7 s after it.
+// Time from the longest deadline to the end of the process, us. The platform sends SIGKILL 0.7 s after that
+// deadline.
 constexpr Time kEndAfterMaxDeadline = 600'000;
 
 }  // namespace walnutspur::app
--- a/src/background/budget.cpp
+++ b/src/background/budget.cpp
@@ -6,25 +6,25 @@
 namespace walnutspur::background {
 namespace {
 
-// Fraction of the speed that remains without a recent report.
+// Factor applied to the speed if there is no recent load report.
 constexpr double kUnknownLoadSpeed = 0.5;
-// Factor over the rate that the goal requires, so that a round ends before the goal.
+// Factor applied to the rate that the goal requires, so that a round ends before the goal.
 constexpr double kGoalMargin = 1.2;
 constexpr Time kSecond = 1'000'000;  // us
 constexpr double kMicrosPerSecond = 1e6;
 
 double Seconds(Time duration) { return static_cast<double>(std::max<Time>(0, duration)) / kSecond; }
 
-// The fraction of its round that a job has completed, 0 to 1.
-double DoneFraction(const Progress& progress) {
+// Returns the fraction of its round that a job has completed, 0 to 1.
+double CompletedFraction(const Progress& progress) {
   if (progress.total == 0) {
     return 0.0;
   }
   return static_cast<double>(progress.position) / static_cast<double>(progress.total);
 }
 
-// Requests per second that a goal requires: a job that is behind catches up, one that is ahead keeps an even
-// rate.
+// Returns the requests per second that a goal requires: a job that is behind schedule catches up, a job that
+// is ahead keeps an even rate.
 double GoalRate(Time goal, const Progress& progress, Time now) {
   const auto total = static_cast<double>(progress.total);
   const double left = total - std::min(total, static_cast<double>(progress.position));
@@ -39,8 +39,9 @@
 void Pressure::AddReport(const LoadReport& report, Time now) {
   const bool overloaded = report.missed_fraction > options_.max_missed_fraction ||
                           report.queued_fraction > options_.max_queued_fraction;
-  // Failure: background work and the pressure that it causes alternate, and live requests suffer in every
-  // cycle. The speed drops at once and recovers in small steps, so that it settles below the threshold.
+  // Prevents an oscillation between background work and the load that it causes, in which every cycle would
+  // delay live requests. The speed drops immediately and recovers in small steps, so that it settles below
+  // the threshold.
   speed_ = overloaded ? 0 : std::min(1.0, speed_ + options_.recovery_step);
   last_report_ = now;
 }
@@ -74,8 +75,8 @@
   resumed.paused = false;
 }
 
-// The budget, or what the goal needs if that is less, times the speed that live requests allow; never less
-// than the minimum.
+// Returns the rate of the budget, or the rate that the goal requires if that is lower, times the speed that
+// live requests allow, but at least the minimum.
 double Budget::Rate(const Job& job, Time now) const {
   const JobOptions& options = job.options;
   double rate = std::min(options.max_requests_per_second,
@@ -109,12 +110,13 @@
   return static_cast<Time>(std::ceil(std::max(for_requests, for_bytes) * kMicrosPerSecond));
 }
 
-// By priority; among equals the one that has done less of its round.
+// Returns whether `job` is granted a request before `other`: it has a higher priority, or the same priority
+// and has completed a smaller fraction of its round.
 bool Budget::HasPrecedence(const Job& job, const Job& other) {
   if (job.options.priority != other.options.priority) {
     return job.options.priority > other.options.priority;
   }
-  return DoneFraction(job.progress) < DoneFraction(other.progress);
+  return CompletedFraction(job.progress) < CompletedFraction(other.progress);
 }
 
 std::optional<JobId> Budget::GrantNext(Time now) {
@@ -150,11 +152,11 @@
 }
 
 void Budget::Complete(JobId job, std::uint64_t units, std::uint64_t bytes, Time now) {
-  Job& done = jobs_.at(job);
-  ReduceDebts(done, now);
-  done.in_flight = std::max(0, done.in_flight - 1);
-  done.bytes_debt += static_cast<double>(bytes);
-  Progress& progress = done.progress;
+  Job& completed = jobs_.at(job);
+  ReduceDebts(completed, now);
+  completed.in_flight = std::max(0, completed.in_flight - 1);
+  completed.bytes_debt += static_cast<double>(bytes);
+  Progress& progress = completed.progress;
   progress.position += units;
   if (progress.total > 0 && progress.position >= progress.total) {
     progress.position = 0;
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -13,10 +13,10 @@
 namespace walnutspur::config {
 namespace {
 
-// A word that differs by more edits from a known one is not taken for a misspelling of it.
+// Maximum edit distance at which a word is taken for a misspelling of a known word.
 constexpr std::size_t kMaxEdits = 3;
 
-// Whether the key belongs to the table of a scope: "box[].id" does to that of "box[].", as "id".
+// Returns whether the key belongs to the table of a scope: "box[].id" belongs to the scope "box[].", as "id".
 bool InScope(const Key& key, const std::string& scope) {
   return key.path.starts_with(scope) && key.path.find("[].", scope.size()) == std::string::npos;
 }
@@ -26,7 +26,7 @@
  public:
   explicit Reader(const std::vector<Key>& keys) : keys_(keys) {}
 
-  // Reads the table of a scope ("" or "box[].") into `out`; `prefix` is the dotted path inside of the scope.
+  // Reads the table of a scope ("" or "box[].") into `out`; `prefix` is the dotted path within the scope.
   void Read(const toml::table& table, const std::string& scope, const std::string& prefix, Table* out) {
     for (const auto& [name, node] : table) {
       const std::string path = prefix + std::string(name.str());
@@ -122,7 +122,7 @@
   std::vector<Problem> problems_;
 };
 
-// The edit distance of two words (Levenshtein), by one row of its table at a time.
+// Returns the edit distance (Levenshtein) of two words. Keeps one row of the distance table at a time.
 std::size_t EditDistance(const std::string& word, const std::string& other) {
   std::vector<std::size_t> row(other.size() + 1);
   for (std::size_t i = 0; i <= other.size(); ++i) {
@@ -140,7 +140,7 @@
   return row.back();
 }
 
-// The line break and header of a section in the example.
+// Returns an empty line and the header of a section of the example.
 std::string SectionHeader(const std::string& section) {
   if (section.ends_with("[]")) {
     return "\n[[" + section.substr(0, section.size() - 2) + "]]\n";
@@ -163,7 +163,7 @@
   std::size_t min_edits = kMaxEdits + 1;
   for (const std::string& other : known) {
     const std::size_t edits = EditDistance(word, other);
-    // A short word is similar to everything: at least half of it must be unchanged.
+    // A short word is within a few edits of any other: at least half of it must be unchanged.
     if (edits < min_edits && edits * 2 <= other.size()) {
       min_edits = edits;
       best = other;
--- a/src/config/schema.h
+++ b/src/config/schema.h
@@ -1,5 +1,5 @@
-// A schema for TOML files: type, range, allowed words, default and unit of each key. It defines no keys of
-// its own; each owner of settings has a table of them.
+// Reads TOML files according to a schema: type, range, allowed words, default and unit of each key. Each
+// owner of settings defines a table of its keys.
 //
 // A document is read completely, and all its problems are reported, each with line and key, before any value
 // is used. Stateless; callable from any thread.
@@ -15,26 +15,26 @@
 
 namespace walnutspur::config {
 
-// The type of a key's values. kTexts: a list of texts.
+// The type of a key's values. kTexts: an array of strings.
 enum class Kind { kBool, kInteger, kNumber, kText, kTexts };
 
-// One key. Its path is dotted; "box[].id" is the key of each table of [[box]].
+// One key. Its path is dotted; "box[].id" is the key "id" of each table [[box]].
 struct Key {
   std::string path;
   Kind kind = Kind::kText;
-  double min = 0;                               // of numbers, and of the length of texts in bytes
-  double max = 0;                               // likewise; 0: texts are unbounded
-  std::string unit = {};                        // of numbers: "s", "bytes"; empty: none
-  std::string default_value = {};               // as written in a file; empty: none
-  std::vector<std::string> allowed_words = {};  // the only texts allowed; empty: any
-  bool required = false;                        // a file without the key has a problem
+  double min = 0;                               // minimum of a number, or of the length of a text in bytes
+  double max = 0;                               // maximum, as for `min`; 0: no limit on the length of texts
+  std::string unit = {};                        // unit of a number, such as "s" or "bytes"; empty: none
+  std::string default_value = {};               // default, as written in a file; empty: none
+  std::vector<std::string> allowed_words = {};  // the allowed texts; empty: any
+  bool required = false;                        // a file without the key is invalid
   std::string description = {};                 // printed by FormatExample
 };
 
-// What is wrong with a document.
+// An error in a document.
 struct Problem {
-  int line = 0;     // from 1; 0: the file as such
-  std::string key;  // its path; empty: no single key
+  int line = 0;     // line number, from 1; 0: the complete file
+  std::string key;  // path of the key; empty: no single key
   std::string error;
 };
 
@@ -43,9 +43,9 @@
 // The values of one table, by the paths of their keys. A value has the type of the schema; reading it as
 // another throws std::bad_variant_access, except that an integer may be read as a number.
 struct Table {
-  std::map<std::string, Value> values;               // defaults included
-  std::map<std::string, int> lines;                  // of the keys in the file; 0: default
-  std::map<std::string, std::vector<Table>> tables;  // of [[name]], in order
+  std::map<std::string, Value> values;               // includes defaults
+  std::map<std::string, int> lines;                  // line number of each key; 0: default
+  std::map<std::string, std::vector<Table>> tables;  // of each [[name]], in the order of the file
 
   bool Has(const std::string& path) const { return values.contains(path); }
   bool Bool(const std::string& path) const { return std::get<bool>(values.at(path)); }
@@ -57,28 +57,29 @@
   }
 };
 
-// A document that has been read.
+// The result of reading a document.
 struct Document {
   Table root;
-  std::vector<Problem> problems;  // in the order of lines; empty: the document is valid
+  std::vector<Problem> problems;  // in the order of their lines; empty: the document is valid
 };
 
 // Reads TOML text. Missing keys get their defaults. Invalid text results in problems, never in an exception.
 Document Read(const std::string& text, const std::vector<Key>& keys);
 
-// Reads a file; a file that cannot be read is a problem of line 0.
+// Reads a file. A file that cannot be read results in a problem with line 0.
 Document ReadFile(const std::string& path, const std::vector<Key>& keys);
 
-// Formats a problem as "FILE:LINE: KEY: WHAT", without line or key where there is none.
+// Formats a problem as "FILE:LINE: KEY: ERROR"; omits the line or the key if the problem has none.
 std::string FormatProblem(const std::string& file, const Problem& problem);
 
-// Describes the values that a key allows: "a number from 0.01 to 2.5 s".
+// Returns a description of the values that a key allows, such as "a number from 0.01 to 2.5 s".
 std::string DescribeAllowed(const Key& key);
 
-// The word of `known` with the least edit distance (Levenshtein) to `word`; empty if none is similar.
+// Returns the word of `known` with the smallest edit distance (Levenshtein) to `word`; empty if none is
+// similar.
 std::string NearestWord(const std::string& word, const std::vector<std::string>& known);
 
-// A commented TOML file with all keys and their defaults.
+// Returns a commented TOML file with all keys and their defaults.
 std::string FormatExample(const std::vector<Key>& keys);
 
 }  // namespace walnutspur::config
--- a/src/config/value_reader.h
+++ b/src/config/value_reader.h
@@ -1,4 +1,4 @@
-// The reading of single values by the schema; internal to this folder.
+// Reads single values according to the schema; internal to this folder.
 //
 // Stateless.
 #ifndef WALNUTSPUR_CONFIG_VALUE_READER_H_
@@ -13,13 +13,13 @@
 
 namespace walnutspur::config {
 
-// A value, or else what is wrong with it.
+// A value, or an error if the value is invalid.
 struct ValueResult {
   std::optional<Value> value;
   std::string error;
 };
 
-// Reads the value of a key and checks type, range and words.
+// Reads the value of a key and checks its type, range and allowed words.
 ValueResult ReadValue(const Key& key, const toml::node& node);
 
 }  // namespace walnutspur::config
--- a/src/filestore/atomic_file.cpp
+++ b/src/filestore/atomic_file.cpp
@@ -28,7 +28,7 @@
   return true;
 }
 
-// Writes a new file and syncs it; null, or the step that failed, with its error in errno.
+// Writes and syncs a new file. Returns null, or the step that failed, with its error in errno.
 const char* WriteAndSync(const std::string& path, std::string_view bytes) {
   const int fd = open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode);
   if (fd < 0) {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,5 @@
-// walnutspur: one initiator as the platform's configuration describes it, and tools around it.
+// walnutspur: runs one initiator as the platform's configuration describes it, or executes a command for
+// operators.
 #include <cstdio>
 #include <cstdlib>
 #include <exception>
@@ -19,7 +20,7 @@
 using walnutspur::app::Action;
 using walnutspur::app::Command;
 
-// The path of the platform's configuration.
+// Returns the path of the platform's configuration.
 std::string ConfigPath(const Command& command) {
   if (!command.config.empty()) {
     return command.config;
@@ -54,7 +55,7 @@
   initiator.Run();
 }
 
-// Prints the problems of all files; returns the exit code.
+// Prints the problems of all files. Returns the exit code.
 int Check(const std::vector<std::string>& files) {
   int exit_code = 0;
   for (const std::string& file : files) {
@@ -71,7 +72,7 @@
   return command.exit_code;
 }
 
-// Performs a command; returns the exit code.
+// Performs a command. Returns the exit code.
 int Execute(const Command& command) {
   switch (command.action) {
     case Action::kServe:
--- a/tests/faults/clock_step_test.cpp
+++ b/tests/faults/clock_step_test.cpp
@@ -1,9 +1,10 @@
-// A real process whose wall clock is stepped, while it runs and before its start.
+// Steps the wall clock of a real process, while it runs and before it starts.
 //
 // An operator or NTP may set the wall clock while the program runs, or the machine may start with a wrong
-// one. Code that takes durations from it shows as requests that time out or are rejected all at once, or as
-// targets that stay in slow start for an hour since their stated start seems to lie in the future. The tests
-// step the clock that the process sees by 1 s to 1 h, both ways, and check that it serves as before.
+// clock. If code measures durations with the wall clock, all requests time out or are rejected at the same
+// time, or targets stay in slow start for an hour, since their reported start seems to lie in the future. The
+// tests step the process's clock by 1 s to 1 h in both directions and check that it serves requests as
+// before.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -18,7 +19,7 @@
 
 constexpr std::int64_t kMillisecondsPerMinute = 60'000;
 
-// Part of the requests that a process serves, and the rules that it breaks.
+// The fraction of requests that a process served, and the rules that it violated.
 struct StepResult {
   double served = 0;
   std::vector<lab::soak::Violation> violations;
@@ -28,7 +29,7 @@
   std::int64_t step_ms;
   std::int64_t step_at_ms;     // after the process's start
   std::int64_t targets_up_ms;  // for how long the targets have been up
-  Time settle_time;            // us after the start from which requests count
+  Time settle_time;            // us after the start; later requests are counted
   StepResult result;
 };
 
@@ -60,7 +61,7 @@
 
 }  // namespace
 
-TEST_CASE("a step of the wall clock in the run refuses no request") {
+TEST_CASE("Initiator: with a step of the wall clock during the run, requests are served as before") {
   std::vector<StepCase> cases;
   for (const std::int64_t step_ms : {-3'600'000, -10'000, -1'000, 1'000, 10'000, 3'600'000}) {
     cases.push_back({step_ms, 2'000, 10 * kMillisecondsPerMinute, 0, {}});
@@ -69,7 +70,7 @@
   CheckServed(cases);
 }
 
-TEST_CASE("a wall clock that is wrong at the start keeps no target in slow start for longer than it lasts") {
+TEST_CASE("Initiator: with a wrong wall clock at the start, no target stays in slow start too long") {
   std::vector<StepCase> cases;
   for (const std::int64_t step_ms : {-3'600'000, -10'000, 10'000, 3'600'000}) {
     cases.push_back({step_ms, 0, 500, 3 * kSecond, {}});                          // in slow start
--- a/tests/faults/endpoint_lease_test.cpp
+++ b/tests/faults/endpoint_lease_test.cpp
@@ -1,10 +1,11 @@
-// A real process whose discovery fails: what it does with an endpoint list that may be out of date.
+// Tests how a real process uses an endpoint list that may be outdated because discovery fails.
 //
-// In a run of about 300 processes discovery failed for some seconds while targets began to drain. Processes
-// without a working watch went on by their last list, and requests reached targets that had been draining for
-// seconds: the platform's rule "drain" was violated. The tests make discovery fail in each way that a process
-// can see, drain a target meanwhile, and check on the storage servers' record that no request reaches it
-// late, that requests are rejected rather than lost, and that service resumes once discovery has sent a list.
+// In a run of about 300 processes, discovery failed for some seconds while targets began to drain. Processes
+// without a working watch kept using their last list, and requests reached targets that had been draining for
+// seconds, which violated the platform's rule "drain". The tests make discovery fail in each way that a
+// process can observe and drain a target meanwhile. They check in the storage servers' record that no request
+// reaches the target late, that requests are rejected rather than lost, and that service resumes after
+// discovery has sent a list.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -26,10 +27,11 @@
 using lab::soak::Violation;
 
 constexpr int kLargeFleet = 300;
-constexpr int kDrainedTarget = 0;  // the only one of the shard with the same number
-constexpr int kMinRequests = 8;    // sent in 2 s by four clients whose every request waits for its rejection
+constexpr int kDrainedTarget = 0;  // the only target of the shard with the same number
+constexpr int kMinRequests = 8;    // sent in 2 s by four clients that wait for the rejection of each request
 
-// What became of the requests of a span of time, by whether their shard has an active target.
+// The numbers of requests that were sent and served in an interval, for shards with an active target and for
+// the drained shard.
 struct ShardService {
   int active_sent = 0;
   int active_served = 0;
@@ -41,13 +43,13 @@
 
 struct FaultResult {
   std::vector<Violation> violations;
-  double served_before = 0;     // part of the requests, before discovery failed
-  double served_in_outage = 0;  // from 7 s to 9 s after discovery failed
+  double served_before = 0;     // fraction of the requests before discovery failed
+  double served_in_outage = 0;  // fraction from 7 s to 9 s after discovery failed
   ShardService after;           // in the last 2 s
 };
 
-// Requests sent from `from` until `until`. Which shards the clients draw decides how many of them can be
-// served, so each kind of shard is counted by itself.
+// Counts the requests that were sent from `from` until `until`. The kinds of shards are counted separately,
+// since the clients draw the shards at random and requests to the drained shard cannot be served.
 ShardService ServiceByShard(const Record& record, Time from, Time until) {
   ShardService service;
   for (const auto& [id, request] : record.requests) {
@@ -62,7 +64,7 @@
   return service;
 }
 
-// Service has resumed on every shard but the drained target's.
+// Checks that service has resumed on every shard except the drained target's.
 void CheckResumed(const ShardService& service) {
   CAPTURE(service.active_sent);
   CAPTURE(service.drained_sent);
@@ -78,7 +80,7 @@
   return options;
 }
 
-// Discovery fails, one target begins to drain, and 9 s later discovery works again.
+// Runs a process while discovery fails; one target begins to drain, and 9 s later discovery works again.
 FaultResult RunDrainDuring(DiscoveryFault fault, int configured_instances) {
   Testbed testbed(Options(configured_instances));
   testbed.StartAll();
@@ -117,15 +119,15 @@
 
 }  // namespace
 
-TEST_CASE("nothing is sent to a target 6 s and the grace after its drain, however discovery fails") {
+TEST_CASE("Initiator: while discovery fails, no request reaches a target 6 s and the grace after its drain") {
   std::vector<FaultCase> cases;
   for (const int instances : {1, kLargeFleet}) {
     cases.push_back({"gives up", DiscoveryFault::kGivesUp, instances, {}});
     cases.push_back({"closes at once", DiscoveryFault::kClosesAtOnce, instances, {}});
     cases.push_back({"rejects at once", DiscoveryFault::kRejectsAtOnce, instances, {}});
     cases.push_back({"silent", DiscoveryFault::kSilent, instances, {}});
-    cases.push_back({"cuts answers", DiscoveryFault::kCutsAnswers, instances, {}});
-    cases.push_back({"refuses", DiscoveryFault::kRefuses, instances, {}});
+    cases.push_back({"truncates responses", DiscoveryFault::kCutsAnswers, instances, {}});
+    cases.push_back({"refuses connections", DiscoveryFault::kRefuses, instances, {}});
   }
   RunAllConcurrently(cases, RunCase);
   for (const FaultCase& each : cases) {
@@ -136,13 +138,13 @@
                   " violations, first: ", DescribeFirst(result.violations));
     CHECK(result.served_before > 0.95);
     CheckResumed(result.after);
-    if (each.fault == DiscoveryFault::kRefuses) {  // nothing can be announced meanwhile
+    if (each.fault == DiscoveryFault::kRefuses) {  // no change can be announced in the meantime
       CHECK(result.served_in_outage > 0.9);
     }
   }
 }
 
-TEST_CASE("a process that starts with an old list sends nothing by it once its first call has failed") {
+TEST_CASE("Initiator: an outdated list at the start is not used once the first discovery call has failed") {
   Testbed testbed(Options(kLargeFleet));
   testbed.discovery().SetFault(DiscoveryFault::kGivesUp);
   testbed.SetEndpointState(kDrainedTarget, EndpointState::kDraining);
--- a/tests/faults/fault_fixture.h
+++ b/tests/faults/fault_fixture.h
@@ -1,7 +1,7 @@
-// What the tests of a real process under faults have in common: a run of one process under load, and cases
-// that run at the same time.
+// Fixture for tests of a real process under faults: runs one process under load, and runs cases concurrently.
 //
-// Owner and thread: the test case; RunAllConcurrently runs each of its cases on a thread of its own.
+// Owned by the test case and used on its thread; RunAllConcurrently runs each of its cases on a thread of its
+// own.
 #ifndef WALNUTSPUR_TESTS_FAULTS_FAULT_FIXTURE_H_
 #define WALNUTSPUR_TESTS_FAULTS_FAULT_FIXTURE_H_
 
@@ -17,14 +17,14 @@
 
 inline constexpr Time kSecond = 1'000'000;  // us
 
-// One process of the program under test.
+// Returns the options of a test environment with one process of the program under test.
 inline lab::soak::TestbedOptions ProcessOptions() {
   lab::soak::TestbedOptions options;
   options.program = WALNUTSPUR_PROGRAM;
   return options;
 }
 
-// One process whose system calls and clock follow a plan of the fault shim.
+// Returns the options for one process whose system calls and clock follow a plan of the fault shim.
 inline lab::soak::TestbedOptions FaultyProcessOptions(const std::string& plan) {
   lab::soak::TestbedOptions options = ProcessOptions();
   options.preload = WALNUTSPUR_FAULT_SHIM;
@@ -38,10 +38,10 @@
   testbed.RunFor(2 * kSecond);
 }
 
-// One process that serves clients from its start.
+// Runs one process that serves clients from its start.
 class LoadRun {
  public:
-  // Starts the process and its clients, runs them for this long, us, and stops the clients.
+  // Starts the process and its clients, runs them for `duration` (us), and stops the clients.
   LoadRun(const lab::soak::TestbedOptions& options, Time duration) : testbed_(options) {
     testbed_.StartAll();
     testbed_.StartAllClients();
@@ -52,11 +52,12 @@
     StopClients(testbed_);
   }
 
-  // Of the requests that were sent from `settle_time` us after the clients' start on.
+  // Returns the served fraction of the requests that were sent at least `settle_time` us after the clients'
+  // start.
   double ServedFraction(Time settle_time = 0) {
     return lab::soak::ServedFraction(testbed_.record(), began_at_ + settle_time, ended_at_);
   }
-  // Connections that ended between requests while the clients were sending.
+  // Returns the number of connections that were closed between requests while the clients were sending.
   int idle_ends() const { return idle_ends_; }
   bool IsRunning() { return testbed_.IsRunning(0); }
   std::vector<lab::soak::Violation> FindViolations() {
@@ -70,12 +71,12 @@
   int idle_ends_ = 0;
 };
 
-// The first violation in words, for the message of a check; empty where there is none.
+// Returns a description of the first violation for the message of a check; empty if there is none.
 inline std::string DescribeFirst(const std::vector<lab::soak::Violation>& violations) {
   return violations.empty() ? "" : violations.front().invariant + ": " + violations.front().description;
 }
 
-// Calls `run(case)` for all cases at the same time: they wait most of their time.
+// Calls `run(case)` for all cases concurrently, since they spend most of their time waiting.
 template <typename Case, typename Run>
 void RunAllConcurrently(std::vector<Case>& cases, Run run) {
   std::vector<std::thread> threads;
--- a/tests/faults/fault_plan_test.cpp
+++ b/tests/faults/fault_plan_test.cpp
@@ -1,7 +1,8 @@
-// The fault shim's plan: which texts are one, and which are not.
+// Tests the parser of the fault shim's plans.
 //
-// A plan that is misread injects no fault, and the tests of system calls would pass without testing anything.
-// So each part of a plan is read back here, and a malformed plan has to be rejected.
+// If a plan were parsed incorrectly, no fault would be injected and the tests of system calls would pass
+// without testing anything. The tests check each part of a parsed plan, and that a malformed plan is
+// rejected.
 #include "lab/fault_shim/fault_plan.h"
 
 #include <doctest/doctest.h>
@@ -10,7 +11,7 @@
 
 namespace walnutspur::test {
 
-TEST_CASE("a plan names calls, times, effects and probabilities") {
+TEST_CASE("ParseFaultPlan: a valid plan yields its calls, times, effects and probabilities") {
   const auto plan =
       lab::ParseFaultPlan("clock@2000=-10000;accept4@1000-1400=ENFILE/0.5;writev@0=short;socket@5=delay150");
   REQUIRE(plan);
@@ -29,7 +30,7 @@
   CHECK(lab::ParseFaultPlan("")->empty());
 }
 
-TEST_CASE("a malformed plan is rejected") {
+TEST_CASE("ParseFaultPlan: a malformed plan is rejected") {
   for (const char* text : {"clock", "@1=EIO", "accept4@x=EIO", "accept4@1=EWRONG", "accept4@1=EIO/2",
                            "accept4@1-x=EIO", "clock@1=EIO", "writev@1=delay", "accept4@1=EIO;;x"}) {
     CHECK_MESSAGE(!lab::ParseFaultPlan(text), text);
--- a/tests/faults/system_call_test.cpp
+++ b/tests/faults/system_call_test.cpp
@@ -1,10 +1,10 @@
-// A real process whose system calls fail for a while, as Linux documents it.
+// Makes system calls of a real process fail for some time, with errors that Linux documents.
 //
-// On a machine short of descriptors, memory or ports calls fail that hardly ever fail elsewhere. A program
-// that mistakes such an error ends connections that had nothing to do with it, loses requests that it has
-// accepted, sends a request twice that may have run, or exits. The test makes one kind of call fail at a
-// time, for a part of the calls or for 0.8 to 2.5 s, and checks the platform's rules, the fraction served and
-// that the process still runs.
+// On a machine that is short of descriptors, memory or ports, calls fail that rarely fail elsewhere. A
+// program that handles such an error incorrectly closes unrelated connections, loses requests that it has
+// accepted, sends a request twice although it may have been executed, or exits. The test makes one kind of
+// call fail at a time, for a fraction of the calls or for 0.8 to 2.5 s, and checks the platform's rules, the
+// served fraction of requests and that the process still runs.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -17,9 +17,9 @@
 
 struct CallCase {
   std::string faults;
-  double min_served;  // of the requests, from the first to the last
+  double min_served;  // minimum fraction of all requests
   double served = 0;
-  int idle_ends = 0;  // connections that ended between requests
+  int idle_ends = 0;  // connections that were closed between requests
   std::vector<lab::soak::Violation> violations = {};
   bool still_running = false;
 };
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-TEST_CASE("system calls that fail for a while break no rule") {
+TEST_CASE("Initiator: while system calls fail, the platform's rules hold and the process keeps running") {
   std::vector<CallCase> cases;
   for (const char* error : {"ENFILE", "ENOBUFS", "ENOMEM", "ECONNABORTED/0.5", "EINTR/0.5"}) {
     cases.push_back({std::string("accept4@2000-2800=") + error, 0.95});
@@ -61,8 +61,8 @@
                   " violations, first: ", DescribeFirst(each.violations));
     CHECK(each.served > each.min_served);
     CHECK(each.still_running);
-    if (each.faults.rfind("accept4", 0) == 0) {  // no idle connection makes room for what cannot be accepted
-      CHECK(each.idle_ends <= 1);                // by chance one is idle for 2 s after its first request
+    if (each.faults.rfind("accept4", 0) == 0) {  // no idle connection is closed for one that is not accepted
+      CHECK(each.idle_ends <= 1);                // one may by chance be idle for 2 s after its first request
     }
   }
 }
