--- a/src/app/control.cpp
+++ b/src/app/control.cpp
@@ -20,39 +20,39 @@
 namespace walnutspur::app {
 namespace {
 
-// Clients that are served at a time; further ones are closed at once.
+// Maximum number of connected clients; further connections are closed immediately.
 constexpr std::size_t kMaxClients = 4;
 
-// Bytes of a command.
+// Maximum length of a command line, bytes.
 constexpr std::size_t kMaxLineBytes = 512;
 
-// From a client's connection to its end, us.
+// Time after which the connection of a client is closed, us.
 constexpr Time kClientTimeout = 2'000'000;
 
-// Connections that the kernel completes before they are accepted.
+// Maximum number of connections that wait to be accepted.
 constexpr int kBacklog = 8;
 
-// The umask that leaves the socket to its owner alone.
+// The umask that gives only the owner access to the socket.
 constexpr mode_t kOwnerOnlyUmask = 0177;
 
 constexpr int kMillisPerSecond = 1000;
 constexpr suseconds_t kMicrosPerMilli = 1000;
 
-// Bytes of a response that are received at a time.
+// Size of the buffer for received parts of a response, bytes.
 constexpr std::size_t kReadBytes = 4096;
 
 sockaddr_un AddressOf(const std::string& path) {
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
   if (path.size() >= sizeof address.sun_path) {
-    throw ControlError("the path " + path + " is too long for a socket; allowed are " +
-                       std::to_string(sizeof address.sun_path - 1) + " bytes");
+    throw ControlError("control socket path " + path + " has " + std::to_string(path.size()) +
+                       " bytes; allowed: at most " + std::to_string(sizeof address.sun_path - 1));
   }
   std::memcpy(address.sun_path, path.data(), path.size());
   return address;
 }
 
-// A descriptor that is connected to the socket, or -1 with errno.
+// Returns a descriptor that is connected to the socket, or -1 with the error in errno.
 int Connect(const std::string& path) {
   const sockaddr_un address = AddressOf(path);
   const int fd = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -71,27 +71,28 @@
   throw ControlError(step + " " + path + ": " + std::strerror(errno));
 }
 
-// Removes the socket of a process that has died.
+// Removes the socket of a process that no longer runs. Throws ControlError if the path is not a socket or a
+// running process uses it.
 void RemoveStaleSocket(const std::string& path) {
   struct stat existing {};
   if (lstat(path.c_str(), &existing) != 0) {
     return;
   }
   if (!S_ISSOCK(existing.st_mode)) {
-    throw ControlError(path + " is there and is no socket");
+    throw ControlError(path + " exists and is not a socket");
   }
   if (const int fd = Connect(path); fd >= 0) {
     close(fd);
-    throw ControlError(path + " belongs to another process that runs");
+    throw ControlError(path + " is in use by another running process");
   }
   unlink(path.c_str());
 }
 
-// A descriptor that is bound to the path and can be opened by this user only.
+// Returns a descriptor that is bound to the path; only this user can connect to it.
 int BindSocket(const std::string& path, const sockaddr_un& address) {
   const int fd = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
   if (fd < 0) {
-    ThrowErrno("cannot make a socket for", path);
+    ThrowErrno("cannot create a socket for", path);
   }
   const mode_t previous_mask = umask(kOwnerOnlyUmask);
   const bool bound = bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
@@ -103,7 +104,7 @@
   return fd;
 }
 
-// Reads until the end of the connection. Returns whether it has been reached without an error.
+// Reads until the peer closes the connection. Returns false after a read error.
 bool ReadAll(int fd, std::string* text) {
   std::array<char, kReadBytes> buffer{};
   while (true) {
@@ -120,7 +121,7 @@
 struct Control::Client {
   Control* owner = nullptr;
   std::uint64_t number = 0;
-  bool answered = false;
+  bool responded = false;
   loop::EventHandle timeout;
   std::unique_ptr<bufferevent, loop::Deleter<bufferevent_free>> stream;
 };
@@ -142,7 +143,7 @@
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, kBacklog, fd));
   if (!listener_) {
     close(fd);
-    ThrowErrno("cannot listen at", path_);
+    ThrowErrno("cannot listen on", path_);
   }
 }
 
@@ -166,16 +167,16 @@
         auto* self = static_cast<Client*>(arg);
         self->owner->OnRead(*self);
       },
-      [](bufferevent* stream, void* arg) {  // also called once before anything is written
+      [](bufferevent* stream, void* arg) {  // also called once before a response is written
         auto* self = static_cast<Client*>(arg);
         const bool written = evbuffer_get_length(bufferevent_get_output(stream)) == 0;
-        if (self->answered && written) {
+        if (self->responded && written) {
           self->owner->clients_.erase(self->number);
         }
       },
       [](bufferevent*, auto events, void* arg) {
         auto* self = static_cast<Client*>(arg);
-        if ((events & BEV_EVENT_ERROR) != 0 || !self->answered) {
+        if ((events & BEV_EVENT_ERROR) != 0 || !self->responded) {
           self->owner->clients_.erase(self->number);
         }
       },
@@ -189,18 +190,18 @@
   std::string input(evbuffer_get_length(buffer), '\0');
   evbuffer_copyout(buffer, input.data(), input.size());
   const bool complete = input.find('\n') != std::string::npos || input.size() > kMaxLineBytes;
-  if (client.answered || !complete) {
+  if (client.responded || !complete) {
     return;
   }
   const std::string response = Respond(input);
-  client.answered = true;
+  client.responded = true;
   bufferevent_write(client.stream.get(), response.data(), response.size());
 }
 
 std::string Control::Respond(const std::string& input) const {
   const std::size_t end = input.find('\n');
   if (end == std::string::npos || end > kMaxLineBytes) {
-    return "error: the line is too long; allowed are " + std::to_string(kMaxLineBytes) + " bytes\n";
+    return "error: the line is too long; allowed: at most " + std::to_string(kMaxLineBytes) + " bytes\n";
   }
   std::istringstream line(input.substr(0, end));
   Words words;
@@ -213,7 +214,7 @@
 std::string SendControlCommand(const std::string& path, const std::string& line, int timeout_ms) {
   const int fd = Connect(path);
   if (fd < 0) {
-    ThrowErrno("no process answers at", path);
+    ThrowErrno("cannot connect to control socket", path);
   }
   const timeval timeout{timeout_ms / kMillisPerSecond, timeout_ms % kMillisPerSecond * kMicrosPerMilli};
   setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
@@ -221,10 +222,10 @@
   std::string response;
   const bool sent = send(fd, text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size());
   const bool received = sent && ReadAll(fd, &response);
-  const std::string reason = received ? "it ended the connection" : std::strerror(errno);
+  const std::string reason = received ? "the process closed the connection" : std::strerror(errno);
   close(fd);
   if (!received || response.empty()) {
-    throw ControlError("no answer came from " + path + ": " + reason);
+    throw ControlError("no response from control socket " + path + ": " + reason);
   }
   return response;
 }
--- a/src/app/replay.cpp
+++ b/src/app/replay.cpp
@@ -13,7 +13,7 @@
 namespace walnutspur::app {
 namespace {
 
-// Where a stream is sent to; port 0: nowhere.
+// Returns the address that a stream is sent to; port 0 if no front end has its protocol.
 loop::Address AddressOf(const ReplayTargets& targets, const pcap::Stream& stream) {
   if (!pcap::LooksLikeNbd(stream.to_server.bytes())) {
     return {targets.http_config->listen.host, static_cast<std::uint16_t>(targets.http->port())};
@@ -44,7 +44,7 @@
   const std::vector<pcap::Stream> streams = pcap::ReadStreams(path);
   const auto address_of = [targets](const pcap::Stream& stream) { return AddressOf(targets, stream); };
   const Time silence =
-      std::max(kLongestPlatformDeadline, targets.http_config->longest_deadline) + kEndAfterLongestDeadline;
+      std::max(kMaxPlatformDeadline, targets.http_config->longest_deadline) + kEndAfterMaxDeadline;
   player_ = std::make_unique<pcap::Player>(base, streams, address_of, silence, [this] {
     PrintSummary(*player_);
     on_finished_();
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr double kMicrosPerDay = 86400e6;
-// A file with one of these tables is the configuration of an NBD front end, any other a settings file.
+// A file with one of these tables is the configuration of an NBD front end; any other is a settings file.
 constexpr std::array<const char*, 3> kNbdTables = {"\n[commands]", "\n[[box]]", "\n[[export]]"};
 
 log::Options ReadLog(const config::Table& root) {
@@ -78,7 +78,7 @@
     settings.fleet = ReadFleet(root, &problems);
   }
   if (!problems.empty()) {
-    throw ConfigError(config::Line(path, problems.front()));
+    throw ConfigError(config::FormatProblem(path, problems.front()));
   }
   settings.log = ReadLog(root);
   settings.digests = ReadDigests(root);
@@ -106,7 +106,7 @@
   }
   std::vector<std::string> lines;
   for (const config::Problem& problem : document.problems) {
-    lines.push_back(config::Line(path, problem));
+    lines.push_back(config::FormatProblem(path, problem));
   }
   return lines;
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,5 @@
-// walnutspur: one initiator as the platform's configuration describes it, and tools around it.
+// walnutspur: runs one initiator as the platform's configuration describes it, or executes a command for
+// operators.
 #include <cstdio>
 #include <cstdlib>
 #include <exception>
@@ -19,14 +20,14 @@
 using walnutspur::app::Action;
 using walnutspur::app::Command;
 
-// The path of the platform's configuration.
+// Returns the path of the platform's configuration.
 std::string ConfigPath(const Command& command) {
   if (!command.config.empty()) {
     return command.config;
   }
   const char* path = std::getenv("BALANCER_CONFIG");
   if (path == nullptr) {
-    throw walnutspur::app::ConfigError("BALANCER_CONFIG names no file");
+    throw walnutspur::app::ConfigError("no configuration file is given: set BALANCER_CONFIG or use --config");
   }
   return path;
 }
@@ -50,11 +51,11 @@
     }
   }
   walnutspur::app::Initiator initiator(std::move(config), options);
-  initiator.ReloadBy([path] { return walnutspur::app::LoadConfig(path); });
+  initiator.EnableReload([path] { return walnutspur::app::LoadConfig(path); });
   initiator.Run();
 }
 
-// Prints the problems of all files; returns the exit code.
+// Prints the problems of all files. Returns the exit code.
 int Check(const std::vector<std::string>& files) {
   int exit_code = 0;
   for (const std::string& file : files) {
@@ -71,7 +72,7 @@
   return command.exit_code;
 }
 
-// Performs a command; returns the exit code.
+// Performs a command. Returns the exit code.
 int Execute(const Command& command) {
   switch (command.action) {
     case Action::kServe:
@@ -80,7 +81,7 @@
     case Action::kCheck:
       return Check(command.files);
     case Action::kExample:
-      std::fputs(walnutspur::config::Example(walnutspur::app::SettingsKeys()).c_str(), stdout);
+      std::fputs(walnutspur::config::FormatExample(walnutspur::app::SettingsKeys()).c_str(), stdout);
       return 0;
     case Action::kVersion:
       std::puts("walnutspur " WALNUTSPUR_VERSION);
@@ -93,8 +94,8 @@
       return walnutspur::app::Verify(command.integrity, stdout);
     case Action::kSendCommand:
       return walnutspur::app::SendCommand(command.integrity, stdout);
-    case Action::kShowLedger:
-      return walnutspur::app::ShowLedger(command.integrity, stdout);
+    case Action::kShowCorruptionLog:
+      return walnutspur::app::ShowCorruptionLog(command.integrity, stdout);
     case Action::kPrintMessage:
       return PrintMessage(command);
   }
--- a/tests/net/nbd_front_end_test.cpp
+++ b/tests/net/nbd_front_end_test.cpp
@@ -68,7 +68,7 @@
     ScenarioRunner runner(Protocol::kNbd);
     runner.Play("client c send bytes \""s + start + "\"\n client c expect closed");
     runner.Halt();
-    CHECK(runner.initiator().nbd_front()->connections() == 0);
+    CHECK(runner.initiator().nbd_front_end()->connections() == 0);
   }
 }
 
@@ -205,7 +205,7 @@
     target a send ok
     client c expect served)");
   runner.Halt();
-  CHECK(runner.initiator().nbd_front()->connections() <= 6);
+  CHECK(runner.initiator().nbd_front_end()->connections() <= 6);
 }
 
 TEST_CASE("NBD configuration: deploy/nbd.toml is valid, and invalid text is rejected") {
--- a/tests/unit/budget_test.cpp
+++ b/tests/unit/budget_test.cpp
@@ -11,31 +11,31 @@
 namespace {
 
 constexpr Time kSec = 1'000'000;
-const Report kCalm{0, 0.1};
-const Report kBusy{0.1, 0.1};
+const LoadReport kCalm{0, 0.1};
+const LoadReport kBusy{0.1, 0.1};
 
 // Runs jobs that always have work to do for `seconds`; each request takes `latency` microseconds. Returns the
 // number of requests started in each second.
-std::vector<int> RunJob(Budget& budget, Time from, int seconds, const std::vector<Report>& reports,
+std::vector<int> RunJob(Budget& budget, Time from, int seconds, const std::vector<LoadReport>& reports,
                         Time latency = 1000) {
   std::vector<int> started(static_cast<std::size_t>(seconds));
   std::multimap<Time, JobId> running;
   for (Time now = from; now < from + seconds * kSec; now += 1000) {
     const auto second = static_cast<std::size_t>((now - from) / kSec);
     if ((now - from) % (kSec / 4) == 0) {
-      budget.Take(reports[second % reports.size()], now);
+      budget.AddReport(reports[second % reports.size()], now);
     }
     while (!running.empty() && running.begin()->first <= now) {
-      budget.Done(running.begin()->second, 1, 4096, now);
+      budget.Complete(running.begin()->second, 1, 4096, now);
       running.erase(running.begin());
     }
-    while (const auto job = budget.Next(now)) {
+    while (const auto job = budget.GrantNext(now)) {
       ++started[second];
       running.emplace(now + latency, *job);
     }
   }
   while (!running.empty()) {
-    budget.Done(running.begin()->second, 1, 4096, from + seconds * kSec);
+    budget.Complete(running.begin()->second, 1, 4096, from + seconds * kSec);
     running.erase(running.begin());
   }
   return started;
@@ -75,7 +75,7 @@
   const JobId job = budget.Add(BasicJob(), {}, 0);
   budget.Suspend(true);
   CHECK(RunJob(budget, 0, 2, {kCalm}) == std::vector<int>{0, 0});
-  CHECK_FALSE(budget.NextAt(2 * kSec));
+  CHECK_FALSE(budget.NextGrantTime(2 * kSec));
   budget.Suspend(false);
   budget.Pause(job);
   CHECK(RunJob(budget, 2 * kSec, 1, {kCalm}) == std::vector<int>{0});
@@ -89,21 +89,21 @@
   options.max_in_flight = 3;
   const JobId job = budget.Add(options, {}, 0);
   for (int i = 0; i < 100; ++i) {
-    budget.Take(kCalm, i);
+    budget.AddReport(kCalm, i);
   }
   int started = 0;
   for (Time now = 0; now < kSec; now += 1000) {
-    started += budget.Next(now).has_value() ? 1 : 0;
+    started += budget.GrantNext(now).has_value() ? 1 : 0;
   }
   CHECK(started == 3);
   CHECK(budget.in_flight(job) == 3);
   for (int i = 0; i < 3; ++i) {
-    budget.Done(job, 1, 50'000'000, kSec);  // 150 MB at 100 MB/s
+    budget.Complete(job, 1, 50'000'000, kSec);  // 150 MB at 100 MB/s
   }
-  CHECK_FALSE(budget.Next(kSec));
-  REQUIRE(budget.NextAt(kSec));
-  CHECK(*budget.NextAt(kSec) == kSec + kSec * 3 / 2);
-  CHECK(budget.Next(kSec + kSec * 3 / 2));
+  CHECK_FALSE(budget.GrantNext(kSec));
+  REQUIRE(budget.NextGrantTime(kSec));
+  CHECK(*budget.NextGrantTime(kSec) == kSec + kSec * 3 / 2);
+  CHECK(budget.GrantNext(kSec + kSec * 3 / 2));
 }
 
 TEST_CASE("Budget: the job of higher priority goes first, and returned or failed requests are not counted") {
@@ -115,9 +115,9 @@
   low.max_in_flight = 1;
   const JobId low_job = budget.Add(low, {}, 0);
   const JobId high_job = budget.Add(high, {}, 0);
-  CHECK(budget.Next(0) == high_job);
-  CHECK(budget.Next(0) == low_job);
-  budget.Return(high_job);
+  CHECK(budget.GrantNext(0) == high_job);
+  CHECK(budget.GrantNext(0) == low_job);
+  budget.ReturnGrant(high_job);
   CHECK(budget.in_flight(high_job) == 0);
   CHECK(budget.Next(0) == high_job);  // the returned request was not counted
   budget.Done(high_job, 0, 0, 1);     // failed: the cursor does not advance
@@ -143,7 +143,7 @@
 TEST_CASE("Pressure: without recent reports the speed is halved") {
   Pressure pressure;
   for (int i = 0; i < 40; ++i) {
-    pressure.Take(kCalm, i);
+    pressure.AddReport(kCalm, i);
   }
   CHECK(pressure.Speed(40) == doctest::Approx(1));
   CHECK(pressure.Speed(10 * kSec) == doctest::Approx(0.5));
