--- a/src/app/initiator.cpp
+++ b/src/app/initiator.cpp
@@ -47,7 +47,8 @@
 
 http::EndpointList ReadKnownEndpoints(const http::Config& config) {
   try {
-    return config.known.is_object() ? http::ReadEndpointList(config, config.known) : http::EndpointList{};
+    return config.cached_list.is_object() ? http::ReadEndpointList(config, config.cached_list)
+                                          : http::EndpointList{};
   } catch (const std::exception& error) {
     throw ConfigError(std::string("'known' cannot be read: ") + error.what());
   }
@@ -173,7 +174,7 @@
   const http::EndpointList known = ReadKnownEndpoints(config_);
   scheduler_ = std::make_unique<core::SchedulerThread>(config_.settings, config_.seed,
                                                        [this] { outputs_ready_.Activate(); });
-  if (!config_.known.is_object()) {
+  if (!config_.cached_list.is_object()) {
     return;
   }
   // The endpoints known at the last start may be outdated: the watch requests the changes since.
@@ -252,7 +253,7 @@
 
 void Initiator::Halt() { event_base_loopbreak(base_.get()); }
 
-void Initiator::RequestShutdown() { shutdown_->Begin(config_.longest_deadline); }
+void Initiator::RequestShutdown() { shutdown_->Begin(config_.max_deadline); }
 
 void Initiator::OnEndpointList(EndpointUpdate update, const http::EndpointList& list) {
   UpdateAddresses(update, list, http_targets_.get());
--- a/src/app/platform.cpp
+++ b/src/app/platform.cpp
@@ -63,7 +63,7 @@
   config->idle_timeout = limits.value("connIdle", config->idle_timeout);
   config->connect_timeout = limits.value("dialTimeout", config->connect_timeout);
   for (const RequestClass& request_class : config->settings.classes) {
-    config->longest_deadline = std::max(config->longest_deadline, request_class.deadline);
+    config->max_deadline = std::max(config->max_deadline, request_class.deadline);
   }
 }
 
@@ -80,7 +80,7 @@
   config.sockets = limits.value("sockets", config.sockets);
   config.memory_mb = limits.value("memory_mb", config.memory_mb);
   ParseSettings(document.at("settings"), &config);
-  config.known = document.value("known", json());
+  config.cached_list = document.value("known", json());
   return config;
 }
 
--- a/src/app/replay.cpp
+++ b/src/app/replay.cpp
@@ -44,7 +44,7 @@
   const std::vector<pcap::Stream> streams = pcap::ReadStreams(path);
   const auto address_of = [targets](const pcap::Stream& stream) { return AddressOf(targets, stream); };
   const Time silence =
-      std::max(kLongestPlatformDeadline, targets.http_config->longest_deadline) + kEndAfterLongestDeadline;
+      std::max(kLongestPlatformDeadline, targets.http_config->max_deadline) + kEndAfterLongestDeadline;
   player_ = std::make_unique<pcap::Player>(base, streams, address_of, silence, [this] {
     PrintSummary(*player_);
     on_finished_();
--- a/src/http/config.h
+++ b/src/http/config.h
@@ -52,9 +52,9 @@
   std::vector<bool> writes;                    // by class; empty: not known
   walnutspur::Time idle_timeout = 30'000'000;  // us after which targets close idle connections
   walnutspur::Time connect_timeout = 250'000;  // us
-  walnutspur::Time longest_deadline = 0;       // us, over all classes
+  walnutspur::Time max_deadline = 0;           // us, over all classes
   DigestOptions digests;
-  nlohmann::json known;  // the endpoint list of the last run, in discovery's form; null: none
+  nlohmann::json cached_list;  // the endpoint list of the last run, in discovery's form; null: none
 };
 
 }  // namespace walnutspur::http
--- a/tests/net/misbehaving_client_test.cpp
+++ b/tests/net/misbehaving_client_test.cpp
@@ -162,7 +162,7 @@
     target a send ok
     client d expect served)");
   CHECK(core::Now() - before < 1'000'000);
-  runner.Halt();
+  runner.Stop();
   CHECK(runner.initiator().front().connections() <= 36);
 }
 
--- a/tests/net/nbd_front_end_test.cpp
+++ b/tests/net/nbd_front_end_test.cpp
@@ -67,7 +67,7 @@
     CAPTURE(start);
     ScenarioRunner runner(Protocol::kNbd);
     runner.Play("client c send bytes \""s + start + "\"\n client c expect closed");
-    runner.Halt();
+    runner.Stop();
     CHECK(runner.initiator().nbd_front()->connections() == 0);
   }
 }
@@ -78,7 +78,7 @@
   runner.Play("client c send write");  // the target's listener accepts the connection and stays silent
   runner.Play(
       "client c expect refused\n wait 150");  // the scheduler may give up before the handshake times out
-  runner.Halt();
+  runner.Stop();
   CHECK(runner.initiator().nbd_target_connections() == 0);
 }
 
@@ -204,7 +204,7 @@
     target a expect read
     target a send ok
     client c expect served)");
-  runner.Halt();
+  runner.Stop();
   CHECK(runner.initiator().nbd_front()->connections() <= 6);
 }
 
--- a/tests/net/pcap_test.cpp
+++ b/tests/net/pcap_test.cpp
@@ -125,7 +125,7 @@
     target a expect read
     target a send ok
     wait 300)");
-  runner.Halt();
+  runner.Stop();
   REQUIRE(runner.initiator().player()->results().size() == 1);
   const auto& result = runner.initiator().player()->results()[0];
   const std::string& recorded = streams[0].to_client.bytes();
--- a/tests/net/scenario_runner.cpp
+++ b/tests/net/scenario_runner.cpp
@@ -121,7 +121,7 @@
   });
 }
 
-void ScenarioRunner::Halt() {
+void ScenarioRunner::Stop() {
   initiator_->Halt();
   if (thread_.joinable()) {
     thread_.join();
--- a/tests/net/scenario_runner.h
+++ b/tests/net/scenario_runner.h
@@ -43,14 +43,14 @@
  public:
   explicit ScenarioRunner(core::Protocol protocol, const nlohmann::json& config = BasicConfig(),
                           app::Options options = {}, http::DigestOptions digests = {});
-  ~ScenarioRunner() { Halt(); }
+  ~ScenarioRunner() { Stop(); }
 
   // Plays the steps in order; a step whose expectation fails ends the test.
   void Play(const std::string& scenario);
   // Sends text on the open watch in chunks of `chunk_size` bytes.
   void WriteDiscovery(const std::string& text, std::size_t chunk_size) { discovery_.Write(text, chunk_size); }
   // Stops the initiator and joins its thread.
-  void Halt();
+  void Stop();
   // Whether the initiator's loop ends by itself within `ms` milliseconds.
   bool WaitForExit(int ms);
 
