--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -8,36 +8,37 @@
 namespace walnutspur::http {
 namespace {
 
-// From connecting, or from a request's first byte, until the request must be complete, us.
+// A request must be complete within this time (us) from its first byte; the first one, from connecting.
 constexpr Time kRequestTimeout = 2'500'000;
 
-// How long a connection may be idle, us. After a first request for less long: many clients send no other.
+// Idle time (us) after which a connection is closed. It is shorter after the first request because many
+// clients send only one.
 constexpr Time kIdleTimeout = 20'000'000;
-constexpr Time kFirstIdleTimeout = 2'000'000;
+constexpr Time kIdleTimeoutAfterFirstRequest = 2'000'000;
 
-// How long a client may take to read its response, us.
+// Maximum time that a client may take to read a response, us.
 constexpr Time kWriteTimeout = 10'000'000;
 
-// How long a client has after its last response to close the connection itself, us.
+// Time that a client has to close the connection itself after its last response, us.
 constexpr Time kLingerTimeout = 500'000;
 
-// How long a client that was rejected is not read, us.
+// Pause in reading after a rejected request, us.
 constexpr Time kRejectPause = 50'000;
 
-// Bytes that are read ahead of the end of the pending request.
+// Maximum number of bytes that are buffered while a request is pending.
 constexpr std::size_t kMaxReadAhead = 16 << 10;
 
-// Bytes after the last response that are read and dropped before the connection closes.
-constexpr std::size_t kMaxDroppedAtClose = 256 << 10;
+// Maximum number of bytes discarded after the last response. Beyond it the connection is closed.
+constexpr std::size_t kMaxDiscardedAtClose = 256 << 10;
 
-// Bytes after a pending request, over all its time, that are read and dropped before the connection closes.
-constexpr std::size_t kMaxDroppedSentAhead = 4 << 20;
+// Maximum number of bytes discarded while one request is pending. Beyond it the connection is closed.
+constexpr std::size_t kMaxDiscardedPipelined = 4 << 20;
 
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
 }  // namespace
 
-// Each timer bounds a wait that a client could extend without end.
+// Each timer limits a wait that a client could otherwise extend indefinitely.
 ClientConnection::ClientConnection(event_base* base, std::uint64_t number, loop::StreamPtr stream,
                                    ClientConnectionHandler* handler,
                                    const frontend::ShutdownSequence& shutdown)
@@ -59,41 +60,41 @@
                                   })),
       linger_timeout_(loop::MakeTimer(base, [this] { handler_->Close(*this); })),
       stream_(std::move(stream)) {
-  request_timeout_.Start(kRequestTimeout);  // from connecting on, whatever arrives in the meantime
+  request_timeout_.Start(kRequestTimeout);  // input does not restart it
   loop::SetCallbacks(stream_.get(), this);
   bufferevent_setwatermark(stream_.get(), EV_READ, 0, kMaxReadAhead);
 }
 
 void ClientConnection::Enable() { bufferevent_enable(stream_.get(), EV_READ | EV_WRITE); }
 
-void ClientConnection::SetTimeInBacklog(Time longest_wait) {
-  if (longest_wait > 0 && HasUnreadBytes()) {
-    time_in_backlog_ = longest_wait;
+void ClientConnection::SetTimeInBacklog(Time max_wait) {
+  if (max_wait > 0 && HasUnreadBytes()) {
+    time_in_backlog_ = max_wait;
   }
 }
 
 void ClientConnection::OnReadable() {
-  // Reading may end and destroy this connection.
+  // Reading may close and destroy this connection.
   const ClientConnectionHandler* handler = handler_;
   const std::uint64_t number = number_;
-  while (handler->IsOpen(number) && ReadOne()) {
+  while (handler->IsOpen(number) && ReadNextChunk()) {
   }
 }
 
-void ClientConnection::ReadAhead() { OnReadable(); }
+void ClientConnection::ResumeReading() { OnReadable(); }
 
-// Reads up to the end of one request; returns whether to go on. One request is served at a time: what a
-// client sends ahead waits in the stream, and beyond its bound is not read.
-bool ClientConnection::ReadOne() {
+// Reads input up to the end of one request and returns whether to continue. One request is served at a time:
+// pipelined input stays in the stream's buffer, up to kMaxReadAhead bytes.
+bool ClientConnection::ReadNextChunk() {
   const std::string_view chunk = loop::FirstInputChunk(stream_.get());
   if (chunk.empty()) {
     return false;
   }
   if (closing_) {
-    return DropAfterLastResponse(chunk.size());
+    return DiscardInputAfterClose(chunk.size());
   }
   if (pending_request_ != 0 && loop::BufferedInputBytes(stream_.get()) >= kMaxReadAhead) {
-    return DropSentAhead();
+    return DiscardPipelinedInput();
   }
   const bool paused = (bufferevent_get_enabled(stream_.get()) & EV_READ) == 0;
   if (pending_request_ != 0 || paused) {
@@ -110,7 +111,7 @@
 
 void ClientConnection::OnRequestProgress() {
   if (reader_.malformed()) {
-    last_response_ = true;  // where the next request would begin is unknown
+    close_after_response_ = true;  // the start of the next request is unknown
     Reject({reader_.status(), reader_.error()});
   } else if (reader_.complete()) {
     request_timeout_.Stop();
@@ -121,31 +122,33 @@
   }
 }
 
-// Closing with bytes unread would reset the connection before the client has read its response.
-bool ClientConnection::DropAfterLastResponse(std::size_t size) {
-  dropped_bytes_ += size;
+// Discards input that arrives after the last response; returns whether to continue. Closing a connection with
+// unread bytes would reset it before the client has read its response.
+bool ClientConnection::DiscardInputAfterClose(std::size_t size) {
+  discarded_bytes_ += size;
   loop::DrainInput(stream_.get(), size);
-  if (dropped_bytes_ <= kMaxDroppedAtClose) {
+  if (discarded_bytes_ <= kMaxDiscardedAtClose) {
     return true;
   }
   handler_->Close(*this);
   return false;
 }
 
-// Clients send one request at a time. Of one that sends so much ahead nothing more is served, and its bytes
-// are read on: at the bound reading would stop, and that would hide the client's disconnect.
-bool ClientConnection::DropSentAhead() {
-  last_response_ = true;
+// Discards input that exceeds the read-ahead limit while a request is pending. Regular clients send one
+// request at a time, so a client that sends this much gets no further request served. Its bytes are still
+// read because stopping at the limit would hide a disconnect.
+bool ClientConnection::DiscardPipelinedInput() {
+  close_after_response_ = true;
   const std::size_t size = loop::BufferedInputBytes(stream_.get());
-  dropped_bytes_ += size;
+  discarded_bytes_ += size;
   loop::DrainInput(stream_.get(), size);
-  if (dropped_bytes_ > kMaxDroppedSentAhead) {
+  if (discarded_bytes_ > kMaxDiscardedPipelined) {
     handler_->Close(*this);
   }
   return false;
 }
 
-// The response is all written; the last one ends the connection.
+// Handles a completely written response; the last one closes the connection.
 void ClientConnection::OnWritten() {
   write_timeout_.Stop();
   if (closing_) {
@@ -160,17 +163,17 @@
 }
 
 void ClientConnection::Respond(int status, std::string_view body, std::string_view headers) {
-  last_response_ = last_response_ || shutdown_.is_draining() || !reader_.keeps_alive();
-  const std::string text = FormatResponse(status, body, headers, last_response_);
+  close_after_response_ = close_after_response_ || shutdown_.is_draining() || !reader_.keeps_alive();
+  const std::string text = FormatResponse(status, body, headers, close_after_response_);
   reader_ = MessageReader(MessageReader::Kind::kRequest);
   continue_sent_ = false;
   last_active_ = core::Now();
   request_timeout_.Stop();
-  if (last_response_) {
+  if (close_after_response_) {
     closing_ = true;
     linger_timeout_.Start(kLingerTimeout);
   } else if (!shutdown_.is_scheduled()) {
-    idle_timeout_.Start(requests_read_ > 1 ? kIdleTimeout : kFirstIdleTimeout);
+    idle_timeout_.Start(requests_read_ > 1 ? kIdleTimeout : kIdleTimeoutAfterFirstRequest);
   }
   write_timeout_.Start(kWriteTimeout);
   loop::Write(stream_.get(), text);
@@ -179,9 +182,9 @@
 void ClientConnection::Reject(const Rejection& rejection) {
   const int status = rejection.status;
   const bool sent_ahead = loop::BufferedInputBytes(stream_.get()) > 0;
-  last_response_ = last_response_ || sent_ahead || status == kStatusRequestTimeout;
+  close_after_response_ = close_after_response_ || sent_ahead || status == kStatusRequestTimeout;
   const std::string headers = status == kStatusMethodNotAllowed ? HeaderLine("Allow", "GET, PUT") : "";
-  Respond(status, rejection.reason + "\n", headers);
+  Respond(status, rejection.error + "\n", headers);
   if (closing_) {
     return;
   }
@@ -197,7 +200,7 @@
 
 void ClientConnection::ClearPendingRequest() {
   pending_request_ = 0;
-  dropped_bytes_ = 0;
+  discarded_bytes_ = 0;
 }
 
 bool ClientConnection::IsIdle() const {
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -1,7 +1,7 @@
 // One connection of a client to the HTTP front end: reads requests one at a time, writes their responses, and
 // bounds how long each phase may take. It does not interpret requests.
 //
-// Owned by its front end, through which alone it ends; runs on the loop's thread.
+// Owned by its front end, which alone destroys it; runs on the loop's thread.
 #ifndef WALNUTSPUR_HTTP_CLIENT_CONNECTION_H_
 #define WALNUTSPUR_HTTP_CLIENT_CONNECTION_H_
 
@@ -22,14 +22,14 @@
 
 class ClientConnection;
 
-// What a connection needs of its front end.
+// The interface through which a client connection reports to its front end.
 class ClientConnectionHandler {
  public:
-  // A request is complete: client.message().
+  // Called when a request is complete; client.message() holds it.
   virtual void OnRequest(ClientConnection& client) = 0;
-  // Ends and destroys the connection; one that has ended already is passed over.
+  // Closes and destroys the connection. Does nothing if it is already closed.
   virtual void Close(ClientConnection& client) = 0;
-  // Whether the connection with this number still exists.
+  // Returns whether the connection with this number still exists.
   virtual bool IsOpen(std::uint64_t connection_number) const = 0;
 
  protected:
@@ -38,48 +38,48 @@
 
 class ClientConnection {
  public:
-  // Both references must outlive the connection. Call Enable to begin to read.
+  // `handler` and `shutdown` must outlive the connection. Call Enable to start reading.
   ClientConnection(event_base* base, std::uint64_t number, loop::StreamPtr stream,
                    ClientConnectionHandler* handler, const frontend::ShutdownSequence& shutdown);
 
   void Enable();
-  // The connection may have waited this long (us) before it was accepted, and its first request with it if
-  // bytes have arrived already.
-  void SetTimeInBacklog(Time longest_wait);
-  // How long the request that is complete may have waited for that reason, us.
+  // Sets the maximum time (us) that the connection may have spent in the accept queue. It counts for the
+  // first request if bytes have already arrived.
+  void SetTimeInBacklog(Time max_wait);
+  // Returns the time (us) that the complete request may have spent in the accept queue, and resets it.
   Time TakeTimeInBacklog() { return std::exchange(time_in_backlog_, 0); }
 
-  // The request that is complete, while handler->OnRequest runs.
+  // Returns the complete request; valid while handler->OnRequest runs.
   MessageReader& message() { return reader_; }
 
-  // Sends a response. The front end has no request of this connection any more.
+  // Sends a response. The front end must no longer hold a pending request of this connection.
   void Respond(int status, std::string_view body, std::string_view headers = {});
-  // Sends a response to a request that is not admitted, and pauses reading: who sends such requests gets no
-  // more than a few of them read in a second, so that a flood of them leaves time for other clients.
+  // Sends a response to a rejected request and pauses reading. The pause limits how many invalid requests are
+  // read per second, so that a flood of them does not starve other clients.
   void Reject(const Rejection& rejection);
-  // Reads on after a response: what the client has sent ahead.
-  void ReadAhead();
-  // Shuts the connection for writing and reads until the client closes: closing it with bytes unread would
-  // reset it, and a client that has just sent something would see that reset.
+  // Resumes reading after a response, starting with the input that the client has pipelined.
+  void ResumeReading();
+  // Shuts down writing and reads until the client closes the connection. Closing it with unread bytes would
+  // reset it, and a client that has just sent a request would see the reset.
   void ShutDown();
   void StopIdleTimeout() { idle_timeout_.Stop(); }
 
   std::uint64_t number() const { return number_; }
   bufferevent* stream() const { return stream_.get(); }
   bool closing() const { return closing_; }
-  // No request, and no byte of one or of a response in our buffers.
+  // Returns whether there is no pending request and no byte of a request or response is buffered.
   bool IsIdle() const;
-  // Bytes of it wait in the kernel.
+  // Returns whether the kernel holds unread bytes of the connection.
   bool HasUnreadBytes() const;
-  // Whether the peer has closed, as far as the kernel knows.
+  // Returns whether the kernel has received the client's FIN or reset.
   bool IsDisconnected() const;
   frontend::ConnectionActivity activity() const;
   frontend::EvictionCandidate eviction_candidate() const { return {eviction_rank(), last_active_}; }
 
-  // The request that the front end has taken of this connection; 0: none.
+  // Returns the request of this connection that the front end has submitted; 0: none.
   core::RequestNumber pending_request() const { return pending_request_; }
   void SetPendingRequest(core::RequestNumber request) { pending_request_ = request; }
-  // The pending request is answered: its response follows.
+  // Clears the pending request, before its response is sent.
   void ClearPendingRequest();
 
   // Callbacks of the stream.
@@ -89,9 +89,9 @@
 
  private:
   frontend::EvictionRank eviction_rank() const;
-  bool ReadOne();
-  bool DropAfterLastResponse(std::size_t size);
-  bool DropSentAhead();
+  bool ReadNextChunk();
+  bool DiscardInputAfterClose(std::size_t size);
+  bool DiscardPipelinedInput();
   void OnRequestProgress();
 
   ClientConnectionHandler* handler_;
@@ -99,18 +99,18 @@
   std::uint64_t number_;
   MessageReader reader_{MessageReader::Kind::kRequest};
   core::RequestNumber pending_request_ = 0;
-  Time last_active_;                   // its last response, or when it connected
-  std::uint64_t requests_read_ = 0;    // complete ones
+  Time last_active_;                   // when the last response was sent, or else when the client connected
+  std::uint64_t requests_read_ = 0;    // complete requests
   Time time_in_backlog_ = 0;           // of the first request, us
-  bool continue_sent_ = false;         // "100 Continue" was sent for the request that is being read
-  bool last_response_ = false;         // the next response ends the connection
-  bool closing_ = false;               // shut for writing, or about to be: what still arrives is dropped
-  std::size_t dropped_bytes_ = 0;      // of what belongs to no request that is served
-  loop::EventHandle request_timeout_;  // from the first byte of a request (or connecting) to its last
-  loop::EventHandle idle_timeout_;     // without a request
-  loop::EventHandle write_timeout_;    // for the client to read a response
+  bool continue_sent_ = false;         // "100 Continue" was sent for the current request
+  bool close_after_response_ = false;  // the connection is closed after the next response
+  bool closing_ = false;               // writing is shut down, or will be soon; further input is discarded
+  std::size_t discarded_bytes_ = 0;    // input that belongs to no served request
+  loop::EventHandle request_timeout_;  // from a request's first byte, or from connecting, to its last byte
+  loop::EventHandle idle_timeout_;     // while there is no request
+  loop::EventHandle write_timeout_;    // limits how long the client may take to read a response
   loop::EventHandle read_pause_;       // after a rejected request
-  loop::EventHandle linger_timeout_;   // after the last response, for the client to close first
+  loop::EventHandle linger_timeout_;   // after the last response, to let the client close first
   loop::StreamPtr stream_;
 };
 
--- a/src/http/config.h
+++ b/src/http/config.h
@@ -1,5 +1,5 @@
-// The configuration of the HTTP side of an initiator. app/platform.h reads it from the platform's file.
-// Plain data; written once at the start, apart from the discovery address.
+// Configuration of an initiator's HTTP components. app/platform.h reads it from the platform's file.
+// Plain data; written once at startup, except for the discovery address.
 #ifndef WALNUTSPUR_HTTP_CONFIG_H_
 #define WALNUTSPUR_HTTP_CONFIG_H_
 
@@ -17,7 +17,7 @@
 
 namespace walnutspur::http {
 
-// The names that the platform's protocol uses. Their positions are the numbers that the scheduler uses.
+// The names used in the platform's protocol. The scheduler identifies each by its index.
 struct Names {
   std::vector<std::string> classes;
   std::vector<std::string> plans;
@@ -25,16 +25,17 @@
   std::vector<std::string> kinds;
 };
 
-// The position of a name, or -1.
+// Returns the index of a name, or -1 if it is not listed.
 inline int IndexOf(const std::vector<std::string>& names, const std::string& name) {
   const auto at = std::find(names.begin(), names.end(), name);
   return at == names.end() ? -1 : static_cast<int>(at - names.begin());
 }
 
-// Digest fields (RFC 9530), from the settings file; off on the platform.
+// Options for digest fields (RFC 9530), from the settings file. The platform does not enable them.
 struct DigestOptions {
   bool on = false;
-  // Computed over a client's write that has none, and wanted of targets for reads; empty: neither.
+  // The algorithm of the digest that is added to a client's write without one, and that is requested from
+  // targets for reads; empty: neither.
   std::optional<integrity::Algorithm> compute;
 };
 
@@ -43,18 +44,18 @@
   loop::Address listen;
   loop::Address discovery;
   std::uint64_t seed = 0;
-  int sockets = 1024;   // descriptors that the process may use
-  int memory_mb = 192;  // MiB that the process may use
+  int sockets = 1024;   // maximum number of file descriptors of the process
+  int memory_mb = 192;  // maximum memory of the process, MiB
   std::size_t memory_bytes() const { return static_cast<std::size_t>(memory_mb) << 20; }
   walnutspur::Settings settings;
   Names names;
-  int shards = 0;                              // 0: not known
-  std::vector<bool> writes;                    // by class; empty: not known
-  walnutspur::Time idle_timeout = 30'000'000;  // us after which targets close idle connections
+  int shards = 0;            // number of shards; 0: unknown
+  std::vector<bool> writes;  // whether each class is for writes, by class index; empty: unknown
+  walnutspur::Time idle_timeout = 30'000'000;  // us until targets close an idle connection
   walnutspur::Time connect_timeout = 250'000;  // us
-  walnutspur::Time max_deadline = 0;           // us, over all classes
+  walnutspur::Time max_deadline = 0;           // us, maximum over all classes
   DigestOptions digests;
-  nlohmann::json cached_list;  // the endpoint list of the last run, in discovery's form; null: none
+  nlohmann::json cached_list;  // the last run's endpoint list in the discovery format; null: none
 };
 
 }  // namespace walnutspur::http
--- a/src/http/connection_pool.cpp
+++ b/src/http/connection_pool.cpp
@@ -9,14 +9,14 @@
 namespace walnutspur::http {
 namespace {
 
-// Fraction of the process's descriptors that connections to targets may use.
+// Maximum fraction of the process's file descriptors for connections to targets.
 constexpr double kTargetSocketFraction = 0.35;
 
-// Idle connections close after this fraction of the time after which targets close them: a request that
-// crosses with the target's close could have run or not.
+// Idle connections are closed after this fraction of the targets' idle timeout. If a request crosses the
+// target's close, it is unknown whether the request has run.
 constexpr double kIdleTimeoutFraction = 0.8;
 
-// How long a connection without an attempt may take to connect, us.
+// Connect timeout of a connection without an attempt, us.
 constexpr Time kSpareTimeout = 2'000'000;
 
 }  // namespace
@@ -69,9 +69,10 @@
   }
 }
 
-// Prefers the connection that was used last and is settled, else the one that was answered first. An idle
-// connection with input, be it the end, cannot be used: the input would be taken for the response to the next
-// request, and a request that meets the end may have run for all that is known.
+// Prefers the most recently used connection that is settled, else the connection whose last response is the
+// oldest. An idle connection with pending input, including an end of stream, cannot be used: the input would
+// be taken for the response to the next request, and it would be unknown whether a request that meets the end
+// of the stream has run.
 TargetConnection* ConnectionPool::TakeIdle(const TargetId& target) {
   const Time now = core::Now();
   while (true) {
@@ -100,8 +101,8 @@
   }
 }
 
-// Descriptors are bounded: an idle connection to another target makes room for a new one.
-bool ConnectionPool::MakeRoom() {
+// Returns whether the descriptor limit allows a new connection. Closes an idle or spare one if necessary.
+bool ConnectionPool::EnsureCapacity() {
   if (connections_.size() < max_connections_) {
     return true;
   }
@@ -114,14 +115,14 @@
 
 TargetConnection* ConnectionPool::Open(const TargetId& target) {
   const auto known = addresses_.find(target);
-  if (known == addresses_.end() || known->second.empty() || !MakeRoom()) {
+  if (known == addresses_.end() || known->second.empty() || !EnsureCapacity()) {
     return nullptr;
   }
   sockaddr_in address{};
   try {
     address = loop::ToSocket(loop::ParseAddress(known->second));
   } catch (const loop::AddressError&) {
-    return nullptr;  // discovery has sent an address that cannot be reached
+    return nullptr;  // discovery has sent an invalid address
   }
   loop::StreamPtr stream = loop::MakeClientStream(base_);
   if (!stream) {
--- a/src/http/connection_pool.h
+++ b/src/http/connection_pool.h
@@ -1,5 +1,5 @@
-// The connections to all targets, within a bound of descriptors: idle ones to be used again, spare ones that
-// are still being set up, and those that carry an attempt.
+// Manages the connections to all targets within a limit of file descriptors: idle connections for reuse,
+// spare connections that are still being established, and connections that carry an attempt.
 //
 // Owned by the TargetPool; runs on the loop's thread.
 #ifndef WALNUTSPUR_HTTP_CONNECTION_POOL_H_
@@ -22,34 +22,34 @@
 
 class ConnectionPool {
  public:
-  // `config` and `handler`, which takes the connections' events, must outlive it.
+  // `config` and `handler`, which receives the connections' events, must outlive the pool.
   ConnectionPool(event_base* base, const Config& config, TargetConnectionHandler* handler);
 
-  // Where a target listens, "host:port". If that changes, its idle and spare connections close.
+  // Sets a target's address, "host:port". If it changes, the target's idle and spare connections are closed.
   void SetAddress(const TargetId& target, const std::string& address);
   // Removes a target and closes its idle and spare connections.
   void Remove(const TargetId& target);
-  // Removes all targets but these.
+  // Removes all targets except these.
   void RetainOnly(const std::set<TargetId>& targets);
   // Closes the connections to a target that carry no attempt.
   void CloseIdle(const TargetId& target);
 
-  // Removes an idle connection to the target from the idle ones and returns it; null: there is none.
+  // Takes an idle connection to the target out of the pool and returns it; null if there is none.
   TargetConnection* TakeIdle(const TargetId& target);
-  // Begins a new connection; null: no address that can be reached, or no descriptor.
+  // Opens a new connection; null if the target has no usable address or no descriptor is available.
   TargetConnection* Open(const TargetId& target);
 
-  // Takes back a connection whose attempt is over.
+  // Returns a connection whose attempt has ended to the pool.
   void Return(TargetConnection& connection);
-  // Keeps a connection without an attempt until it is connected; one for each target, see HasSpare.
+  // Keeps a connection without an attempt while it is being established; at most one per target (HasSpare).
   void KeepSpare(TargetConnection& connection);
-  // A spare connection is connected: it is idle now.
+  // Marks a spare connection idle once it is established.
   void OnSpareConnected(TargetConnection& connection);
-  // Closes a connection. Its memory is freed in the loop's next turn, outside of its own callbacks.
+  // Closes a connection. Its memory is freed in the loop's next iteration, outside of its own callbacks.
   void Discard(TargetConnection& connection);
 
   bool HasSpare(const TargetId& target) const { return spares_.contains(target); }
-  // The address of a known target.
+  // Returns the address of a target that has one.
   const std::string& AddressOf(const TargetId& target) const { return addresses_.at(target); }
 
   std::size_t connections() const { return connections_.size(); }
@@ -58,7 +58,7 @@
   std::size_t tracked_targets() const { return addresses_.size() + idle_.size(); }
 
  private:
-  bool MakeRoom();
+  bool EnsureCapacity();
 
   event_base* base_;
   const Config& config_;
@@ -66,7 +66,7 @@
   std::size_t max_connections_;
   std::uint64_t next_connection_ = 1;
   std::map<TargetId, std::string> addresses_;
-  std::map<TargetId, std::vector<TargetConnection*>> idle_;  // the last one used at the end; none is empty
+  std::map<TargetId, std::vector<TargetConnection*>> idle_;  // most recently used last; no vector is empty
   std::map<TargetId, TargetConnection*> spares_;
   std::unordered_map<std::uint64_t, std::unique_ptr<TargetConnection>> connections_;  // by number
   std::vector<std::unique_ptr<TargetConnection>> discarded_;
--- a/src/http/discovery_client.cpp
+++ b/src/http/discovery_client.cpp
@@ -13,20 +13,23 @@
 namespace walnutspur::http {
 namespace {
 
-// A healthy watch brings at least an empty line every 2 s, and discovery answers or gives up a call within
-// 2 s. With the first backoff of the next watch (limits/poll_backoff.h, 1 s at most) and the longest call (2
-// s) this stays under the 6 s after which a drain that a silent watch misses counts as notified. Where
-// further calls fail, the endpoint lease (decision/endpoint_lease.h) ends the use of the list.
+// Time without input after which a watch ends. A healthy watch receives at least an empty line every 2 s, and
+// discovery responds to a call or fails it within 2 s. The sum of this timeout, the initial backoff before
+// the next watch (limits/poll_backoff.h, at most 1 s) and the longest call (2 s) is below the 6 s after which
+// a drain that a silent watch has missed counts as notified. If further calls fail, the endpoint lease
+// (decision/endpoint_lease.h) ends the use of the list.
 constexpr Time kSilenceTimeout = 2'500'000;  // us
 
-// A longer list is rejected, so that the service cannot exhaust the process's memory.
+// Maximum size of a list. It keeps the service from exhausting the process's memory.
 constexpr std::size_t kMaxListBytes = 4 << 20;
 
 constexpr Time kMicrosecondsPerMillisecond = 1000;
 
-// Whether the last error of a socket says that its connection is broken, so that bytes may be missing. After
-// an end in order it is left from another call: none at all, or that there was nothing to read.
-bool IsBroken(int error) { return error != 0 && error != EAGAIN && error != EINPROGRESS && error != EINTR; }
+// Returns whether errno after the end of a connection is a connection error, in which case bytes may be
+// missing. After a FIN, errno is 0 or left from another call, such as EAGAIN from a read without input.
+bool IsConnectionError(int error) {
+  return error != 0 && error != EAGAIN && error != EINPROGRESS && error != EINTR;
+}
 
 std::string Milliseconds(Time duration) { return std::to_string(duration / kMicrosecondsPerMillisecond); }
 
@@ -37,7 +40,7 @@
       config_(config),
       on_list_(std::move(on_list)),
       lists_(kMaxListBytes, [this](const std::string& object) { return OnObject(object); }),
-      silence_timeout_(loop::MakeTimer(base, [this] { OnWatchEnded(WatchEnd::kSilent); })),
+      silence_timeout_(loop::MakeTimer(base, [this] { OnWatchEnded(WatchEndReason::kSilent); })),
       free_closed_(loop::MakeTimer(base, [this] { closed_.reset(); })) {}
 
 void DiscoveryClient::OpenWatch() {
@@ -70,7 +73,7 @@
     uri += "&since=" + std::to_string(revision_);
   }
   if (evhttp_make_request(connection_.get(), request, EVHTTP_REQ_GET, uri.c_str()) != 0) {
-    OnWatchEnded(WatchEnd::kNotConnected);
+    OnWatchEnded(WatchEndReason::kNotConnected);
   }
 }
 
@@ -98,59 +101,60 @@
   free_closed_.Start(0);
 }
 
-// libevent passes no request once a connection broke, and one without a status if it never came up.
+// libevent passes a null request if the connection broke, and a request with status 0 if the connection was
+// never established.
 void DiscoveryClient::OnRequestDone(evhttp_request* response) {
   if (response == nullptr) {
-    OnWatchEnded(IsBroken(errno) ? WatchEnd::kReset : WatchEnd::kClosedInOrder);
+    OnWatchEnded(IsConnectionError(errno) ? WatchEndReason::kReset : WatchEndReason::kClosed);
     return;
   }
   const int status = evhttp_request_get_response_code(response);
   if (status == 0) {
-    OnWatchEnded(WatchEnd::kNotConnected);
+    OnWatchEnded(WatchEndReason::kNotConnected);
     return;
   }
-  OnWatchEnded(status == kStatusOk ? WatchEnd::kFinished : WatchEnd::kRejected);
+  OnWatchEnded(status == kStatusOk ? WatchEndReason::kFinished : WatchEndReason::kRejected);
 }
 
-// However a watch ends, the scheduler gets a failure event and opens the next one after its own backoff.
-void DiscoveryClient::OnWatchEnded(WatchEnd end) {
+// Reports a failure event for every end of a watch; the scheduler opens the next watch after its backoff.
+void DiscoveryClient::OnWatchEnded(WatchEndReason reason) {
   if (!is_open_) {
     return;
   }
-  LogWatchEnd(end);
+  LogWatchEnd(reason);
   Close();
   walnutspur::EndpointUpdate failure{walnutspur::EndpointUpdateKind::kFailed, {}};
-  // A watch that the service ended was current until then: TCP delivers all that was sent before the end, and
-  // accepts a reset only at that position of the stream.
-  const bool ended_by_service =
-      end == WatchEnd::kClosedInOrder || end == WatchEnd::kReset || end == WatchEnd::kFinished;
+  // If the service ended the watch, the list was current until then: TCP delivers all bytes sent before a
+  // FIN, and accepts a reset only at that position of the stream.
+  const bool ended_by_service = reason == WatchEndReason::kClosed || reason == WatchEndReason::kReset ||
+                                reason == WatchEndReason::kFinished;
   failure.received_at = ended_by_service ? core::Now() : last_received_at_;
-  if (end == WatchEnd::kNotConnected) {
+  if (reason == WatchEndReason::kNotConnected) {
     failure.failure = walnutspur::DiscoveryFailure::kUnreachable;
-  } else if (end == WatchEnd::kReset) {
+  } else if (reason == WatchEndReason::kReset) {
     failure.failure = walnutspur::DiscoveryFailure::kBroken;
   }
   on_list_(std::move(failure), {});
 }
 
-void DiscoveryClient::LogWatchEnd(WatchEnd end) const {
-  const auto name = [end] {
-    switch (end) {
-      case WatchEnd::kNotConnected:
+void DiscoveryClient::LogWatchEnd(WatchEndReason reason) const {
+  const auto name = [reason] {
+    switch (reason) {
+      case WatchEndReason::kNotConnected:
         return "not_connected";
-      case WatchEnd::kClosedInOrder:
+      case WatchEndReason::kClosed:
         return "closed";
-      case WatchEnd::kReset:
+      case WatchEndReason::kReset:
         return "reset";
-      case WatchEnd::kRejected:
+      case WatchEndReason::kRejected:
         return "rejected";
-      case WatchEnd::kFinished:
+      case WatchEndReason::kFinished:
         return "finished";
-      case WatchEnd::kSilent:
+      case WatchEndReason::kSilent:
         return "silent";
-      case WatchEnd::kUnreadable:
+      case WatchEndReason::kUnreadable:
         return "unreadable";
-      case WatchEnd::kOlderRevision:
+      case WatchEndReason::kOlderRevision:
         return "older_revision";
     }
     return "unknown";
@@ -161,7 +165,7 @@
               {"open_ms", Milliseconds(now - opened_at_)},
               {"silent_ms", Milliseconds(now - last_received_at_)},
               {"response_received", has_response_ ? "yes" : "no"},
-              {"incomplete_bytes", std::to_string(lists_.held())},
+              {"incomplete_bytes", std::to_string(lists_.incomplete_bytes())},
               {"revision", std::to_string(revision_)}});
 }
 
@@ -180,16 +184,16 @@
   }
   if (!error.empty()) {
     log::Event(log::Level::kWarn, log::kEndpointListRejected, {{"error", error}});
-    OnWatchEnded(WatchEnd::kUnreadable);
+    OnWatchEnded(WatchEndReason::kUnreadable);
     return;
   }
   ReportProgress();
 }
 
-// What arrived without completing a list: a part of one, which counts as announced from its first byte, or an
-// empty line, which says that nothing has changed. Before the first list there is nothing to be current.
+// Reports input that has not completed a list. Part of a list counts as notified from its first byte; an
+// empty line confirms that the current list is unchanged, and is reported only if there is a current list.
 void DiscoveryClient::ReportProgress() {
-  if (lists_.held() > 0) {
+  if (lists_.incomplete_bytes() > 0) {
     if (!std::exchange(has_partial_list_, true)) {
       on_list_({walnutspur::EndpointUpdateKind::kBegun, {}, last_received_at_}, {});
     }
@@ -202,13 +206,13 @@
   }
 }
 
-// Returns whether to read on.
+// Handles one complete JSON object; returns whether to continue reading.
 bool DiscoveryClient::OnObject(const std::string& object) {
   try {
     const EndpointList list = ReadEndpointList(config_, nlohmann::json::parse(object));
-    if (!list.complete && list.revision < revision_) {  // discovery has restarted: the full list is needed
+    if (!list.complete && list.revision < revision_) {  // discovery has restarted: request the full list
       revision_ = 0;
-      OnWatchEnded(WatchEnd::kOlderRevision);
+      OnWatchEnded(WatchEndReason::kOlderRevision);
       return false;
     }
     has_list_ = true;
@@ -225,7 +229,7 @@
     on_list_({kind, list.endpoints}, list);
   } catch (const std::exception& error) {
     log::Event(log::Level::kWarn, log::kEndpointListRejected, {{"error", error.what()}});
-    OnWatchEnded(WatchEnd::kUnreadable);
+    OnWatchEnded(WatchEndReason::kUnreadable);
   }
   return is_open_;
 }
--- a/src/http/endpoint_list.cpp
+++ b/src/http/endpoint_list.cpp
@@ -12,7 +12,7 @@
 
 constexpr Time kMicrosecondsPerMillisecond = 1000;
 
-// An unknown phase counts as draining: no new work goes to such an endpoint.
+// Treats an unknown phase as draining, so that the endpoint gets no new work.
 EndpointState ReadState(const std::string& phase) {
   if (phase == "SERVING") {
     return EndpointState::kActive;
@@ -35,8 +35,9 @@
   return endpoint;
 }
 
-// The list's clock is the machines' wall clock. Ours is wrong where it is behind a start that the list has:
-// then the latest start is taken for the present.
+// Sets the offset from this machine's monotonic clock to the wall clock that the list's start times refer to.
+// If this machine's wall clock is behind a start time in the list, it is wrong, and the latest start time
+// is used instead.
 void SetClockOffset(const ClockReading& clock, EndpointList* list) {
   Time wall_clock = clock.wall_clock;
   for (const walnutspur::Endpoint& endpoint : list->endpoints) {
--- a/src/http/endpoint_list.h
+++ b/src/http/endpoint_list.h
@@ -1,4 +1,4 @@
-// A list of endpoints as the discovery service sends it, read from its JSON. No sockets; any thread.
+// Parses the endpoint lists that the discovery service sends as JSON. Uses no sockets; any thread.
 #ifndef WALNUTSPUR_HTTP_ENDPOINT_LIST_H_
 #define WALNUTSPUR_HTTP_ENDPOINT_LIST_H_
 
@@ -12,20 +12,20 @@
 namespace walnutspur::http {
 
 struct EndpointList {
-  std::int64_t revision = 0;  // grows with each change; comparable within one discovery service only
-  bool complete = false;      // the full list, in place of what changed since a revision
+  std::int64_t revision = 0;  // increases with each change; only comparable within one service
+  bool complete = false;      // a full list; otherwise the changes since a revision
   std::vector<walnutspur::Endpoint> endpoints;
-  std::vector<std::string> addresses;  // of the endpoints, "host:port", in their order; empty: not known
+  std::vector<std::string> addresses;  // "host:port" of each endpoint; empty: unknown
 };
 
-// Both clocks of this machine at one moment, us.
+// Readings of this machine's monotonic and wall clocks at one moment, us.
 struct ClockReading {
   Time now = 0;         // core::Now()
   Time wall_clock = 0;  // core::WallClock()
 };
 ClockReading ReadClocks();
 
-// Throws std::exception where the list is malformed. `clock` is of the moment in which the list arrived.
+// Parses a list. Throws std::exception if it is malformed. `clock` must be read when the list arrives.
 EndpointList ReadEndpointList(const Config& config, const nlohmann::json& json,
                               const ClockReading& clock = ReadClocks());
 
--- a/src/http/front_end.cpp
+++ b/src/http/front_end.cpp
@@ -14,24 +14,24 @@
 
 using std::chrono::milliseconds;
 
-// Idle connections stay open for as long as possible: their clients would find no other server. A late event
-// loop may leave requests unanswered after the deadline.
+// Idle connections stay open as long as possible because their clients would find no other server. If the
+// event loop runs late, requests may still be without a response after the deadline.
 constexpr frontend::ShutdownLimits kShutdownLimits = {.close_idle_before = milliseconds(100),
                                                       .close_unfinished_after = milliseconds(50),
                                                       .close_unanswered_after = milliseconds(100)};
 
-// HTTP has no handshake.
+// HTTP has no handshake, so no handshake limit is set.
 constexpr frontend::EvictionLimits kEvictionLimits = {.first_request_grace = milliseconds(30),
                                                       .second_request_grace = milliseconds(30),
                                                       .idle_grace = milliseconds(250)};
 
-// Fraction of the process's descriptors that clients' connections may use.
+// Maximum fraction of the process's file descriptors for client connections.
 constexpr double kClientSocketFraction = 0.36;
 
-// Connections that the kernel completes before they are accepted.
+// Size of the accept queue: connections that the kernel has established but the front end has not accepted.
 constexpr int kListenBacklog = 1024;
 
-// The part of the process's memory, as a divisor, that responses may use which clients have not read yet.
+// Responses that clients have not read yet may use the process's memory limit divided by this number.
 constexpr std::size_t kUnreadMemoryDivisor = 4;
 
 }  // namespace
@@ -48,23 +48,23 @@
           std::max<std::size_t>(1, static_cast<std::size_t>(config.sockets * kClientSocketFraction))),
       pending_(base, submit_),
       turn_clock_(base),
-      listener_(base, config.listen, {.backlog = kListenBacklog}, ListenerHooks()) {}
+      listener_(base, config.listen, {.backlog = kListenBacklog}, MakeListenerCallbacks()) {}
 
 FrontEnd::~FrontEnd() = default;
 
-loop::ListenerCallbacks FrontEnd::ListenerHooks() {
-  loop::ListenerCallbacks hooks;
-  hooks.on_accept = [this](evutil_socket_t fd) { OnAccept(fd); };
-  hooks.on_error = [this](int error) {
-    // Only for the limit of this process: where the machine is out of descriptors or memory, closing one
-    // connection would free too little to matter.
+loop::ListenerCallbacks FrontEnd::MakeListenerCallbacks() {
+  loop::ListenerCallbacks callbacks;
+  callbacks.on_accept = [this](evutil_socket_t fd) { OnAccept(fd); };
+  callbacks.on_error = [this](int error) {
+    // Evicts a connection only at this process's descriptor limit (EMFILE). If the machine has run out of
+    // descriptors or memory, closing one connection would free too little.
     if (error == EMFILE) {
       EvictConnection();
     }
     listener_.Pause();
   };
-  hooks.has_capacity = [this] { return HasCapacity(); };
-  return hooks;
+  callbacks.has_capacity = [this] { return HasCapacity(); };
+  return callbacks;
 }
 
 void FrontEnd::OnAccept(evutil_socket_t fd) {
@@ -89,7 +89,9 @@
 
 bool FrontEnd::HasCapacity() { return clients_.size() < max_connections_ || EvictConnection(); }
 
-// Bytes that a client has sent may wait for the loop: while the process is short of CPU, all connections age.
+// Closes the connection that the eviction policy chooses; returns whether there was one. Connections with
+// unread input in the kernel are spared: if the process is short of CPU time, a connection may look idle only
+// because the loop has not read it yet.
 bool FrontEnd::EvictConnection() {
   ClientConnection* evicted = eviction_.Choose(clients_, core::Now(), [](const ClientConnection& client) {
     return !client.closing() && client.HasUnreadBytes();
@@ -127,7 +129,7 @@
   core::RequestReceived& request = admitted.request;
   request.request = request_numbers_->next++;
   client.SetPendingRequest(request.request);
-  // The client's timeout began when it sent the request.
+  // The client's timeout starts when it sends the request.
   const Time delay = std::max(turn_clock_.SinceTurnBegan(), client.TakeTimeInBacklog());
   const Time elapsed = std::min(delay, admitted.client_timeout);
   request.deadline = core::Now() + admitted.client_timeout - elapsed;
@@ -136,13 +138,13 @@
 }
 
 void FrontEnd::Respond(const core::Response& response) {
-  const auto answered = pending_.TakeAnswered(response.request);
-  if (!answered) {
+  const auto pending = pending_.TakeAnswered(response.request);
+  if (!pending) {
     return;  // the client has disconnected
   }
-  ClientConnection& client = *clients_.at(answered->origin);
+  ClientConnection& client = *clients_.at(pending->origin);
   client.ClearPendingRequest();
-  shutdown_.OnResponse(answered->latency);
+  shutdown_.OnResponse(pending->latency);
   switch (response.status) {
     case core::ResponseStatus::kServed:
       RespondServed(client, static_cast<const Response&>(*response.payload));
@@ -161,7 +163,7 @@
       client.Reject({kStatusConflict, "a request with this X-Request-Id is open"});
       break;
   }
-  client.ReadAhead();
+  client.ResumeReading();
 }
 
 void FrontEnd::RespondServed(ClientConnection& client, const Response& served) const {
@@ -172,8 +174,8 @@
   }
 }
 
-// Bounds the memory of responses beyond the protocol's size, which wait for as long as clients are slow to
-// read them.
+// Returns whether a response fits into memory. Limits the total size of unread responses that are larger than
+// the protocol's maximum, since slow clients may leave them unread for a long time.
 bool FrontEnd::HasMemoryFor(std::size_t size) const {
   if (size <= kProtocolBodyBytes) {
     return true;
@@ -207,8 +209,8 @@
   pending_.RemoveDisconnected(closed->pending_request());
 }
 
-// No request may be left unanswered when the process ends. Idle connections stay open until then: a client
-// that lost one now would find no server on a new one.
+// Every request must have a response when the process exits. Idle connections stay open until then because a
+// client whose connection is closed would find no server for a new one.
 void FrontEnd::SetShutdownDeadline(Time deadline) {
   shutdown_.Schedule();
   pending_.SetShutdownDeadline(deadline);
@@ -217,12 +219,13 @@
   }
 }
 
-// No connection may end without a response to its request: a busy one ends with its response, an idle one is
-// shut for writing and read until its client has closed it, so that no reset reaches a client that has just
-// sent something. So is, at last, one that holds a part of a request or has unread bytes.
+// Closes connections as the shutdown advances. Every request must get a response: a busy connection is closed
+// after its response. An idle connection is shut down for writing and read until the client closes it, so
+// that a client that has just sent a request sees no reset. A connection with a partial request or unread
+// bytes is shut down in the same way, but last.
 void FrontEnd::AdvanceShutdown(Time left) {
   if (shutdown_.Advance(left)) {
-    listener_.AcceptPending();  // the kernel has accepted them: their requests count as ours
+    listener_.AcceptPending();  // the kernel has established them, so their requests must be served
     listener_.Close();
   }
   if (!shutdown_.Closes(frontend::ConnectionActivity::kIdle)) {
--- a/src/http/front_end.h
+++ b/src/http/front_end.h
@@ -1,8 +1,8 @@
-// The HTTP front end: accepts clients' connections, hands their requests to the scheduler, and sends one
-// response to each.
+// Implements the HTTP front end: accepts client connections, submits their requests to the scheduler, and
+// sends one response to each request.
 //
-// Owned by the initiator; runs on the loop's thread. Requests go out through `submit`; responses come in by
-// Respond.
+// Owned by the initiator; runs on the loop's thread. Requests are passed to `submit`; responses arrive
+// through Respond.
 #ifndef WALNUTSPUR_HTTP_FRONT_END_H_
 #define WALNUTSPUR_HTTP_FRONT_END_H_
 
@@ -29,8 +29,8 @@
 
 class FrontEnd : public core::FrontEnd, private ClientConnectionHandler {
  public:
-  // Listens at the config's address; throws loop::ListenError or loop::AddressError. `config` and
-  // `request_numbers` must outlive it.
+  // Listens on the config's address; throws loop::ListenError or loop::AddressError. `config` and
+  // `request_numbers` must outlive the front end.
   FrontEnd(event_base* base, const Config& config, core::RequestNumbers* request_numbers,
            core::SubmitInput submit);
   ~FrontEnd() override;
@@ -44,10 +44,10 @@
   void AdvanceShutdown(Time left) override;
   std::size_t connections() const override { return clients_.size(); }
 
-  // From now on readiness checks succeed.
+  // Makes readiness checks succeed from now on.
   void set_ready() { ready_ = true; }
 
-  // Called with each connection's stream once it is accepted, before anything is read.
+  // Called with the stream of each accepted connection, before any input is read.
   std::function<void(bufferevent*)> on_accept;
 
   int port() const { return listener_.port(); }
@@ -57,7 +57,7 @@
   void Close(ClientConnection& client) override;
   bool IsOpen(std::uint64_t connection_number) const override { return clients_.contains(connection_number); }
 
-  loop::ListenerCallbacks ListenerHooks();
+  loop::ListenerCallbacks MakeListenerCallbacks();
   void OnAccept(evutil_socket_t fd);
   bool HasCapacity();
   bool EvictConnection();
--- a/src/http/json_stream.cpp
+++ b/src/http/json_stream.cpp
@@ -10,8 +10,8 @@
 
 constexpr std::string_view kWhitespace = " \t\r\n";
 
-// The parser's callbacks. Each returns 0 to stop it: at the brace that closes the object, or at a value that
-// is no object.
+// Callbacks of the parser. Each returns 0 to stop the parser: at the brace that closes the object, or at a
+// top-level value that is not an object.
 int OpenObject(void* depth) {
   ++*static_cast<int*>(depth);
   return 1;
@@ -29,7 +29,7 @@
 constexpr yajl_callbacks kCallbacks = {
     .yajl_null = CheckInsideObject,
     .yajl_boolean = OnBoolean,
-    .yajl_integer = nullptr,  // numbers come as text
+    .yajl_integer = nullptr,  // numbers are passed as text to yajl_number
     .yajl_double = nullptr,
     .yajl_number = OnNumber,
     .yajl_string = OnString,
@@ -65,19 +65,19 @@
     const auto* data = reinterpret_cast<const unsigned char*>(bytes.data());
     const yajl_status status = yajl_parse(parser_.get(), data, bytes.size());
     if (status == yajl_status_error) {
-      return "what came is no JSON";
+      return "invalid JSON";
     }
     const std::size_t used = status == yajl_status_ok ? bytes.size() : yajl_get_bytes_consumed(parser_.get());
     object_.append(bytes.substr(0, used));
     bytes.remove_prefix(used);
     if (object_.size() > max_object_bytes_) {
-      return "an object of over " + std::to_string(max_object_bytes_) + " bytes; that many are allowed";
+      return "JSON object exceeds the maximum of " + std::to_string(max_object_bytes_) + " bytes";
     }
     if (status == yajl_status_ok) {
       return "";
     }
     if (depth_ > 0 || object_.front() != '{') {
-      return "what came is JSON, but no object";
+      return "JSON value is not an object";
     }
     const std::string object = std::exchange(object_, {});
     Reset();
--- a/src/http/json_stream.h
+++ b/src/http/json_stream.h
@@ -1,8 +1,9 @@
-// Splits a stream of bytes into JSON objects, whatever pieces and white space it comes in.
+// Splits a byte stream into JSON objects, regardless of chunk boundaries and white space.
 //
-// An object may be indented, several may share a line, and one may come in any number of chunks, so neither a
-// line feed nor a chunk ends it: the incremental parser (yajl) finds where its braces close. The stream owns
-// the bytes of the incomplete object, and no socket. Owned by the discovery client; runs on its thread.
+// An object may be indented, several objects may share a line, and one object may span any number of chunks,
+// so neither a line feed nor the end of a chunk ends an object: the incremental parser (yajl) finds the
+// closing brace. The stream holds the bytes of the incomplete object; it uses no socket. Owned by the
+// discovery client; runs on its thread.
 #ifndef WALNUTSPUR_HTTP_JSON_STREAM_H_
 #define WALNUTSPUR_HTTP_JSON_STREAM_H_
 
@@ -19,19 +20,19 @@
 
 class JsonStream {
  public:
-  // Takes one complete object; returns whether to read on.
+  // Receives one complete object; returns whether to continue reading.
   using OnObject = std::function<bool(const std::string& object)>;
 
-  // Objects longer than `max_object_bytes` are errors.
+  // Objects larger than `max_object_bytes` are errors.
   JsonStream(std::size_t max_object_bytes, OnObject on_object)
       : max_object_bytes_(max_object_bytes), on_object_(std::move(on_object)) {}
 
-  // Takes the next piece. Returns what is wrong, in a few words, or an empty text. After an error, or once
+  // Parses the next bytes. Returns an error message, or an empty string on success. After an error, or after
   // `on_object` has returned false, the stream must be reset before it is used again.
   std::string Feed(std::string_view bytes);
   void Reset();
-  // Bytes of the incomplete object.
-  std::size_t held() const { return object_.size(); }
+  // Returns the number of bytes received of the incomplete object.
+  std::size_t incomplete_bytes() const { return object_.size(); }
 
  private:
   struct ParserDeleter {
@@ -40,7 +41,7 @@
 
   std::size_t max_object_bytes_;
   OnObject on_object_;
-  int depth_ = 0;  // of open braces and brackets; the parser's callbacks count it
+  int depth_ = 0;  // number of open braces and brackets, counted by the parser's callbacks
   std::string object_;
   std::unique_ptr<yajl_handle_t, ParserDeleter> parser_;  // null between objects
 };
--- a/src/http/message_reader.cpp
+++ b/src/http/message_reader.cpp
@@ -9,19 +9,19 @@
 namespace walnutspur::http {
 namespace {
 
-// Bytes of head, chunk sizes and trailers together.
+// Maximum total size of head, chunk size lines and trailers.
 constexpr std::size_t kMaxLineBytes = 16 << 10;
 
-// Digits of a length. Their number fits 64 bits, and exceeds any body that is accepted.
+// Maximum number of digits of a length. It fits into 64 bits and covers every accepted body size.
 constexpr std::size_t kMaxDigits = 18;
 
-// The status line: "HTTP/1.1 200 OK", the reason being optional.
+// Positions in the status line "HTTP/1.1 200 OK"; the reason phrase is optional.
 constexpr std::size_t kVersionSize = 8;
 constexpr std::size_t kCodeOffset = 9;
 constexpr std::size_t kCodeSize = 3;
 constexpr std::size_t kCodeEnd = kCodeOffset + kCodeSize;
 
-// Status codes of responses that frame their message in a way of their own (RFC 9112, 6.3).
+// Status codes with special message framing (RFC 9112, 6.3).
 constexpr int kFirstFinalCode = 200;
 constexpr int kSwitchingProtocols = 101;
 constexpr int kNoContent = 204;
@@ -65,7 +65,7 @@
   return text;
 }
 
-// Whether a list such as "keep-alive, close" has the item.
+// Returns whether a comma-separated list such as "keep-alive, close" contains the item.
 bool ListContains(std::string_view list, std::string_view item) {
   while (!list.empty()) {
     const std::size_t comma = std::min(list.find(','), list.size());
@@ -193,7 +193,7 @@
 
 void MessageReader::OnRequestLine(std::string_view line) {
   if (line.empty()) {
-    return;  // some senders end a body with an empty line of their own
+    return;  // some senders add an empty line after a body
   }
   const std::size_t first = line.find(' ');
   const std::size_t last = line.rfind(' ');
@@ -222,7 +222,7 @@
   if (!IsSupportedVersion(version) || line.size() < kCodeEnd || line[kVersionSize] != ' ' ||
       !ReadNumber(line.substr(kCodeOffset, kCodeSize), 10, &code) || code < 100 ||
       (line.size() > kCodeEnd && line[kCodeEnd] != ' ')) {
-    MarkMalformed(kStatusBadGateway, "no status line");
+    MarkMalformed(kStatusBadGateway, "malformed status line");
     return;
   }
   is_http_1_0_ = version == "HTTP/1.0";
@@ -268,9 +268,9 @@
 }
 
 void MessageReader::OnHeadComplete() {
-  if (kind_ == Kind::kResponse && code_ < kFirstFinalCode) {  // an interim response: another one follows
+  if (kind_ == Kind::kResponse && code_ < kFirstFinalCode) {  // an interim response; another response follows
     if (code_ == kSwitchingProtocols) {
-      MarkMalformed(kStatusBadGateway, "another protocol");
+      MarkMalformed(kStatusBadGateway, "101 Switching Protocols is not supported");
       return;
     }
     fields_.clear();
@@ -295,8 +295,8 @@
   keeps_alive_ = !is_http_1_0_ || (connection != nullptr && ListContains(connection, "keep-alive"));
 }
 
-// Finds how the body is framed. Guards against request smuggling: whoever reads the length otherwise takes a
-// part of the body for a message of its own.
+// Determines how the body is framed. Rejects ambiguous lengths to prevent request smuggling: a peer that
+// reads the length differently would take part of the body for a separate message.
 void MessageReader::ReadBodyFraming() {
   const std::size_t lengths = Count("Content-Length");
   const std::size_t encodings = Count("Transfer-Encoding");
@@ -311,7 +311,7 @@
   } else if (lengths > 0) {
     ReadContentLength();
   } else if (kind_ == Kind::kResponse && code_ != kNoContent && code_ != kNotModified) {
-    state_ = State::kBodyToEnd;  // RFC 9112, 6.3: it ends with the connection
+    state_ = State::kBodyToEnd;  // the body ends with the connection (RFC 9112, 6.3)
     keeps_alive_ = false;
   } else {
     state_ = State::kComplete;
--- a/src/http/messages.cpp
+++ b/src/http/messages.cpp
@@ -11,10 +11,10 @@
 
 using nlohmann::json;
 
-// Units that a target may report as served elsewhere; none serves more between two responses.
+// Upper limit of the units reported as served elsewhere; no target serves more between two responses.
 constexpr double kMaxUnitsElsewhere = 1e6;
 
-// Percent of a volume's rate that a target may report as used.
+// Upper limit of the percentage of a volume's rate that a target may report as used.
 constexpr double kMaxUsagePercent = 1e9;
 
 void ReadLoadReport(const std::vector<std::string>& fields, const char* text, core::AttemptResult* result) {
@@ -24,7 +24,7 @@
   }
   for (const std::string& field : fields) {
     const auto value = report.find(field);
-    if (value != report.end() && !value->is_number()) {  // a report with a malformed value is ignored
+    if (value != report.end() && !value->is_number()) {  // ignore a report with a malformed value
       result->load_report.clear();
       return;
     }
@@ -57,8 +57,8 @@
   return check;
 }
 
-// A 503 or 504 proves that the request never ran only where it says so; any other response may come after the
-// work was done.
+// A 503 or 504 proves that the request has not run only if it has X-Not-Run: 1. Any other response may have
+// been sent after the work was done.
 Outcome OutcomeOf(int code, const HeaderLookup& header) {
   if (code == kStatusOk) {
     return Outcome::kCompleted;
--- a/src/http/messages.h
+++ b/src/http/messages.h
@@ -1,5 +1,5 @@
-// The payloads of requests and responses, and what the headers of a target's response mean. No sockets and no
-// state; any thread.
+// Defines the payloads of requests and responses, and interprets the headers of a target's response. Uses no
+// sockets and no state; any thread.
 #ifndef WALNUTSPUR_HTTP_MESSAGES_H_
 #define WALNUTSPUR_HTTP_MESSAGES_H_
 
@@ -15,43 +15,44 @@
 
 namespace walnutspur::http {
 
-// A client's request; it is forwarded to a target byte for byte.
+// A client's request, which is forwarded to a target byte for byte.
 struct Request : core::Payload {
   bool is_put = false;
   std::string uri;
   std::string id;
   std::string body;
-  std::string headers;  // lines to forward, each with its CR LF: the idempotency key and digest fields
-  std::optional<integrity::Algorithm> wanted_digest;  // the digest that the client wants of the response
+  std::string headers;  // lines to forward, each with CR LF: idempotency key, digest fields
+  std::optional<integrity::Algorithm> wanted_digest;  // the digest that the client requests
 };
 
 // The response of a target that has completed a request.
 struct Response : core::Payload {
   std::string body;
-  std::string headers;  // lines to forward, each with its CR LF: digest fields
+  std::string headers;  // lines to forward, each with CR LF: digest fields
 };
 
-// The digest fields of a message, and whether its content fits them.
+// The digest fields of a message, and whether its content matches them.
 struct DigestCheck {
   integrity::Match match = integrity::Match::kNone;
-  std::string headers;  // the fields that the message has, as lines
+  std::string headers;  // the message's digest fields, as header lines
 };
-// `is_representation`: Repr-Digest covers this very content, which holds for a write and for the response to
-// a read, but not for a part of one or for the response to a write (RFC 9530, 3).
+// Verifies the digest fields of a message. `is_representation`: Repr-Digest covers exactly this content. That
+// is the case for a write and for the response to a read, but not for a partial response or for the response
+// to a write (RFC 9530, 3).
 DigestCheck CheckDigests(const MessageReader& reader, std::string_view content, bool is_representation);
 
-// Finds the value of a header by its name; null where there is none.
+// Returns the value of the header with the given name, or null if it is absent.
 using HeaderLookup = std::function<const char*(const char*)>;
 
-// The outcome that a target's complete response stands for.
+// Returns the outcome that a target's complete response indicates.
 Outcome OutcomeOf(int code, const HeaderLookup& header);
 
-// Reads what a response reports of the target's load and of the volume's use into `result`. `fields` names
-// the load figures, in their order. Headers that are malformed are ignored.
+// Reads the target's load and the volume's usage from the headers of a response into `result`. `fields` names
+// the values of the load report in order. Malformed headers are ignored.
 void ReadLoadHeaders(const std::vector<std::string>& fields, const HeaderLookup& header,
                      core::AttemptResult* result);
 
-// A duration in seconds, with six decimals.
+// Formats a duration in seconds with six decimals.
 std::string Seconds(Time time);
 
 }  // namespace walnutspur::http
--- a/src/http/number.h
+++ b/src/http/number.h
@@ -1,4 +1,4 @@
-// Numbers in headers: strict parsing, and their units. Plain functions; any thread.
+// Parses numbers in headers strictly, and defines their units. Plain functions; any thread.
 #ifndef WALNUTSPUR_HTTP_NUMBER_H_
 #define WALNUTSPUR_HTTP_NUMBER_H_
 
@@ -10,10 +10,10 @@
 
 namespace walnutspur::http {
 
-// Headers have times in seconds; a Time is in microseconds.
+// Headers state times in seconds; Time is in microseconds.
 constexpr double kMicrosecondsPerSecond = 1e6;
 
-// Parses a number; nothing unless all of the text is one.
+// Parses a number. Returns nullopt unless the whole text is a number.
 template <typename Number>
 std::optional<Number> ParseNumber(std::string_view text) {
   Number value{};
@@ -25,7 +25,7 @@
   return value;
 }
 
-// A finite number above zero, or nothing; `text` may be null.
+// Parses a finite number greater than zero; otherwise returns nullopt. `text` may be null.
 inline std::optional<double> ParsePositive(const char* text) {
   const auto value = text ? ParseNumber<double>(text) : std::nullopt;
   return value && std::isfinite(*value) && *value > 0 ? value : std::nullopt;
--- a/src/http/request_admission.cpp
+++ b/src/http/request_admission.cpp
@@ -15,7 +15,7 @@
 constexpr const char* kSingleHeaders[] = {"X-Request-Id", "X-Class", "X-Plan",
                                           "X-Deadline",   "X-IO",    "Idempotency-Key"};
 
-// The first header that may stand only once and does not, if there is one.
+// Returns the first header that is repeated although it must be unique, or nullopt.
 std::optional<std::string> FindRepeatedHeader(const MessageReader& message) {
   for (const char* name : kSingleHeaders) {
     if (message.Count(name) > 1) {
@@ -32,7 +32,7 @@
   if (const char* id = message.Find("X-Request-Id")) {
     payload->id = id;
   }
-  // Targets drop the repeats of an idempotent request by its key.
+  // Targets deduplicate retries of a request by this key.
   if (const char* key = message.Find("Idempotency-Key")) {
     payload->headers = HeaderLine("Idempotency-Key", key);
   }
@@ -40,8 +40,8 @@
   return payload;
 }
 
-// Forwards the digest that the client wants of a read, or requests the configured one, so that the response
-// is covered on its way from the target.
+// Forwards the client's request for a digest of the response. If a read has none, requests the configured
+// digest, so that the response is protected on its way from the target.
 void ForwardWantedDigests(const Config& config, const MessageReader& message, Request* payload) {
   bool client_wants_digest = false;
   for (const char* name : {"Want-Content-Digest", "Want-Repr-Digest"}) {
@@ -61,8 +61,8 @@
   }
 }
 
-// Verifies the digests of a write, which must not reach a target corrupted, and adds one to a write without,
-// so that it is covered from here on. Returns whether the content is intact.
+// Verifies the digests of a request, so that a corrupted write does not reach a target. Adds a digest to a
+// write without one, so that it is protected from here on. Returns whether the content is intact.
 bool ForwardDigests(const Config& config, const MessageReader& message, Request* payload) {
   const DigestCheck check = CheckDigests(message, payload->body, payload->is_put);
   if (check.match == integrity::Match::kDifferent) {
--- a/src/http/request_admission.h
+++ b/src/http/request_admission.h
@@ -1,5 +1,6 @@
-// Decides on a client's complete message: it becomes a request for the scheduler, or is rejected with a
-// status and a reason. Checks the method, headers, path and digests. No sockets and no state; any thread.
+// Validates a client's complete message and converts it into a request for the scheduler, or rejects it with
+// a status and an error message. Checks the method, headers, path and digests. Uses no sockets and no state;
+// any thread.
 #ifndef WALNUTSPUR_HTTP_REQUEST_ADMISSION_H_
 #define WALNUTSPUR_HTTP_REQUEST_ADMISSION_H_
 
@@ -13,13 +14,13 @@
 namespace walnutspur::http {
 
 struct AdmittedRequest {
-  core::RequestReceived request;  // its number and deadline are filled in by the front end
-  Time client_timeout = 0;        // us that the client waits, counted from when it sent the request
+  core::RequestReceived request;  // the front end sets its number and deadline
+  Time client_timeout = 0;        // us that the client waits after sending the request
 };
 
 using Admission = std::variant<AdmittedRequest, Rejection>;
 
-// Moves the body out of the message.
+// Validates the message and moves its body into the request.
 Admission AdmitRequest(const Config& config, MessageReader& message);
 
 }  // namespace walnutspur::http
--- a/src/http/request_headers.cpp
+++ b/src/http/request_headers.cpp
@@ -9,13 +9,13 @@
 namespace walnutspur::http {
 namespace {
 
-// The longest timeout that a client may state; a longer one is rejected as invalid.
+// Maximum timeout in X-Deadline. A request with a longer timeout is rejected.
 constexpr double kMaxTimeoutSeconds = 3600;
 
-// Hexadecimal digits of a request id.
+// Number of hexadecimal digits of a request id.
 constexpr std::size_t kIdDigits = 16;
 
-// The X-IO header.
+// Values of the X-IO header.
 struct IoHeader {
   std::optional<double> units;
   std::optional<int> shard;
@@ -29,7 +29,7 @@
          });
 }
 
-// Reads "name=value"; other names than ours are left for later versions.
+// Parses "name=value". Unknown names are ignored, so that later versions can add some.
 bool ReadIoItem(std::string_view item, IoHeader* header) {
   const std::size_t equals = item.find('=');
   if (equals == std::string_view::npos) {
@@ -52,7 +52,7 @@
   return true;
 }
 
-// "units=2,shard=5,hosts=3", in any order; nothing if it is malformed or one is missing.
+// Parses "units=2,shard=5,hosts=3", in any order. Returns nullopt if it is malformed or incomplete.
 std::optional<IoHeader> ReadIoHeader(std::string_view text) {
   IoHeader header;
   while (!text.empty()) {
@@ -70,7 +70,7 @@
   return header;
 }
 
-// The last two parts of the path are the volume and the key of the object.
+// Reads the volume and the key of the object from the last two segments of the path.
 RequestError ReadPath(const std::string& uri, walnutspur::RequestArrived* attributes) {
   const std::string_view path_and_query = uri;
   const std::string_view path = path_and_query.substr(0, path_and_query.find('?'));
@@ -134,7 +134,7 @@
   return std::nullopt;
 }
 
-// Whether the method fits the body and the class.
+// Checks that the method matches the body and the class.
 RequestError CheckMethod(const Config& config, const Request& request, int request_class) {
   if (!request.is_put && !request.body.empty()) {
     return "a GET has no body";
--- a/src/http/request_headers.h
+++ b/src/http/request_headers.h
@@ -1,5 +1,5 @@
-// Reads what the scheduler needs to know of a client's request from its path and headers. No sockets and no
-// state; any thread.
+// Parses the attributes that the scheduler needs from the path and headers of a client's request. Uses no
+// sockets and no state; any thread.
 #ifndef WALNUTSPUR_HTTP_REQUEST_HEADERS_H_
 #define WALNUTSPUR_HTTP_REQUEST_HEADERS_H_
 
@@ -11,10 +11,10 @@
 
 namespace walnutspur::http {
 
-// What is wrong with a request, as one line for the client; nothing: it is valid.
+// A one-line error message for the client; nullopt if the request is valid.
 using RequestError = std::optional<std::string>;
 
-// Fills in `attributes` and `client_timeout` (us that the client waits) of a valid request.
+// Sets `attributes` and `client_timeout` (us that the client waits) if the request is valid.
 RequestError ReadRequest(const Config& config, const Request& request, const HeaderLookup& header,
                          walnutspur::RequestArrived* attributes, Time* client_timeout);
 
--- a/src/http/response_text.h
+++ b/src/http/response_text.h
@@ -1,4 +1,4 @@
-// Formats the responses that an initiator sends to its clients. Plain functions, no sockets; any thread.
+// Formats the responses that an initiator sends to its clients. Plain functions without sockets; any thread.
 #ifndef WALNUTSPUR_HTTP_RESPONSE_TEXT_H_
 #define WALNUTSPUR_HTTP_RESPONSE_TEXT_H_
 
@@ -7,7 +7,7 @@
 
 namespace walnutspur::http {
 
-// The status codes that clients get from an initiator (RFC 9110, 15).
+// Status codes that an initiator sends to clients (RFC 9110, 15).
 enum StatusCode : int {
   kStatusOk = 200,
   kStatusBadRequest = 400,
@@ -23,17 +23,17 @@
   kStatusVersionNotSupported = 505,
 };
 
-// Why a message is not admitted; the reason is one line of text for the client.
+// The rejection of a message: its status, and a one-line error message for the client.
 struct Rejection {
   int status = kStatusBadRequest;
-  std::string reason;
+  std::string error;
 };
 
-// Formats a complete message. `headers`: further header lines, each with its CR LF. `close`: the connection
-// ends with it, and its header says so.
+// Formats a complete response. `headers`: additional header lines, each with CR LF. `close`: the connection
+// is closed after the response, and a "Connection: close" header announces it.
 std::string FormatResponse(int status, std::string_view body, std::string_view headers, bool close);
 
-// "Content-Digest: VALUE" and the like, with its CR LF.
+// Formats a header line with CR LF, such as "Content-Digest: VALUE".
 std::string HeaderLine(const std::string& name, const std::string& value);
 
 }  // namespace walnutspur::http
--- a/src/http/target_connection.cpp
+++ b/src/http/target_connection.cpp
@@ -62,7 +62,7 @@
 
 bool TargetConnection::StartSettling() {
   state_ = State::kSettling;
-  const Time remaining = answered_at_ + kSettleTime - attempt_->sent_at;
+  const Time remaining = last_response_at_ + kSettleTime - attempt_->sent_at;
   if (remaining <= 0) {
     return false;
   }
@@ -79,7 +79,7 @@
   attempt_->request_rest = {};
 }
 
-void TargetConnection::MarkAnswered() { answered_at_ = core::Now(); }
+void TargetConnection::MarkResponseReceived() { last_response_at_ = core::Now(); }
 
 void TargetConnection::Shutdown() {
   connect_timeout_.Stop();
--- a/src/http/target_connection.h
+++ b/src/http/target_connection.h
@@ -1,5 +1,5 @@
-// One connection to a target: its state, its attempt, its timers and its stream. Carries one attempt at a
-// time and parses its response; its handler, the target pool, decides what its events mean for attempts.
+// Implements one connection to a target, with its state, attempt, timers and stream. Carries one attempt at a
+// time and parses its response. The handler, which is the target pool, handles the connection's events.
 //
 // Owned by the connection pool; runs on the loop's thread.
 #ifndef WALNUTSPUR_HTTP_TARGET_CONNECTION_H_
@@ -19,36 +19,37 @@
 
 namespace walnutspur::http {
 
-// An attempt, or a health check, as a connection carries it.
+// An attempt or a health check that a connection carries.
 struct Attempt {
   loop::AttemptKey key;      // request 0: a health check
-  std::string request_head;  // up to the deadline; emptied once it is in the stream, like the next
-  std::string request_rest;  // from behind the deadline on
-  Time sent_at = 0;          // when the connection was given it; its latency counts from here
-  Time expires_at = 0;       // when it is abandoned
-  Time not_after = 0;        // when it must be in the stream; 0: no such bound
-  bool is_read = false;      // a GET of a client
-  std::string uri;           // of a read, where digests are on
-  std::optional<integrity::Algorithm> wanted_digest;  // the digest that the client wants
+  std::string request_head;  // the text before the deadline; cleared once written to the stream
+  std::string request_rest;  // the text after the deadline; cleared likewise
+  Time sent_at = 0;          // when it was assigned to a connection; start of its latency
+  Time expires_at = 0;       // when it times out
+  Time not_after = 0;        // latest time to write it to the stream; 0: no limit
+  bool is_read = false;      // a client's GET
+  std::string uri;           // set for reads if digests are on
+  std::optional<integrity::Algorithm> wanted_digest;  // the digest that the client requests
 };
 
-// How long a connection is not used after a response, us. A late duplicate of a response does not identify
-// its request: on a connection that was used again by then it would be taken for the next request's response.
+// Time after a response during which its connection is not reused, us. A late duplicate of a response does
+// not identify its request: on a reused connection it would be taken for the response to the next request.
 constexpr Time kSettleTime = 8'000;
 
 class TargetConnection;
 
-// Takes a connection's events. Each may end the connection, but its memory stays until the loop's next turn.
+// Handles a connection's events. Each may close the connection, but its memory is freed only in the loop's
+// next iteration.
 class TargetConnectionHandler {
  public:
   virtual void OnConnected(TargetConnection& connection) = 0;
-  // Bytes have arrived, or wait to be parsed.
+  // Called when bytes have arrived or have not been parsed yet.
   virtual void OnReadable(TargetConnection& connection) = 0;
-  // The peer has closed the connection, or it is broken (`is_error`).
+  // Called when the peer has closed the connection, or when it has failed (`is_error`).
   virtual void OnClosed(TargetConnection& connection, bool is_error) = 0;
   virtual void OnConnectTimeout(TargetConnection& connection) = 0;
   virtual void OnAttemptTimeout(TargetConnection& connection) = 0;
-  // A settling connection is quiet for long enough.
+  // Called when the settle time of the connection's last response has passed.
   virtual void OnSettled(TargetConnection& connection) = 0;
   virtual void OnIdleTimeout(TargetConnection& connection) = 0;
 
@@ -58,45 +59,47 @@
 
 class TargetConnection {
  public:
-  // kConnecting: being set up for its attempt, of which nothing is in the stream. kSpare: being set up though
-  // its attempt was abandoned. kSettling: connected, and its attempt waits until no more of the last response
-  // can arrive. kBusy: the attempt is in the stream or sent. kIdle: connected, without an attempt.
+  // kConnecting: being established for its attempt, of which nothing is written to the stream. kSpare: being
+  // established although its attempt was abandoned. kSettling: connected; its attempt waits until no late
+  // duplicate of the last response can arrive. kBusy: the attempt is written to the stream. kIdle: connected,
+  // without an attempt.
   enum class State { kConnecting, kSpare, kSettling, kBusy, kIdle };
 
   TargetConnection(event_base* base, std::uint64_t number, TargetId target, loop::StreamPtr stream,
                    TargetConnectionHandler* handler);
 
-  // Begins to connect; returns whether it has begun.
+  // Starts connecting; returns whether that succeeded.
   bool Connect(const sockaddr_in& address);
   void StartConnectTimeout(Time timeout) { connect_timeout_.Start(timeout); }
   void StopConnectTimeout() { connect_timeout_.Stop(); }
   void StartIdleTimeout(Time timeout) { idle_timeout_.Start(timeout); }
   void StopIdleTimeout() { idle_timeout_.Stop(); }
 
-  // Gives it an attempt to carry; it has none yet.
+  // Assigns an attempt. The connection must not have one.
   void Assign(Attempt attempt);
   void StartAttemptTimeout(Time timeout) { attempt_timeout_.Start(timeout); }
-  // Ends the attempt and its timers; returns what it was.
+  // Removes the attempt, stops its timers and returns it.
   Attempt ReleaseAttempt();
-  // Takes the attempt away for another connection; the timers run on.
+  // Removes the attempt, for use on another connection, and returns it. The timers keep running.
   Attempt MoveAttemptOut();
-  // An idle connection waits, with its new attempt, until the last response is old enough. Returns whether
-  // it must wait: then OnSettled follows.
+  // Makes an idle connection with a new attempt wait until the settle time of its last response has passed.
+  // Returns whether it must wait; if so, OnSettled is called later.
   bool StartSettling();
-  // Writes the attempt's request into the stream, with the time that is left now as its deadline.
+  // Writes the attempt's request to the stream, with the remaining time as its deadline.
   void SendRequest();
-  // Its response has arrived.
-  void MarkAnswered();
+  // Records that the response is complete.
+  void MarkResponseReceived();
   void MarkSpare() { state_ = State::kSpare; }
   void MarkIdle() { state_ = State::kIdle; }
 
-  // Parses input up to the end of the response; `keep_reading()` is called after each piece. Returns whether
-  // the response is complete or malformed.
+  // Parses input up to the end of the response. `keep_reading()` is called after each piece. Returns kDone if
+  // the response is complete or malformed, kIncomplete if more input is needed, and kStopped if
+  // `keep_reading()` returned false.
   enum class ParseResult { kIncomplete, kDone, kStopped };
   template <typename KeepReading>
   ParseResult ParseInput(KeepReading keep_reading);
 
-  // Ends all activity: nothing that waits in the stream is sent, and no event follows.
+  // Stops all activity: buffered output is not sent, and no further event is delivered.
   void Shutdown();
 
   std::uint64_t number() const { return number_; }
@@ -105,14 +108,14 @@
   const std::optional<Attempt>& attempt() const { return attempt_; }
   MessageReader& response() { return response_; }
   const MessageReader& response() const { return response_; }
-  // Whether the last byte of the request has left: only then may it have run.
+  // Returns whether the last byte of the request has been sent; only then may it have run.
   bool IsRequestSent() const;
-  // Whether bytes or an end wait in the kernel.
+  // Returns whether unread bytes or an end of stream are pending in the kernel.
   bool HasPendingInput() const;
-  // Whether bytes were read and not parsed.
+  // Returns whether bytes have been read but not parsed.
   bool HasSurplusInput() const;
-  // Whether the last response is old enough at `now` for the next attempt.
-  bool IsSettled(Time now) const { return now - answered_at_ >= kSettleTime; }
+  // Returns whether the settle time of the last response has passed at `now`.
+  bool IsSettled(Time now) const { return now - last_response_at_ >= kSettleTime; }
 
   // Callbacks of the stream.
   void OnReadable() { handler_->OnReadable(*this); }
@@ -124,7 +127,7 @@
   TargetId target_;
   State state_ = State::kConnecting;
   std::optional<Attempt> attempt_;
-  Time answered_at_ = 0;  // when its last response was complete
+  Time last_response_at_ = 0;  // when the last response was complete
   MessageReader response_{MessageReader::Kind::kResponse};
   loop::EventHandle connect_timeout_;
   loop::EventHandle settle_timer_;
--- a/src/http/target_pool.cpp
+++ b/src/http/target_pool.cpp
@@ -19,10 +19,11 @@
 // The request number of health checks in attempts' keys.
 constexpr core::RequestNumber kHealthCheckRequest = 0;
 
-// The part of the process's memory, as a divisor, for all response bodies longer than the protocol's.
+// Response bodies larger than the protocol's maximum may together use the process's memory limit divided by
+// this number.
 constexpr std::size_t kLargeResponseMemoryDivisor = 8;
 
-// The request as it is sent, up to its deadline and from there on; null: a health check.
+// Formats the text before and after the deadline into `attempt`. A null `request` means a health check.
 void FormatRequest(const Request* request, const std::string& host, Attempt* attempt) {
   if (!request) {
     attempt->request_head = "GET /-/healthy HTTP/1.1\r\n" + HeaderLine("Host", host);
@@ -42,8 +43,8 @@
   rest += request->body;
 }
 
-// Whether a time limit of the attempt has passed, so that its response could not be used or sending would do
-// harm.
+// Returns whether a time limit of the attempt has passed, so that its response could no longer be used or the
+// target could run it twice.
 bool IsExpired(const Attempt& attempt) {
   const Time now = core::Now();
   return core::IsPast(attempt.not_after, now) || core::IsPast(attempt.expires_at, now);
@@ -83,7 +84,7 @@
   if (!connection) {
     connection = pool_.Open(target);
   }
-  if (!connection) {  // no address or no descriptor
+  if (!connection) {  // no address or no descriptor available
     ReportNotSent(attempt.key, target, Outcome::kConnectFailed);
     return;
   }
@@ -107,8 +108,9 @@
   }
 }
 
-// The request is written only now that the connection is up and quiet: an attempt that was abandoned
-// meanwhile, or whose repeat the target would not drop any more, must not arrive.
+// Writes the request, or aborts the attempt. The request is written only once the connection is established
+// and settled, because an attempt must not reach the target if it was abandoned in the meantime or if the
+// target would no longer deduplicate a retry.
 void TargetPool::SendOrAbort(TargetConnection& connection) {
   const Attempt& attempt = *connection.attempt();
   const core::RequestNumber request = attempt.key.request;
@@ -124,7 +126,8 @@
   connection.SendRequest();
 }
 
-// Something has arrived on a connection whose attempt is not sent yet: it cannot be used any more.
+// Moves an attempt that is not sent yet to a new connection, because input or an end of stream on the old
+// connection makes it unusable.
 void TargetPool::MoveToNewConnection(TargetConnection& from) {
   TargetConnection* connection = pool_.Open(from.target());
   if (!connection) {
@@ -167,7 +170,7 @@
     MoveToNewConnection(connection);
     return;
   }
-  // Only an end in order is the end of a response without a length; all that came before it has been read.
+  // Only a FIN ends a response without a length; all bytes before it have been read.
   if (!is_error) {
     connection.response().End();
   }
@@ -179,7 +182,7 @@
 }
 
 void TargetPool::OnReadable(TargetConnection& connection) {
-  if (!connection.attempt()) {  // it would be taken for the response to the next request
+  if (!connection.attempt()) {  // the input would be taken for the response to the next request
     pool_.Discard(connection);
     return;
   }
@@ -195,8 +198,8 @@
   if (result == TargetConnection::ParseResult::kIncomplete) {
     return;
   }
-  // A response to a request that is not all sent belongs to another request. After a malformed one the
-  // request may have run, and where the next response begins is unknown.
+  // A response that arrives before its request is completely sent belongs to another request. After a
+  // malformed response the request may have run, and the start of the next response is unknown.
   const bool stopped = result == TargetConnection::ParseResult::kStopped;
   if (stopped || response.malformed() || !connection.IsRequestSent()) {
     Fail(connection, Outcome::kConnectionReset);
@@ -205,8 +208,8 @@
   OnResponse(connection);
 }
 
-// Bounds the memory: responses go beyond the bodies that the protocol names, and all targets may send such at
-// once.
+// Returns whether the response bodies larger than the protocol's maximum fit into memory; all targets may
+// send such responses at the same time.
 bool TargetPool::HasMemoryForResponses() const {
   std::size_t bytes = 0;
   for (const auto& [key, connection] : attempts_) {
@@ -231,10 +234,10 @@
       return;
     }
   }
-  // Bytes behind a response belong to no request of ours.
+  // Bytes after a response belong to no request.
   const bool is_reusable = message.keeps_alive() && !connection.HasSurplusInput();
   Report(connection, std::move(result));
-  connection.MarkAnswered();
+  connection.MarkResponseReceived();
   if (is_reusable) {
     pool_.Return(connection);
   } else {
@@ -242,7 +245,7 @@
   }
 }
 
-// Verifies the digests of a response and takes its body; null: the content is corrupted.
+// Verifies the digests of a response and takes its body. Returns null if the content is corrupted.
 std::shared_ptr<const Response> TargetPool::TakeResponse(TargetConnection& connection) const {
   MessageReader& message = connection.response();
   auto response = std::make_shared<Response>();
@@ -267,8 +270,8 @@
   return response;
 }
 
-// The target has done the work, but its response was corrupted on the way. No byte of it is forwarded, and
-// the connection, which may be the cause, is not used again.
+// Handles a response that was corrupted on the way from the target, which has run the request. No byte of the
+// response is forwarded, and the connection is not reused because it may be the cause.
 void TargetPool::OnCorruptedResponse(TargetConnection& connection) {
   log::Event(
       log::Level::kWarn, log::kResponseCorrupted,
@@ -277,11 +280,11 @@
   pool_.Discard(connection);
 }
 
-// The attempt is timed out or cancelled. A connection that is still being set up is kept as a spare, one for
-// each target, so that the next attempt need not begin another.
+// Ends an attempt that has timed out or was cancelled. A connection that is still being established is kept
+// as a spare, one per target, so that the next attempt need not open another.
 void TargetPool::Abandon(TargetConnection& connection, Outcome outcome) {
   const State state = connection.state();
-  if (state == State::kSpare) {  // it did not connect in time
+  if (state == State::kSpare) {  // its connect timeout has expired
     pool_.Discard(connection);
     return;
   }
@@ -298,8 +301,8 @@
   }
 }
 
-// The attempt ends without a response, and the connection with it. A request that was not all sent never ran,
-// whatever ended it.
+// Ends an attempt without a response and closes its connection. A request that was not completely sent has
+// not run, whatever the cause of the failure.
 void TargetPool::Fail(TargetConnection& connection, Outcome outcome) {
   if (!connection.attempt()) {
     return;
@@ -351,7 +354,7 @@
   }
 }
 
-// An attempt whose connection is still being set up would reach the target after it began to drain.
+// Fails attempts that are not sent yet: they would reach the target after it has started to drain.
 void TargetPool::Drain(const TargetId& target) {
   std::vector<TargetConnection*> unsent;
   for (const auto& [key, connection] : attempts_) {
--- a/src/http/target_pool.h
+++ b/src/http/target_pool.h
@@ -1,8 +1,8 @@
-// Carries out attempts and health checks over HTTP: gives each a connection to its target, and reports the
-// outcome of each exactly once.
+// Performs attempts and health checks over HTTP: assigns each a connection to its target and reports its
+// outcome exactly once.
 //
-// Owned by the initiator; runs on the loop's thread. Results go out through `submit`. docs/design/races.md
-// lists what may cross on a connection.
+// Owned by the initiator; runs on the loop's thread. Results are passed to `submit`. docs/design/races.md
+// lists the races between events of a connection.
 #ifndef WALNUTSPUR_HTTP_TARGET_POOL_H_
 #define WALNUTSPUR_HTTP_TARGET_POOL_H_
 
@@ -23,34 +23,34 @@
 
 class TargetPool : public core::Connector, private TargetConnectionHandler {
  public:
-  // `config` must outlive it.
+  // `config` must outlive the pool.
   TargetPool(event_base* base, const Config& config, core::SubmitInput submit);
   ~TargetPool() override;
   TargetPool(const TargetPool&) = delete;
   TargetPool& operator=(const TargetPool&) = delete;
 
-  // Where a target listens, "host:port"; it may move.
+  // Sets a target's address, "host:port", which may change.
   void SetAddress(const TargetId& target, const std::string& address) { pool_.SetAddress(target, address); }
-  // Removes a target that is terminated.
+  // Removes a terminated target.
   void Remove(const TargetId& target) { pool_.Remove(target); }
-  // Removes all targets but those of a full endpoint list.
+  // Removes all targets except those of a full endpoint list.
   void RetainOnly(const std::set<TargetId>& targets) { pool_.RetainOnly(targets); }
 
   void Start(const core::StartAttempt& attempt) override;
   void Cancel(core::RequestNumber request, int attempt) override;
-  // Nothing that is not sent yet may reach the target any more.
+  // Fails the target's attempts that are not sent yet and closes its idle connections.
   void Drain(const TargetId& target) override;
   void CheckHealth(const TargetId& target);
 
-  // Called before an attempt is written to a connection: its client may have disconnected while the
-  // connection was being set up.
+  // Called before an attempt is written to a connection, since its client may have disconnected while the
+  // connection was being established.
   std::function<bool(core::RequestNumber)> is_client_connected = [](core::RequestNumber) { return true; };
-  // Called with each read whose response has a digest: whether its content fits.
+  // Called for each read whose response has a digest; `good` is whether the content matches it.
   std::function<void(const TargetId& target, const std::string& uri, bool good, const std::string& body)>
       on_digest_checked;
 
   std::size_t connections() const { return pool_.connections(); }
-  // Connections that an attempt can take.
+  // Returns the number of connections that an attempt can reuse.
   std::size_t idle_connections(const TargetId& target) const { return pool_.idle_connections(target); }
   std::map<TargetId, std::uint32_t> connections_by_target() const { return pool_.connections_by_target(); }
   std::size_t tracked_targets() const { return pool_.tracked_targets(); }
