--- a/tests/net/attempt_deadline_test.cpp
+++ b/tests/net/attempt_deadline_test.cpp
@@ -1,10 +1,10 @@
-// The deadline that a request states to its target (X-Deadline): the time left when the request is written,
-// not when its attempt was started.
+// Tests the deadline that a request states to its target (X-Deadline): the time left when the request is
+// written, not when its attempt is started.
 //
-// A connection that is established late, or an output that waits between the threads, delays the write. A
-// deadline formatted at the attempt's start then states more time than the client has left: the target works
-// on a request whose client has given up, and the platform's rule "deadline" is violated. The tests delay the
-// write by 0.4 s and read the header that the target receives.
+// The write is delayed if a connection is established late or if an output waits in the queue between the
+// threads. A deadline formatted at the attempt's start would then state more time than the client has left:
+// the target would work on a request whose client has given up, which violates the platform's rule
+// "deadline". The tests delay the write by 0.4 s and read the header that the target receives.
 #include <doctest/doctest.h>
 
 #include <cstdlib>
@@ -14,40 +14,42 @@
 namespace walnutspur::test {
 namespace {
 
-constexpr Time kTimeout = 2'000'000;  // us, of each attempt
-constexpr Time kSlack = 150'000;      // us by which the stated deadline may exceed the time left
-constexpr Time kHeldUp = 400'000;     // us
-constexpr double kMicroseconds = 1e6;
+constexpr Time kTimeout = 2'000'000;   // timeout of each attempt, us
+constexpr Time kTolerance = 150'000;   // maximum excess of the stated deadline over the time left, us
+constexpr Time kWriteDelay = 400'000;  // us
+constexpr double kMicrosecondsPerSecond = 1e6;
 
-// The deadline that a request states, us.
+// Returns the deadline that a request states, us.
 Time StatedDeadline(const HttpMessage& message) {
-  return static_cast<Time>(std::strtod(message.Header("X-Deadline").c_str(), nullptr) * kMicroseconds);
+  return static_cast<Time>(std::strtod(message.Header("X-Deadline").c_str(), nullptr) *
+                           kMicrosecondsPerSecond);
 }
 
 }  // namespace
 
-TEST_CASE("an attempt whose connection is established late states the time that is left by then") {
+TEST_CASE("X-Deadline: if the connection is established late, the request states the remaining time") {
   PoolFixture fixture;
   fixture.config.connect_timeout = kTimeout;
   fixture.Start(1);
-  // The loop handles the connection only after this delay, as if connecting had taken that time.
-  const Time connected_at = core::Now() + kHeldUp;
+  // The loop handles the connection only after this delay, as if connecting had taken that long.
+  const Time connected_at = core::Now() + kWriteDelay;
   while (core::Now() < connected_at) {
   }
   Socket connection = fixture.Accept();
   const Time stated = StatedDeadline(fixture.MessageOn(connection));
-  CHECK(stated <= kTimeout - kHeldUp + kSlack);
+  CHECK(stated <= kTimeout - kWriteDelay + kTolerance);
   CHECK(stated > 0);
 }
 
-TEST_CASE("an attempt that was delayed between the threads states the time that is left by then") {
+TEST_CASE(
+    "X-Deadline: if the attempt is delayed between the threads, the request states the remaining time") {
   PoolFixture fixture;
-  fixture.Start(1, 0, 0, core::Now() + kTimeout - kHeldUp);
+  fixture.Start(1, 0, 0, core::Now() + kTimeout - kWriteDelay);
   Socket connection = fixture.Accept();
-  CHECK(StatedDeadline(fixture.MessageOn(connection)) <= kTimeout - kHeldUp + kSlack);
+  CHECK(StatedDeadline(fixture.MessageOn(connection)) <= kTimeout - kWriteDelay + kTolerance);
 }
 
-TEST_CASE("an attempt with no time left is not sent") {
+TEST_CASE("TargetPool: an attempt with no time left is not sent") {
   PoolFixture fixture;
   fixture.Start(1, 0, 0, core::Now() - 1);
   REQUIRE(fixture.results.size() == 1);
--- a/tests/net/connection_race_test.cpp
+++ b/tests/net/connection_race_test.cpp
@@ -1,9 +1,9 @@
-// Races between a target connection and its attempts: events in the very moment in which a connection is
-// closed, opened or abandoned (docs/design/races.md).
+// Tests races between a target connection and its attempts: events that coincide with the moment in which a
+// connection is closed, opened or abandoned (docs/design/races.md).
 //
-// On the operators' bench duplicate responses came 0.9 to 3.9 ms late and were taken for the response to the
-// next request on their connection; connections that were established just after their attempt had timed out
-// were thrown away, about a hundred a day. An attempt may also reach its target although its client has
+// On the operators' bench, duplicate responses arrived 0.9 to 3.9 ms late and were taken for the response to
+// the next request on their connection; about a hundred connections a day, established just after their
+// attempt had timed out, were closed unused. An attempt may also reach its target although its client has
 // disconnected or the key's deduplication window has ended. Each test forces one of these orders by
 // withholding an event, never by timing, and checks what the target receives.
 #include <arpa/inet.h>
@@ -23,7 +23,7 @@
 
 const std::string kOk = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
 
-// Fills the accept queue of a listener so that further connections are established late.
+// Class FullBacklog fills the accept queue of a listener, so that further connections are established late.
 class FullBacklog {
  public:
   FullBacklog(const Socket& listener, int port) {
@@ -49,7 +49,8 @@
   std::vector<Socket> accepted_;
 };
 
-TEST_CASE("a connection established after its attempt was abandoned carries nothing of it and is used next") {
+TEST_CASE(
+    "TargetPool: a connection established after its attempt was abandoned sends only the next attempt") {
   PoolFixture fixture;
   FullBacklog backlog(fixture.listener, fixture.port);
   fixture.Start(1);
@@ -74,7 +75,8 @@
   CHECK(fixture.results[1].outcome == Outcome::kCompleted);
 }
 
-TEST_CASE("an attempt whose target is drained while connecting never arrives, and its connection is closed") {
+TEST_CASE(
+    "TargetPool: if a target drains while an attempt connects, it is not sent; its connection is closed") {
   PoolFixture fixture;
   FullBacklog backlog(fixture.listener, fixture.port);
   fixture.Start(1);
@@ -84,13 +86,13 @@
   CHECK(fixture.pool->connections() == 0);
 }
 
-TEST_CASE("a keyed retry is not started once its target may have forgotten the key") {
+TEST_CASE("TargetPool: a keyed retry is not sent once its target may have forgotten the key") {
   PoolFixture fixture;
   fixture.Start(1, core::Now() - 1);
   REQUIRE(fixture.results.size() == 1);
   CHECK(fixture.results[0].outcome == Outcome::kNotSent);
   CHECK_FALSE(fixture.listener.Readable(0));
-  fixture.Start(2, core::Now() + 20'000);  // in time, but the loop runs late once it is connected
+  fixture.Start(2, core::Now() + 20'000);  // in time, but the loop handles the established connection late
   Socket connection = fixture.listener.Accept();
   const Time expired = core::Now() + 25'000;
   while (core::Now() < expired) {
@@ -102,7 +104,7 @@
   CHECK(fixture.ReceivedOn(connection) == "GET /api/3");
 }
 
-TEST_CASE("a duplicate response some milliseconds late is not taken for the next response") {
+TEST_CASE("TargetPool: a duplicate response that arrives late is not taken for the next response") {
   PoolFixture fixture;
   fixture.Start(1);
   Socket connection = fixture.Accept();
@@ -110,20 +112,20 @@
   connection.Send(kOk + "mine");
   fixture.RunUntil([&] { return fixture.results.size() == 1; });
   Socket next;
-  fixture.Start(2);  // at once: the events below precede the next iteration
-  SUBCASE("the duplicate precedes it: another connection takes the attempt") {
+  fixture.Start(2);  // the events below occur before the loop's next iteration
+  SUBCASE("a duplicate arrives first: the attempt moves to another connection") {
     connection.Send(kOk + "mine");
     next = fixture.Accept();
     CHECK(fixture.ReceivedOn(next) == "GET /api/2");
     next.Send(kOk + "next");
   }
-  SUBCASE("the target closes the connection first") {
+  SUBCASE("the target closes the connection first: the attempt moves to another connection") {
     connection.Close();
     next = fixture.Accept();
     CHECK(fixture.ReceivedOn(next) == "GET /api/2");
     next.Send(kOk + "next");
   }
-  SUBCASE("nothing precedes it: it is sent on the open connection") {
+  SUBCASE("nothing arrives first: the attempt is sent on the open connection") {
     CHECK(fixture.ReceivedOn(connection) == "GET /api/2");
     connection.Send(kOk + "next");
   }
@@ -134,8 +136,7 @@
 }
 
 TEST_CASE(
-    "an attempt cancelled before its idle connection is reused never arrives, and the connection is used "
-    "next") {
+    "TargetPool: an attempt cancelled while its idle connection settles is not sent, but the next one is") {
   PoolFixture fixture;
   fixture.Start(1);
   Socket connection = fixture.Accept();
@@ -149,7 +150,7 @@
   CHECK(fixture.results[1].outcome == Outcome::kCancelled);
 }
 
-TEST_CASE("nothing is sent for a client that disconnected while its attempt was connecting") {
+TEST_CASE("TargetPool: if a client disconnects while its attempt is connecting, the attempt is not sent") {
   PoolFixture fixture;
   bool client_connected = true;
   fixture.pool->is_client_connected = [&](core::RequestNumber) { return client_connected; };
--- a/tests/net/disconnect_race_test.cpp
+++ b/tests/net/disconnect_race_test.cpp
@@ -1,10 +1,10 @@
-// Clients that disconnect or send too much while their request is in progress (docs/design/races.md).
+// Tests clients that disconnect or send too much while their request is in progress (docs/design/races.md).
 //
-// A client's FIN may wait in the kernel unread, or behind bytes that the program does not read yet. The
-// program then takes the client for connected and starts an attempt whose response no client receives; where
-// clients disconnect often, such attempts take a part of the targets' capacity. The tests queue a request,
-// end its client's connection in each way, then let a target appear, and check that only the request of a
-// connected client reaches it.
+// A client's FIN may be unread in the kernel, or follow bytes that the program has not read yet. If the
+// program then considers the client connected, it starts an attempt whose response no client receives; with
+// frequent disconnects, such attempts use a share of the targets' capacity. The tests queue a request, close
+// its client's connection in various ways, then add a target, and check that only the request of a connected
+// client reaches it.
 #include <doctest/doctest.h>
 
 #include "loop/peer.h"
@@ -15,7 +15,7 @@
 
 using core::Protocol;
 
-TEST_CASE("a disconnect is detected although the loop has read nothing") {
+TEST_CASE("PeerHasClosed: a disconnect is detected before the loop has read any input") {
   int port = 0;
   Socket listener = Socket::Listen(&port);
   Socket client = Socket::Connect(port);
@@ -25,14 +25,15 @@
   REQUIRE(server.Readable(1'000));
   CHECK_FALSE(loop::PeerHasClosed(server.fd()));
   bool reset = false;
-  SUBCASE("by a FIN, behind unread bytes") {}
-  SUBCASE("by a reset") { reset = true; }
+  SUBCASE("a FIN after unread bytes") {}
+  SUBCASE("a reset") { reset = true; }
   client.Close(reset);
   while (!loop::PeerHasClosed(server.fd())) {
   }
 }
 
-// The step that sends a read of shard 2, which no target holds at first. The digit ends the request id.
+// Returns the step that sends a read of shard 2, which initially has no target. `digit` is the last digit of
+// the request id.
 std::string SendRead(const std::string& client, char digit) {
   return "client " + client + " send bytes \"GET /api/00000003b4d60021/000000000000000" + digit +
          " HTTP/1.1\\r\\nX-Request-Id: 000000000000000" + digit +
@@ -40,12 +41,12 @@
          "units=1,shard=2,hosts=1\\r\\n\\r\\n\"\n";
 }
 
-TEST_CASE("a queued request of a client that disconnected is not sent, whatever followed it") {
+TEST_CASE("HTTP front end: a queued request is not sent after its client has disconnected") {
   std::string behind;
   bool reset = false;
-  SUBCASE("a FIN") {}
-  SUBCASE("a reset") { reset = true; }
-  SUBCASE("a FIN behind more than the read-ahead") { behind.assign(40'000, 'x'); }
+  SUBCASE("by a FIN") {}
+  SUBCASE("by a reset") { reset = true; }
+  SUBCASE("by a FIN after more input than the read-ahead limit") { behind.assign(40'000, 'x'); }
   int port = 0;
   const Socket target = Socket::Listen(&port);
   Socket connection;  // outlives the runner
@@ -68,9 +69,9 @@
   CHECK_FALSE(target.Readable(0));
 }
 
-// Requests of another client to another target, one after the other. The loop reads 4 KiB of a connection at
-// a time; while it serves each of them it reads at least once from every connection that has bytes in the
-// kernel.
+// Returns steps in which another client sends `count` requests to another target, one at a time. The loop
+// reads 4 KiB of a connection at a time. While it serves each of these requests, it reads at least once from
+// every connection that has bytes in the kernel.
 std::string ServeOtherRequests(int count) {
   std::string steps;
   for (int i = 0; i < count; ++i) {
@@ -79,12 +80,12 @@
   return steps;
 }
 
-// A client sends far more behind its request than the front end reads ahead (16 KiB). If the front end kept
-// it, such clients would use up its memory; if it took the bytes for a request, it would serve what was none.
-// It drops them and ends the connection with the response. Were the response sent before the read-ahead is
-// full, the bytes would be the next request, and rejected as malformed: so other requests are served in
-// between.
-TEST_CASE("a client that sends too much after its request gets its response, and the surplus is not served") {
+// A client sends far more after its request than the front end reads ahead (16 KiB). If the front end kept
+// the bytes, such clients would exhaust its memory; if it parsed them as a request, it would serve invalid
+// input. It must discard them and close the connection after the response. If the response were sent before
+// the read-ahead is full, the bytes would be parsed as the next request and rejected as malformed; the test
+// therefore serves other requests first.
+TEST_CASE("HTTP front end: a client that sends too much after its request gets its response, and no other") {
   ScenarioRunner runner(Protocol::kHttp);
   runner.Play("client c send read\n target a expect read\n client c send bytes \"" +
               std::string(100'000, 'x') + "\"\n" + ServeOtherRequests(4) + R"(
@@ -95,7 +96,7 @@
               std::string(60'000, 'x') + "\"");
 }
 
-TEST_CASE("the key of a keyed request is forwarded unchanged with each attempt") {
+TEST_CASE("HTTP front end: the key of a keyed request is forwarded unchanged with each attempt") {
   auto config = BasicConfig();
   config["settings"]["classes"][1]["effect"] = "keyed";
   config["settings"]["classes"][1]["group"] = "cell";
--- a/tests/net/discovery_server.h
+++ b/tests/net/discovery_server.h
@@ -1,9 +1,9 @@
-// The discovery service that a scenario plays: it answers the initiator's watches with endpoint lists.
+// Implements the discovery service of a scenario, which sends endpoint lists on the initiator's watches.
 //
-// Unlike lab::DiscoveryService it does nothing by itself: each answer is a step of the scenario, which may be
-// no valid answer, and there are no heartbeats. It shares the format of the list and of chunks with it.
+// Unlike lab::DiscoveryService it sends nothing on its own: each response is a step of the scenario and may
+// be invalid, and there are no heartbeats. Both share the format of lists and chunks.
 //
-// Owner: the ScenarioRunner. Thread: the test's own; only port() is read by the initiator's thread.
+// Owned by the ScenarioRunner; runs on the test's thread. The initiator's thread only calls Address().
 #ifndef WALNUTSPUR_TESTS_NET_DISCOVERY_SERVER_H_
 #define WALNUTSPUR_TESTS_NET_DISCOVERY_SERVER_H_
 
@@ -16,25 +16,25 @@
 
 namespace walnutspur::test {
 
-// Holds at most one open watch.
+// Class DiscoveryServer holds at most one open watch.
 class DiscoveryServer {
  public:
   DiscoveryServer();
 
-  // Waits up to `ms` milliseconds for a watch; returns its request line, or "nothing".
+  // Waits up to `ms` milliseconds for a watch. Returns its request line, or "nothing" if there is none.
   std::string WaitForWatch(int ms);
   // Sends the next revision of the list on the open watch.
   void SendList(const std::vector<lab::ListedEndpoint>& endpoints, bool complete);
-  // Rejects the open watch with status 503. The revision that it would have sent is skipped.
+  // Rejects the open watch with status 503. The next revision is skipped.
   void Reject();
   // Sends text on the open watch in chunks of `chunk_size` bytes.
   void Write(const std::string& text, std::size_t chunk_size);
   // Closes the open watch.
   void CloseWatch() { watch_.Close(); }
-  // Listens on a new port. The old watch stays open and unanswered.
+  // Listens on a new port. The old watch stays open without a response.
   void Move();
 
-  // Where the initiator is to connect, as host and port.
+  // Returns the address that the initiator must connect to, "host:port".
   std::string Address() const { return "127.0.0.1:" + std::to_string(port_); }
 
  private:
@@ -42,7 +42,7 @@
   Socket listener_;
   Socket watch_;
   Socket old_watch_;
-  bool response_started_ = false;  // on the open watch
+  bool response_started_ = false;  // whether the response to the open watch has started
   int revision_ = 41;
 };
 
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -1,4 +1,4 @@
-// Discovery: watches that fail, a service that moves, and how a list is read.
+// Tests the discovery client: failed watches, a service whose address changes, and the parsing of lists.
 #include <doctest/doctest.h>
 
 #include <thread>
@@ -13,7 +13,7 @@
 
 using core::Protocol;
 
-TEST_CASE("discovery: after a failed call or a reset the watch resumes from the cached revision") {
+TEST_CASE("discovery: after a closed watch or a 503, the next watch resumes from the cached revision") {
   ScenarioRunner runner(Protocol::kHttp);
   runner.Play(R"(
     discovery close
@@ -27,7 +27,7 @@
     target a expect nothing 100)");
 }
 
-TEST_CASE("discovery: a silent watch is abandoned") {
+TEST_CASE("discovery: a silent watch is abandoned and opened again") {
   ScenarioRunner runner(Protocol::kHttp);
   const Time before = core::Now();
   runner.Play("discovery expect watch since=42");
@@ -35,7 +35,8 @@
 }
 
 TEST_CASE(
-    "SIGHUP: the new discovery is watched at once, from a full list; requests and connections continue") {
+    "SIGHUP: a new discovery address is watched at once from a full list; requests and connections "
+    "continue") {
   ScenarioRunner runner(Protocol::kHttp);
   runner.Play(R"(
     client c send read
@@ -68,7 +69,7 @@
   CHECK(runner.WaitForExit(4'000));
 }
 
-TEST_CASE("SIGHUP with an invalid file keeps the old configuration; the next valid one is applied") {
+TEST_CASE("SIGHUP: an invalid file keeps the old configuration, and the next valid file is applied") {
   ScenarioRunner runner(Protocol::kHttp);
   runner.Play(R"(
     config bad
@@ -90,7 +91,7 @@
     client bob expect served)");
 }
 
-TEST_CASE("SIGHUP: a watch of the new discovery that fails is retried") {
+TEST_CASE("SIGHUP: a failed watch at the new discovery address is retried") {
   ScenarioRunner runner(Protocol::kHttp);
   runner.Play(R"(
     discovery moves
@@ -104,7 +105,7 @@
     client bob expect refused)");
 }
 
-TEST_CASE("a list entry: an unknown phase accepts nothing new, times are microseconds") {
+TEST_CASE("ReadEndpointList: an unknown phase counts as draining, and start times are in microseconds") {
   const http::Config config = app::ParseConfig([] {
     auto json = BasicConfig();
     json["discovery"] = "127.0.0.1:1";
@@ -121,23 +122,23 @@
   CHECK_THROWS(http::ReadEndpointList(config, nlohmann::json::parse(R"({"revision":7})")));
 }
 
-// However a call fails, the next one follows soon enough to respond within 6 s, after which a change counts
-// as announced. The runner waits no longer than that.
-TEST_CASE("after any failed call the watch is repeated in time, and the drain that it brings is respected") {
+// A change counts as notified after 6 s. The next call must therefore follow any failed call soon enough that
+// its response arrives within that time. The runner waits no longer than that.
+TEST_CASE("discovery: after any failed call the watch is opened again in time, and a drain takes effect") {
   ScenarioRunner runner(Protocol::kHttp);
   runner.Play("discovery close\n discovery expect watch");
-  SUBCASE("silent from the first byte") {}
-  SUBCASE("rejected with 503, twice") {
+  SUBCASE("the service is silent from the start") {}
+  SUBCASE("the service rejects two watches with 503") {
     runner.Play("discovery send 503\n discovery expect watch\n discovery send 503");
   }
-  SUBCASE("cut in the middle of a response") {
+  SUBCASE("the service closes the watch in the middle of a list") {
     runner.WriteDiscovery(R"({"revision":43,"complete":true,"members":[{"id":"a")", 1'000);
     runner.Play("discovery close");
   }
-  SUBCASE("silent in the middle of a response") {
+  SUBCASE("the service is silent in the middle of a list") {
     runner.WriteDiscovery(R"({"revision":43,"complete":true,"members":[{"id":"a")", 1'000);
   }
-  SUBCASE("moved to a dead address and back, twice in a row") {
+  SUBCASE("the service moves, SIGHUP arrives twice, and the new watch is closed") {
     runner.Play("discovery moves\n signal HUP\n signal HUP\n discovery expect watch\n discovery close");
   }
   runner.Play(R"(
@@ -151,7 +152,7 @@
     target a expect nothing 100)");
 }
 
-TEST_CASE("a process without an endpoint list still becomes ready in time, and rejects requests") {
+TEST_CASE("initiator: without an endpoint list it becomes ready in time and rejects requests") {
   auto config = BasicConfig();
   int port = 0;
   Socket discovery = Socket::Listen(&port);
--- a/tests/net/endpoint_list_test.cpp
+++ b/tests/net/endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint lists as discovery may write them, and watches that break.
+// Tests the parsing of endpoint lists in any formatting, and watches that fail after a list.
 #include <doctest/doctest.h>
 
 #include "core/scheduler_thread.h"
@@ -10,14 +10,14 @@
 
 constexpr std::size_t kMaxObjectBytes = 4 << 20;
 
-// What a JsonStream finds in a text.
+// The objects and the error that a JsonStream reports for a text.
 struct StreamResult {
   std::vector<std::string> objects;
-  std::string error;  // empty where there is none
+  std::string error;  // empty if there is none
   bool operator==(const StreamResult&) const = default;
 };
 
-// Feeds `text` in pieces of `piece` bytes.
+// Feeds `text` to a JsonStream in pieces of `piece` bytes.
 StreamResult ReadObjects(const std::string& text, std::size_t piece, std::size_t limit = kMaxObjectBytes) {
   StreamResult result;
   http::JsonStream stream(limit, [&](const std::string& object) {
@@ -39,7 +39,8 @@
 
 }  // namespace
 
-TEST_CASE("an object ends at its closing brace: indented, escaped, in pieces, several on a line") {
+TEST_CASE(
+    "JsonStream: an object ends at its closing brace, whether indented, escaped, split, or sharing a line") {
   const std::string one = Revision(7, 2);
   const std::string two = Revision(8, -1);
   for (const std::size_t piece : {std::size_t{1}, std::size_t{7}, std::size_t{100'000}}) {
@@ -52,7 +53,8 @@
   }
 }
 
-TEST_CASE("what is no object is reported after the objects before it; an incomplete one is awaited") {
+TEST_CASE(
+    "JsonStream: invalid input is reported after the objects before it; an incomplete object is no error") {
   const std::string one = Revision(7, 2);
   for (const char* rubbish :
        {"rubbish", "}", "]", "[1]", "1 ", "\"x\"", "{1}", "{\"a\":}", "null ", "\x01"}) {
@@ -63,7 +65,7 @@
   CHECK(ReadObjects(one.substr(0, one.size() - 1), 5) == StreamResult{});
 }
 
-TEST_CASE("a list of 4 MiB is read; one byte more is an error") {
+TEST_CASE("JsonStream: an object of 4 MiB is read; one byte more is an error") {
   const std::string largest = "{\"x\":\"" + std::string(kMaxObjectBytes - 8, 'y') + "\"}";
   REQUIRE(largest.size() == kMaxObjectBytes);
   CHECK(ReadObjects(largest, 16'384).objects.size() == 1);
@@ -72,7 +74,7 @@
   CHECK(error.find("4194304") != std::string::npos);
 }
 
-TEST_CASE("a watch whose lists are indented, in pieces or on one line is followed without an extra call") {
+TEST_CASE("discovery: lists that are indented, split or share a line are applied without a new watch") {
   ScenarioRunner runner(core::Protocol::kHttp);
   const std::string active = Revision(43, 2);
   const std::string draining = Revision(46, 2, "DRAINING");
@@ -89,25 +91,26 @@
     client bob send read
     client bob expect refused
     target b expect nothing 50)");
-  // A list behind invalid bytes is not skipped: the next watch starts from the last revision read.
+  // Invalid bytes end the watch; the next watch starts from the last revision that was read.
   runner.WriteDiscovery("rubbish", 7);
   runner.Play("discovery expect watch since=46");
 }
 
-TEST_CASE("a watch that falls silent right after its list is repeated within 6 s, whatever the fleet size") {
+TEST_CASE(
+    "discovery: a watch that is silent right after its list is opened again within 6 s, for any fleet size") {
   for (const bool heartbeat : {false, true}) {
     nlohmann::json config = BasicConfig();
     config["settings"]["nInstances"] = 300;
     ScenarioRunner runner(core::Protocol::kHttp, config);
-    if (heartbeat) {  // nothing has changed: the response is a heartbeat only
+    if (heartbeat) {  // the response is only a heartbeat, since nothing has changed
       runner.Play("discovery close\n discovery expect watch since=42");
       runner.WriteDiscovery("\n", 1);
     }
     const Time before = core::Now();
     runner.Play("discovery expect watch since=42");
     const Time elapsed = core::Now() - before;
-    CHECK(elapsed > 2'400'000);  // a live watch may be silent for 2 s
-    CHECK(elapsed < 4'000'000);  // which leaves 2 s for the call
+    CHECK(elapsed > 2'400'000);  // a healthy watch may be silent for 2 s
+    CHECK(elapsed < 4'000'000);  // leaves 2 s of the 6 s for the call
   }
 }
 
--- a/tests/net/discovery_stand_in_test.cpp
+++ b/tests/net/fake_discovery_test.cpp
@@ -1,5 +1,6 @@
-// The stand-in for discovery that tests and benchmarks share. They set an endpoint, start an initiator, and
-// rely on its first list: an endpoint that is missing there would look like a fault of the initiator.
+// Tests the fake discovery service that tests and benchmarks share. They set an endpoint, start an initiator
+// and rely on the first list. If an endpoint were missing from it, the failure would look like a fault of the
+// initiator.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -12,14 +13,14 @@
 
 constexpr int kTimeoutMs = 2'000;
 
-// Opens a watch.
+// Opens a watch and returns its socket.
 Socket Watch(const lab::DiscoveryThread& discovery) {
   Socket socket = Socket::Connect(discovery.port());
   REQUIRE(socket.Send("GET /api/targets?follow=1 HTTP/1.1\r\nHost: s\r\n\r\n"));
   return socket;
 }
 
-// The next line with an endpoint list, without the heartbeats before it; empty where none comes in time.
+// Returns the next endpoint list, skipping heartbeats before it; empty if none arrives in time.
 std::string NextList(Socket& socket) {
   while (true) {
     const std::size_t begin = socket.received.find('{');
@@ -41,7 +42,7 @@
 
 }  // namespace
 
-TEST_CASE("discovery stand-in: an endpoint that is set before a call is in its answer") {
+TEST_CASE("fake discovery service: an endpoint that is set before a call is in the response") {
   for (int round = 0; round < 50; ++round) {
     lab::DiscoveryThread discovery;
     discovery.Set({"a", "127.0.0.1:1"});
@@ -53,7 +54,7 @@
   }
 }
 
-TEST_CASE("discovery stand-in: a terminated endpoint is in the change and in no later list") {
+TEST_CASE("fake discovery service: a terminated endpoint is in the delta and in no later list") {
   lab::DiscoveryThread discovery;
   discovery.Set({"a", "127.0.0.1:1"});
   Socket watch = Watch(discovery);
--- a/tests/net/http_front_end_test.cpp
+++ b/tests/net/http_front_end_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP front end: headers, forwarding, connections and their limits, invalid requests.
+// Tests the HTTP front end: headers, forwarding, connections and their limits, and invalid requests.
 #include <doctest/doctest.h>
 #include <sys/resource.h>
 #include <sys/socket.h>
@@ -15,7 +15,7 @@
 
 using core::Protocol;
 
-TEST_CASE("only 503 with X-Not-Run proves that a request never ran") {
+TEST_CASE("HTTP front end: a write with a 503 is retried only if X-Not-Run proves that it has not run") {
   ScenarioRunner runner(Protocol::kHttp);
   runner.Play(R"(
     client c send write
@@ -27,7 +27,7 @@
     target a expect nothing 100)");
 }
 
-TEST_CASE("a rejection is final at once and carries Retry-After") {
+TEST_CASE("HTTP front end: a rejection is sent at once and carries Retry-After") {
   ScenarioRunner runner(Protocol::kHttp);
   runner.Play(R"(
     target a close listener
@@ -38,7 +38,7 @@
   CHECK(after <= 0.5);
 }
 
-TEST_CASE("body, path, query and id are forwarded byte for byte") {
+TEST_CASE("HTTP front end: body, path, query and id are forwarded byte for byte") {
   ScenarioRunner runner(Protocol::kHttp);
   runner.Play(R"(
     client c send bytes "PUT /api/00000003B4d60021/7f3a9c21e0b4d655?x=%2F%zz&y HTTP/1.1\r\nHost: s\r\nX-Request-Id: 9B1f03aa5c7e2d41\r\nX-Class: write\r\nX-Plan: basic\r\nX-Deadline: 1.20\r\nX-IO: hosts=3, shard=0,units=1\r\nContent-Length: 5\r\n\r\n\x00\xff\n\r\"")");
@@ -54,7 +54,7 @@
     client c expect text stored)");
 }
 
-TEST_CASE("malformed input gets a 4xx and never reaches a target") {
+TEST_CASE("HTTP front end: malformed input gets a 4xx status and does not reach a target") {
   const std::string& path = kObjectPath;
   const std::string id = "X-Request-Id: 9b1f03aa5c7e2d41\r\n";
   const std::string request_class = "X-Class: read\r\n";
@@ -107,8 +107,8 @@
   runner.Play("target a expect nothing 50");
 }
 
-// A client that pipelines must neither crash the program nor lose its next request.
-TEST_CASE("a pipelined request is served in its turn") {
+// Guards against a crash, or the loss of the next request, if a client pipelines requests.
+TEST_CASE("HTTP front end: a pipelined request is served after the one before it") {
   ScenarioRunner runner(Protocol::kHttp);
   runner.Play(R"(
     client c send read
@@ -122,7 +122,7 @@
     client c expect served)");
 }
 
-TEST_CASE("connections are reused, and closed before targets would close them") {
+TEST_CASE("TargetPool: connections are reused, and are closed before the targets would close them") {
   ScenarioRunner runner(Protocol::kHttp);
   runner.Play(R"(
     client c send read
@@ -134,8 +134,8 @@
     target a send ok
     client c expect served)");
   CHECK(runner.target_connections("a") == 1);
-  // The idle timeout is 3 s. A machine that stalls may see one close late; a timer that is too long is late
-  // each time.
+  // The idle timeout is 3 s. If the machine stalls, one close may be observed late; if the timeout is too
+  // long, each close is late.
   Time shortest = 10'000'000;
   for (int i = 0; i < 4 && shortest >= 2'900'000; ++i) {
     const Time before = core::Now();
@@ -160,7 +160,7 @@
     client c expect served)");
 }
 
-TEST_CASE("without file descriptors the program keeps running, and accepts again once there are some") {
+TEST_CASE("HTTP front end: without free descriptors it keeps running, and accepts again once some are free") {
   rlimit before{};
   getrlimit(RLIMIT_NOFILE, &before);
   ScenarioRunner runner(Protocol::kHttp);
@@ -171,7 +171,7 @@
   }
   const int used = dup(0);
   close(used);
-  const rlimit exhausted{static_cast<rlim_t>(used), before.rlim_max};  // none is free to accept with
+  const rlimit exhausted{static_cast<rlim_t>(used), before.rlim_max};  // no descriptor is free for accept
   setrlimit(RLIMIT_NOFILE, &exhausted);
   for (const int fd : fds) {
     many.push_back(Socket::Connect(runner.http_port(), fd));
@@ -187,7 +187,7 @@
   setrlimit(RLIMIT_NOFILE, &before);
 }
 
-TEST_CASE("idle clients make room for new ones") {
+TEST_CASE("HTTP front end: at the connection limit, idle clients are evicted for new ones") {
   auto config = BasicConfig();
   config["limits"]["sockets"] = 100;
   ScenarioRunner runner(Protocol::kHttp, config);
@@ -200,7 +200,8 @@
     send_request(socket);
   }
   HttpMessage response;
-  // Each is served in the end: one that was closed before its request was read retries, as clients do.
+  // Every client is served eventually. It retries once if its connection was closed before the request was
+  // read.
   for (Socket& socket : idle) {
     if (ReadHttpMessage(socket, &response, 4'000)) {
       continue;
@@ -215,7 +216,7 @@
     client c expect served)");
 }
 
-TEST_CASE("an invalid configuration is reported in one line") {
+TEST_CASE("LoadConfig: an invalid configuration is reported in one line") {
   for (const char* text :
        {"", "{", "{}", R"({"listen":"x"})", R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:x"})",
         R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":{}})"}) {
@@ -223,7 +224,7 @@
     const TemporaryFile file(text);
     try {
       app::LoadConfig(file.path());
-      FAIL("it was accepted");
+      FAIL("an invalid configuration was accepted");
     } catch (const std::exception& error) {
       CHECK(std::string(error.what()).find('\n') == std::string::npos);
     }
--- a/tests/net/http_message.cpp
+++ b/tests/net/http_message.cpp
@@ -3,7 +3,7 @@
 namespace walnutspur::test {
 namespace {
 
-// Moves a complete message from the front of `bytes`; false where there is none yet.
+// Moves a complete message from the front of `bytes` into `message`. Returns false if it is not complete yet.
 bool TakeMessage(std::string& bytes, HttpMessage* message) {
   const std::string end_of_headers = "\r\n\r\n";
   const std::size_t end = bytes.find(end_of_headers);
--- a/tests/net/http_storage_server.cpp
+++ b/tests/net/http_storage_server.cpp
@@ -1,4 +1,4 @@
-// The HTTP side of the storage servers that a scenario plays.
+// Implements the HTTP storage server of a scenario.
 #include <doctest/doctest.h>
 
 #include "scenario_limits.h"
@@ -7,7 +7,7 @@
 namespace walnutspur::test {
 namespace {
 
-// The status line without the version, and the headers that belong to the status.
+// Returns the status line without the version, and the headers that belong to the status.
 std::string StatusAndHeaders(const std::string& kind) {
   if (kind == "ok" || kind == "ok-and-more" || kind == "huge") {
     return "200 OK";
--- a/tests/net/loopback_socket.h
+++ b/tests/net/loopback_socket.h
@@ -1,6 +1,6 @@
-// Blocking TCP sockets on 127.0.0.1 for clients and servers that a test plays.
+// Provides blocking TCP sockets on 127.0.0.1 for the clients and servers of a test.
 //
-// Owner: the test or the stand-in that holds the socket. Thread: one at a time; every wait is bounded.
+// Owned by the test or the fake that holds the socket; used by one thread at a time. Every wait is bounded.
 #ifndef WALNUTSPUR_TESTS_NET_LOOPBACK_SOCKET_H_
 #define WALNUTSPUR_TESTS_NET_LOOPBACK_SOCKET_H_
 
@@ -9,7 +9,7 @@
 
 namespace walnutspur::test {
 
-// Owns a file descriptor and the bytes received on it that nobody has consumed yet.
+// Class Socket owns a file descriptor and the bytes received on it that are not consumed yet.
 class Socket {
  public:
   Socket() = default;
@@ -19,21 +19,21 @@
   Socket& operator=(Socket&& other) noexcept;
   ~Socket() { Close(); }
 
-  // A listening socket on a free port, which is stored in `port`.
+  // Returns a socket that listens on a free port, and stores the port in `port`.
   static Socket Listen(int* port);
-  // A connection to the port, made on the descriptor `fd` where one is given.
+  // Returns a connection to the port. Uses the descriptor `fd` if it is not negative.
   static Socket Connect(int port, int fd = -1);
-  // Takes the next connection of a listening socket.
+  // Accepts the next connection of a listening socket.
   Socket Accept() const;
 
-  // Whether a read would not block within `ms` milliseconds.
+  // Returns whether the socket becomes readable within `ms` milliseconds.
   bool Readable(int ms) const;
-  // Reads more into `received`. False at the end of the stream, which closes the socket, or when nothing
-  // came.
+  // Waits up to `ms` milliseconds for input and appends it to `received`. Returns false if nothing arrives,
+  // or at the end of the stream, which closes the socket.
   bool Fill(int ms);
-  // Sends all of the text; false when the peer takes no more.
+  // Sends the text. Returns whether all of it was sent.
   bool Send(const std::string& text) const;
-  // Closes with FIN, or with RST where `reset` is set.
+  // Closes with FIN, or with RST if `reset` is set.
   void Close(bool reset = false);
 
   int fd() const { return fd_; }
--- a/tests/net/malformed_message_test.cpp
+++ b/tests/net/malformed_message_test.cpp
@@ -1,4 +1,4 @@
-// Targets whose responses are malformed or followed by surplus bytes.
+// Tests target responses that are malformed or followed by surplus bytes.
 #include <doctest/doctest.h>
 
 #include "http/message_reader.h"
@@ -10,8 +10,7 @@
 using core::Protocol;
 using http::MessageReader;
 
-TEST_CASE(
-    "a request with a malformed response may have run: a write fails without retry, a read is retried") {
+TEST_CASE("TargetPool: after a malformed response a write fails without a retry, and a read is retried") {
   const char* kMalformed[] = {
       R"(\x00\x01\xff noise\r\n\r\n)",
       R"(HTTP/1.1 two hundred\r\n\r\n)",
@@ -45,7 +44,7 @@
   }
 }
 
-TEST_CASE("endless headers and a truncated body are no responses") {
+TEST_CASE("TargetPool: a write with oversized response headers or a truncated body fails without a retry") {
   ScenarioRunner runner(Protocol::kHttp);
   runner.Play("client c send write\n target a expect write\n target a send bytes \"HTTP/1.1 200 OK\\r\\n" +
               std::string(17'000, 'x') + "\"\n client c expect failed\n target a expect nothing 60");
@@ -58,8 +57,7 @@
     target a expect nothing 60)");
 }
 
-TEST_CASE(
-    "a response without a length ends with its connection; a reset, at any byte, does not complete it") {
+TEST_CASE("TargetPool: a response without a length is complete at a FIN, and not at a reset after any byte") {
   const std::string response = "HTTP/1.1 200 OK\\r\\nConnection: close\\r\\n\\r\\nwhole";
   const auto play_write = [](const std::string& bytes) {
     return "client c send write\n target a expect write\n target a send bytes \"" + bytes + "\"\n";
@@ -72,7 +70,7 @@
     client c expect text whole)");
   for (std::size_t size = 1; size <= response.size(); ++size) {
     if (response[size - 1] == '\\') {
-      continue;  // inside an escape
+      continue;  // in the middle of an escape sequence
     }
     CAPTURE(size);
     runner.Play(play_write(response.substr(0, size)) + R"(
@@ -90,20 +88,21 @@
   runner.Play(play_write("HTTP/1.1 200 OK\\r\\n") + R"(
     target a close
     client c expect failed
-    target a expect nothing 5)");  // closed in order, but inside its headers
+    target a expect nothing 5)");  // closed with a FIN, but within the headers
 }
 
-// The steps that begin a response of `size` bytes; the body follows.
+// Returns the step that starts a response with a body of `size` bytes. The caller appends the body.
 std::string LargeResponse(std::size_t size) {
   return "target a send bytes \"HTTP/1.1 200 OK\\r\\nContent-Length: " + std::to_string(size) +
          "\\r\\n\\r\\n";
 }
 
-TEST_CASE("a response beyond 64 KiB is served unchanged; one beyond 1 MiB or the memory limit is not") {
+TEST_CASE(
+    "TargetPool: a response over 64 KiB is served unchanged; one over 1 MiB or the memory limit fails") {
   auto config = BasicConfig();
   config["limits"]["memory_mb"] = 8;
   for (auto& request_class :
-       config["settings"]["classes"]) {  // so that a slow machine does not look like a slow target
+       config["settings"]["classes"]) {  // long limits, so that a slow machine causes no time-out
     request_class["aim"] = 8'000'000;
     request_class["deadline"] = 16'000'000;
   }
@@ -120,12 +119,14 @@
               "x\"\nclient d expect failed");
 }
 
-TEST_CASE("surplus bytes are never taken for the next response") {
+TEST_CASE("TargetPool: surplus bytes are not taken for the next response") {
   const char* surplus = "";
   const char* later_steps = "";
-  SUBCASE("a duplicate with it") { surplus = R"(HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfalse)"; }
-  SUBCASE("noise with it") { surplus = "noise"; }
-  SUBCASE("a duplicate later, while the connection is idle") {
+  SUBCASE("a duplicate arrives with the response") {
+    surplus = R"(HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfalse)";
+  }
+  SUBCASE("invalid bytes arrive with the response") { surplus = "noise"; }
+  SUBCASE("a duplicate arrives later, while the connection is idle") {
     later_steps =
         "\n client c expect served\n target a send bytes \"HTTP/1.1 200 OK\\r\\nContent-Length: "
         "5\\r\\n\\r\\nfalse\"";
@@ -148,7 +149,7 @@
   CHECK(runner.target_connections("a") == 2);
 }
 
-TEST_CASE("valid responses: 1xx before them, chunks, malformed load reports") {
+TEST_CASE("TargetPool: responses after 1xx responses, in chunks, or with malformed load reports are served") {
   const char* kValid[] = {
       R"(HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood)",
       R"(HTTP/1.1 102 Processing\r\nContent-Length: 9\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ngood)",
@@ -165,7 +166,7 @@
   CHECK(runner.target_connections("a") == 1);
 }
 
-TEST_CASE("a message is parsed the same in any pieces, and within the limits") {
+TEST_CASE("MessageReader: a message in pieces of any size is parsed the same, within the limits") {
   const std::string text =
       "PUT /x HTTP/1.1\r\nHost: s\r\nConnection: x, Close\r\nTransfer-Encoding: "
       "chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
@@ -181,7 +182,7 @@
   }
   MessageReader next(MessageReader::Kind::kResponse);
   CHECK(next.Feed("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nabc") ==
-        39);  // the rest belongs to the next message
+        39);  // the remaining bytes belong to the next message
   MessageReader open(MessageReader::Kind::kResponse, 4);
   open.Feed("HTTP/1.1 200 OK\r\n\r\nabcd");
   CHECK_FALSE(open.complete());
--- a/tests/net/misbehaving_client_test.cpp
+++ b/tests/net/misbehaving_client_test.cpp
@@ -1,4 +1,4 @@
-// Clients that send invalid requests, nothing, or far too much.
+// Tests clients that send invalid requests, no bytes, or far too many bytes.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -16,13 +16,13 @@
     "X-Request-Id: 9b1f03aa5c7e2d41\r\nX-Class: write\r\nX-Plan: basic\r\nX-Deadline: 1.2\r\n"
     "X-IO: units=1,shard=0,hosts=1\r\n";
 
-// A write with the given framing headers, and what follows them.
+// Returns a write with the given framing headers and the bytes after them.
 std::string WriteRequest(const std::string& framing) {
   return "PUT " + kObjectPath + " HTTP/1.1\r\nHost: s\r\n" + kFields + framing;
 }
 
-// Sends the text on a new connection. Returns the status of the response, "closed", or "nothing" after `ms`
-// milliseconds.
+// Sends the text on a new connection. Returns the status of the response, "closed" if the connection is
+// closed without one, or "nothing" after `ms` milliseconds.
 std::string StatusFor(const ScenarioRunner& runner, const std::string& text, int ms = 2'900) {
   Socket socket = Socket::Connect(runner.http_port());
   socket.Send(text);
@@ -33,7 +33,7 @@
   return socket.fd() < 0 ? "closed" : "nothing";
 }
 
-TEST_CASE("a request of ambiguous length reaches no target, nor does the request that it may smuggle") {
+TEST_CASE("HTTP front end: a request of ambiguous length, and one smuggled in it, do not reach a target") {
   const std::string smuggled = WriteRequest("Content-Length: 0\r\n\r\n");
   const std::string size = std::to_string(smuggled.size());
   const RejectedRequest cases[] = {
@@ -70,10 +70,10 @@
   runner.Play("target a expect nothing 100");
 }
 
-TEST_CASE("an incomplete request is rejected within 3 s of connecting") {
+TEST_CASE("HTTP front end: an incomplete request is rejected within 3 s of connecting") {
   ScenarioRunner runner(Protocol::kHttp);
   std::string part;
-  SUBCASE("it sends nothing") {}
+  SUBCASE("no bytes") {}
   SUBCASE("half the headers") { part = "PUT " + kObjectPath + " HTTP/1.1\r\nHost"; }
   SUBCASE("half a body") { part = WriteRequest("Content-Length: 100\r\n\r\nhalf"); }
   SUBCASE("half a chunk") { part = WriteRequest("Transfer-Encoding: chunked\r\n\r\n9\r\nhalf"); }
@@ -81,7 +81,7 @@
   runner.Play("target a expect nothing 1");
 }
 
-TEST_CASE("bytes that trickle in do not postpone the timeout") {
+TEST_CASE("HTTP front end: bytes that arrive slowly do not postpone the request timeout") {
   ScenarioRunner runner(Protocol::kHttp);
   Socket socket = Socket::Connect(runner.http_port());
   const Time before = core::Now();
@@ -92,7 +92,9 @@
   CHECK(core::Now() - before < 3'000'000);
 }
 
-TEST_CASE("a huge body is rejected unread and its connection closed, whether or not the client reads") {
+TEST_CASE(
+    "HTTP front end: a huge body is rejected unread and its connection closed, even if the client reads "
+    "nothing") {
   ScenarioRunner runner(Protocol::kHttp);
   Socket socket = Socket::Connect(runner.http_port());
   const Time before = core::Now();
@@ -106,7 +108,8 @@
   runner.Play("target a expect nothing 50");
 }
 
-TEST_CASE("an id in use is rejected and reaches no target; afterwards it is free") {
+TEST_CASE(
+    "HTTP front end: a request id in use is rejected and reaches no target; it is free after the response") {
   ScenarioRunner runner(Protocol::kHttp);
   const std::string request = WriteRequest("Content-Length: 0\r\n\r\n");
   Socket first = Socket::Connect(runner.http_port());
@@ -123,7 +126,8 @@
   CHECK(response.start_line == "HTTP/1.1 200 OK");
 }
 
-TEST_CASE("a client that is rejected repeatedly gets a response each time, at a limited rate") {
+TEST_CASE(
+    "HTTP front end: a client that is rejected repeatedly gets a response each time, at a limited rate") {
   ScenarioRunner runner(Protocol::kHttp);
   Socket socket = Socket::Connect(runner.http_port());
   const Time before = core::Now();
@@ -139,10 +143,10 @@
   }
   while (ReadHttpMessage(socket, &response, 1'000)) {
   }
-  CHECK(socket.fd() < 0);  // of a hundred at once one gets a response
+  CHECK(socket.fd() < 0);  // of 100 pipelined requests, only one gets a response
 }
 
-TEST_CASE("hundreds of silent connections leave room for a normal client, at once") {
+TEST_CASE("HTTP front end: with hundreds of silent connections, regular clients are served at once") {
   auto config = BasicConfig();
   config["limits"]["sockets"] = 100;
   ScenarioRunner runner(Protocol::kHttp, config);
@@ -166,7 +170,8 @@
   CHECK(runner.initiator().front().connections() <= 36);
 }
 
-TEST_CASE("a loop that stalls closes no connection whose request has arrived but is unread") {
+TEST_CASE(
+    "HTTP front end: a stalled loop does not evict a connection whose request has arrived but is unread") {
   std::unique_ptr<event_base, loop::Deleter<event_base_free>> base(event_base_new());
   http::Config config;
   config.listen = loop::ParseAddress("127.0.0.1:0");
@@ -183,7 +188,7 @@
   CHECK(response.Status() == "503");
 }
 
-TEST_CASE("a connection with one request is closed when idle; one with several stays open") {
+TEST_CASE("HTTP front end: an idle connection is closed after one request and stays open after several") {
   ScenarioRunner runner(Protocol::kHttp);
   Socket single = Socket::Connect(runner.http_port());
   Socket repeated = Socket::Connect(runner.http_port());
@@ -197,11 +202,11 @@
   const Time before = core::Now();
   CHECK_FALSE(single.Fill(3'000));
   CHECK(single.fd() < 0);
-  CHECK(core::Now() - before > 1'900'000);  // not before the protocol allows it
+  CHECK(core::Now() - before > 1'900'000);  // the protocol allows no earlier close
   CHECK_FALSE(repeated.Readable(300));
 }
 
-TEST_CASE("idle clients with one request make room for others, and are closed before one with several") {
+TEST_CASE("HTTP front end: idle clients with one request are evicted before a client with several") {
   auto config = BasicConfig();
   config["limits"]["sockets"] = 100;
   ScenarioRunner runner(Protocol::kHttp, config);
@@ -231,8 +236,8 @@
     client c expect served)");
 }
 
-// Regression: the busiest initiator left the last of its clients' connections in the accept queue.
-TEST_CASE("every connection within the limit is read, while all others wait for their responses") {
+// Guards against a regression: a busy initiator left the last of its client connections in the accept queue.
+TEST_CASE("HTTP front end: a connection within the limit is read while all others wait for their responses") {
   auto config = BasicConfig();
   config["limits"]["sockets"] = 100;
   for (auto& request_class : config["settings"]["classes"]) {
@@ -250,7 +255,7 @@
   CHECK(StatusFor(runner, kReadinessRequest, 4'000) == "200");
 }
 
-TEST_CASE("a client that waits for 100 Continue gets it") {
+TEST_CASE("HTTP front end: a client that waits for 100 Continue gets it") {
   ScenarioRunner runner(Protocol::kHttp);
   Socket socket = Socket::Connect(runner.http_port());
   socket.Send(WriteRequest("Expect: 100-continue\r\nContent-Length: 4\r\n\r\n"));
--- a/tests/net/pool_fixture.h
+++ b/tests/net/pool_fixture.h
@@ -1,6 +1,6 @@
-// A target pool by itself, on an event loop that the test runs.
+// Provides a target pool on an event loop that the test runs.
 //
-// Owner and thread: the test's.
+// Owned by the test; runs on the test's thread.
 #ifndef WALNUTSPUR_TESTS_NET_POOL_FIXTURE_H_
 #define WALNUTSPUR_TESTS_NET_POOL_FIXTURE_H_
 
@@ -18,8 +18,8 @@
 
 namespace walnutspur::test {
 
-// A connection pool by itself. The test runs its event loop, so the test decides which events one iteration
-// sees.
+// Class PoolFixture is a target pool without an initiator. The test runs the event loop and thus decides
+// which events one iteration handles.
 class PoolFixture {
  public:
   PoolFixture() {
@@ -35,8 +35,7 @@
     pool.reset();
     event_base_loop(base.get(), EVLOOP_NONBLOCK);
   }
-  // Starts an attempt at target a, which must begin by `start_by` and ends at `expires_at` where that is not
-  // 0.
+  // Starts an attempt at target a. It must be sent by `start_by` and times out at `expires_at`; 0: no limit.
   void Start(core::RequestNumber request_number, Time start_by = 0, int attempt = 0, Time expires_at = 0) {
     auto request = std::make_shared<http::Request>();
     request->uri = "/api/" + std::to_string(request_number);
@@ -45,7 +44,7 @@
                              start_by,       expires_at};
     pool->Start(start);
   }
-  // Runs the loop until the condition holds; the timers of what it waits for bound the wait.
+  // Runs the loop until the condition holds. Fails the test after 4 s.
   template <typename Condition>
   void RunUntil(Condition condition) {
     const Time end = core::Now() + 4'000'000;
@@ -54,19 +53,19 @@
       event_base_loop(base.get(), EVLOOP_NONBLOCK);
     }
   }
-  // The method and path of the next request on a connection.
+  // Returns the method and path of the next request on a connection.
   std::string ReceivedOn(Socket& connection) {
     const HttpMessage message = MessageOn(connection);
     return message.start_line.substr(0, message.start_line.find(" HTTP"));
   }
-  // The next request on a connection.
+  // Returns the next request on a connection.
   HttpMessage MessageOn(Socket& connection) {
     HttpMessage message;
     RunUntil([&] { return connection.Readable(0) || !connection.received.empty(); });
     REQUIRE(ReadHttpMessage(connection, &message, 1'000));
     return message;
   }
-  // The next connection that the pool makes.
+  // Accepts the next connection that the pool opens.
   Socket Accept() {
     RunUntil([&] { return listener.Readable(0); });
     return listener.Accept();
--- a/tests/net/scenario_client.cpp
+++ b/tests/net/scenario_client.cpp
@@ -30,7 +30,7 @@
   switch (event) {
     case ClientEvent::kServed:
       return "served";
-    case ClientEvent::kRefused:
+    case ClientEvent::kRejected:
       return "refused";
     case ClientEvent::kFailed:
       return "failed";
@@ -61,7 +61,7 @@
   if (status == "200") {
     return ClientEvent::kServed;
   }
-  return status == "503" || status == "429" ? ClientEvent::kRefused : ClientEvent::kFailed;
+  return status == "503" || status == "429" ? ClientEvent::kRejected : ClientEvent::kFailed;
 }
 
 void HttpScenarioClient::WriteRequest(const ClientRequest& request) {
@@ -118,7 +118,7 @@
   replies_.erase(replies_.begin());
   response->body = ContentOf(reply);
   if (reply.error == nbd::kNoMemory || reply.error == nbd::kShutdown) {
-    return ClientEvent::kRefused;
+    return ClientEvent::kRejected;
   }
   return reply.error == nbd::kOk ? ClientEvent::kServed : ClientEvent::kFailed;
 }
--- a/tests/net/scenario_config.h
+++ b/tests/net/scenario_config.h
@@ -1,4 +1,4 @@
-// The configuration that scenarios run under.
+// Defines the configuration of the initiator in scenarios.
 #ifndef WALNUTSPUR_TESTS_NET_SCENARIO_CONFIG_H_
 #define WALNUTSPUR_TESTS_NET_SCENARIO_CONFIG_H_
 
@@ -6,8 +6,8 @@
 
 namespace walnutspur::test {
 
-// The platform's configuration file: classes read, write (not idempotent) and quick, four shards, one plan.
-// The discovery address is missing; whoever starts an initiator adds it.
+// Returns the contents of the platform's configuration file: the classes read, write (not idempotent) and
+// quick, four shards, one plan. The caller must add the discovery address before it starts an initiator.
 nlohmann::json BasicConfig();
 
 }  // namespace walnutspur::test
--- a/tests/net/scenario_limits.h
+++ b/tests/net/scenario_limits.h
@@ -1,4 +1,4 @@
-// Sizes and timeouts that the stand-ins of a scenario share.
+// Defines sizes and timeouts that the fakes of a scenario share.
 #ifndef WALNUTSPUR_TESTS_NET_SCENARIO_LIMITS_H_
 #define WALNUTSPUR_TESTS_NET_SCENARIO_LIMITS_H_
 
@@ -8,10 +8,10 @@
 
 namespace walnutspur::test {
 
-// How long a stand-in waits for an expected event, in milliseconds.
+// Maximum time that a fake waits for an expected event, in milliseconds.
 constexpr int kScenarioTimeoutMs = 4'000;
 
-// A duration for core::Now(), which counts microseconds.
+// Converts milliseconds to a Time, which is in microseconds.
 constexpr Time FromMilliseconds(int ms) { return Time{ms} * 1000; }
 
 // The length of an NBD read or write.
--- a/tests/net/scenario_parser.h
+++ b/tests/net/scenario_parser.h
@@ -1,4 +1,4 @@
-// The text form of scenarios: one step a line, words separated by spaces. See scenario_runner.h for the
+// Parses the text of a scenario: one step per line, words separated by spaces. scenario_runner.h lists the
 // steps.
 #ifndef WALNUTSPUR_TESTS_NET_SCENARIO_PARSER_H_
 #define WALNUTSPUR_TESTS_NET_SCENARIO_PARSER_H_
@@ -8,20 +8,20 @@
 
 namespace walnutspur::test {
 
-// One line of a scenario.
+// One step of a scenario.
 struct ScenarioStep {
   std::string line;
   std::vector<std::string> words;
 
-  // The word at `index`; empty where the line is shorter.
+  // Returns the word at `index`, or an empty string if the line has fewer words.
   std::string Word(std::size_t index) const;
-  // Whether the line has a word at `index`.
+  // Returns whether the line has a word at `index`.
   bool HasWord(std::size_t index) const { return index < words.size(); }
-  // The text in double quotes, with the escapes \r, \n, \xNN and \" of C.
+  // Returns the text in double quotes, with the C escapes \r, \n, \xNN and \" decoded.
   std::string QuotedText() const;
 };
 
-// The steps of a scenario in order; blank lines are skipped.
+// Returns the steps of a scenario in order. Blank lines are skipped.
 std::vector<ScenarioStep> ParseScenario(const std::string& scenario);
 
 }  // namespace walnutspur::test
--- a/tests/net/scenario_runner.cpp
+++ b/tests/net/scenario_runner.cpp
@@ -17,19 +17,20 @@
 
 using nlohmann::json;
 
-// What a reload throws while the scenario declares the configuration invalid.
+// The error that a reload throws while the scenario has set `config bad`.
 class InvalidConfigError : public std::runtime_error {
  public:
-  InvalidConfigError() : std::runtime_error("a bad file") {}
+  InvalidConfigError()
+      : std::runtime_error("invalid configuration file: the scenario has set 'config bad'") {}
 };
 
 constexpr const char* kTargetNames[] = {"a", "b"};
 constexpr std::uint64_t kExportBytes = 1048576;
-constexpr std::uint32_t kLargestNbdRequest = 65536;
-constexpr int kWatchTimeoutMs = 6'000;  // a lost watch must be repeated within it
+constexpr std::uint32_t kMaxNbdRequestBytes = 65536;
+constexpr int kWatchTimeoutMs = 6'000;  // maximum time until a failed watch is opened again
 constexpr int kExitPollMs = 5;
 
-// The weights, objective and deadline of BasicConfig(), in microseconds.
+// The weights of BasicConfig(), and its latency objective and deadline in microseconds.
 constexpr double kReadWeight = 3;
 constexpr double kWriteWeight = 2;
 constexpr double kLateWeightFraction = 0.1;
@@ -41,12 +42,12 @@
   std::vector<nbd::Export> exports;
   for (const char* name : kTargetNames) {
     exports.push_back(
-        {name, kExportBytes, kLargestNbdRequest, nbd::kHasFlags | nbd::kSendFlush | nbd::kSendFua});
+        {name, kExportBytes, kMaxNbdRequestBytes, nbd::kHasFlags | nbd::kSendFlush | nbd::kSendFua});
   }
   return exports;
 }
 
-// The state that the scenario language writes as the endpoint list does.
+// Returns the endpoint state for a phase, which the scenario language spells as in the endpoint list.
 EndpointState ParseState(const std::string& word) {
   if (word == "SERVING") {
     return EndpointState::kActive;
@@ -158,7 +159,7 @@
   } else if (subject == "config") {
     invalid_config_ = step.Word(1) == "bad";
   } else {
-    FAIL("no such step");
+    FAIL("unknown scenario step");
   }
 }
 
@@ -250,7 +251,7 @@
 
 void ScenarioRunner::ExpectAtTarget(StorageServer& target, const ScenarioStep& step) {
   const std::string& expected = step.words.at(3);
-  if (expected == "nothing") {  // no request: connections may close
+  if (expected == "nothing") {  // no request may arrive; connections may be closed
     const int timeout_ms = std::stoi(step.Word(4));
     ServerEvent event = target.WaitForEvent(timeout_ms);
     if (event == ServerEvent::kClosed) {
@@ -260,7 +261,8 @@
     return;
   }
   ServerEvent event = target.WaitForEvent(kScenarioTimeoutMs);
-  while (event == ServerEvent::kClosed && expected != "closed") {  // a request may follow closed connections
+  while (event == ServerEvent::kClosed &&
+         expected != "closed") {  // skip closed connections before the request
     event = target.WaitForEvent(kScenarioTimeoutMs);
   }
   REQUIRE(NameOf(event) == expected);
--- a/tests/net/scenario_runner.h
+++ b/tests/net/scenario_runner.h
@@ -1,5 +1,5 @@
-// Plays scenarios: an initiator on loopback with stand-ins for clients, storage servers and discovery that
-// act only as the scenario says. One step a line:
+// Runs scenarios: an initiator on loopback with fake clients, storage servers and a fake discovery service,
+// which act only as the scenario specifies. One step per line:
 //
 //   client c send read|write|flush [body]           client c expect served|refused|failed|closed|nothing MS
 //   client c send bytes "..."                       client c expect status N | text T
@@ -12,10 +12,9 @@
 //   wait MS                                         signal HUP|TERM
 //   config good|bad
 //
-// The same steps play over HTTP and over NBD. Clients whose name begins with b use target b, all others
-// target a.
+// The same steps run over HTTP and NBD. Clients whose name begins with b use target b, all others target a.
 //
-// Owner: the test. Threads: the initiator runs on a thread of the runner's; all else is the test's thread.
+// Owned by the test. The initiator runs on a thread of the runner; everything else runs on the test's thread.
 #ifndef WALNUTSPUR_TESTS_NET_SCENARIO_RUNNER_H_
 #define WALNUTSPUR_TESTS_NET_SCENARIO_RUNNER_H_
 
@@ -38,32 +37,33 @@
 
 namespace walnutspur::test {
 
-// An initiator with two targets, a of shard 0 and b of shard 1, both active.
+// Class ScenarioRunner runs an initiator with two active targets: a with shard 0, and b with shard 1.
 class ScenarioRunner {
  public:
   explicit ScenarioRunner(core::Protocol protocol, const nlohmann::json& config = BasicConfig(),
                           app::Options options = {}, http::DigestOptions digests = {});
   ~ScenarioRunner() { Stop(); }
 
-  // Plays the steps in order; a step whose expectation fails ends the test.
+  // Runs the steps in order. If the expectation of a step fails, the test fails.
   void Play(const std::string& scenario);
-  // Sends text on the open watch in chunks of `chunk_size` bytes.
+  // Sends `text` on the open watch in chunks of `chunk_size` bytes.
   void WriteDiscovery(const std::string& text, std::size_t chunk_size) { discovery_.Write(text, chunk_size); }
   // Stops the initiator and joins its thread.
   void Stop();
-  // Whether the initiator's loop ends by itself within `ms` milliseconds.
+  // Returns whether the initiator's loop exits on its own within `ms` milliseconds.
   bool WaitForExit(int ms);
 
-  // The weight that was served in time over the weight of all requests that clients have had a response to.
+  // Returns the weight served within the latency objective, plus a fraction of the weight served late,
+  // divided by the total weight of the requests with a response.
   double score() const { return total_weight_ > 0 ? served_weight_ / total_weight_ : 0; }
   app::Initiator& initiator() { return *initiator_; }
   int http_port() const { return http_port_; }
   int nbd_port() const { return nbd_port_; }
-  // The last response to any client.
+  // Returns the last response that any client received.
   const HttpMessage& last_response() const { return last_response_; }
-  // The request line of the last watch.
+  // Returns the request line of the last watch.
   const std::string& last_watch_request() const { return last_watch_request_; }
-  // A target's connections so far, its last request by protocol, and its listener.
+  // Return a target's number of connections so far, its last request by protocol, and its listener.
   std::size_t target_connections(const std::string& name) const { return targets_.at(name)->connections(); }
   const nbd::Request& target_nbd_request(const std::string& name) const {
     return targets_.at(name)->nbd_request();
@@ -75,7 +75,7 @@
 
  private:
   void StartTargets();
-  // The front end's deploy file: one export per target.
+  // Returns the NBD front end's deploy file, with one export per target.
   std::string NbdDeployFile() const;
   void StartInitiator(const nlohmann::json& config, const app::Options& options, http::DigestOptions digests);
 
@@ -83,7 +83,7 @@
   void PlayClientStep(const ScenarioStep& step);
   void SendFromClient(const std::string& name, const ScenarioStep& step);
   void ExpectAtClient(ScenarioClient& client, const ScenarioStep& step);
-  // Counts a response to a well-formed request and checks that it came in time.
+  // Adds a response to a well-formed request to the score and checks that it arrived before the deadline.
   void RecordResponse(const ScenarioClient& client, ClientEvent event);
   void PlayTargetStep(const ScenarioStep& step);
   static void ExpectAtTarget(StorageServer& target, const ScenarioStep& step);
@@ -95,7 +95,7 @@
   core::Protocol protocol_;
   DiscoveryServer discovery_;
   nlohmann::json config_;                     // read by the initiator's thread on SIGHUP
-  std::atomic<bool> invalid_config_ = false;  // whether a reload fails
+  std::atomic<bool> invalid_config_ = false;  // whether a reload of the configuration fails
   std::map<std::string, std::unique_ptr<ScenarioClient>> clients_;
   std::map<std::string, std::unique_ptr<StorageServer>> targets_;
   std::uint32_t next_request_id_ = 1;
--- a/tests/net/scenarios_test.cpp
+++ b/tests/net/scenarios_test.cpp
@@ -1,4 +1,4 @@
-// Scenarios that give the same outcomes and scores over HTTP and over NBD.
+// Tests that scenarios have the same outcomes and scores over HTTP and over NBD.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -7,7 +7,7 @@
 namespace walnutspur::test {
 namespace {
 
-// A scenario and the score that it ends with.
+// A scenario and its expected score.
 struct Scenario {
   const char* name;
   const char* steps;
@@ -15,7 +15,7 @@
 };
 
 const Scenario kScenarios[] = {
-    {"a read and a write are served", R"(
+    {"a read and a write to an active target are served", R"(
       client c send read
       target a expect read
       target a send ok
@@ -25,7 +25,7 @@
       target a send ok
       client c expect served)",
      1},
-    {"a read that failed is retried", R"(
+    {"a read that fails at the target is retried", R"(
       client c send read
       target a expect read
       target a send error
@@ -33,14 +33,14 @@
       target a send ok
       client c expect served)",
      1},
-    {"a write that failed may have run and is never retried", R"(
+    {"a write that fails at the target may have run and is not retried", R"(
       client c send write
       target a expect write
       target a send error
       client c expect failed
       target a expect nothing 150)",
      0},
-    {"a read whose connection breaks is retried on a new one", R"(
+    {"a read whose connection is closed is retried on a new connection", R"(
       client c send read
       target a expect read
       target a close
@@ -48,14 +48,14 @@
       target a send ok
       client c expect served)",
      1},
-    {"a write whose connection breaks after its last byte may have run", R"(
+    {"a write whose connection is closed after its last byte was sent may have run and is not retried", R"(
       client c send write
       target a expect write
       target a close
       client c expect failed
       target a expect nothing 150)",
      0},
-    {"a write on a connection used before that breaks may have run as well", R"(
+    {"a write whose reused connection is closed may have run and is not retried", R"(
       client c send write
       target a expect write
       target a send ok
@@ -66,12 +66,12 @@
       client c expect failed
       target a expect nothing 150)",
      0.5},
-    {"an unreachable target has run nothing, so a write is rejected", R"(
+    {"a write to an unreachable target has not run and is rejected", R"(
       target a close listener
       client c send write
       client c expect refused)",
      0},
-    {"a read that was rejected is retried", R"(
+    {"a read that the target rejects is retried", R"(
       client c send read
       target a expect read
       target a send busy
@@ -79,19 +79,19 @@
       target a send ok
       client c expect served)",
      1},
-    {"a target that never responds: a write fails in time, once", R"(
+    {"a write to a target that never responds fails before its deadline, once", R"(
       client c send write
       target a expect write
       client c expect failed
       client c expect nothing 150)",
      0},
-    {"a target that never responds: a read is rejected in time, once", R"(
+    {"a read to a target that never responds is rejected before its deadline, once", R"(
       client c send read
       target a expect read
       client c expect refused
       client c expect nothing 150)",
      0},
-    {"a client that disconnects cancels its request", R"(
+    {"the request of a client that disconnects is cancelled", R"(
       client c send write
       target a expect write
       client c close
@@ -101,13 +101,13 @@
       target a send ok
       client d expect served)",
      1},
-    {"a client connection that is reset cancels its request", R"(
+    {"the request of a client connection that is reset is cancelled", R"(
       client c send read
       target a expect read
       client c close reset
       target a expect closed)",
      0},
-    {"a draining target gets nothing new, the request gets one response", R"(
+    {"a draining target gets no new request, and the client gets one response", R"(
       discovery send delta a=DRAINING
       wait 30
       client c send write
@@ -115,7 +115,7 @@
       target a expect nothing 600
       client c expect nothing 1)",
      0},
-    {"what a target had in flight when it began to drain is still served", R"(
+    {"a request in flight at a target that starts to drain is still served", R"(
       client c send write
       target a expect write
       discovery send delta a=DRAINING
@@ -126,14 +126,14 @@
       client c expect refused
       target a expect nothing 600)",
      0.5},
-    {"a target that a complete list omits gets nothing new", R"(
+    {"a target that is missing from a complete list gets no new request", R"(
       discovery send b=SERVING
       wait 30
       client c send read
       client c expect refused
       target a expect nothing 300)",
      0},
-    {"a write with a malformed response may have run and is never retried", R"(
+    {"a write with a malformed response may have run and is not retried", R"(
       client c send write
       target a expect write
       target a send noise
@@ -141,7 +141,7 @@
       target a expect closed
       target a expect nothing 150)",
      0},
-    {"a read whose response claims 3 GB is retried at once, on a new connection", R"(
+    {"a read whose response declares 3 GB is retried at once on a new connection", R"(
       client c send read
       target a expect read
       target a send huge
@@ -149,7 +149,7 @@
       target a send ok
       client c expect served)",
      1},
-    {"surplus bytes after a response end the connection, not the next request", R"(
+    {"surplus bytes after a response close the connection, and the next request is served", R"(
       client c send write
       target a expect write
       target a send ok-and-more
@@ -159,7 +159,7 @@
       target a send ok
       client c expect served)",
      1},
-    {"unsolicited bytes of a target end the connection, not the next request", R"(
+    {"unsolicited bytes from a target close the connection, and the next request is served", R"(
       client c send write
       target a expect write
       target a send ok
@@ -171,7 +171,7 @@
       target a send ok
       client c expect served)",
      1},
-    {"one slow target delays no other", R"(
+    {"a slow target does not delay requests to another target", R"(
       client c send read
       target a expect read
       client bob send read
@@ -183,7 +183,7 @@
      1},
 };
 
-TEST_CASE("the same scenarios give the same outcomes and scores under both protocols") {
+TEST_CASE("scenarios: over HTTP and NBD, the outcomes and scores are the same") {
   for (const Scenario& scenario : kScenarios) {
     SUBCASE(scenario.name) {
       for (const core::Protocol protocol : {core::Protocol::kHttp, core::Protocol::kNbd}) {
--- a/tests/net/shutdown_test.cpp
+++ b/tests/net/shutdown_test.cpp
@@ -1,11 +1,10 @@
-// Graceful shutdown while clients keep sending on every connection that stays open.
+// Tests graceful shutdown while clients keep sending requests on every open connection.
 //
-// The platform sends SIGTERM, and SIGKILL 0.7 s after the longest deadline. Clients send their next request
-// on any connection that is open. If the end of a connection is announced too late the last requests time
-// out, as 300 of 50 clients once did; if connections are closed all at once many have a request on its way,
-// and one that is closed with unread bytes is reset. The tests send SIGTERM to a program under load and count
-// how each request and connection ended: with a response, rejected, by a connection closed in order, or by a
-// reset.
+// The platform sends SIGTERM, and SIGKILL 0.7 s after the longest deadline. If the close of a connection is
+// announced too late, the last requests time out (300 requests of 50 clients in one run). If all connections
+// are closed at once, many have a request in flight, and a connection that is closed with unread bytes is
+// reset. The tests send SIGTERM to a program under load and count how each request and connection ended:
+// served, rejected, failed, closed with a FIN, or reset.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -26,11 +25,11 @@
 
 using core::Protocol;
 
-constexpr Time kServiceTime = 20'000;  // of the target, in microseconds
+constexpr Time kServiceTime = 20'000;  // service time of the target, in microseconds
 constexpr Time kThinkTime = 10'000;    // between a response and the client's next request, in microseconds
 constexpr int kTimeoutMs = 4'000;
 
-// Serves all requests, one thread a connection, until the listener is shut down.
+// Serves all requests with one thread per connection until the listener is shut down.
 void Serve(const Socket& listener) {
   std::list<std::jthread> connections;
   while (true) {
@@ -48,21 +47,21 @@
   }
 }
 
-// How the requests and connections of clients ended.
-struct Tally {
+// Counts how the requests and connections of clients ended.
+struct OutcomeCounts {
   int served = 0;
   int rejected = 0;
   int failed = 0;
-  int announced = 0;  // connections whose last response announced the close
-  int crossed = 0;    // closed in order with a request in flight: the client retries it elsewhere
-  int reset = 0;      // closed otherwise with a request in flight
+  int announced = 0;         // connections whose last response announced the close
+  int closed_in_flight = 0;  // closed with a FIN and a request in flight, which the client retries elsewhere
+  int reset = 0;             // reset, or closed otherwise, with a request in flight
 
-  void Add(const Tally& other) {
+  void Add(const OutcomeCounts& other) {
     served += other.served;
     rejected += other.rejected;
     failed += other.failed;
     announced += other.announced;
-    crossed += other.crossed;
+    closed_in_flight += other.closed_in_flight;
     reset += other.reset;
   }
   void CountStatus(const std::string& status) {
@@ -76,7 +75,7 @@
   }
 };
 
-// A read whose id is unique by client and sequence number.
+// Returns a read whose id is unique for the client and sequence number.
 std::string ReadRequest(int client, int sequence) {
   std::array<char, 17> id;
   std::snprintf(id.data(), id.size(), "%08x%08x", client, sequence);
@@ -84,7 +83,7 @@
          "\r\nX-Class: read\r\nX-Plan: basic\r\nX-Deadline: 1.2\r\nX-IO: units=1,shard=0,hosts=1\r\n\r\n";
 }
 
-// Appends received bytes to `text` until `complete` holds for it. Returns the result of the last recv: 0 at
+// Appends received bytes to `text` until `complete(text)` is true. Returns the result of the last recv: 0 at
 // the end of the stream, negative after a reset.
 template <typename Complete>
 ssize_t ReceiveUntil(Complete complete, const Socket& socket, std::string* text) {
@@ -99,32 +98,32 @@
   return size;
 }
 
-// Sends one request after another on one connection for as long as it stays open.
-Tally SendUntilClosed(int port, int client) {
+// Sends requests one at a time on one connection until it is closed.
+OutcomeCounts SendUntilClosed(int port, int client) {
   const auto has_headers = [](const std::string& text) { return text.find("\r\n\r\n") != std::string::npos; };
   const auto never = [](const std::string&) { return false; };
-  Tally tally;
+  OutcomeCounts counts;
   Socket socket = Socket::Connect(port);
   for (int sequence = 0;; ++sequence) {
     std::string response;
     const bool sent = socket.Send(ReadRequest(client, sequence));
     const ssize_t size = sent ? ReceiveUntil(has_headers, socket, &response) : -1;
     if (size <= 0) {
-      ++(size < 0 ? tally.reset : tally.crossed);
-      return tally;
+      ++(size < 0 ? counts.reset : counts.closed_in_flight);
+      return counts;
     }
-    tally.CountStatus(response.substr(9, 3));
+    counts.CountStatus(response.substr(9, 3));
     if (response.find("Connection: close") != std::string::npos) {
-      ++tally.announced;
-      tally.reset +=
-          ReceiveUntil(never, socket, &response) < 0;  // nothing but the end of the stream may follow
-      return tally;
+      ++counts.announced;
+      counts.reset += ReceiveUntil(never, socket, &response) < 0;  // only the end of the stream may follow
+      return counts;
     }
     std::this_thread::sleep_for(std::chrono::microseconds(kThinkTime));
   }
 }
 
-TEST_CASE("the close is announced early enough for responses as slow as the last ones") {
+TEST_CASE(
+    "ShutdownDeadlineEstimate: the close is announced early enough for responses as slow as recent ones") {
   limits::ShutdownDeadlineEstimate quick;
   limits::ShutdownDeadlineEstimate slow;
   for (int i = 0; i < 100; ++i) {
@@ -138,37 +137,39 @@
   for (int i = 0; i < 100; ++i) {
     slow.OnResponse(60'000'000);
   }
-  CHECK_FALSE(slow.IsLastResponse(1'100'000));  // however slow, it is capped
+  CHECK_FALSE(slow.IsLastResponse(1'100'000));  // the estimate is capped
   CHECK_FALSE(limits::ShutdownDeadlineEstimate().IsLastResponse(250'000));
 }
 
-TEST_CASE("after SIGTERM 50 busy clients get a response on each connection until it closes, none is lost") {
+TEST_CASE(
+    "after SIGTERM, 50 busy clients get a response on each connection until it closes, and none is lost") {
   ScenarioRunner runner(core::Protocol::kHttp);
   std::jthread server([&runner] { Serve(runner.target_listener("a")); });
-  std::vector<Tally> tallies(50);
+  std::vector<OutcomeCounts> client_counts(50);
   {
     std::vector<std::jthread> clients;
-    for (std::size_t i = 0; i < tallies.size(); ++i) {
-      clients.emplace_back([&, i] { tallies[i] = SendUntilClosed(runner.http_port(), static_cast<int>(i)); });
+    for (std::size_t i = 0; i < client_counts.size(); ++i) {
+      clients.emplace_back(
+          [&, i] { client_counts[i] = SendUntilClosed(runner.http_port(), static_cast<int>(i)); });
     }
     runner.Play("wait 300\n signal TERM");
   }
   CHECK(runner.WaitForExit(2'000));
   shutdown(runner.target_listener("a").fd(), SHUT_RDWR);
-  Tally all;
-  for (const Tally& tally : tallies) {
-    all.Add(tally);
+  OutcomeCounts all;
+  for (const OutcomeCounts& counts : client_counts) {
+    all.Add(counts);
   }
   MESSAGE("served ", all.served, ", rejected ", all.rejected, ", failed ", all.failed, ", announced ",
-          all.announced, ", crossed ", all.crossed, ", reset ", all.reset);
+          all.announced, ", closed in flight ", all.closed_in_flight, ", reset ", all.reset);
   CHECK(all.reset == 0);
-  CHECK(all.failed <= 2);  // stragglers
-  CHECK(all.announced + all.crossed == 50);
-  CHECK(all.crossed <= 5);
+  CHECK(all.failed <= 2);  // requests that are still in flight at the deadline
+  CHECK(all.announced + all.closed_in_flight == 50);
+  CHECK(all.closed_in_flight <= 5);
 }
 
 TEST_CASE(
-    "a connection with half a request is closed in order while the program still reads, and never reset") {
+    "after SIGTERM, a connection with half a request is closed with a FIN while still read, and not reset") {
   ScenarioRunner runner(core::Protocol::kHttp);
   Socket half = Socket::Connect(runner.http_port());
   half.Send("GET " + kObjectPath + " HTTP/1.1\r\nX-Request-Id: 9b1f");
@@ -176,13 +177,12 @@
   REQUIRE(half.Readable(kTimeoutMs));
   char byte;
   CHECK(recv(half.fd(), &byte, 1, 0) == 0);
-  CHECK(half.Send("03aa5c7e2d41\r\n"));  // crosses the close, and is read
+  CHECK(half.Send("03aa5c7e2d41\r\n"));  // crosses the close and must be read
   CHECK(runner.WaitForExit(1'000));
 }
 
 TEST_CASE(
-    "after SIGTERM what NBD clients send near the end is rejected without running, then the connection "
-    "closes") {
+    "after SIGTERM, late NBD requests are rejected without running, then their connections are closed") {
   ScenarioRunner runner(core::Protocol::kNbd);
   runner.Play(R"(
     client c send read
@@ -207,7 +207,7 @@
   CHECK(runner.WaitForExit(1'000));
 }
 
-TEST_CASE("after SIGTERM new requests are accepted and served, then the program exits") {
+TEST_CASE("after SIGTERM, new requests are accepted and served, then the program exits") {
   ScenarioRunner runner(Protocol::kHttp);
   runner.Play(R"(
     client c send read
@@ -215,8 +215,8 @@
     target a send ok
     client c expect served)");
   const Time before = core::Now();
-  SUBCASE("by the signal") { kill(getpid(), SIGTERM); }
-  SUBCASE("by an embedder's call") { runner.initiator().Stop(); }
+  SUBCASE("a signal starts the shutdown") { kill(getpid(), SIGTERM); }
+  SUBCASE("a call to Stop starts the shutdown") { runner.initiator().Stop(); }
   runner.Play(R"(
     client bob send read
     target b expect read
@@ -233,13 +233,13 @@
     client c send write
     target a expect write
     client c expect failed
-    client bob expect refused)");  // both while there was time for a response, not at their deadlines
-  // The platform kills it 0.7 s after the longest deadline, which is 1.2 s here.
+    client bob expect refused)");  // both while there is time for a response, before their deadlines
+  // The platform kills the program 0.7 s after the longest deadline, which is 1.2 s here.
   CHECK(core::Now() - before < 1'800'000);
   CHECK(runner.WaitForExit(300));
 }
 
-TEST_CASE("after SIGTERM what cannot finish before the exit times out before it") {
+TEST_CASE("after SIGTERM, a request that cannot complete before the exit times out before it") {
   auto config = BasicConfig();
   config["settings"]["limits"]["cancel"] = false;  // attempts run until the client's deadline
   for (const Protocol protocol : {Protocol::kHttp, Protocol::kNbd}) {
@@ -257,7 +257,7 @@
   }
 }
 
-TEST_CASE("after SIGTERM connections stay open until shortly before the exit, also long idle ones") {
+TEST_CASE("after SIGTERM, connections stay open until shortly before the exit, even if long idle") {
   ScenarioRunner runner(Protocol::kHttp);
   runner.Play(R"(
     client c send read
@@ -274,7 +274,7 @@
   CHECK(runner.WaitForExit(1'000));
 }
 
-TEST_CASE("after SIGTERM a program without clients exits at once") {
+TEST_CASE("after SIGTERM, a program without clients exits at once") {
   ScenarioRunner runner(Protocol::kHttp);
   runner.Play("signal TERM");
   CHECK(runner.WaitForExit(1'000));
--- a/tests/net/storage_server.h
+++ b/tests/net/storage_server.h
@@ -1,10 +1,10 @@
-// Storage servers that a scenario plays: the targets of the initiator's attempts, over HTTP or NBD.
+// Implements the storage servers of a scenario: the targets of the initiator's attempts, over HTTP or NBD.
 //
-// Unlike lab::HttpTarget and lab::StorageServer they store nothing and do nothing by themselves: each
-// response is a step of the scenario, and may violate the protocol.
+// Unlike lab::HttpTarget and lab::StorageServer they store nothing and send nothing on their own: each
+// response is a step of the scenario and may violate the protocol.
 //
-// Owner: the ScenarioRunner, one object per target. Thread: the test's own; a test may serve the listener on
-// a thread of its own instead, as long as the scenario leaves that target alone.
+// Owned by the ScenarioRunner, one object per target; runs on the test's thread. A test may instead serve the
+// listener on another thread if the scenario has no steps for that target.
 #ifndef WALNUTSPUR_TESTS_NET_STORAGE_SERVER_H_
 #define WALNUTSPUR_TESTS_NET_STORAGE_SERVER_H_
 
@@ -22,54 +22,55 @@
 
 namespace walnutspur::test {
 
-// What a storage server sees next on any of its connections.
+// The next event on any connection of a storage server.
 enum class ServerEvent { kRead, kWrite, kFlush, kClosed, kNothing };
 
-// The word of the scenario language for the event.
+// Returns the scenario language's word for the event.
 std::string NameOf(ServerEvent event);
 
-// Accepts connections of the initiator, reports its requests one by one and responds as the scenario says.
+// Class StorageServer accepts the initiator's connections, reports its requests one at a time and responds as
+// the scenario specifies.
 class StorageServer {
  public:
   explicit StorageServer(int shard);
   virtual ~StorageServer() = default;
 
-  // Waits up to `ms` milliseconds for a request or the end of a connection. Accepts connections meanwhile.
+  // Accepts connections for up to `ms` milliseconds until a request arrives or a connection ends.
   ServerEvent WaitForEvent(int ms);
   // Responds to the last request: ok, ok-and-more, ok-and-closes, error, busy, busy-may-have, noise, huge,
   // split, torn, short, half or strange.
   void Respond(const std::string& kind);
   // Sends bytes on the connection of the last request.
   void SendBytes(const std::string& bytes);
-  // Closes the connection of the last request, if there was any.
+  // Closes the connection of the last request, if there was one.
   void CloseConnection(bool reset);
   void CloseListener() { listener_.Close(); }
 
   int port() const { return port_; }
   int shard() const { return shard_; }
   const Socket& listener() const { return listener_; }
-  // How many connections the initiator has made so far.
+  // Returns the number of connections that the initiator has opened so far.
   std::size_t connections() const { return connections_.size(); }
-  // The last request, of the protocol in use.
+  // Return the last request, by protocol.
   const HttpMessage& http_request() const { return http_request_; }
   const nbd::Request& nbd_request() const { return nbd_request_; }
 
  protected:
   struct Connection {
     Socket socket;
-    std::unique_ptr<nbd::ServerSession> session;  // of NBD
-    std::vector<nbd::Request> requests;           // of NBD: received and not yet reported
+    std::unique_ptr<nbd::ServerSession> session;  // only for NBD
+    std::vector<nbd::Request> requests;           // only for NBD: received and not yet reported
   };
 
   virtual void OnAccepted(Connection& connection) = 0;
-  // Handles the bytes that the connection has received.
+  // Called when the connection has received bytes.
   virtual void OnReceived(Connection& connection) = 0;
-  // Takes the next complete request of the connection, if there is one.
+  // Takes the next complete request of the connection. Returns nullopt if there is none.
   virtual std::optional<ServerEvent> TakeRequest(Connection& connection) = 0;
-  // The bytes of a response to the last request.
+  // Returns the bytes of a response to the last request.
   virtual std::string Response(const std::string& kind) = 0;
 
-  Connection* last_connection_ = nullptr;  // of the last request
+  Connection* last_connection_ = nullptr;  // the connection of the last request
   HttpMessage http_request_;
   nbd::Request nbd_request_;
 
@@ -83,7 +84,7 @@
   std::vector<std::unique_ptr<Connection>> connections_;
 };
 
-// Serves objects over HTTP.
+// Class HttpStorageServer serves objects over HTTP.
 class HttpStorageServer : public StorageServer {
  public:
   using StorageServer::StorageServer;
@@ -95,7 +96,7 @@
   std::string Response(const std::string& kind) override;
 };
 
-// Serves exports over NBD with structured replies.
+// Class NbdStorageServer serves exports over NBD with structured replies.
 class NbdStorageServer : public StorageServer {
  public:
   NbdStorageServer(int shard, std::vector<nbd::Export> exports);
@@ -107,9 +108,9 @@
   std::string Response(const std::string& kind) override;
 
  private:
-  // A data chunk's payload: `size` bytes at `from` bytes behind the start of the request.
+  // Returns a data chunk's payload: `size` bytes, `from` bytes after the start of the request.
   std::string DataAt(std::uint64_t from, std::uint32_t size) const;
-  // A response that violates the protocol or is incomplete; nothing for any other kind.
+  // Returns a response that violates the protocol or is incomplete, or nullopt for any other kind.
   std::optional<std::string> MalformedResponse(const std::string& kind) const;
   std::string SplitResponse() const;
   std::string TornResponse() const;
--- a/tests/net/target_pool_test.cpp
+++ b/tests/net/target_pool_test.cpp
@@ -1,4 +1,4 @@
-// The pool of target connections by itself, and the load reports that it reads.
+// Tests the target pool on its own, and the load reports that it reads.
 #include "http/target_pool.h"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
 namespace walnutspur::test {
 namespace {
 
-TEST_CASE("a health check reports the outcome and the load of its target") {
+TEST_CASE("TargetPool: a health check reports the outcome and the load of its target") {
   auto json = BasicConfig();
   json["discovery"] = "127.0.0.1:1";
   const http::Config config = app::ParseConfig(json);
@@ -47,7 +47,7 @@
   CHECK(results[1].result.load_report == std::vector<double>{4});
 }
 
-TEST_CASE("removed targets leave no address behind") {
+TEST_CASE("TargetPool: after a target is removed, its address is no longer tracked") {
   auto json = BasicConfig();
   json["discovery"] = "127.0.0.1:1";
   const http::Config config = app::ParseConfig(json);
@@ -64,7 +64,7 @@
   CHECK(pool.tracked_targets() == 1);
 }
 
-TEST_CASE("load reports are read from response headers; malformed ones are ignored") {
+TEST_CASE("ReadLoadHeaders: load reports are read from response headers; malformed reports are ignored") {
   std::map<std::string, std::string> fields = {
       {"X-Volume-Use", "85"}, {"X-Served-Elsewhere", "3"}, {"X-Load", R"({"util":0.5,"queue":2})"}};
   const http::HeaderLookup header = [&](const char* name) {
@@ -72,7 +72,7 @@
   };
   core::AttemptResult result;
   http::ReadLoadHeaders({"queue", "absent"}, header, &result);
-  CHECK(result.reported_usage == 86);  // the simulator's figure counts one more
+  CHECK(result.reported_usage == 86);  // the simulator's value is one higher
   CHECK(result.units_served_elsewhere == 3);
   CHECK(result.load_report == std::vector<double>{2, 0});
   fields["X-Load"] = "{";
