--- a/src/app/initiator.cpp
+++ b/src/app/initiator.cpp
@@ -49,7 +49,8 @@
 
 http::EndpointList ReadKnownEndpoints(const http::Config& config) {
   try {
-    return config.known.is_object() ? http::ReadEndpointList(config, config.known) : http::EndpointList{};
+    return config.cached_list.is_object() ? http::ReadEndpointList(config, config.cached_list)
+                                          : http::EndpointList{};
   } catch (const std::exception& error) {
     throw ConfigError(std::string("'known' is not a valid endpoint list: ") + error.what());
   }
@@ -175,7 +176,7 @@
   const http::EndpointList known = ReadKnownEndpoints(config_);
   scheduler_ = std::make_unique<core::SchedulerThread>(config_.settings, config_.seed,
                                                        [this] { outputs_ready_.Activate(); });
-  if (!config_.known.is_object()) {
+  if (!config_.cached_list.is_object()) {
     return;
   }
   // The endpoints in the configuration may be outdated: the watch requests the changes since then.
@@ -254,7 +255,7 @@
 
 void Initiator::StopNow() { event_base_loopbreak(base_.get()); }
 
-void Initiator::RequestShutdown() { shutdown_->Begin(config_.longest_deadline); }
+void Initiator::RequestShutdown() { shutdown_->Begin(config_.max_deadline); }
 
 void Initiator::OnEndpointList(EndpointUpdate update, const http::EndpointList& list) {
   UpdateAddresses(update, list, http_targets_.get());
--- a/tests/net/nbd_front_end_test.cpp
+++ b/tests/net/nbd_front_end_test.cpp
@@ -67,7 +67,7 @@
     CAPTURE(start);
     ScenarioRunner runner(Protocol::kNbd);
     runner.Play("client c send bytes \""s + start + "\"\n client c expect closed");
-    runner.Halt();
+    runner.Stop();
     CHECK(runner.initiator().nbd_front_end()->connections() == 0);
   }
 }
@@ -78,7 +78,7 @@
   ScenarioRunner runner(Protocol::kNbd);
   runner.Play("client c send write");                 // the target accepts the connection and sends nothing
   runner.Play("client c expect refused\n wait 150");  // the response may precede the handshake time-out
-  runner.Halt();
+  runner.Stop();
   CHECK(runner.initiator().nbd_target_connections() == 0);
 }
 
@@ -204,7 +204,7 @@
     target a expect read
     target a send ok
     client c expect served)");
-  runner.Halt();
+  runner.Stop();
   CHECK(runner.initiator().nbd_front_end()->connections() <= 6);
 }
 
