--- a/src/integrity/corruption_log.cpp
+++ b/src/integrity/corruption_log.cpp
@@ -241,9 +241,9 @@
   return header.bytes + body.bytes;
 }
 
-bool CorruptionLog::Decode(std::string_view bytes, std::string* what) {
-  const auto reject = [&](std::string why) {
-    *what = std::move(why);
+bool CorruptionLog::Decode(std::string_view bytes, std::string* error) {
+  const auto reject = [&](std::string message) {
+    *error = std::move(message);
     return false;
   };
   if (bytes.size() < kHeaderBytes || bytes.substr(0, kMagic.size()) != kMagic) {
--- a/src/integrity/corruption_log.h
+++ b/src/integrity/corruption_log.h
@@ -50,8 +50,8 @@
   // The log as bytes, versioned and checksummed.
   std::string Encode();
   // Replaces the log by what Encode returned. False, and nothing changes, if the bytes are truncated, corrupt
-  // or of a newer version; `what` is then one line.
-  bool Decode(std::string_view bytes, std::string* what);
+  // or of a newer version; `error` is then one line.
+  bool Decode(std::string_view bytes, std::string* error);
 
  private:
   void EvictIfFull();
--- a/src/integrity/corruption_log_file.h
+++ b/src/integrity/corruption_log_file.h
@@ -18,13 +18,13 @@
   explicit CorruptionLogFile(std::string folder) : folder_(std::move(folder)) {}
 
   enum class LoadResult { kMissing, kLoaded, kRejected };
-  // Reads the file into `log`. A file that is rejected, with one line in `what`, stays as it is until the
+  // Reads the file into `log`. A file that is rejected, with one line in `error`, stays as it is until the
   // next Write, which moves it aside instead of replacing it.
-  LoadResult Load(CorruptionLog* log, std::string* what);
-  // Writes what CorruptionLog::Encode returned. False, with one line in `what`, if it could not be made
+  LoadResult Load(CorruptionLog* log, std::string* error);
+  // Writes what CorruptionLog::Encode returned. False, with one line in `error`, if it could not be made
   // durable; the old file is then still there.
-  bool Write(const std::string& bytes, std::string* what);
-  bool Save(CorruptionLog& log, std::string* what) { return Write(log.Encode(), what); }
+  bool Write(const std::string& bytes, std::string* error);
+  bool Save(CorruptionLog& log, std::string* error) { return Write(log.Encode(), error); }
   std::string path() const { return folder_ + "/" + kCorruptionLogName; }
 
  private:
--- a/src/integrity/cursor.cpp
+++ b/src/integrity/cursor.cpp
@@ -29,9 +29,9 @@
   return text + std::string(kChecksumWord) + std::to_string(Crc32c(text)) + '\n';
 }
 
-std::optional<Cursors> DecodeCursors(std::string_view bytes, std::string* what) {
-  const auto reject = [&](const char* why) {
-    *what = why;
+std::optional<Cursors> DecodeCursors(std::string_view bytes, std::string* error) {
+  const auto reject = [&](const char* message) {
+    *error = message;
     return std::nullopt;
   };
   std::istringstream in{std::string(bytes)};
--- a/src/integrity/cursor.h
+++ b/src/integrity/cursor.h
@@ -22,8 +22,8 @@
 
 // Leaves out exports with a line break in their name.
 std::string Encode(const Cursors& cursors);
-// Nothing, with one line in `what`, if the bytes are truncated, corrupt or of a newer version.
-std::optional<Cursors> DecodeCursors(std::string_view bytes, std::string* what);
+// Nothing, with one line in `error`, if the bytes are truncated, corrupt or of a newer version.
+std::optional<Cursors> DecodeCursors(std::string_view bytes, std::string* error);
 
 }  // namespace walnutspur::integrity
 
--- a/tests/fuzz/integrity_fuzz.cpp
+++ b/tests/fuzz/integrity_fuzz.cpp
@@ -69,24 +69,24 @@
 
 void CheckCorruptionLog(std::string_view bytes) {
   CorruptionLog log(16);
-  std::string what;
-  if (!log.Decode(bytes, &what)) {
-    Require(!what.empty() && what.find('\n') == what.npos && log.entries().empty());
+  std::string error;
+  if (!log.Decode(bytes, &error)) {
+    Require(!error.empty() && error.find('\n') == error.npos && log.entries().empty());
     return;
   }
   CorruptionLog copy(16);
-  Require(copy.Decode(log.Encode(), &what) && copy.entries() == log.entries());
+  Require(copy.Decode(log.Encode(), &error) && copy.entries() == log.entries());
 }
 
 // Adds a valid checksum so that the fuzzer reaches the code behind it.
 void CheckCursors(std::string_view bytes) {
-  std::string what;
+  std::string error;
   std::string text = "walnutspur-scrub 1\n" + std::string(bytes) + "\n";
   text += "sum " + std::to_string(Crc32c(text)) + "\n";
-  const auto cursors = DecodeCursors(text, &what);
-  Require(cursors || !what.empty());
+  const auto cursors = DecodeCursors(text, &error);
+  Require(cursors || !error.empty());
   if (cursors) {
-    Require(DecodeCursors(Encode(*cursors), &what) == cursors);
+    Require(DecodeCursors(Encode(*cursors), &error) == cursors);
   }
 }
 
--- a/tests/integrity/corruption_test.cpp
+++ b/tests/integrity/corruption_test.cpp
@@ -352,20 +352,20 @@
 // An export whose superblock is missing, of another program, of a newer version or corrupt is attached and
 // written to.
 TEST_CASE("an export that is unformatted, foreign, newer or corrupt is not changed, and one line says why") {
-  for (const char* what : {"nothing", "foreign", "newer", "corrupt"}) {
-    CAPTURE(what);
+  for (const char* state : {"nothing", "foreign", "newer", "corrupt"}) {
+    CAPTURE(state);
     Driver driver(kSize, 1);
-    if (std::string(what) != "nothing") {
+    if (std::string(state) != "nothing") {
       driver.Format(128 << 10);
     }
     const std::uint64_t at = (kSize / kBlockBytes - 2) * kBlockBytes;
-    if (std::string(what) == "foreign") {
+    if (std::string(state) == "foreign") {
       driver.disk().Write(at, std::string(2 * kBlockBytes, 'x'), true);
     }
-    if (std::string(what) == "corrupt") {
+    if (std::string(state) == "corrupt") {
       driver.disk().Flip(at + 100, 300, 2);
     }
-    if (std::string(what) == "newer") {
+    if (std::string(state) == "newer") {
       Superblock super = DecodeSuperblock(driver.disk().Read(at, kBlockBytes), kSize).superblock;
       super.version = kLayoutVersion + 1;
       driver.disk().Write(at, Encode(super), true);
--- a/tests/integrity/fault_attribution_test.cpp
+++ b/tests/integrity/fault_attribution_test.cpp
@@ -110,23 +110,23 @@
   CHECK_FALSE(log.IsCorrupt({"b", "e", 2}));  // the path is at fault: the block is intact
   const std::string bytes = log.Encode();
   CorruptionLog read;
-  std::string what;
-  REQUIRE(read.Decode(bytes, &what));
+  std::string error;
+  REQUIRE(read.Decode(bytes, &error));
   CHECK(read.entries() == log.entries());
   for (std::size_t size = 0; size < bytes.size(); ++size) {
-    CHECK_FALSE(read.Decode(std::string_view(bytes).substr(0, size), &what));
+    CHECK_FALSE(read.Decode(std::string_view(bytes).substr(0, size), &error));
   }
   for (std::size_t bit = 0; bit < bytes.size() * 8; ++bit) {
     std::string bad = bytes;
     bad[bit / 8] ^= static_cast<char>(1 << bit % 8);
-    CHECK_FALSE(read.Decode(bad, &what));
+    CHECK_FALSE(read.Decode(bad, &error));
   }
-  CHECK_FALSE(read.Decode(bytes + "x", &what));
+  CHECK_FALSE(read.Decode(bytes + "x", &error));
   CHECK(read.entries() == log.entries());  // a rejected log changes nothing
   std::string newer = bytes;
   newer[8] = 2;
-  CHECK_FALSE(read.Decode(newer, &what));
-  CHECK(what == "is of version 2; known are versions up to 1");
+  CHECK_FALSE(read.Decode(newer, &error));
+  CHECK(error == "is of version 2; known are versions up to 1");
 }
 
 TEST_CASE("the corruption log is bounded: repaired entries go first, and dropped ones are counted") {
@@ -146,25 +146,25 @@
 TEST_CASE("a corruption log file that was rejected is moved aside and not overwritten") {
   char folder[] = "/tmp/walnutspur-ledger-XXXXXX";
   REQUIRE(mkdtemp(folder));
-  std::string what;
+  std::string error;
   CorruptionLog log = FilledLog();
   CorruptionLog read;
   CorruptionLogFile file(folder);
-  CHECK(file.Load(&read, &what) == CorruptionLogFile::LoadResult::kMissing);
-  REQUIRE(file.Save(log, &what));
-  CHECK(file.Load(&read, &what) == CorruptionLogFile::LoadResult::kLoaded);
+  CHECK(file.Load(&read, &error) == CorruptionLogFile::LoadResult::kMissing);
+  REQUIRE(file.Save(log, &error));
+  CHECK(file.Load(&read, &error) == CorruptionLogFile::LoadResult::kLoaded);
   CHECK(read.entries() == log.entries());
   std::ofstream(file.path(), std::ios::trunc) << "of another program";
-  CHECK(file.Load(&read, &what) == CorruptionLogFile::LoadResult::kRejected);
-  CHECK(what == file.path() + " is no damage ledger");
-  REQUIRE(file.Save(log, &what));
+  CHECK(file.Load(&read, &error) == CorruptionLogFile::LoadResult::kRejected);
+  CHECK(error == file.path() + " is no damage ledger");
+  REQUIRE(file.Save(log, &error));
   std::ifstream rejected(file.path() + ".refused");
   std::string text;
   std::getline(rejected, text);
   CHECK(text == "of another program");
   CorruptionLogFile nowhere(std::string(folder) + "/no/such");
-  CHECK_FALSE(nowhere.Save(log, &what));
-  CHECK(what.find("cannot open") == 0);
+  CHECK_FALSE(nowhere.Save(log, &error));
+  CHECK(error.find("cannot open") == 0);
   std::filesystem::remove_all(folder);
 }
 
