--- a/bench/integrity/clean_blocks.cpp
+++ b/bench/integrity/clean_blocks.cpp
@@ -4,7 +4,7 @@
 #include <thread>
 
 #include "parts.h"
-#include "testbed.h"
+#include "test_environment.h"
 
 namespace walnutspur::bench {
 namespace {
@@ -19,7 +19,8 @@
 // Writes at random places until destroyed, on a thread of its own.
 class BackgroundWriter {
  public:
-  explicit BackgroundWriter(Testbed* testbed) : testbed_(testbed), thread_([this] { Write(); }) {}
+  explicit BackgroundWriter(TestEnvironment* test_environment)
+      : test_environment_(test_environment), thread_([this] { Write(); }) {}
   ~BackgroundWriter() { Stop(); }
   BackgroundWriter(const BackgroundWriter&) = delete;
   BackgroundWriter& operator=(const BackgroundWriter&) = delete;
@@ -34,17 +35,17 @@
 
  private:
   void Write() {
-    const auto client = testbed_->Connect();
+    const auto client = test_environment_->Connect();
     while (!stopping_) {
-      const std::uint64_t offset = testbed_->Draw(kBlocks * kBlockBytes - kWriteMargin);
-      const std::string data = testbed_->RandomData(1 + testbed_->Draw(kMaxWriteBytes));
+      const std::uint64_t offset = test_environment_->Draw(kBlocks * kBlockBytes - kWriteMargin);
+      const std::string data = test_environment_->RandomData(1 + test_environment_->Draw(kMaxWriteBytes));
       if (client->Write(offset, data).error == nbd::kOk) {
         ++writes_;
       }
     }
   }
 
-  Testbed* testbed_;
+  TestEnvironment* test_environment_;
   std::atomic<bool> stopping_ = false;
   std::atomic<int> writes_ = 0;
   std::thread thread_;  // the last member: it uses the others
@@ -56,15 +57,15 @@
   int rejected_reads = 0;
 };
 
-ReadCounts ReadBlocks(Testbed& testbed, int wanted_blocks) {
-  const auto client = testbed.Connect();
+ReadCounts ReadBlocks(TestEnvironment& test_environment, int wanted_blocks) {
+  const auto client = test_environment.Connect();
   ReadCounts counts;
   int in_flight = 0;
   while (counts.intact_blocks < wanted_blocks) {
     for (; in_flight < kReadsInFlight; ++in_flight) {
       nbd::Request request;
       request.type = nbd::kRead;
-      request.offset = testbed.Draw(kBlocks - kBlocksPerRead) * kBlockBytes;
+      request.offset = test_environment.Draw(kBlocks - kBlocksPerRead) * kBlockBytes;
       request.length = kBlocksPerRead * kBlockBytes;
       client->Send(request);
     }
@@ -81,11 +82,11 @@
 }  // namespace
 
 void MeasureCleanBlocks(Run& run) {
-  Testbed testbed(run, {.paths = 2});
-  BackgroundWriter writer(&testbed);
-  const ReadCounts counts = ReadBlocks(testbed, run.Amount(1'000'000, 60'000));
+  TestEnvironment test_environment(run, {.paths = 2});
+  BackgroundWriter writer(&test_environment);
+  const ReadCounts counts = ReadBlocks(test_environment, run.Amount(1'000'000, 60'000));
   writer.Stop();
-  const CorruptionLog log = testbed.LoadCorruptionLog();
+  const CorruptionLog log = test_environment.LoadCorruptionLog();
   run.Claim("1 false alarms", counts.corrupt_blocks == 0 && log.entries().empty(),
             std::to_string(counts.corrupt_blocks) + " bad blocks told, " +
                 std::to_string(log.entries().size()) + " in the ledger, in " +
--- a/bench/integrity/configuration.h
+++ b/bench/integrity/configuration.h
@@ -1,4 +1,4 @@
-// Formats the files that configure the initiator of a testbed. No state; any thread.
+// Formats the files that configure the initiator of a test environment. No state; any thread.
 #ifndef WALNUTSPUR_BENCH_INTEGRITY_CONFIGURATION_H_
 #define WALNUTSPUR_BENCH_INTEGRITY_CONFIGURATION_H_
 
--- a/bench/integrity/cost.cpp
+++ b/bench/integrity/cost.cpp
@@ -9,7 +9,7 @@
 #include "integrity/crc32c.h"
 #include "integrity/volume.h"
 #include "parts.h"
-#include "testbed.h"
+#include "test_environment.h"
 
 namespace walnutspur::bench {
 namespace {
@@ -17,7 +17,7 @@
 constexpr int kCallsPerRound = 1000;
 constexpr auto kMeasuringTime = std::chrono::milliseconds(200);
 constexpr std::uint64_t kOffsets = 32;               // that requests use, in multiples of their size
-constexpr std::uint32_t kLargestRequest = 65536;     // bytes
+constexpr std::uint32_t kMaxRequestBytes = 65536;    // bytes
 constexpr std::uint64_t kPlainWriteStart = 8 << 20;  // of writes by the plain export
 constexpr double kMaxOverhead = 0.05;
 
@@ -63,10 +63,10 @@
   double plain = 0;
 };
 
-void RunBatch(Testbed& testbed, nbd::BlockingClient& client, const Workload& workload, bool checked,
-              const std::string& data) {
+void RunBatch(TestEnvironment& test_environment, nbd::BlockingClient& client, const Workload& workload,
+              bool checked, const std::string& data) {
   for (int i = 0; i < workload.batch; ++i) {
-    const std::uint64_t offset = testbed.Draw(kOffsets) * workload.size;
+    const std::uint64_t offset = test_environment.Draw(kOffsets) * workload.size;
     if (!workload.writes) {
       client.Read(offset, workload.size);
       continue;
@@ -75,22 +75,22 @@
     client.Write(checked ? offset : kPlainWriteStart + offset, data);
   }
   if (checked && workload.writes) {
-    testbed.WaitForCheckpoint();  // checkpoints are part of the cost
+    test_environment.WaitForCheckpoint();  // checkpoints are part of the cost
   }
 }
 
-ProcessorTime MeasureWorkload(Testbed& testbed, const Workload& workload) {
-  const auto checked_client = testbed.Connect("checked");
-  const auto plain_client = testbed.Connect("plain");
-  const std::string data = testbed.RandomData(workload.size);
+ProcessorTime MeasureWorkload(TestEnvironment& test_environment, const Workload& workload) {
+  const auto checked_client = test_environment.Connect("checked");
+  const auto plain_client = test_environment.Connect("plain");
+  const std::string data = test_environment.RandomData(workload.size);
   ProcessorTime used;
   for (int round = 0; round < workload.rounds; ++round) {
-    const double start = testbed.initiator().cpu();
-    RunBatch(testbed, *checked_client, workload, true, data);
-    const double middle = testbed.initiator().cpu();
+    const double start = test_environment.initiator().cpu();
+    RunBatch(test_environment, *checked_client, workload, true, data);
+    const double middle = test_environment.initiator().cpu();
     used.checked += middle - start;
-    RunBatch(testbed, *plain_client, workload, false, data);
-    used.plain += testbed.initiator().cpu() - middle;
+    RunBatch(test_environment, *plain_client, workload, false, data);
+    used.plain += test_environment.initiator().cpu() - middle;
   }
   return used;
 }
@@ -107,24 +107,24 @@
 }
 
 // Blocks that were never written are not read from the server, which would make reads look cheap.
-void Fill(Testbed& testbed) {
-  const auto client = testbed.Connect("checked");
+void Fill(TestEnvironment& test_environment) {
+  const auto client = test_environment.Connect("checked");
   for (std::uint64_t i = 0; i < kOffsets; ++i) {
-    WriteWithRetry(*client, i * kLargestRequest, testbed.RandomData(kLargestRequest));
+    WriteWithRetry(*client, i * kMaxRequestBytes, test_environment.RandomData(kMaxRequestBytes));
   }
-  testbed.WaitForCheckpoint();
+  test_environment.WaitForCheckpoint();
 }
 
 }  // namespace
 
 void MeasureCost(Run& run) {
   MeasureTagCode(run);
-  Testbed testbed(run, {.plain = true});
-  Fill(testbed);
-  for (const std::uint32_t size : {4096U, 16384U, kLargestRequest}) {
+  TestEnvironment test_environment(run, {.plain = true});
+  Fill(test_environment);
+  for (const std::uint32_t size : {4096U, 16384U, kMaxRequestBytes}) {
     for (const bool writes : {false, true}) {
       const Workload workload{size, writes, run.Amount(1500, 250), run.Amount(6, 3)};
-      ReportOverhead(run, workload, MeasureWorkload(testbed, workload));
+      ReportOverhead(run, workload, MeasureWorkload(test_environment, workload));
     }
   }
 }
--- a/bench/integrity/crashes.cpp
+++ b/bench/integrity/crashes.cpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "parts.h"
-#include "testbed.h"
+#include "test_environment.h"
 
 namespace walnutspur::bench {
 namespace {
@@ -27,12 +27,12 @@
 
 class Measurement {
  public:
-  explicit Measurement(const Run& run) : testbed_(run, {.child_server = true}) {}
+  explicit Measurement(const Run& run) : test_environment_(run, {.child_server = true}) {}
 
   // One crash, and the check after the restart.
   void CrashAndVerify() {
-    auto client = testbed_.Connect();
-    const auto delay = static_cast<int>(testbed_.Draw(kMaxCrashDelay));
+    auto client = test_environment_.Connect();
+    const auto delay = static_cast<int>(test_environment_.Draw(kMaxCrashDelay));
     const Crash crash = DrawCrash();
     std::atomic<bool> crashed = false;
     std::thread killer([&] {
@@ -62,31 +62,31 @@
 
  private:
   Crash DrawCrash() {
-    if (testbed_.Draw(3) != 0) {
+    if (test_environment_.Draw(3) != 0) {
       return Crash::kInitiator;
     }
-    return testbed_.Draw(2) == 0 ? Crash::kPowerCut : Crash::kStorageServer;
+    return test_environment_.Draw(2) == 0 ? Crash::kPowerCut : Crash::kStorageServer;
   }
 
   void Execute(Crash crash) {
     switch (crash) {
       case Crash::kInitiator:
-        testbed_.initiator().Kill();
+        test_environment_.initiator().Kill();
         break;
       case Crash::kStorageServer:
-        testbed_.server_process().Kill();
+        test_environment_.server_process().Kill();
         break;
       case Crash::kPowerCut:
-        testbed_.server_process().Signal(SIGUSR2);
-        testbed_.server_process().Wait(kExitTimeout);
+        test_environment_.server_process().Signal(SIGUSR2);
+        test_environment_.server_process().Wait(kExitTimeout);
         break;
     }
   }
 
   void WriteUntilCrash(nbd::BlockingClient& client, const std::atomic<bool>& crashed) {
     while (true) {
-      const std::uint64_t block = testbed_.Draw(kBlocks);
-      const std::string data = testbed_.RandomData(kBlockBytes);
+      const std::uint64_t block = test_environment_.Draw(kBlocks);
+      const std::string data = test_environment_.RandomData(kBlockBytes);
       contents_[block].push_back(data);
       const nbd::Error error = client.Write(block * kBlockBytes, data).error;
       const bool rejected = error == nbd::kNoMemory;
@@ -97,7 +97,7 @@
         return;
       }
       ++writes_;
-      if (testbed_.Draw(kWritesPerFlush) == 0) {
+      if (test_environment_.Draw(kWritesPerFlush) == 0) {
         Flush(client);
       }
     }
@@ -114,17 +114,17 @@
   }
 
   void Restart(Crash crash) {
-    testbed_.initiator().Kill();
-    if (crash != Crash::kInitiator && !testbed_.StartChildServer()) {
+    test_environment_.initiator().Kill();
+    if (crash != Crash::kInitiator && !test_environment_.StartChildServer()) {
       throw BenchError("the box does not start again");
     }
     power_cuts_ += crash == Crash::kPowerCut ? 1 : 0;
     server_crashes_ += crash != Crash::kInitiator ? 1 : 0;
-    testbed_.StartInitiator();
+    test_environment_.StartInitiator();
   }
 
   void Verify(Crash crash) {
-    const auto client = testbed_.Connect();
+    const auto client = test_environment_.Connect();
     for (std::uint64_t block = 0; block < kBlocks; ++block) {
       const nbd::Reply reply = Read(*client, block);
       if (reply.error != nbd::kOk) {
@@ -159,7 +159,7 @@
     possible.push_back(found);
   }
 
-  Testbed testbed_;
+  TestEnvironment test_environment_;
   // By block: each content that a read may return, the newest last.
   std::vector<std::vector<std::string>> contents_ =
       std::vector(kBlocks, std::vector{std::string(kBlockBytes, '\0')});
--- a/bench/integrity/http_corruption.cpp
+++ b/bench/integrity/http_corruption.cpp
@@ -6,7 +6,7 @@
 
 #include "http_client.h"
 #include "parts.h"
-#include "testbed.h"
+#include "test_environment.h"
 
 namespace walnutspur::bench {
 namespace {
@@ -27,24 +27,24 @@
 
 class Measurement {
  public:
-  explicit Measurement(const Run& run) : testbed_(run, {}), client_(testbed_.http_port()) {
-    client_.Put(kOverwrittenKey, testbed_.RandomData(kObjectBytes));
+  explicit Measurement(const Run& run) : test_environment_(run, {}), client_(test_environment_.http_port()) {
+    client_.Put(kOverwrittenKey, test_environment_.RandomData(kObjectBytes));
   }
 
   // Writes an object twice, with a fault of the kind injected into the second write or the read after it.
   void Inject(std::uint64_t key, Damage damage) {
-    const std::string old_body = testbed_.RandomData(kObjectBytes);
-    const std::string body = testbed_.RandomData(kObjectBytes);
+    const std::string old_body = test_environment_.RandomData(kObjectBytes);
+    const std::string body = test_environment_.RandomData(kObjectBytes);
     const bool at_rest = IsWriteFault(damage);
     const lab::Fault fault{damage, lab::kAnyPath, 0, 1};
     bool written = client_.PutWithRetry(key, old_body);
     corrupt_at_rest_[ObjectPath(key)] = at_rest;
     if (at_rest) {
-      testbed_.server().AddFault(fault);
+      test_environment_.server().AddFault(fault);
     }
     written = written && client_.PutWithRetry(key, body);
     if (!at_rest) {
-      testbed_.server().AddFault(fault);
+      test_environment_.server().AddFault(fault);
     }
     failed_writes_ += written ? 0 : 1;
     Read(key, body);
@@ -72,7 +72,7 @@
     }
     std::uint64_t injections = 0;
     for (const Damage damage : kKinds) {
-      injections += testbed_.server().injections(damage);
+      injections += test_environment_.server().injections(damage);
     }
     detected_ += injections > injections_before_ && intact_or_rejected ? 1 : 0;
     injections_before_ = injections;
@@ -86,7 +86,7 @@
   }
 
   void CompareWithLog() {
-    const CorruptionLog log = testbed_.LoadCorruptionLog();
+    const CorruptionLog log = test_environment_.LoadCorruptionLog();
     for (const auto& [path, at_rest] : corrupt_at_rest_) {
       const auto* entry = log.Find({"a", path, 0});
       const integrity::Fault expected = at_rest ? integrity::Fault::kAtRest : integrity::Fault::kMemory;
@@ -99,7 +99,7 @@
     }
   }
 
-  Testbed testbed_;
+  TestEnvironment test_environment_;
   HttpClient client_;
   std::map<std::string, bool>
       corrupt_at_rest_;  // by path: whether the stored object is corrupt, or a read of it
--- a/bench/integrity/main.cpp
+++ b/bench/integrity/main.cpp
@@ -19,7 +19,7 @@
 RunOptions ReadOptions(int argc, char** argv) {
   RunOptions options;
   options.program = argv[1];
-  options.laboratory = options.program + "-lab";
+  options.lab_program = options.program + "-lab";
   if (const char* seed = std::getenv("SEED")) {
     options.seed = std::strtoull(seed, nullptr, 10);
   }
--- a/bench/integrity/nbd_corruption.cpp
+++ b/bench/integrity/nbd_corruption.cpp
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "parts.h"
-#include "testbed.h"
+#include "test_environment.h"
 
 namespace walnutspur::bench {
 namespace {
@@ -53,13 +53,14 @@
   }
 }
 
-// One testbed with corruption of all kinds, each far enough from the others to have its blocks to itself.
+// One test environment with corruption of all kinds, each far enough from the others to have its blocks to
+// itself.
 class Round {
  public:
   Round(const Run& run, Tally* tally)
-      : testbed_(run, {.paths = 2}),
-        client_(testbed_.Connect()),
-        content_(testbed_.RandomData(kBlocks * kBlockBytes)),
+      : test_environment_(run, {.paths = 2}),
+        client_(test_environment_.Connect()),
+        content_(test_environment_.RandomData(kBlocks * kBlockBytes)),
         tally_(tally) {}
 
   void Measure() {
@@ -80,21 +81,21 @@
 
  private:
   void Fill() {
-    content_ = testbed_.RandomData(kBlocks * kBlockBytes);
+    content_ = test_environment_.RandomData(kBlocks * kBlockBytes);
     const std::size_t size = kFillBlocks * kBlockBytes;
     for (std::size_t offset = 0; offset < content_.size(); offset += size) {
       if (!WriteWithRetry(*client_, offset, content_.substr(offset, size))) {
         ++tally_->wrong_reads;
       }
     }
-    testbed_.WaitForCheckpoint();
+    test_environment_.WaitForCheckpoint();
   }
 
   void ChooseBlocks() {
     std::uint64_t block = 1;
     for (std::uint64_t i = 0; i < kKinds.size() * kFaultsPerKind && block + 4 < kBlocks; ++i) {
       corrupt_[block] = kKinds[i % kKinds.size()];
-      block += 5 + testbed_.Draw(2);
+      block += 5 + test_environment_.Draw(2);
     }
   }
 
@@ -108,18 +109,18 @@
       if (damage == Damage::kMisdirectedWrite) {
         overwritten_.insert(block + kMisdirectedDistance);
       }
-      testbed_.server().AddFault(fault);
-      const std::string data = testbed_.RandomData(kBlockBytes);
+      test_environment_.server().AddFault(fault);
+      const std::string data = test_environment_.RandomData(kBlockBytes);
       WriteWithRetry(*client_, block * kBlockBytes, data);
       content_.replace(block * kBlockBytes, kBlockBytes, data);
     }
-    testbed_.WaitForCheckpoint();
+    test_environment_.WaitForCheckpoint();
   }
 
   void InjectStoredFaults() {
     for (const auto& [block, damage] : corrupt_) {
       if (damage == Damage::kStoredBitFlip) {
-        testbed_.server().AddFault(FaultAt(block, damage));
+        test_environment_.server().AddFault(FaultAt(block, damage));
       }
     }
   }
@@ -128,7 +129,7 @@
   void InjectReadFaults() {
     for (const auto& [block, damage] : corrupt_) {
       if (IsReadFault(damage)) {
-        testbed_.server().AddFault(FaultAt(block, damage));
+        test_environment_.server().AddFault(FaultAt(block, damage));
       }
       ReadRepeatedly(block);
     }
@@ -161,13 +162,13 @@
   std::uint64_t CountInjections() {
     std::uint64_t total = 0;
     for (const Damage damage : kKinds) {
-      total += testbed_.server().injections(damage);
+      total += test_environment_.server().injections(damage);
     }
     return total;
   }
 
   void CompareWithLog() {
-    const CorruptionLog log = testbed_.LoadCorruptionLog();
+    const CorruptionLog log = test_environment_.LoadCorruptionLog();
     for (const auto& [block, damage] : corrupt_) {
       const auto* entry = log.Find({"a", "disk", block});
       tally_->detected += entry != nullptr ? 1 : 0;
@@ -185,7 +186,7 @@
     }
   }
 
-  Testbed testbed_;
+  TestEnvironment test_environment_;
   std::unique_ptr<nbd::BlockingClient> client_;
   std::string content_;                      // what the export must hold
   std::map<std::uint64_t, Damage> corrupt_;  // by block
--- a/bench/integrity/parts.h
+++ b/bench/integrity/parts.h
@@ -1,4 +1,5 @@
-// The parts of the benchmark. Each starts its own testbed and reports claims to the run, on main's thread.
+// The parts of the benchmark. Each starts its own test environment and reports claims to the run, on main's
+// thread.
 #ifndef WALNUTSPUR_BENCH_INTEGRITY_PARTS_H_
 #define WALNUTSPUR_BENCH_INTEGRITY_PARTS_H_
 
--- a/bench/integrity/run.h
+++ b/bench/integrity/run.h
@@ -20,8 +20,8 @@
 };
 
 struct RunOptions {
-  std::string program;     // the initiator
-  std::string laboratory;  // path of walnutspur-lab, which is built beside it
+  std::string program;      // the initiator
+  std::string lab_program;  // path of walnutspur-lab, which is built beside it
   std::uint64_t seed = 1;
   bool brief = false;
   std::set<std::string> parts;  // empty: all
--- a/bench/integrity/scrub.cpp
+++ b/bench/integrity/scrub.cpp
@@ -12,7 +12,7 @@
 #include "app/control.h"
 #include "core/scheduler_thread.h"
 #include "parts.h"
-#include "testbed.h"
+#include "test_environment.h"
 
 namespace walnutspur::bench {
 namespace {
@@ -23,7 +23,7 @@
 constexpr double kDrainSeconds = 4;          // for the last replies
 constexpr std::int64_t kServiceTime = 1500;  // us per command: 666 a second
 constexpr int kSettleTime = 500;             // ms
-constexpr double kFirstRate = 80;            // reads a second
+constexpr double kInitialRate = 80;          // reads a second
 constexpr std::uint64_t kBlocks = 512;       // that clients read
 constexpr std::uint64_t kFillBlocks = 16;    // of one write
 constexpr std::size_t kMaxReadsInFlight = 400;
@@ -46,11 +46,11 @@
   OpenLoop(const Run& run, bool scrub, std::uint64_t seed, double last_rate)
       : scrub_(scrub),
         seconds_(run.options().brief ? 3 : 8),
-        testbed_(run, {.settings = ScrubSettings(scrub)}),
-        client_(testbed_.Connect()),
+        test_environment_(run, {.settings = ScrubSettings(scrub)}),
+        client_(test_environment_.Connect()),
         random_(seed) {
     Fill();
-    testbed_.server().SetService(kServiceTime);
+    test_environment_.server().SetService(kServiceTime);
     poll(nullptr, 0, kSettleTime);
     ScheduleReads(last_rate);
   }
@@ -72,15 +72,15 @@
   void Fill() {
     const std::size_t size = kFillBlocks * kBlockBytes;
     for (std::uint64_t offset = 0; offset + size <= client_->size(); offset += size) {
-      WriteWithRetry(*client_, offset, testbed_.RandomData(size));
+      WriteWithRetry(*client_, offset, test_environment_.RandomData(size));
     }
-    testbed_.WaitForCheckpoint();
+    test_environment_.WaitForCheckpoint();
   }
 
-  // A Poisson process whose rate rises from kFirstRate to `last_rate`.
+  // A Poisson process whose rate rises from kInitialRate to `last_rate`.
   void ScheduleReads(double last_rate) {
     for (double at = 0; at < seconds_;) {
-      const double rate = kFirstRate + (last_rate - kFirstRate) * at / seconds_;
+      const double rate = kInitialRate + (last_rate - kInitialRate) * at / seconds_;
       at += -std::log((static_cast<double>(random_() % 1'000'000) + 1) / 1'000'001.0) / rate;
       due_.push_back(at);
     }
@@ -90,7 +90,8 @@
     if (!scrub_) {
       return 0;
     }
-    const std::string status = app::SendControlCommand(app::ControlPath(testbed_.folder()), "status");
+    const std::string status =
+        app::SendControlCommand(app::ControlPath(test_environment_.folder()), "status");
     const nlohmann::json scrub = nlohmann::json::parse(status)["scrub"];
     return scrub["requests"].get<double>() - scrub["failed"].get<double>();
   }
@@ -133,7 +134,7 @@
 
   bool scrub_;
   double seconds_;
-  Testbed testbed_;
+  TestEnvironment test_environment_;
   std::unique_ptr<nbd::BlockingClient> client_;
   pcg64 random_;
   std::vector<double> due_;  // seconds after the start
--- a/bench/integrity/testbed.cpp
+++ b/bench/integrity/test_environment.cpp
@@ -1,4 +1,4 @@
-#include "testbed.h"
+#include "test_environment.h"
 
 #include <poll.h>
 
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-Testbed::Testbed(const Run& run, TestbedOptions options)
+TestEnvironment::TestEnvironment(const Run& run, TestEnvironmentOptions options)
     : run_(run), options_(std::move(options)), random_(run.seed()) {
   StartServer();
   lab::ListedEndpoint endpoint;
@@ -47,7 +47,7 @@
   StartInitiator();
 }
 
-void Testbed::FormatDevice(lab::BlockDevice& device) const {
+void TestEnvironment::FormatDevice(lab::BlockDevice& device) const {
   for (const auto& request :
        integrity::FormatPlan(kDeviceBytes, integrity::kDefaultJournalBytes, run_.seed())) {
     if (request.kind == integrity::IoKind::kWrite) {
@@ -56,7 +56,7 @@
   }
 }
 
-void Testbed::StartServer() {
+void TestEnvironment::StartServer() {
   if (!options_.child_server) {
     StartServerInProcess();
     return;
@@ -70,7 +70,7 @@
   server_http_port_ = server_nbd_port_ + 1;
 }
 
-void Testbed::StartServerInProcess() {
+void TestEnvironment::StartServerInProcess() {
   lab::StorageServerOptions options;
   options.size = kDeviceBytes;
   options.paths = options_.paths;
@@ -84,8 +84,8 @@
 }
 
 // It listens for HTTP on the port after the one for NBD, and on the same ports each time.
-bool Testbed::StartChildServer() {
-  const std::vector<std::string> command = {run_.options().laboratory,
+bool TestEnvironment::StartChildServer() {
+  const std::vector<std::string> command = {run_.options().lab_program,
                                             "storage-server",
                                             "--size",
                                             std::to_string(kDeviceBytes),
@@ -96,8 +96,8 @@
                                             std::to_string(server_nbd_port_),
                                             "--seed",
                                             std::to_string(random_())};
-  child_server_ =
-      std::make_unique<lab::Process>(command, std::map<std::string, std::string>{}, folder() + "/storage_server.log");
+  child_server_ = std::make_unique<lab::Process>(command, std::map<std::string, std::string>{},
+                                                 folder() + "/storage_server.log");
   for (int i = 0; i < kServerStartAttempts && child_server_->running(); ++i) {
     if (lab::WaitForListener(server_nbd_port_ + 1, kServerStartInterval)) {
       return true;
@@ -106,7 +106,7 @@
   return false;
 }
 
-lab::InitiatorOptions Testbed::InitiatorSetup() const {
+lab::InitiatorOptions TestEnvironment::InitiatorSetup() const {
   DeployOptions deploy;
   deploy.nbd_port = nbd_port_;
   deploy.server_ports = {server_nbd_port_};
@@ -123,7 +123,7 @@
   return initiator;
 }
 
-void Testbed::StartInitiator() {
+void TestEnvironment::StartInitiator() {
   initiator_ = lab::StartInitiator(folder_, initiator_options_);
   if (!lab::WaitForListener(nbd_port_, kListenTimeout)) {
     throw BenchError("the program does not start");
@@ -138,7 +138,7 @@
   throw BenchError("the export is not attached");
 }
 
-bool Testbed::IsAttached() const {
+bool TestEnvironment::IsAttached() const {
   try {
     return Connect()->Read(0, kAttachReadBytes).error == nbd::kOk;
   } catch (const std::exception&) {
@@ -146,11 +146,11 @@
   }
 }
 
-std::unique_ptr<nbd::BlockingClient> Testbed::Connect(const std::string& export_name) const {
+std::unique_ptr<nbd::BlockingClient> TestEnvironment::Connect(const std::string& export_name) const {
   return std::make_unique<nbd::BlockingClient>(lab::FormatLoopbackAddress(nbd_port_), export_name);
 }
 
-void Testbed::WaitForCheckpoint() {
+void TestEnvironment::WaitForCheckpoint() {
   const bool scrubs = options_.settings.find("on = true") != std::string::npos;
   const std::uint64_t idle_commands = scrubs ? kScrubCommands : 0;
   std::uint64_t before = 0;
@@ -162,7 +162,7 @@
   }
 }
 
-CorruptionLog Testbed::LoadCorruptionLog() const {
+CorruptionLog TestEnvironment::LoadCorruptionLog() const {
   poll(nullptr, 0, kLogWriteDelay);
   CorruptionLog log;
   std::string error;
@@ -170,7 +170,7 @@
   return log;
 }
 
-std::string Testbed::RandomData(std::size_t size) {
+std::string TestEnvironment::RandomData(std::size_t size) {
   const std::lock_guard lock(random_mutex_);
   std::string data(size, '\0');
   for (std::size_t i = 0; i < size; i += sizeof(std::uint64_t)) {
@@ -180,7 +180,7 @@
   return data;
 }
 
-std::uint64_t Testbed::Draw(std::uint64_t bound) {
+std::uint64_t TestEnvironment::Draw(std::uint64_t bound) {
   const std::lock_guard lock(random_mutex_);
   return bound == 0 ? 0 : random_() % bound;
 }
--- a/bench/integrity/testbed.h
+++ b/bench/integrity/test_environment.h
@@ -2,8 +2,8 @@
 //
 // Created, restarted and destroyed on the thread of its part. Draw and RandomData may be called from any
 // thread.
-#ifndef WALNUTSPUR_BENCH_INTEGRITY_TESTBED_H_
-#define WALNUTSPUR_BENCH_INTEGRITY_TESTBED_H_
+#ifndef WALNUTSPUR_BENCH_INTEGRITY_TEST_ENVIRONMENT_H_
+#define WALNUTSPUR_BENCH_INTEGRITY_TEST_ENVIRONMENT_H_
 
 #include <cstdint>
 #include <memory>
@@ -26,21 +26,21 @@
 using integrity::CorruptionLog;
 using integrity::kBlockBytes;
 
-struct TestbedOptions {
+struct TestEnvironmentOptions {
   int paths = 1;
   bool plain = false;         // a second export of the same device, without checksums
   std::string settings{};     // added to the initiator's settings file
   bool child_server = false;  // the storage server is a child process, with one path
 };
 
-class Testbed {
+class TestEnvironment {
  public:
   static constexpr std::uint64_t kDeviceBytes = 24 << 20;
 
   // Starts everything. Throws BenchError.
-  Testbed(const Run& run, TestbedOptions options);
-  Testbed(const Testbed&) = delete;
-  Testbed& operator=(const Testbed&) = delete;
+  TestEnvironment(const Run& run, TestEnvironmentOptions options);
+  TestEnvironment(const TestEnvironment&) = delete;
+  TestEnvironment& operator=(const TestEnvironment&) = delete;
 
   // Connects to an export of the initiator.
   std::unique_ptr<nbd::BlockingClient> Connect(const std::string& export_name = "checked") const;
@@ -72,7 +72,7 @@
   std::string DeviceFile() const { return folder() + "/disk"; }
 
   const Run& run_;
-  TestbedOptions options_;
+  TestEnvironmentOptions options_;
   lab::TemporaryFolder folder_;
   std::mutex random_mutex_;
   pcg64 random_;
@@ -92,4 +92,4 @@
 
 }  // namespace walnutspur::bench
 
-#endif  // WALNUTSPUR_BENCH_INTEGRITY_TESTBED_H_
+#endif  // WALNUTSPUR_BENCH_INTEGRITY_TEST_ENVIRONMENT_H_
--- a/src/integrity/io_queue.h
+++ b/src/integrity/io_queue.h
@@ -36,7 +36,7 @@
   // Removes a request that has ended; nothing if it is unknown.
   std::optional<PendingIo> Complete(IoId id);
   // Removes all requests in flight: their completions are ignored.
-  void ForgetPending() { pending_.clear(); }
+  void DiscardPending() { pending_.clear(); }
 
   std::vector<IoRequest> TakeRequests();
   std::size_t in_flight() const { return pending_.size(); }
--- a/src/integrity/volume.cpp
+++ b/src/integrity/volume.cpp
@@ -46,7 +46,7 @@
   const bool is_read = request.kind == IoKind::kRead;
   if (status != IoStatus::kCompleted || (is_read && data.size() != request.length)) {
     journal_reads_in_flight_ = 0;
-    context_.io_queue.ForgetPending();
+    context_.io_queue.DiscardPending();
     return Fail("the box did not carry out what attaching the export needs");
   }
   if (is_read && request.purpose == IoPurpose::kSuperblock) {
