--- a/bench/integrity/clean_blocks.cpp
+++ b/bench/integrity/clean_blocks.cpp
@@ -1,4 +1,4 @@
-// Reads intact blocks beside overlapping writes that are not aligned: none may be reported as corrupt.
+// Reads intact blocks during overlapping unaligned writes: no block may be reported as corrupt.
 #include <atomic>
 #include <string>
 #include <thread>
@@ -12,11 +12,11 @@
 constexpr std::uint64_t kBlocks = 512;
 constexpr std::uint32_t kBlocksPerRead = 16;
 constexpr std::uint64_t kMaxWriteBytes = 16000;
-constexpr std::uint64_t kWriteMargin = 20000;  // bytes at the end where no write begins
+constexpr std::uint64_t kWriteMargin = 20000;  // bytes at the end in which no write starts
 constexpr int kReadsInFlight = 8;
 constexpr int kReplyTimeout = 5000;  // ms
 
-// Writes at random places until destroyed, on a thread of its own.
+// Writes at random offsets on its own thread until it is stopped or destroyed.
 class BackgroundWriter {
  public:
   explicit BackgroundWriter(TestEnvironment* test_environment)
@@ -48,7 +48,7 @@
   TestEnvironment* test_environment_;
   std::atomic<bool> stopping_ = false;
   std::atomic<int> writes_ = 0;
-  std::thread thread_;  // the last member: it uses the others
+  std::thread thread_;  // the last member, since it uses the others
 };
 
 struct ReadCounts {
@@ -88,11 +88,11 @@
   writer.Stop();
   const CorruptionLog log = test_environment.LoadCorruptionLog();
   run.Claim("1 false alarms", counts.corrupt_blocks == 0 && log.entries().empty(),
-            std::to_string(counts.corrupt_blocks) + " bad blocks told, " +
-                std::to_string(log.entries().size()) + " in the ledger, in " +
-                std::to_string(counts.intact_blocks) + " clean blocks beside " +
+            std::to_string(counts.corrupt_blocks) + " blocks reported as corrupt, " +
+                std::to_string(log.entries().size()) + " in the corruption log, in " +
+                std::to_string(counts.intact_blocks) + " intact blocks during " +
                 std::to_string(writer.writes()) + " overlapping writes (" +
-                std::to_string(counts.rejected_reads) + " reads refused)");
+                std::to_string(counts.rejected_reads) + " reads rejected)");
 }
 
 }  // namespace walnutspur::bench
--- a/bench/integrity/configuration.h
+++ b/bench/integrity/configuration.h
@@ -1,4 +1,4 @@
-// Formats the files that configure the initiator of a test environment. No state; any thread.
+// Formats the files that configure the initiator of a test environment. No state; safe on any thread.
 #ifndef WALNUTSPUR_BENCH_INTEGRITY_CONFIGURATION_H_
 #define WALNUTSPUR_BENCH_INTEGRITY_CONFIGURATION_H_
 
@@ -17,9 +17,9 @@
   bool plain = false;             // a second export of the same device, without checksums
 };
 
-// The deploy file (TOML).
+// Returns the deploy file (TOML).
 std::string FormatDeployFile(const DeployOptions& options);
-// The platform's configuration.
+// Returns the platform's configuration.
 lab::PlatformConfig InitiatorConfig(int http_port, int discovery_port);
 
 }  // namespace walnutspur::bench
--- a/bench/integrity/cost.cpp
+++ b/bench/integrity/cost.cpp
@@ -1,5 +1,5 @@
-// What checksums cost: the speed of the tag code alone, and the initiator's processor time per request of an
-// export with checksums and of one without.
+// Measures the cost of checksums: the throughput of the tag code alone, and the initiator's processor time
+// per request of an export with checksums and of one without.
 #include <array>
 #include <chrono>
 #include <cstdio>
@@ -16,12 +16,12 @@
 
 constexpr int kCallsPerRound = 1000;
 constexpr auto kMeasuringTime = std::chrono::milliseconds(200);
-constexpr std::uint64_t kOffsets = 32;               // that requests use, in multiples of their size
+constexpr std::uint64_t kOffsets = 32;  // number of offsets of requests, in multiples of their size
 constexpr std::uint32_t kMaxRequestBytes = 65536;    // bytes
-constexpr std::uint64_t kPlainWriteStart = 8 << 20;  // of writes by the plain export
+constexpr std::uint64_t kPlainWriteStart = 8 << 20;  // offset of the writes to the plain export
 constexpr double kMaxOverhead = 0.05;
 
-// Gigabytes a second of a call that processes one block.
+// Returns the throughput, in gigabytes per second, of a call that processes one block.
 template <typename Call>
 double MeasureThroughput(Call call) {
   using Clock = std::chrono::steady_clock;
@@ -40,12 +40,12 @@
 void MeasureTagCode(Run& run) {
   const std::string block(kBlockBytes, '\0');
   std::string copy(kBlockBytes, '\0');
-  volatile std::uint32_t sink = 0;  // so that the result is used
+  volatile std::uint32_t sink = 0;  // keeps the compiler from removing the call
   const double tags =
       MeasureThroughput([&] { sink = sink + integrity::TagSum(integrity::DataSum(block), 1, 2, 3); });
   const double copies = MeasureThroughput([&] {
     std::memcpy(copy.data(), block.data(), kBlockBytes);
-    __asm__ volatile("" : : "r"(copy.data()) : "memory");  // so that the copy is not optimised away
+    __asm__ volatile("" : : "r"(copy.data()) : "memory");  // keeps the compiler from removing the copy
   });
   run.Claim("4 tag code", true, std::to_string(tags) + " GB/s, memcpy " + std::to_string(copies) + " GB/s");
 }
@@ -71,11 +71,11 @@
       client.Read(offset, workload.size);
       continue;
     }
-    // The plain export is the same device: it writes to blocks that the checked one does not use.
+    // Both exports use the same device: writes to the plain one use blocks that the checked one does not use.
     client.Write(checked ? offset : kPlainWriteStart + offset, data);
   }
   if (checked && workload.writes) {
-    test_environment.WaitForCheckpoint();  // checkpoints are part of the cost
+    test_environment.WaitForCheckpoint();  // the cost includes checkpoints
   }
 }
 
@@ -106,7 +106,8 @@
       overhead <= kMaxOverhead, figure.data());
 }
 
-// Blocks that were never written are not read from the server, which would make reads look cheap.
+// Writes all blocks that are read later: blocks that were never written are not read from the server, so that
+// reads would appear to cost less.
 void Fill(TestEnvironment& test_environment) {
   const auto client = test_environment.Connect("checked");
   for (std::uint64_t i = 0; i < kOffsets; ++i) {
--- a/bench/integrity/crashes.cpp
+++ b/bench/integrity/crashes.cpp
@@ -29,7 +29,7 @@
  public:
   explicit Measurement(const Run& run) : test_environment_(run, {.child_server = true}) {}
 
-  // One crash, and the check after the restart.
+  // Causes one crash during writes and verifies all blocks after the restart.
   void CrashAndVerify() {
     auto client = test_environment_.Connect();
     const auto delay = static_cast<int>(test_environment_.Draw(kMaxCrashDelay));
@@ -43,7 +43,7 @@
     try {
       WriteUntilCrash(*client, crashed);
     } catch (const std::exception&) {
-      // The connection has ended with the initiator.
+      // The connection was closed because the initiator exited.
     }
     killer.join();
     client.reset();
@@ -54,8 +54,8 @@
   void Report(Run& run, int crashes) const {
     run.Claim("2 kills", unexpected_blocks_ == 0 && false_alarms_ == 0,
               std::to_string(crashes) + " kills (" + std::to_string(crashes - server_crashes_) +
-                  " of the program and " + std::to_string(server_crashes_ - power_cuts_) +
-                  " of the box by SIGKILL, " + std::to_string(power_cuts_) + " of the box's power), " +
+                  " of the initiator and " + std::to_string(server_crashes_ - power_cuts_) +
+                  " of the storage server by SIGKILL, " + std::to_string(power_cuts_) + " of its power), " +
                   std::to_string(writes_) + " writes: " + std::to_string(unexpected_blocks_) +
                   " blocks lost, " + std::to_string(false_alarms_) + " false alarms");
   }
@@ -103,7 +103,7 @@
     }
   }
 
-  // After a flush the newest content is the only possible one.
+  // Flushes the export, after which only the newest content of each block is possible.
   void Flush(nbd::BlockingClient& client) {
     if (client.Flush().error != nbd::kOk) {
       return;
@@ -116,7 +116,7 @@
   void Restart(Crash crash) {
     test_environment_.initiator().Kill();
     if (crash != Crash::kInitiator && !test_environment_.StartChildServer()) {
-      throw BenchError("the box does not start again");
+      throw BenchError("the storage server did not restart");
     }
     power_cuts_ += crash == Crash::kPowerCut ? 1 : 0;
     server_crashes_ += crash != Crash::kInitiator ? 1 : 0;
@@ -145,8 +145,8 @@
     return reply;
   }
 
-  // The content found becomes the newest. Until a flush a power cut can still bring back an earlier one; a
-  // power cut that has happened has made it durable.
+  // Compares the content found with the possible ones, and makes it the newest. Until a flush, a power cut
+  // can still restore an earlier one; content found after a power cut is durable.
   void Compare(std::uint64_t block, const std::string& found, Crash crash) {
     auto& possible = contents_[block];
     if (std::find(possible.begin(), possible.end(), found) == possible.end()) {
@@ -166,7 +166,7 @@
   int writes_ = 0;
   int server_crashes_ = 0;
   int power_cuts_ = 0;
-  int unexpected_blocks_ = 0;  // with another content than the possible ones
+  int unexpected_blocks_ = 0;  // whose content is not a possible one
   int false_alarms_ = 0;       // blocks that are reported as corrupt
 };
 
--- a/bench/integrity/http_client.cpp
+++ b/bench/integrity/http_client.cpp
@@ -28,7 +28,7 @@
   const sockaddr_in address = lab::LoopbackAddress(port);
   if (connect(fd_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
     close(fd_);
-    throw BenchError("no HTTP");
+    throw BenchError("cannot connect to HTTP port " + std::to_string(port));
   }
 }
 
@@ -65,7 +65,7 @@
   for (std::size_t sent = 0; sent < text.size();) {
     const ssize_t size = send(fd_, text.data() + sent, text.size() - sent, MSG_NOSIGNAL);
     if (size <= 0) {
-      throw BenchError("the connection ended");
+      throw BenchError("the connection was closed before the request was sent");
     }
     sent += static_cast<std::size_t>(size);
   }
@@ -77,7 +77,7 @@
   while (!reader.complete() && !reader.malformed()) {
     const ssize_t size = recv(fd_, bytes.data(), bytes.size(), 0);
     if (size <= 0) {
-      throw BenchError("the connection ended");
+      throw BenchError("the connection was closed before the response was complete");
     }
     reader.Feed({bytes.data(), static_cast<std::size_t>(size)});
   }
--- a/bench/integrity/http_client.h
+++ b/bench/integrity/http_client.h
@@ -1,5 +1,5 @@
-// A client of the initiator's HTTP interface that waits for each response. It owns its socket; one thread at
-// a time may use it.
+// Class HttpClient is a client of the initiator's HTTP interface that waits for each response. It owns its
+// socket; one thread at a time may use it.
 #ifndef WALNUTSPUR_BENCH_INTEGRITY_HTTP_CLIENT_H_
 #define WALNUTSPUR_BENCH_INTEGRITY_HTTP_CLIENT_H_
 
@@ -15,13 +15,13 @@
   std::string body;
 };
 
-// The path of an object.
+// Returns the path of an object.
 std::string ObjectPath(std::uint64_t key);
 
 class HttpClient {
  public:
-  // Connects to a port of 127.0.0.1. Each request throws BenchError if the connection ends, as this does if
-  // there is none.
+  // Connects to a port of 127.0.0.1. Throws BenchError if the connection fails, as each request does if it is
+  // closed.
   explicit HttpClient(int port);
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
@@ -29,7 +29,7 @@
 
   HttpResponse Get(std::uint64_t key) { return Request(false, key, ""); }
   HttpResponse Put(std::uint64_t key, const std::string& body) { return Request(true, key, body); }
-  // Writes until the write is accepted. False if it fails.
+  // Repeats the write until it is accepted. Returns false if it fails.
   bool PutWithRetry(std::uint64_t key, const std::string& body);
 
  private:
--- a/bench/integrity/http_corruption.cpp
+++ b/bench/integrity/http_corruption.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t kObjectBytes = 300;
 constexpr int kRereads = 2;
 constexpr int kOk = 200;
-// The first object by path, which the stand-in overwrites by misdirected writes.
+// The first object by path, which the fake storage server overwrites by misdirected writes.
 constexpr std::uint64_t kOverwrittenKey = 0;
 
 bool IsWriteFault(Damage damage) {
@@ -55,16 +55,17 @@
     const std::string total = std::to_string(injected);
     run.Claim("1 damages over HTTP",
               detected_ == injected && delivered_ == 0 && failed_writes_ == 0 && false_alarms_ == 0,
-              std::to_string(detected_) + " of " + total + " caught, " + std::to_string(delivered_) +
-                  " delivered damaged, " + std::to_string(failed_writes_) + " writes not taken, " +
+              std::to_string(detected_) + " of " + total + " detected, " + std::to_string(delivered_) +
+                  " delivered corrupt, " + std::to_string(failed_writes_) + " writes failed, " +
                   std::to_string(false_alarms_) + " false alarms");
     run.Claim(
         "1 blame over HTTP", attributed_ == injected,
-        std::to_string(attributed_) + " of " + total + " (at rest, or the box's memory or its only path)");
+        std::to_string(attributed_) + " of " + total + " (at rest, or the target's memory or its only path)");
   }
 
  private:
-  // Reads until one response can be compared with another, as attribution needs; retries count as well.
+  // Reads the object several times, since attribution compares responses with each other; retries count as
+  // well.
   void Read(std::uint64_t key, const std::string& body) {
     const bool intact_or_rejected = !DeliversCorruption(key, body);
     for (int i = 0; i < kRereads; ++i) {
--- a/bench/integrity/main.cpp
+++ b/bench/integrity/main.cpp
@@ -1,6 +1,6 @@
-// make bench-integrity: what checksums detect and what they cost. The program under test is a child process;
-// storage servers and discovery are stand-ins. SEED= selects another run, SHORT=1 a brief one. Prints each
-// claim with its figure and one JSON object last; exit code 1 if a claim is missed.
+// Measures the corruption that checksums detect and their cost (make bench-integrity). The program under test
+// is a child process; storage servers and discovery are fakes. SEED= selects another run, SHORT=1 a brief
+// one. Prints each claim with its figure and one JSON object last; the exit code is 1 if a claim is missed.
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
@@ -52,7 +52,7 @@
     std::fprintf(stderr, "usage: walnutspur-bench-integrity PROGRAM [PART...]\n");
     return kUsageError;
   }
-  std::signal(SIGPIPE, SIG_IGN);  // processes that are killed leave connections behind
+  std::signal(SIGPIPE, SIG_IGN);  // writes to connections of killed processes must not end this one
   Run run(ReadOptions(argc, argv));
   try {
     MeasureParts(run);
--- a/bench/integrity/nbd_corruption.cpp
+++ b/bench/integrity/nbd_corruption.cpp
@@ -53,8 +53,8 @@
   }
 }
 
-// One test environment with corruption of all kinds, each far enough from the others to have its blocks to
-// itself.
+// Runs one test environment with corruption of all kinds, at blocks far enough from each other not to
+// overlap.
 class Round {
  public:
   Round(const Run& run, Tally* tally)
@@ -75,7 +75,8 @@
     CompareWithLog();
     tally_->injected += static_cast<int>(corrupt_.size());
     if (injections < corrupt_.size()) {
-      std::printf("     %llu of %zu struck\n", static_cast<unsigned long long>(injections), corrupt_.size());
+      std::printf("     %llu of %zu injected\n", static_cast<unsigned long long>(injections),
+                  corrupt_.size());
     }
   }
 
@@ -125,7 +126,8 @@
     }
   }
 
-  // One after the other, each on the path that the read takes: a path that is always bad would be avoided.
+  // Injects the faults of reads one after the other, on the path that each read takes: a path that always
+  // corrupts data would be avoided.
   void InjectReadFaults() {
     for (const auto& [block, damage] : corrupt_) {
       if (IsReadFault(damage)) {
@@ -188,9 +190,9 @@
 
   TestEnvironment test_environment_;
   std::unique_ptr<nbd::BlockingClient> client_;
-  std::string content_;                      // what the export must hold
+  std::string content_;                      // the expected content of the export
   std::map<std::uint64_t, Damage> corrupt_;  // by block
-  std::set<std::uint64_t> overwritten_;      // blocks that hold a misdirected write
+  std::set<std::uint64_t> overwritten_;      // blocks overwritten by a misdirected write
   Tally* tally_;
 };
 
@@ -209,8 +211,8 @@
   const std::string total = std::to_string(tally.injected);
   run.Claim("1 damages over NBD",
             tally.detected == tally.injected && tally.wrong_reads == 0 && tally.false_alarms == 0,
-            std::to_string(tally.detected) + " of " + total + " caught, " +
-                std::to_string(tally.wrong_reads) + " delivered damaged, " +
+            std::to_string(tally.detected) + " of " + total + " detected, " +
+                std::to_string(tally.wrong_reads) + " delivered corrupt, " +
                 std::to_string(tally.false_alarms) + " false alarms");
   run.Claim("1 blame over NBD", tally.attributed == tally.injected,
             std::to_string(tally.attributed) + " of " + total + misattributed);
--- a/bench/integrity/parts.h
+++ b/bench/integrity/parts.h
@@ -1,5 +1,5 @@
-// The parts of the benchmark. Each starts its own test environment and reports claims to the run, on main's
-// thread.
+// Declares the parts of the benchmark. Each part starts its own test environment and reports claims to the
+// run, on main's thread.
 #ifndef WALNUTSPUR_BENCH_INTEGRITY_PARTS_H_
 #define WALNUTSPUR_BENCH_INTEGRITY_PARTS_H_
 
@@ -7,17 +7,18 @@
 
 namespace walnutspur::bench {
 
-// Injected corruption of NBD exports: detected, attributed to the right fault, never delivered.
+// Verifies that injected corruption of NBD exports is detected, attributed to the right fault and never
+// delivered.
 void MeasureNbdCorruption(Run& run);
-// The same for objects by HTTP.
+// Verifies the same for objects that are read by HTTP.
 void MeasureHttpCorruption(Run& run);
-// Reads beside overlapping writes without any fault: no false alarm.
+// Verifies that reads during overlapping writes without any fault cause no false alarm.
 void MeasureCleanBlocks(Run& run);
-// Crashes of the initiator and the storage server, and power cuts: no acknowledged write is lost.
+// Verifies that crashes of the initiator and the storage server, and power cuts, lose no acknowledged write.
 void MeasureCrashes(Run& run);
-// The service of client reads beside the scrub.
+// Measures the service of client reads during a scrub.
 void MeasureScrub(Run& run);
-// Processor time that checksums cost per request.
+// Measures the processor time of checksums per request.
 void MeasureCost(Run& run);
 
 }  // namespace walnutspur::bench
--- a/bench/integrity/run.h
+++ b/bench/integrity/run.h
@@ -1,4 +1,5 @@
-// One run of the benchmark: its options from the command line and the environment, and the claims it reports.
+// Class Run represents one run of the benchmark: its options from the command line and the environment, and
+// the claims it reports.
 //
 // Owned by main and used on its thread.
 #ifndef WALNUTSPUR_BENCH_INTEGRITY_RUN_H_
@@ -13,7 +14,7 @@
 
 namespace walnutspur::bench {
 
-// A part of the benchmark cannot continue.
+// Thrown if a part of the benchmark cannot continue.
 class BenchError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -24,7 +25,7 @@
   std::string lab_program;  // path of walnutspur-lab, which is built beside it
   std::uint64_t seed = 1;
   bool brief = false;
-  std::set<std::string> parts;  // empty: all
+  std::set<std::string> parts;  // names of the parts to run; empty: all
 };
 
 class Run {
@@ -36,7 +37,7 @@
   bool Includes(const std::string& part) const {
     return options_.parts.empty() || options_.parts.contains(part);
   }
-  // The amount of work, in a full run and in a brief one.
+  // Returns the amount of work: `full` in a full run, `brief` in a brief one.
   int Amount(int full, int brief) const { return options_.brief ? brief : full; }
 
   // Prints and records a claim with its figure.
@@ -45,7 +46,7 @@
   void Fail(const std::string& error);
   // Prints all claims as one JSON object.
   void PrintSummary() const;
-  // Whether a claim is not met, or a part has failed.
+  // Returns whether a claim is not met or a part has failed.
   bool missed() const { return missed_; }
 
  private:
--- a/bench/integrity/scrub.cpp
+++ b/bench/integrity/scrub.cpp
@@ -1,4 +1,4 @@
-// The service of client reads beside the scrub: the same rising load with the scrub on and off.
+// Measures the service of client reads during a scrub: the same rising load runs with the scrub on and off.
 #include <poll.h>
 
 #include <algorithm>
@@ -20,14 +20,14 @@
 constexpr double kMicrosecondsPerSecond = 1e6;
 constexpr Time kLatencyObjective = 120'000;  // us
 constexpr Time kStartDelay = 100'000;        // us
-constexpr double kDrainSeconds = 4;          // for the last replies
+constexpr double kDrainSeconds = 4;          // time to wait for the last replies
 constexpr std::int64_t kServiceTime = 1500;  // us per command: 666 a second
 constexpr int kSettleTime = 500;             // ms
 constexpr double kInitialRate = 80;          // reads a second
-constexpr std::uint64_t kBlocks = 512;       // that clients read
+constexpr std::uint64_t kBlocks = 512;       // blocks that clients read
 constexpr std::uint64_t kFillBlocks = 16;    // of one write
 constexpr std::size_t kMaxReadsInFlight = 400;
-constexpr double kFailedLatency = 1e6;  // ms, in place of that of a failed read
+constexpr double kFailedLatency = 1e6;  // ms, counted for a failed read
 
 struct LoadResult {
   double in_time = 0;     // fraction of the reads
@@ -40,7 +40,8 @@
          "\nrequests = 200.0\nfloor = 1.0\nwish = 0.0\n";
 }
 
-// An open loop: each read is sent when it is due, independently of replies, and its latency counts from then.
+// Class OpenLoop generates an open-loop load: each read is sent when it is due, independently of replies, and
+// its latency is measured from then.
 class OpenLoop {
  public:
   OpenLoop(const Run& run, bool scrub, std::uint64_t seed, double last_rate)
@@ -77,7 +78,7 @@
     test_environment_.WaitForCheckpoint();
   }
 
-  // A Poisson process whose rate rises from kInitialRate to `last_rate`.
+  // Schedules the reads as a Poisson process whose rate rises from kInitialRate to `last_rate`.
   void ScheduleReads(double last_rate) {
     for (double at = 0; at < seconds_;) {
       const double rate = kInitialRate + (last_rate - kInitialRate) * at / seconds_;
@@ -192,8 +193,8 @@
 void MeasureScrub(Run& run) {
   const int pairs = run.Amount(5, 1);
   Compare(run, {"to 93 % of the box", 620, pairs, true});
-  // More than the server can do: client reads miss the latency objective with or without the scrub, and each
-  // read of the scrub costs them one.
+  // The load exceeds the server's capacity: client reads miss the latency objective with or without the
+  // scrub, and each read of the scrub makes one more client read miss it.
   Compare(run, {"to 135 % of the box", 900, pairs, false});
 }
 
--- a/bench/integrity/test_environment.cpp
+++ b/bench/integrity/test_environment.cpp
@@ -24,9 +24,9 @@
 constexpr Time kServerStartInterval = 10'000;  // us
 // Delay after which the initiator has written the corruption log's file, ms: longer than its save delay.
 constexpr int kLogWriteDelay = 1200;
-// Interval in which an idle volume has finished a checkpoint, ms.
+// Time after which an idle volume has finished a checkpoint, ms.
 constexpr int kCheckpointInterval = 280;
-// Upper bound of the scrub's commands in one such interval.
+// Maximum number of the scrub's commands in one such interval.
 constexpr std::uint64_t kScrubCommands = 200;
 constexpr int kWriteAttempts = 50;
 constexpr int kRetryInterval = 10;  // ms
@@ -83,7 +83,7 @@
   server_http_port_ = server_->http_port();
 }
 
-// It listens for HTTP on the port after the one for NBD, and on the same ports each time.
+// Starts the server on the same ports each time; its HTTP port is the one after its NBD port.
 bool TestEnvironment::StartChildServer() {
   const std::vector<std::string> command = {run_.options().lab_program,
                                             "storage-server",
@@ -126,7 +126,7 @@
 void TestEnvironment::StartInitiator() {
   initiator_ = lab::StartInitiator(folder_, initiator_options_);
   if (!lab::WaitForListener(nbd_port_, kListenTimeout)) {
-    throw BenchError("the program does not start");
+    throw BenchError("the initiator does not listen on NBD port " + std::to_string(nbd_port_));
   }
   const Time end = core::Now() + kAttachTimeout;
   while (core::Now() < end) {
@@ -135,7 +135,7 @@
     }
     poll(nullptr, 0, kAttachPollInterval);
   }
-  throw BenchError("the export is not attached");
+  throw BenchError("the initiator did not attach the export in time");
 }
 
 bool TestEnvironment::IsAttached() const {
--- a/bench/integrity/test_environment.h
+++ b/bench/integrity/test_environment.h
@@ -1,4 +1,5 @@
-// The processes of one measurement: a storage server, discovery, and the initiator between them and clients.
+// Class TestEnvironment runs the processes of one measurement: a storage server, discovery, and the
+// initiator.
 //
 // Created, restarted and destroyed on the thread of its part. Draw and RandomData may be called from any
 // thread.
@@ -37,21 +38,21 @@
  public:
   static constexpr std::uint64_t kDeviceBytes = 24 << 20;
 
-  // Starts everything. Throws BenchError.
+  // Starts all processes. Throws BenchError if one does not start.
   TestEnvironment(const Run& run, TestEnvironmentOptions options);
   TestEnvironment(const TestEnvironment&) = delete;
   TestEnvironment& operator=(const TestEnvironment&) = delete;
 
   // Connects to an export of the initiator.
   std::unique_ptr<nbd::BlockingClient> Connect(const std::string& export_name = "checked") const;
-  // Waits until a checkpoint has written all data to its place; a scrub goes on reading meanwhile.
+  // Waits until a checkpoint has written all data in place; a scrub continues to read meanwhile.
   void WaitForCheckpoint();
-  // The initiator's corruption log, once it has written the latest entries to its file.
+  // Returns the initiator's corruption log after the latest entries have been written to its file.
   CorruptionLog LoadCorruptionLog() const;
 
-  // Each starts a process and waits until it serves.
+  // Each starts a process and waits until it accepts requests.
   void StartInitiator();
-  bool StartChildServer();  // false if it does not start, for instance because its port is in use
+  bool StartChildServer();  // false if it does not start, for example because its port is in use
 
   lab::StorageServer& server() { return *server_; }          // unless child_server
   lab::Process& server_process() { return *child_server_; }  // if child_server
@@ -60,7 +61,7 @@
   const std::string& folder() const { return folder_.path(); }
 
   std::string RandomData(std::size_t size);
-  // A number below `bound`; 0 for a bound of 0.
+  // Returns a random number below `bound`, or 0 if `bound` is 0.
   std::uint64_t Draw(std::uint64_t bound);
 
  private:
@@ -87,7 +88,7 @@
   std::unique_ptr<lab::Process> initiator_;
 };
 
-// Writes until the write is accepted; one that is rejected has changed nothing. False if it fails.
+// Repeats the write until it is accepted; a rejected write has changed nothing. Returns false if it fails.
 bool WriteWithRetry(nbd::BlockingClient& client, std::uint64_t offset, const std::string& data);
 
 }  // namespace walnutspur::bench
--- a/src/integrity/block_locks.h
+++ b/src/integrity/block_locks.h
@@ -1,5 +1,5 @@
-// Locks on the blocks that writes are changing, and the writes that wait for them in order of arrival. No
-// errors: a lock is either acquired or waited for.
+// Class BlockLocks locks the blocks that writes and trims are changing, and queues the commands that wait for
+// these locks in order of arrival. It reports no errors: a lock is either acquired or waited for.
 //
 // Owned by CommandExecutor; used on the thread of the volume's owner.
 #ifndef WALNUTSPUR_INTEGRITY_BLOCK_LOCKS_H_
@@ -15,7 +15,7 @@
 
 namespace walnutspur::integrity {
 
-// Adjoining blocks.
+// A range of adjoining blocks.
 struct BlockRange {
   std::uint64_t first = 0;
   std::uint64_t count = 0;
@@ -26,14 +26,14 @@
 
 class BlockLocks {
  public:
-  // Whether a write must wait: for a lock, or for an earlier write on its blocks that waits itself.
+  // Returns whether a command must wait, either for a lock or for an earlier waiter whose range overlaps.
   bool MustWait(CommandId command, const BlockRange& range) const;
   void Acquire(CommandId command, const BlockRange& range);
   void Release(CommandId command, const BlockRange& range);
 
   void AddWaiter(CommandId command, const BlockRange& range) { waiters_.push_back({command, range}); }
   void RemoveWaiter(CommandId command);
-  // Removes the first waiter that need not wait any longer; nothing if all must.
+  // Removes and returns the first waiter that no longer has to wait; returns nullopt if every waiter does.
   std::optional<CommandId> TakeReadyWaiter();
 
   std::size_t locked_blocks() const { return owners_.size(); }
--- a/src/integrity/block_verifier.cpp
+++ b/src/integrity/block_verifier.cpp
@@ -29,7 +29,8 @@
   return corrupt;
 }
 
-// Verifies a block whose content the command needs and whose tag is cached. False: it must be read again.
+// Verifies a block whose content the command needs and whose tag is cached. Returns false if the block must
+// be read again.
 bool VerifyInPlace(const VolumeContext& context, PendingCommand* pending, std::uint64_t block,
                    std::vector<CorruptBlock>* corrupt) {
   const Tag& tag = context.tags.TagOf(block);
@@ -55,7 +56,7 @@
   return true;
 }
 
-// Verifies one block. False: it must be read again.
+// Verifies one block. Returns false if the block must be read again.
 bool VerifyBlock(const VolumeContext& context, PendingCommand* pending, std::uint64_t block,
                  std::vector<CorruptBlock>* corrupt) {
   if (const BlockVersion* newest = context.overlay.Newest(block)) {
@@ -69,7 +70,8 @@
     }
     return true;
   }
-  // Reported even if the content is not needed: a write needs the generation of each of its blocks.
+  // An unreadable tag is reported even if the content is not needed: a write needs the generation of each of
+  // its blocks.
   if (pending->unreadable_tag_blocks.contains(TagBlockOf(block))) {
     corrupt->push_back({block, MismatchKind::kTagsUnreadable, 0, 0});
     return true;
--- a/src/integrity/checkpointer.cpp
+++ b/src/integrity/checkpointer.cpp
@@ -5,7 +5,7 @@
 namespace walnutspur::integrity {
 namespace {
 
-// The tag of a block that gets the content of `version` in place of what `current` describes.
+// Returns the tag of a block whose content in place, described by `current`, is replaced by `version`.
 Tag TagAfter(const Tag& current, const BlockVersion& version) {
   Tag next = version.tag;
   if (next.sum == current.sum && next.generation == current.generation) {
@@ -81,7 +81,7 @@
   }
 }
 
-// Selects of each block the newest content that the first flush has made durable. Records acknowledged since
+// Selects the newest content of each block that the first flush has made durable. Records acknowledged since
 // are left out: a power cut could still lose them, and their content in place would match no tag.
 void Checkpointer::CollectContent() {
   for (const auto& [block, versions] : context_->overlay.blocks()) {
@@ -117,7 +117,7 @@
   }
 }
 
-// Whether the tag block is in memory; requests it otherwise.
+// Returns whether the tag block is in memory; requests it if it is not.
 bool Checkpointer::LoadTagBlock(std::uint64_t index) {
   if (tag_blocks_.contains(index)) {
     return true;
--- a/src/integrity/checkpointer.h
+++ b/src/integrity/checkpointer.h
@@ -1,5 +1,5 @@
-// Checkpoints of one volume: the content of acknowledged journal records is written in place, together with
-// its tags, and the records are freed.
+// Class Checkpointer runs the checkpoints of one volume: it writes the content of acknowledged journal
+// records in place, together with its tags, and frees the records.
 //
 //   flush  ->  tag blocks read  ->  data and tags in place  ->  flush  ->  superblock with the new tail
 //
@@ -40,15 +40,15 @@
   Checkpointer(VolumeContext* context, std::function<void()> on_finished)
       : context_(context), on_finished_(std::move(on_finished)) {}
 
-  // Begins a checkpoint of all acknowledged records; nothing happens if there are none or one is under way.
-  // In either case void records whose write failed are retried.
+  // Starts a checkpoint of all acknowledged records unless there are none or a checkpoint is running. Retries
+  // void records whose write failed in either case.
   void Start();
   void OnTagsRead(std::uint64_t index, TagReadStatus status);
-  // A flush or a write of the checkpoint has ended.
+  // Handles the completion of a flush or a write of the checkpoint.
   void OnIoCompleted(IoStatus status);
 
   bool is_running() const { return step_ != Step::kIdle; }
-  // Whether the content of this record is part of the checkpoint that is under way.
+  // Returns whether the content of this record is part of the running checkpoint.
   bool Includes(std::uint64_t sequence) const { return is_running() && sequence <= target_sequence_; }
   std::uint64_t completed() const { return completed_; }
   std::size_t tracked_entries() const { return versions_.size() + tag_blocks_.size(); }
--- a/src/integrity/command_executor.cpp
+++ b/src/integrity/command_executor.cpp
@@ -8,7 +8,8 @@
 namespace walnutspur::integrity {
 namespace {
 
-// Records of the largest size that must fit into the journal: one that a checkpoint is freeing, and the next.
+// Number of records of the maximum size that must fit into the journal: one that a checkpoint is freeing, and
+// the next.
 constexpr std::uint64_t kRecordsInJournal = 2;
 
 bool IsCorrupt(const std::vector<CorruptBlock>& corrupt, std::uint64_t block) {
@@ -90,7 +91,7 @@
     return;
   }
   pending->abandoned = true;
-  // No request that changes data has been sent for a command that is only waiting: it ends here.
+  // No request that changes data has been sent for a command that is still waiting, so it ends here.
   if (pending->phase == PendingCommand::Phase::kWaitingForLock ||
       pending->phase == PendingCommand::Phase::kWaitingForSpace) {
     Finish(*pending, CommandResult::Status::kRejected);
@@ -143,7 +144,8 @@
   }
 }
 
-// Whether the content of a block is needed and is in place, as far as is known before its tags are loaded.
+// Returns whether the content of a block is needed and has to be read in place, as far as this is known
+// before its tags are loaded.
 bool CommandExecutor::MustReadFromTarget(const PendingCommand& pending, std::uint64_t block) {
   if (context_->overlay.Newest(block) || context_->unrecoverable_blocks.contains(block) ||
       !pending.NeedsContentOf(block)) {
@@ -159,7 +161,7 @@
   if (!pending) {
     return;
   }
-  // The failure of a read counts against the command that issued it; the others issue their own.
+  // A failed read fails only the command that issued it; the other waiters issue a read of their own.
   if (status == TagReadStatus::kFailed && !issued_read) {
     return context_->tag_loader.Load(index, command);
   }
@@ -216,7 +218,7 @@
   AppendToJournal(pending);
 }
 
-// A tag block may have been evicted while another one was being read.
+// Returns false if a tag block was evicted while another one was being read.
 bool CommandExecutor::AreTagsLoaded(const PendingCommand& pending) {
   const std::uint64_t last = TagBlockOf(pending.range.end() - 1);
   for (std::uint64_t index = TagBlockOf(pending.range.first); index <= last; ++index) {
@@ -283,8 +285,8 @@
   context_->journal.Append(std::move(content));
 }
 
-// The generation of a block's next content. Content that is only in the journal may reuse the generation that
-// it replaces; content that a running checkpoint may have written in place already may not.
+// Returns the generation of a block's next content. Content that is only in the journal may reuse the
+// generation that it replaces; content that a running checkpoint may have written in place already may not.
 std::uint32_t CommandExecutor::NextGenerationOf(std::uint64_t block) const {
   const BlockVersion* newest = context_->overlay.Newest(block);
   if (!newest) {
--- a/src/integrity/command_executor.h
+++ b/src/integrity/command_executor.h
@@ -1,12 +1,12 @@
-// Execution of clients' commands on one volume. A read loads tags and data and verifies them before any of it
-// is passed on. A write locks its blocks, loads the content that it must preserve, and is answered when its
-// journal record is acknowledged.
+// Class CommandExecutor executes clients' commands on one volume. A read loads tags and data and verifies the
+// data before any of it reaches the client. A write locks its blocks, loads the content that it must
+// preserve, and completes when its journal record is acknowledged.
 //
 // Failures and their guards:
 // - Two writes change parts of one block at a time, and the later record undoes the earlier one's part. A
 //   write locks its blocks from its reads until its record is acknowledged.
-// - An FUA write has to survive a power cut as soon as it is answered. With FUA on the record's write alone,
-//   the record would be durable without those before it, and a replay would end before it. Its
+// - An FUA write has to survive a power cut as soon as it has completed. With FUA on the record's write
+//   alone, the record would be durable without those before it, and a replay would end before it. Its
 //   acknowledgement is followed by a flush instead.
 // - A write arrives while a checkpoint writes the same block in place. With the same generation for both
 //   contents, stale content of one could match the tag of the other. The new content gets a generation of its
@@ -35,17 +35,18 @@
 
 class CommandExecutor {
  public:
-  // Both must outlive this.
+  // Both objects must outlive the executor.
   CommandExecutor(VolumeContext* context, Checkpointer* checkpointer)
       : context_(context), checkpointer_(checkpointer) {}
 
   void Submit(Command command);
-  // Answers a command that is not going to be executed.
+  // Adds the result kRejected for a command that will not be executed.
   void Reject(CommandId command);
-  // The client no longer waits for the command. Requests in flight for it are not cancelled.
+  // Discards the result of a command whose client no longer waits for it. Its requests in flight are not
+  // cancelled.
   void Abandon(CommandId command);
 
-  // Completions of storage requests. `issued_read`: the command itself had issued the read that has ended.
+  // Handle completions of storage requests. `issued_read` is true if this command issued the completed read.
   void OnTagsRead(CommandId command, std::uint64_t index, TagReadStatus status, bool issued_read);
   void OnDataRead(const PendingIo& request, IoStatus status, std::string data);
   void OnRecordWritten(std::uint64_t sequence, IoStatus status);
--- a/src/integrity/corruption_log.cpp
+++ b/src/integrity/corruption_log.cpp
@@ -37,7 +37,7 @@
   std::string bytes;
 };
 
-// Reads values one after the other; each Get is false if too few bytes are left.
+// Reads values one after the other; each Get returns false if too few bytes are left.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
@@ -111,7 +111,7 @@
   return read;
 }
 
-// `bytes` has a complete header.
+// Returns the header; `bytes` must have a complete one.
 Header ReadHeader(std::string_view bytes) {
   Header header;
   Reader in(bytes.substr(kMagic.size(), kHeaderBytes - kMagic.size()));
@@ -171,7 +171,8 @@
   }
 }
 
-// The block whose content another block contains has not lost its write: the write was misdirected.
+// Changes the fault of the owner block from a lost to a misdirected write, since its content was found in
+// another block.
 void CorruptionLog::LinkMisdirectedWrite(const BlockLocation& location, const FaultAttribution& attribution) {
   const auto owner = entries_.find({location.target, location.remote, attribution.owner_block});
   if (owner == entries_.end()) {
@@ -184,7 +185,8 @@
   }
 }
 
-// The write that looks lost may be known to have been misdirected to another block.
+// Changes the fault of a block whose write looks lost to a misdirected write if another entry shows that the
+// write reached another block.
 void CorruptionLog::LinkLostWrite(const BlockLocation& location) {
   const bool was_misdirected = std::any_of(entries_.begin(), entries_.end(), [&](const auto& candidate) {
     const auto& [other, entry] = candidate;
@@ -247,28 +249,28 @@
     return false;
   };
   if (bytes.size() < kHeaderBytes || bytes.substr(0, kMagic.size()) != kMagic) {
-    return reject("is no damage ledger");
+    return reject("is not a corruption log");
   }
   const Header header = ReadHeader(bytes);
   if (header.version > kFormatVersion) {
-    return reject("is of version " + std::to_string(header.version) + "; known are versions up to " +
-                  std::to_string(kFormatVersion));
+    return reject("has format version " + std::to_string(header.version) +
+                  "; this program supports versions up to " + std::to_string(kFormatVersion));
   }
   const std::string_view body = bytes.substr(kHeaderBytes);
   if (Crc32c(body, Crc32c(bytes.substr(0, kHeaderBytes - kChecksumBytes))) != header.checksum) {
-    return reject("is cut off or damaged: its checksum does not fit");
+    return reject("is truncated or corrupt: its checksum does not match");
   }
   Reader in(body);
   std::map<BlockLocation, CorruptionEntry> entries;
   for (std::uint32_t i = 0; i < header.entries; ++i) {
     const auto read = ReadEntry(&in);
     if (!read) {
-      return reject("holds an entry that cannot be read");
+      return reject("has an entry that cannot be decoded");
     }
     entries[read->location] = read->entry;
   }
   if (!in.done()) {
-    return reject("holds more than it says");
+    return reject("has more bytes than its number of entries accounts for");
   }
   entries_ = std::move(entries);
   dropped_ = header.dropped;
--- a/src/integrity/corruption_log.h
+++ b/src/integrity/corruption_log.h
@@ -1,5 +1,5 @@
-// The corruption log: which blocks are corrupt, since when, and which component was at fault. It records the
-// attributions of fault_attribution.h; corruption_log_file.h stores it. No I/O and no clock.
+// Class CorruptionLog records which blocks are corrupt, since when, and which component was at fault. Its
+// input are the attributions of fault_attribution.h; corruption_log_file.h stores it. No I/O and no clock.
 //
 // Owned by checksummed::CorruptionTracker; used on its thread only.
 #ifndef WALNUTSPUR_INTEGRITY_CORRUPTION_LOG_H_
@@ -17,10 +17,10 @@
 
 struct CorruptionEntry {
   Fault fault = Fault::kAtRest;
-  bool repaired = false;          // written again since, or read without a mismatch
+  bool repaired = false;          // the block was written again since, or read without a mismatch
   std::int64_t first_seen = 0;    // microseconds of Unix time
   std::int64_t last_seen = 0;     // microseconds of Unix time
-  std::uint32_t times = 0;        // attributions
+  std::uint32_t times = 0;        // number of attributions
   int path = -1;                  // kPath: the path at fault
   std::uint64_t owner_block = 0;  // kMisdirectedWrite: the block whose content was read
   bool operator==(const CorruptionEntry&) const = default;
@@ -28,29 +28,29 @@
 
 class CorruptionLog {
  public:
-  // `max_entries` bounds the log; beyond, repaired entries go first, then those not seen for the longest
-  // time.
+  // `max_entries` bounds the log. When it is exceeded, repaired entries are dropped first, then those seen
+  // least recently.
   explicit CorruptionLog(std::size_t max_entries = 65536) : max_entries_(max_entries) {}
 
-  // Adds an attribution. A misdirected write shows at both of its ends: at the block that contains another
-  // one's content, and at that other block, whose write looks lost. Once both are known, both are
-  // misdirected.
+  // Adds an attribution. A misdirected write affects two blocks: the one that contains another block's
+  // content, and that other block, whose write looks lost. Once both are logged, both entries are
+  // kMisdirectedWrite.
   void Record(const BlockLocation& location, const FaultAttribution& attribution, std::int64_t now);
-  // The block was read without a mismatch, or written again.
+  // Marks a block as repaired: it was read without a mismatch, or written again.
   void MarkRepaired(const BlockLocation& location, std::int64_t now);
 
   const CorruptionEntry* Find(const BlockLocation& location) const;
-  // Whether the block is known to be corrupt on storage and not repaired since.
+  // Returns whether the block is known to be corrupt on storage and has not been repaired since.
   bool IsCorrupt(const BlockLocation& location) const;
   const std::map<BlockLocation, CorruptionEntry>& entries() const { return entries_; }
   std::size_t corrupt_count() const;                  // entries that are not repaired
   std::uint64_t dropped() const { return dropped_; }  // entries that exceeded the bound
   bool changed() const { return changed_; }           // since the last Encode
 
-  // The log as bytes, versioned and checksummed.
+  // Returns the log in its stored format, versioned and checksummed.
   std::string Encode();
-  // Replaces the log by what Encode returned. False, and nothing changes, if the bytes are truncated, corrupt
-  // or of a newer version; `error` is then one line.
+  // Replaces the log by the one that Encode returned as `bytes`. Returns false, sets `*error` to a one-line
+  // message and changes nothing if the bytes are truncated, corrupt or of a newer version.
   bool Decode(std::string_view bytes, std::string* error);
 
  private:
--- a/src/integrity/cursor.cpp
+++ b/src/integrity/cursor.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-// One line for each export, with its name last, which may contain anything but a line break.
+// Writes one line for each export. The name comes last, since it may contain anything but a line break.
 std::string Encode(const Cursors& cursors) {
   std::ostringstream out;
   out << kFormatWord << ' ' << kCursorVersion << '\n';
@@ -39,15 +39,15 @@
   std::string line;
   int version = 0;
   if (!(in >> word >> version) || word != kFormatWord) {
-    return reject("is no scrub cursor");
+    return reject("is not a file of scrub cursors");
   }
   if (version > kCursorVersion) {
-    return reject("is of a newer version");
+    return reject("has a newer format version than this program supports");
   }
   const std::size_t end = bytes.rfind(kChecksumWord);
   if (end == std::string_view::npos || end == 0 || bytes[end - 1] != '\n' ||
       bytes.substr(end) != std::string(kChecksumWord) + std::to_string(Crc32c(bytes.substr(0, end))) + '\n') {
-    return reject("is cut off or damaged: its checksum does not fit");
+    return reject("is truncated or corrupt: its checksum does not match");
   }
   Cursors cursors;
   std::istringstream lines(std::string(bytes.substr(0, end)));
@@ -56,7 +56,7 @@
     std::istringstream fields(line);
     Cursor cursor;
     if (!(fields >> cursor.block >> cursor.rounds >> cursor.since) || fields.get() != ' ') {
-      return reject("holds a line that cannot be read");
+      return reject("has a line that cannot be parsed");
     }
     std::getline(fields, word);
     cursors[word] = cursor;
--- a/src/integrity/digest.cpp
+++ b/src/integrity/digest.cpp
@@ -26,7 +26,7 @@
   unsigned char out[EVP_MAX_MD_SIZE];
   unsigned size = 0;
   if (EVP_Digest(content.data(), content.size(), out, &size, kind, nullptr) != 1) {
-    throw DigestError("the digest cannot be computed");
+    throw DigestError("cannot compute the digest: EVP_Digest failed");
   }
   return {reinterpret_cast<const char*>(out), size};
 }
--- a/src/integrity/digest.h
+++ b/src/integrity/digest.h
@@ -1,5 +1,5 @@
-// Digest fields of HTTP (RFC 9530): Content-Digest, Repr-Digest and their Want-* counterparts. No I/O and no
-// state; safe on any thread. A field that cannot be parsed counts as absent.
+// Computes and verifies digest fields of HTTP (RFC 9530): Content-Digest, Repr-Digest and their Want-*
+// counterparts. No I/O and no state; safe on any thread. A field that cannot be parsed counts as absent.
 #ifndef WALNUTSPUR_INTEGRITY_DIGEST_H_
 #define WALNUTSPUR_INTEGRITY_DIGEST_H_
 
@@ -15,9 +15,9 @@
 enum class Algorithm { kCrc32c, kSha256, kSha512 };
 
 const char* NameOf(Algorithm algorithm);
-std::optional<Algorithm> AlgorithmOf(std::string_view name);  // nothing: not supported
+std::optional<Algorithm> AlgorithmOf(std::string_view name);  // nullopt: not supported
 
-// A digest that could not be computed.
+// Thrown if a digest cannot be computed.
 class DigestError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -26,7 +26,7 @@
 // Returns the digest of the content as bytes. Throws DigestError.
 std::string Digest(Algorithm algorithm, std::string_view content);
 
-// The value of a digest field with this one digest: "crc32c=:wCyzPA==:".
+// Returns the value of a digest field with this digest only, for example "crc32c=:wCyzPA==:".
 std::string DigestField(Algorithm algorithm, std::string_view content);
 
 enum class Match {
@@ -37,8 +37,8 @@
 // Verifies content against a digest field.
 Match Verify(std::string_view field, std::string_view content);
 
-// The algorithm that a Want-* field prefers: of the supported ones that with the highest weight, 1 to 10; 0
-// excludes an algorithm (RFC 9530, 4). Nothing if there is none.
+// Returns the algorithm that a Want-* field prefers: the supported one with the highest weight from 1 to 10;
+// a weight of 0 excludes an algorithm (RFC 9530, 4). Returns nullopt if there is none.
 std::optional<Algorithm> PreferredAlgorithm(std::string_view field);
 
 }  // namespace walnutspur::integrity
--- a/src/integrity/fault_attribution.cpp
+++ b/src/integrity/fault_attribution.cpp
@@ -31,7 +31,8 @@
   return attribution;
 }
 
-// The last reading matches, so the block is intact on storage and the mismatches before it were transient.
+// Attributes the fault if the last reading matches: the block is intact on storage, and the mismatches before
+// it were transient.
 FaultAttribution AttributeTransientFault(const Readings& readings, int paths) {
   const bool was_stale = std::all_of(readings.begin(), readings.end() - 1, [](const Reading& reading) {
     return reading.mismatch == MismatchKind::kPreviousContent;
@@ -71,7 +72,7 @@
   return Fault::kAtRest;
 }
 
-// The last reading does not match.
+// Attributes the fault if the last reading does not match; returns nullopt if more readings are needed.
 std::optional<FaultAttribution> AttributePersistentFault(const Readings& readings, int paths) {
   const Reading& last = readings.back();
   const int count = CountOf(readings);
@@ -95,7 +96,7 @@
   return std::nullopt;
 }
 
-// The fault that the readings show; nothing if they are not sufficient yet.
+// Returns the fault that the readings show, or nullopt if more readings are needed.
 std::optional<FaultAttribution> AttributeFault(const Readings& readings, int paths) {
   if (readings.back().good) {
     return AttributeTransientFault(readings, paths);
--- a/src/integrity/fault_attribution.h
+++ b/src/integrity/fault_attribution.h
@@ -1,5 +1,6 @@
-// Attribution of a mismatch to the component at fault: a path, the target's memory or its storage, or to a
-// write that was lost or misdirected, or to a stale read. No I/O and no clock: the caller passes the time.
+// Attributes a mismatch to the component at fault (a path, the target's memory or its storage) or to the
+// operation at fault (a lost or misdirected write, a stale read). No I/O and no clock: the caller passes the
+// time.
 //
 // A mismatch opens an investigation of its block. Each further reading of the block adds evidence until a
 // fault can be attributed, which closes the investigation:
@@ -32,10 +33,10 @@
 enum class Fault { kPath, kMemory, kAtRest, kLostWrite, kMisdirectedWrite, kStaleRead, kTags, kRecord };
 // Number of enumerators of Fault.
 constexpr int kFaultCount = 8;
-// As operators read it in log events and in the corruption log.
+// Returns the name that log events and the commands for the corruption log show.
 const char* NameOf(Fault fault);
 
-// A block of an export of a target.
+// The location of a block: target, export and block number.
 struct BlockLocation {
   std::string target;
   std::string remote;  // the export's name at the target
@@ -56,7 +57,7 @@
   Fault fault = Fault::kAtRest;
   int path = -1;                  // kPath: the path at fault
   std::uint64_t owner_block = 0;  // kMisdirectedWrite: the block whose content was read
-  int readings = 0;               // on which it is based
+  int readings = 0;               // number of readings on which it is based
 };
 
 class CorruptionInvestigations {
@@ -73,7 +74,8 @@
   void Forget(const BlockLocation& location) { open_.erase(location); }
   std::size_t open_count() const { return open_.size(); }
   bool IsOpen(const BlockLocation& location) const { return open_.contains(location); }
-  // The paths by which a block under investigation has been read; another one gives more evidence.
+  // Returns the paths on which a block under investigation has been read. A reading on another path adds more
+  // evidence.
   std::set<int> PathsOf(const BlockLocation& location) const;
 
  private:
--- a/src/integrity/format.cpp
+++ b/src/integrity/format.cpp
@@ -9,7 +9,7 @@
 namespace walnutspur::integrity {
 namespace {
 
-// Blocks that the smallest export has beside its journal; for the error message.
+// Minimum number of blocks of an export in addition to its journal; used in the error message.
 constexpr std::uint64_t kMinBlocksBesideJournal = 16;
 
 void AddWrite(std::vector<IoRequest>* plan, std::uint64_t offset, std::string data, bool fua) {
@@ -41,8 +41,8 @@
     const std::uint64_t min_size =
         std::max(journal, kMinJournalBytes) + kMinBlocksBesideJournal * kBlockBytes;
     throw FormatError("an export of " + std::to_string(size) +
-                      " bytes has no room for tags and a journal; allowed are " + std::to_string(min_size) +
-                      " bytes or more");
+                      " bytes has no room for tags and a journal; at least " + std::to_string(min_size) +
+                      " bytes are required");
   }
   std::vector<IoRequest> plan;
   AddWrite(&plan, geometry->superblock_offset, std::string(kSuperblockCopies * kBlockBytes, '\0'), true);
--- a/src/integrity/format.h
+++ b/src/integrity/format.h
@@ -1,5 +1,5 @@
-// Formatting of an export for checksums: the requests that initialize its reserved region. Used by the
-// operator's command-line tool and by tests; no I/O, safe on any thread.
+// Lists the storage requests that format an export for checksums by initializing its reserved region. Used by
+// the operator's command-line tool and by tests; no I/O, safe on any thread.
 #ifndef WALNUTSPUR_INTEGRITY_FORMAT_H_
 #define WALNUTSPUR_INTEGRITY_FORMAT_H_
 
@@ -11,10 +11,10 @@
 
 namespace walnutspur::integrity {
 
-// Bytes of the largest storage request, unless configured otherwise.
+// Maximum size of a storage request in bytes, unless configured otherwise.
 constexpr std::uint32_t kDefaultMaxIoBytes = 1 << 20;
 
-// An export that cannot be formatted; what() is one line for the operator.
+// Thrown if an export cannot be formatted; what() is a one-line message for the operator.
 class FormatError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/integrity/io_queue.h
+++ b/src/integrity/io_queue.h
@@ -1,4 +1,5 @@
-// Storage requests of one volume: those that its owner has not collected yet and those in flight.
+// Class IoQueue holds the storage requests of one volume that its owner has not collected yet, and tracks
+// those in flight.
 //
 // Owned by VolumeContext; used on the thread of the volume's owner.
 #ifndef WALNUTSPUR_INTEGRITY_IO_QUEUE_H_
@@ -14,7 +15,7 @@
 
 namespace walnutspur::integrity {
 
-// The volume's record of a request in flight, without its data, which the owner has.
+// Describes a request in flight, without its data, which the volume's owner holds.
 struct PendingIo {
   IoKind kind = IoKind::kRead;
   IoPurpose purpose = IoPurpose::kData;
@@ -28,14 +29,14 @@
 
 class IoQueue {
  public:
-  // Assigns the request's id; the next TakeRequests passes it to the owner.
+  // Assigns the request's id and queues the request for the next TakeRequests.
   void Issue(IoRequest request, std::uint64_t record_sequence = 0);
   void IssueRead(IoPurpose purpose, CommandId command, std::uint64_t offset, std::uint32_t length);
   void IssueFlush(CommandId command, std::uint64_t acknowledged_sequence);
 
-  // Removes a request that has ended; nothing if it is unknown.
+  // Removes and returns a request that has ended; returns nullopt if the id is unknown.
   std::optional<PendingIo> Complete(IoId id);
-  // Removes all requests in flight: their completions are ignored.
+  // Discards all requests in flight, so that their completions are ignored.
   void DiscardPending() { pending_.clear(); }
 
   std::vector<IoRequest> TakeRequests();
--- a/src/integrity/journal.h
+++ b/src/integrity/journal.h
@@ -1,6 +1,6 @@
-// The journal of one volume: a ring buffer on the target in which every write is recorded before it is
-// acknowledged. Appends records, tracks which of them are written, acknowledged and durable, and frees them
-// after a checkpoint. CommandExecutor appends and acknowledges, Checkpointer frees.
+// Class Journal manages the journal of one volume: a ring buffer on the target in which every write is
+// recorded before it is acknowledged. It appends records, tracks which of them are written, acknowledged and
+// durable, and frees them after a checkpoint. CommandExecutor appends and acknowledges, Checkpointer frees.
 //
 // Failures and their guards:
 // - The process crashes with records in flight, which the target executes in any order. A replay ends at the
@@ -10,7 +10,7 @@
 //   was reported as failed. Were later records acknowledged, a replay would end before them or execute the
 //   failed command. A void record, without blocks, is written in its place and has to complete first.
 // - A record that was durable is corrupt when it is replayed, which looks like a record cut off by a crash.
-//   Each header says up to which record the journal was durable (JournalReplay uses it).
+//   Each header names the last record that was durable when it was written, which JournalReplay uses.
 //
 // Owned by VolumeContext; used on the thread of the volume's owner.
 #ifndef WALNUTSPUR_INTEGRITY_JOURNAL_H_
@@ -29,7 +29,7 @@
 
 namespace walnutspur::integrity {
 
-// What a record contains.
+// The content of a record.
 struct RecordContent {
   CommandId command = kVolumeCommand;
   std::uint64_t first_block = 0;
@@ -39,8 +39,8 @@
 
 class Journal {
  public:
-  // The pointers must outlive the journal. `durable_records`: each record is written with FUA, for targets
-  // whose flush covers one connection only.
+  // The pointers must outlive the journal. If `durable_records` is true, each record is written with FUA, as
+  // targets require whose flush covers one connection only.
   Journal(const Superblock* superblock, IoQueue* io_queue, bool durable_records)
       : superblock_(superblock), io_queue_(io_queue), durable_records_(durable_records) {}
 
@@ -48,24 +48,24 @@
   void Resume(const ReplayedJournal& replayed);
 
   bool HasSpaceFor(std::uint32_t size) const;
-  // Writes a record, which there must be space for. If it does not fit before the end of the ring, a filler
-  // takes the remaining space and the record goes to the start.
+  // Writes a record; HasSpaceFor must be true for its size. If it does not fit before the end of the ring, a
+  // filler takes the remaining space and the record goes to the start.
   void Append(RecordContent content);
 
-  // The write of a record has ended. Returns the command of a record whose write failed for the first time;
-  // it is not going to be acknowledged.
+  // Handles the completion of a record's write. Returns the command of a record whose write failed for the
+  // first time; this command will not be acknowledged.
   std::optional<CommandId> OnWritten(std::uint64_t sequence, IoStatus status);
-  // Acknowledges the next record in order if its write has ended, and returns it; null if there is none.
-  // Valid until the next Append or Release.
+  // Acknowledges the next record in order if its write has ended, and returns it; returns null otherwise. The
+  // pointer is valid until the next Append or Release.
   JournalRecord* AcknowledgeNext();
-  // Retries void records whose write failed as well.
+  // Retries the write of void records for which it failed.
   void RetryVoidRecords();
 
-  // A flush that was issued when this record was the last acknowledged one has completed.
+  // Handles the completion of a flush that was issued when this record was the last acknowledged one.
   void OnFlushed(std::uint64_t sequence);
-  // Frees the records up to this one: their content is in place.
+  // Frees the records up to and including this one, whose content is in place.
   void Release(std::uint64_t sequence);
-  // Where the record with this number is, or where it will go if it is not written yet.
+  // Returns the offset of the record with this number, or the offset of the next record if there is none.
   std::uint64_t OffsetOf(std::uint64_t sequence) const;
 
   bool empty() const { return records_.empty(); }
@@ -92,7 +92,7 @@
   std::uint64_t used_bytes_ = 0;
   std::uint64_t next_sequence_ = 1;
   std::uint64_t acknowledged_sequence_ = 0;  // all records up to this one are acknowledged
-  std::uint64_t durable_sequence_ = 0;       // and all up to this one durable
+  std::uint64_t durable_sequence_ = 0;       // all records up to this one are durable
   std::uint64_t last_first_block_ = 0;       // of the record appended last
   std::uint16_t last_block_count_ = 0;
 };
--- a/src/integrity/journal_record.h
+++ b/src/integrity/journal_record.h
@@ -1,5 +1,5 @@
-// Journal records in memory, until a checkpoint has written their content in place, and the overlay: the
-// content of blocks that is newer in the journal than in place.
+// Defines journal records in memory, which exist until a checkpoint has written their content in place, and
+// the overlay: the content of blocks that is newer in the journal than in place.
 //
 // The overlay is owned by VolumeContext; used on the thread of the volume's owner.
 #ifndef WALNUTSPUR_INTEGRITY_JOURNAL_RECORD_H_
@@ -17,7 +17,7 @@
 
 namespace walnutspur::integrity {
 
-// A version of a block's content that is in the journal and not in place.
+// A version of a block's content that is in the journal but not in place yet.
 struct BlockVersion {
   std::uint64_t sequence = 0;  // of its record
   Tag tag;
@@ -36,7 +36,7 @@
   std::uint32_t size = 0;  // bytes
   CommandId command = kVolumeCommand;
   State state = State::kWriting;
-  bool write_failed = false;  // it is being replaced by a void record
+  bool write_failed = false;  // a void record replaces it
   bool write_in_flight = true;
   std::vector<BlockVersion> versions;  // of adjoining blocks; moved to the overlay once acknowledged
 };
@@ -45,12 +45,13 @@
  public:
   using Versions = std::vector<BlockVersion>;  // oldest first
 
-  // The newest version of a block; null if the block is up to date in place.
+  // Returns the newest version of a block, or null if the block is up to date in place.
   const BlockVersion* Newest(std::uint64_t block) const;
   void Add(std::uint64_t block, BlockVersion version) { versions_[block].push_back(std::move(version)); }
   // Removes all versions of a block whose newest content is unrecoverable.
   void Erase(std::uint64_t block) { versions_.erase(block); }
-  // Removes the versions of a block up to this record, since they are in place now. The block must have one.
+  // Removes the versions of a block up to this record, since they are in place now. The block must have at
+  // least one version.
   void EraseUpTo(std::uint64_t block, std::uint64_t sequence);
 
   const std::unordered_map<std::uint64_t, Versions>& blocks() const { return versions_; }
--- a/src/integrity/journal_replay.cpp
+++ b/src/integrity/journal_replay.cpp
@@ -17,7 +17,7 @@
   return std::move(replayed_);
 }
 
-// Adds the record that is due. False at the end of the journal, or if it cannot be replayed any further.
+// Adds the next record. Returns false at the end of the journal, or if the replay cannot continue.
 bool JournalReplay::ReplayNext() {
   const std::optional<RecordHeader> header = NextHeader();
   if (header && RecordDataMatches(*header, journal_.substr(offset_), superblock_.export_id)) {
@@ -33,8 +33,8 @@
   return replayed_.error.empty();
 }
 
-// The header of the record that is due; nothing if it is corrupt, belongs to a record that an earlier replay
-// discarded, or does not fit the volume.
+// Returns the header of the next record, or nullopt if it is corrupt, belongs to a record that an earlier
+// replay discarded, or does not fit the volume.
 std::optional<RecordHeader> JournalReplay::NextHeader() const {
   auto header = DecodeRecordHeader(journal_.substr(offset_), superblock_.export_id);
   if (!header) {
@@ -51,7 +51,7 @@
 }
 
 // Replaces a corrupt record that was durable by a void one, and marks the blocks that it changed. If its
-// header is corrupt, its successor's names the blocks.
+// header is corrupt, the successor's header names the blocks.
 void JournalReplay::SkipCorruptRecord(const std::optional<RecordHeader>& header,
                                       const FoundRecord& successor) {
   if (header) {
@@ -61,8 +61,8 @@
   }
   const bool is_next = successor.header.sequence == sequence_ + 1 && successor.offset != offset_;
   if (!is_next) {
-    replayed_.error = "the journal is damaged from record " + std::to_string(sequence_) +
-                      " on, and which blocks that concerns cannot be told: format or restore the export";
+    replayed_.error = "the journal is corrupt from record " + std::to_string(sequence_) +
+                      " on, and the affected blocks cannot be determined: format or restore the export";
     return;
   }
   const std::uint64_t end = successor.offset > offset_ ? successor.offset : journal_.size();
@@ -73,8 +73,8 @@
   AddRecord(void_record, false);
 }
 
-// The earliest later record whose header names the due record as durable: proof that the due record is
-// corrupt and was not cut off by a crash.
+// Returns the earliest later record whose header names the next record as durable, which proves that the next
+// record is corrupt and was not cut off by a crash; nullopt if there is none.
 std::optional<JournalReplay::FoundRecord> JournalReplay::FindProofOfDurability() const {
   std::optional<FoundRecord> earliest;
   for (std::uint64_t at = 0; at + kSectorBytes <= journal_.size(); at += kSectorBytes) {
--- a/src/integrity/journal_replay.h
+++ b/src/integrity/journal_replay.h
@@ -1,6 +1,6 @@
-// Replay of the journal when an export is attached: which records are valid, where the journal ends, and
-// which blocks are unrecoverable because a durable record is corrupt. No I/O: works on the bytes of the
-// complete journal. Called by Volume, on the thread of its owner.
+// Class JournalReplay replays the journal when an export is attached. It determines which records are valid,
+// where the journal ends, and which blocks are unrecoverable because a durable record is corrupt. No I/O: it
+// works on the bytes of the complete journal. Called by Volume, on the thread of its owner.
 //
 // The replay follows sequence numbers from the tail. Failures and their guards:
 // - A crash cut a record off, or reordered writes left it out. It was not acknowledged, nor was any after it
@@ -9,11 +9,11 @@
 //   sequence number. It would restore old content. Epochs never decrease along the journal, and the tail has
 //   one as well (Superblock::tail_epoch): a record of an earlier epoch than its predecessor's is not
 //   replayed.
-// - A record that was durable is corrupt. To end there would silently restore old content of acknowledged
-//   writes. A later record whose header names the corrupt one as durable proves that no crash cut it off: its
-//   blocks are reported as unrecoverable and the replay goes on. If its own header is corrupt, the next
-//   header names its blocks; if that is corrupt too, the replay fails rather than guess which blocks are
-//   concerned.
+// - A record that was durable is corrupt. Ending the replay there would silently restore old content of
+//   acknowledged writes. A later record whose header names the corrupt one as durable proves that no crash
+//   cut it off: its blocks are reported as unrecoverable and the replay continues. If its own header is
+//   corrupt, the next header names its blocks; if that is corrupt too, the replay fails, since the affected
+//   blocks are unknown.
 #ifndef WALNUTSPUR_INTEGRITY_JOURNAL_REPLAY_H_
 #define WALNUTSPUR_INTEGRITY_JOURNAL_REPLAY_H_
 
@@ -39,14 +39,14 @@
   std::uint64_t used_bytes = 0;
   std::uint64_t last_first_block = 0;  // of the last record
   std::uint16_t last_block_count = 0;
-  // One line if the journal cannot be replayed; the other members then describe the records before the
-  // corrupt one.
+  // A one-line message if the journal cannot be replayed; the other members then describe the records before
+  // the corrupt one. Otherwise empty.
   std::string error;
 };
 
 class JournalReplay {
  public:
-  // Both must outlive the replay; `journal` is the complete ring.
+  // Both arguments must outlive the replay; `journal` is the complete ring buffer.
   JournalReplay(const Superblock& superblock, std::string_view journal)
       : superblock_(superblock), journal_(journal) {}
 
@@ -67,8 +67,8 @@
 
   const Superblock& superblock_;
   std::string_view journal_;
-  std::uint64_t offset_ = 0;    // of the record that is due
-  std::uint64_t sequence_ = 0;  // and its number
+  std::uint64_t offset_ = 0;    // of the next record to replay
+  std::uint64_t sequence_ = 0;  // of the next record to replay
   std::uint64_t epoch_ = 0;     // of the last valid record
   ReplayedJournal replayed_;
 };
--- a/src/integrity/layout.cpp
+++ b/src/integrity/layout.cpp
@@ -45,7 +45,7 @@
   std::string& out_;
 };
 
-// Reads fields from a buffer that has them all.
+// Reads fields from a buffer, at offsets in bytes; the buffer must be long enough.
 class FieldReader {
  public:
   explicit FieldReader(std::string_view bytes) : bytes_(bytes) {}
@@ -63,7 +63,7 @@
 };
 
 // The field lists of the stored structures: each calls `visit` with the offset of every field and the field
-// itself. Encoding and decoding go by the same list, so that they cannot differ.
+// itself. Encoding and decoding use the same list, so that they cannot differ.
 
 template <typename SuperblockType, typename Visitor>
 void VisitSuperblock(SuperblockType& superblock, const Visitor& visit) {
@@ -110,7 +110,7 @@
   }
 }
 
-// A buffer of zeros that begins with the magic of its structure.
+// Returns a buffer of zeros that begins with the magic of its structure.
 std::string BufferWithMagic(std::size_t size, std::string_view magic) {
   std::string out(size, '\0');
   out.replace(0, magic.size(), magic);
@@ -132,7 +132,7 @@
                 Crc32c(header.substr(0, kRecordChecksumOffset)));
 }
 
-// Bytes of a record's header: complete sectors.
+// Returns the size of a record's header in bytes, a multiple of the sector size.
 std::size_t RecordHeaderSize(std::size_t blocks) {
   const std::size_t bytes = kRecordBlocksOffset + kRecordBytesPerBlock * blocks;
   return (bytes + kSectorBytes - 1) / kSectorBytes * kSectorBytes;
@@ -140,7 +140,8 @@
 
 std::uint64_t TagBlocksFor(std::uint64_t blocks) { return (blocks + kTagsPerBlock - 1) / kTagsPerBlock; }
 
-// The most blocks for which the blocks and the two slots of each of their tag blocks fit into `available`.
+// Returns the maximum number of data blocks that fit into `available` blocks together with the two slots of
+// each of their tag blocks.
 std::uint64_t MaxDataBlocks(std::uint64_t available) {
   std::uint64_t blocks = available * kTagsPerBlock / (kTagsPerBlock + 2);
   while (blocks + 1 + 2 * TagBlocksFor(blocks + 1) <= available) {
@@ -196,8 +197,8 @@
 
 namespace {
 
-// Decodes bytes that have a superblock's magic, checksum and a known version. Nothing if the stored geometry
-// is not that of an export of this size.
+// Decodes bytes that have a superblock's magic, checksum and a supported version. Returns nullopt if the
+// stored geometry is not that of an export of this size.
 //
 // Failure: the export was resized or its superblock copied from another one, so that the stored offsets point
 // to other data. The geometry is computed from the size of the export and only compared with the stored one,
@@ -225,27 +226,28 @@
 
 DecodedSuperblock DecodeSuperblock(std::string_view bytes, std::uint64_t size) {
   if (bytes.size() < kSectorBytes || IsAllZero(bytes.substr(0, kSectorBytes))) {
-    return Rejected(SuperblockState::kMissing, "there is no superblock: the export is not formatted");
+    return Rejected(SuperblockState::kMissing, "no superblock found: the export is not formatted");
   }
   if (bytes.substr(0, kSuperblockMagic.size()) != kSuperblockMagic) {
-    return Rejected(SuperblockState::kForeign, "where the superblock should be there is something else");
+    return Rejected(SuperblockState::kForeign, "no superblock found: other data is stored at its position");
   }
   const FieldReader read(bytes);
   if (read.Get<std::uint32_t>(kSuperblockChecksumOffset) !=
       Crc32c(bytes.substr(0, kSuperblockChecksumOffset))) {
-    return Rejected(SuperblockState::kCorrupt, "the superblock's checksum does not fit");
+    return Rejected(SuperblockState::kCorrupt, "the superblock is corrupt: its checksum does not match");
   }
   const auto version = read.Get<std::uint16_t>(kSuperblockVersionOffset);
   if (version > kLayoutVersion) {
-    return Rejected(SuperblockState::kNewer, "the superblock is of version " + std::to_string(version) +
-                                                 "; known are versions up to " +
+    return Rejected(SuperblockState::kNewer, "the superblock has format version " + std::to_string(version) +
+                                                 "; this program supports versions up to " +
                                                  std::to_string(kLayoutVersion));
   }
   const auto superblock = DecodeFields(bytes, size);
   if (!superblock) {
-    return Rejected(SuperblockState::kForeign, "the superblock speaks of another layout than an export of " +
-                                                   std::to_string(size) +
-                                                   " bytes has: the export was resized or copied");
+    return Rejected(SuperblockState::kForeign,
+                    "the superblock describes another layout than that of an export of " +
+                        std::to_string(size) +
+                        " bytes: the export was resized, or its superblock was copied from another export");
   }
   return {SuperblockState::kValid, *superblock, ""};
 }
@@ -338,7 +340,7 @@
 
 namespace {
 
-// `read` is on bytes that begin with a valid header.
+// Decodes the header that `read` points to, which must be valid.
 RecordHeader DecodeHeaderFields(const FieldReader& read) {
   RecordHeader header;
   header.blocks.resize(read.Get<std::uint16_t>(kRecordBlockCountOffset));
--- a/src/integrity/layout.h
+++ b/src/integrity/layout.h
@@ -1,4 +1,5 @@
-// The stored format of a checksummed export: blocks of data first, and behind them a reserved region.
+// Encodes and decodes the stored format of a checksummed export: blocks of data, followed by a reserved
+// region.
 //
 //   | data: N blocks | tags: 2 slots a tag block | journal: a ring of 512-byte sectors | superblock A | B |
 //
@@ -6,8 +7,8 @@
 // detects flipped bits as well as lost, misdirected and stale writes. docs/design/integrity.md compares this
 // layout with its alternatives.
 //
-// Encoding and decoding only: no I/O, no state, safe on any thread. Decoding never throws: bytes that are not
-// valid give no value, or a state other than kValid. All integers are little-endian.
+// No I/O, no state, safe on any thread. Decoding never throws: for invalid bytes it returns nullopt, or a
+// state other than kValid. All integers are little-endian.
 #ifndef WALNUTSPUR_INTEGRITY_LAYOUT_H_
 #define WALNUTSPUR_INTEGRITY_LAYOUT_H_
 
@@ -30,20 +31,21 @@
 constexpr std::uint32_t kTagBytes = 12;
 // Bytes of a tag block's header.
 constexpr std::uint32_t kTagHeaderBytes = 64;
-// Tags of a tag block: 336.
+// Number of tags in a tag block: 336.
 constexpr std::uint32_t kTagsPerBlock = (kBlockBytes - kTagHeaderBytes) / kTagBytes;
 // Bytes of the two slots of a tag block.
 constexpr std::uint64_t kTagSlotsBytes = std::uint64_t{2} * kBlockBytes;
 // Copies of the superblock, kBlockBytes each, written in turn.
 constexpr std::uint64_t kSuperblockCopies = 2;
-// Bytes of the smallest journal. A record takes at most half of the journal.
+// Minimum size of the journal in bytes. A record takes at most half of the journal.
 constexpr std::uint64_t kMinJournalBytes = 64 << 10;
 // Bytes of the journal unless the configuration sets another size.
 constexpr std::uint64_t kDefaultJournalBytes = 4 << 20;
-// Blocks of one journal record: those of a command of 1 MiB and the blocks that it covers partially.
+// Maximum number of blocks of one journal record: those of a command of 1 MiB and the blocks that it covers
+// partially.
 constexpr std::uint32_t kMaxRecordBlocks = 320;
 
-// Where the regions lie, in bytes from the start of the export at the target.
+// The positions of the regions, in bytes from the start of the export at the target.
 struct Geometry {
   std::uint64_t blocks = 0;      // of data
   std::uint64_t tag_blocks = 0;  // each has two adjoining slots
@@ -58,8 +60,8 @@
   }
 };
 
-// The geometry with the most data blocks that fits into `size` bytes with a journal of `journal` bytes;
-// nothing if not even one block fits.
+// Returns the geometry with the most data blocks that fits into `size` bytes with a journal of `journal`
+// bytes, or nullopt if not even one block fits.
 std::optional<Geometry> FitGeometry(std::uint64_t size, std::uint64_t journal);
 
 struct Superblock {
@@ -67,15 +69,15 @@
   std::uint64_t export_id = 0;  // random, chosen at format; part of every tag
   Geometry geometry;
   std::uint64_t epoch = 0;          // number of attachments; the latest one owns the export
-  std::uint64_t sequence = 0;       // of this superblock: of two copies the higher one is valid
-  std::uint64_t tail_offset = 0;    // where a replay begins, bytes from the start of the journal
-  std::uint64_t tail_sequence = 1;  // of the record there, if there is any
+  std::uint64_t sequence = 0;       // of this superblock; the copy with the higher number is current
+  std::uint64_t tail_offset = 0;    // where a replay starts, bytes from the start of the journal
+  std::uint64_t tail_sequence = 1;  // of the record at tail_offset, if there is one
   // The lowest epoch of the records from the tail on.
   //
   // Failure: a replay discards an incomplete record at the end of the journal; the next process reuses its
-  // sequence number, and its bytes may still be in the ring. A later replay would take them for the record
-  // that is due, and old content would replace new. The discarded record has an earlier epoch than the tail
-  // and is rejected by it.
+  // sequence number, and its bytes may still be in the ring. A later replay would mistake them for the record
+  // with that number, and old content would replace new. The discarded record is rejected because it has an
+  // earlier epoch than the tail.
   std::uint64_t tail_epoch = 0;
 };
 
@@ -89,7 +91,8 @@
 
 // Returns kBlockBytes bytes.
 std::string Encode(const Superblock& superblock);
-// `size` is that of the export, in bytes: a superblock with another geometry than fits this size is foreign.
+// Decodes a superblock of an export of `size` bytes. A superblock whose geometry is not that of an export of
+// this size is foreign.
 DecodedSuperblock DecodeSuperblock(std::string_view bytes, std::uint64_t size);
 // Returns the current one of two copies. A corrupt copy beside a valid one is an interrupted update.
 DecodedSuperblock ChooseSuperblock(const DecodedSuperblock& a, const DecodedSuperblock& b);
@@ -107,15 +110,15 @@
 // The generation of a block whose tag is unreadable, so that its content cannot be verified.
 constexpr std::uint32_t kUnknownGeneration = kHoleFlag - 1;
 
-// The generation of the next content of a block; it wraps around to 1.
+// Returns the generation of the next content of a block; it wraps around to 1.
 inline std::uint32_t NextGeneration(std::uint32_t generation) {
   const std::uint32_t plain = generation & ~kHoleFlag;
   return plain >= kUnknownGeneration - 1 ? 1 : plain + 1;
 }
 inline bool IsHole(const Tag& tag) { return tag.generation == 0 || (tag.generation & kHoleFlag) != 0; }
 
-// The checksum of a block's data, from which TagSum derives the sum of any block and generation. So content
-// that belongs to another block is recognized without its data.
+// Returns the checksum of a block's data, from which TagSum derives the sum for any block and generation.
+// This allows recognizing content that belongs to another block without its data.
 std::uint32_t DataSum(std::string_view block);
 std::uint32_t TagSum(std::uint32_t data_sum, std::uint64_t export_id, std::uint64_t block,
                      std::uint32_t generation);
@@ -127,7 +130,8 @@
   std::vector<Tag> tags = std::vector<Tag>(kTagsPerBlock);
 };
 std::string Encode(const TagBlock& tag_block, std::uint64_t export_id);
-// Nothing if it is corrupt, of another export or has another index. Zeros are a tag block never written.
+// Returns nullopt if the tag block is corrupt, of another export or has another index. Zeros decode to a tag
+// block that was never written.
 std::optional<TagBlock> DecodeTagBlock(std::string_view bytes, std::uint64_t export_id, std::uint64_t index);
 
 // A journal record's entry for one block.
@@ -138,10 +142,10 @@
 
 // The header of a journal record, which has the new content of adjoining blocks. Its data follows it.
 struct RecordHeader {
-  std::uint64_t sequence = 0;  // 1, 2, 3, ... from the format on
+  std::uint64_t sequence = 0;  // 1, 2, 3, ... since the export was formatted
   std::uint64_t epoch = 0;
-  // All records up to this one were durable when this record was written. A replay that finds one of them
-  // incomplete knows by it that the record is corrupt, not cut off by a crash.
+  // All records up to this sequence number were durable when this record was written. If a replay finds one
+  // of them incomplete, that record is corrupt and was not cut off by a crash.
   std::uint64_t durable_sequence = 0;
   std::uint64_t first_block = 0;
   std::uint32_t size = 0;  // bytes of the record, header and data
@@ -153,16 +157,16 @@
   std::vector<RecordBlock> blocks;  // empty: a filler or a void record
 };
 
-// The bytes of a record.
+// Returns the size of a record in bytes.
 std::uint32_t RecordSize(std::size_t blocks, bool has_data);
-// `data` has the bytes of each of the blocks, or none at all.
+// Returns the bytes of a record. `data` has the bytes of all of its blocks, or is empty.
 std::string Encode(const RecordHeader& header, std::string_view data, std::uint64_t export_id);
-// The header at the start of `bytes`; nothing if there is no valid one of this export. Does not verify the
-// record's data.
+// Returns the header at the start of `bytes`, or nullopt if there is no valid header of this export. Does not
+// verify the record's data.
 std::optional<RecordHeader> DecodeRecordHeader(std::string_view bytes, std::uint64_t export_id);
-// Whether the data of a record matches its header; `bytes` begin with the header.
+// Returns whether the data of a record matches its header; `bytes` must begin with the header.
 bool RecordDataMatches(const RecordHeader& header, std::string_view bytes, std::uint64_t export_id);
-// The data of one of the record's blocks.
+// Returns the data of one of the record's blocks.
 std::string_view RecordBlockData(const RecordHeader& header, std::string_view bytes, std::size_t index);
 
 }  // namespace walnutspur::integrity
--- a/src/integrity/little_endian.h
+++ b/src/integrity/little_endian.h
@@ -1,5 +1,5 @@
-// Little-endian integers in byte buffers, for the stored formats of this folder. No state; safe on any
-// thread.
+// Stores and loads little-endian integers in byte buffers, for the stored formats of this folder. No state;
+// safe on any thread.
 #ifndef WALNUTSPUR_INTEGRITY_LITTLE_ENDIAN_H_
 #define WALNUTSPUR_INTEGRITY_LITTLE_ENDIAN_H_
 
@@ -19,7 +19,7 @@
   }
 }
 
-// Reads sizeof(T) bytes; `bytes` must have as many.
+// Reads sizeof(T) bytes; `bytes` must have at least as many.
 template <typename T>
 T LoadLittleEndian(std::string_view bytes) {
   std::uint64_t value = 0;
--- a/src/integrity/path_health.cpp
+++ b/src/integrity/path_health.cpp
@@ -9,14 +9,14 @@
 
 // Ranks of states for the choice of a path; lower ones are chosen first.
 //
-// Failure: a path on probation that gets no requests stays there forever, since only successes end a
-// probation. So it precedes the healthy paths once every PathOptions::probation_interval choices.
+// Failure: a path on probation that gets no requests stays on probation forever, since only successes end it.
+// Therefore it ranks before the healthy paths once every PathOptions::probation_interval choices.
 constexpr int kProbationDueRank = 0;
 constexpr int kHealthyRank = 1;
 constexpr int kSuspectRank = 2;
 constexpr int kProbationRank = 3;
 constexpr int kQuarantinedRank = 4;
-// Added to the rank of a path to avoid; greater than any rank, so that it comes after all others.
+// Added to the rank of a path to avoid; greater than any rank, so that it ranks after all others.
 constexpr int kAvoidedPenalty = 10;
 
 }  // namespace
--- a/src/integrity/path_health.h
+++ b/src/integrity/path_health.h
@@ -1,5 +1,5 @@
-// Health of the paths to one target, from the faults that were attributed to each, and the choice of a path
-// for the next request. No I/O and no clock.
+// Class PathHealth tracks the health of the paths to one target by the faults that were attributed to each,
+// and chooses a path for the next request. No I/O and no clock.
 //
 // Owned by checksummed::ChecksummedExports, one for each target; used on its thread only.
 #ifndef WALNUTSPUR_INTEGRITY_PATH_HEALTH_H_
@@ -16,11 +16,11 @@
 
 enum class PathState {
   kHealthy,
-  kSuspect,      // used after healthy ones only
-  kQuarantined,  // not used while there is another
-  kProbation     // gets a small fraction of the requests, to find out whether it has recovered
+  kSuspect,      // used only if no healthy path is available
+  kQuarantined,  // used only if no other path is available
+  kProbation     // gets a small fraction of the requests, which show whether it has recovered
 };
-// As operators read it in the status.
+// Returns the name that the status shows.
 const char* NameOf(PathState state);
 
 // Thresholds of the state transitions. Counts of faults and successes decay exponentially.
@@ -50,11 +50,12 @@
  public:
   explicit PathHealth(int count, const PathOptions& options = {});
 
-  // Returns the path for the next request: one in the best state, round robin among equals. There always is
-  // one. The paths to `avoid`, on which this request has met a mismatch, come last.
+  // Returns the path for the next request: one in the best state, round robin among equals; even the worst
+  // path is returned if there is no other. The paths to `avoid`, on which this request has met a mismatch,
+  // rank last.
   int Choose(Time now, const std::set<int>& avoid = {});
   void RecordSuccess(int path, Time now);
-  // A fault was attributed to the path.
+  // Records a fault that was attributed to the path.
   void RecordFault(int path, Time now);
   PathState StateOf(int path, Time now);
   int count() const { return static_cast<int>(paths_.size()); }
--- a/src/integrity/pending_command.cpp
+++ b/src/integrity/pending_command.cpp
@@ -6,8 +6,8 @@
 namespace walnutspur::integrity {
 namespace {
 
-// The blocks that a command covers. A trim is advice: it covers the blocks that lie completely inside it, as
-// many as fit into one journal record.
+// Returns the blocks that a command covers. A trim is advisory: it covers only blocks that lie completely
+// inside its range, and at most as many as fit into one journal record.
 BlockRange RangeOf(const Command& command) {
   const std::uint64_t end = command.offset + command.length;
   if (command.kind == Command::Kind::kFlush) {
--- a/src/integrity/pending_command.h
+++ b/src/integrity/pending_command.h
@@ -1,5 +1,6 @@
-// One command in progress in a volume: the blocks it covers, the reads it still waits for, and the content
-// that has been read for it. Owned by CommandExecutor; used on the thread of the volume's owner.
+// Struct PendingCommand describes one command in progress in a volume: the blocks it covers, the reads it
+// still waits for, and the content that has been read for it. Owned by CommandExecutor; used on the thread of
+// the volume's owner.
 #ifndef WALNUTSPUR_INTEGRITY_PENDING_COMMAND_H_
 #define WALNUTSPUR_INTEGRITY_PENDING_COMMAND_H_
 
@@ -31,16 +32,16 @@
 
   bool is_read() const { return command.kind == Command::Kind::kRead; }
   bool is_write() const { return command.kind == Command::Kind::kWrite; }
-  // Whether it changes blocks, and so needs locks on them and a journal record.
+  // Returns whether the command changes blocks, and therefore needs locks on them and a journal record.
   bool changes_blocks() const { return is_write() || command.kind == Command::Kind::kTrim; }
   bool is_loaded() const { return reads_in_flight == 0 && missing_tag_blocks.empty(); }
 
-  // Whether the command depends on the current content of the block: a read does, and a write that replaces
-  // a part of it.
+  // Returns whether the command depends on the current content of the block: true for a read, and for a write
+  // that replaces a part of the block.
   bool NeedsContentOf(std::uint64_t block) const;
-  // The block as it was read; nothing if it has not been.
+  // Returns the content that was read for the block, or nullopt if it has not been read.
   std::optional<std::string_view> ContentOf(std::uint64_t block) const;
-  // The content that the block has after the write.
+  // Returns the content that the block has after the write.
   Slice MergedContentOf(std::uint64_t block) const;
   void TakeData(std::uint64_t offset, std::string data);
   // Discards the content that has been read.
@@ -50,7 +51,7 @@
   BlockRange range;
   Phase phase = Phase::kLoading;
   std::set<std::uint64_t> missing_tag_blocks;     // being read
-  std::set<std::uint64_t> unreadable_tag_blocks;  // read, and not certain yet
+  std::set<std::uint64_t> unreadable_tag_blocks;  // read, with an unconfirmed slot
   std::string contiguous_content;                 // of all blocks, if one read returned them
   std::map<std::uint64_t, Slice> block_content;   // by block; takes precedence over contiguous_content
   std::size_t reads_in_flight = 0;                // of data
--- a/src/integrity/scrubber.cpp
+++ b/src/integrity/scrubber.cpp
@@ -5,7 +5,7 @@
 namespace walnutspur::integrity {
 namespace {
 
-// Blocks queued for another read. Further ones are read again by the round only.
+// Maximum number of blocks queued for another read. Blocks beyond it are read again only by the round.
 constexpr std::size_t kMaxRechecks = 1024;
 
 }  // namespace
--- a/src/integrity/scrubber.h
+++ b/src/integrity/scrubber.h
@@ -1,5 +1,6 @@
-// The order in which a scrub reads one export: blocks suspected of corruption first, then all chunks of the
-// export in order, in repeated rounds. No I/O and no clock; background/budget.h decides when it may read.
+// Class Scrubber determines the order in which a scrub reads one export: blocks suspected of corruption
+// first, then all chunks of the export in order, in repeated rounds. No I/O and no clock; background/budget.h
+// decides when it may read.
 //
 // Owned by checksummed::Scrub; used on its thread only.
 #ifndef WALNUTSPUR_INTEGRITY_SCRUBBER_H_
@@ -14,7 +15,7 @@
 
 class Scrubber {
  public:
-  // Adjoining blocks that are read together.
+  // A range of adjoining blocks that are read together.
   struct Range {
     std::uint64_t first = 0;
     std::uint64_t count = 0;
@@ -25,19 +26,19 @@
   // Reads `chunk` blocks at a time, from chunk `position` on.
   Scrubber(std::uint64_t blocks, std::uint64_t chunk, std::uint64_t position = 0);
 
-  // The next range; nothing while all that is left of the round is in flight.
+  // Returns the next range, or nullopt while all remaining chunks of the round are in flight.
   std::optional<Range> Next();
-  // A range was read, with or without a mismatch. Returns the number of chunks of the round that this
-  // completes, 0 or 1.
+  // Handles a range that was read, with or without a mismatch. Returns the number of chunks of the round that
+  // this completes: 0 or 1.
   int OnRead(const Range& range);
-  // A range could not be read: it is retried ahead of the others.
+  // Handles a range that could not be read, which is retried ahead of the others.
   void OnReadFailed(const Range& range);
   // Schedules another read of a block that did not match and to which no fault has been attributed yet.
   void Recheck(std::uint64_t block);
 
-  // Chunks of a round.
+  // Returns the number of chunks of a round.
   std::uint64_t total() const { return chunks_; }
-  // The chunk from which a later process must continue so that none is skipped.
+  // Returns the chunk from which a later process must continue so that no chunk is skipped.
   std::uint64_t position() const;
 
  private:
--- a/src/integrity/slice.h
+++ b/src/integrity/slice.h
@@ -1,6 +1,6 @@
-// Bytes that several owners share without a copy: a part of a reference-counted string. The data of a write
-// stays in one buffer from the client's request through the journal until the checkpoint has written it in
-// place. Immutable, so that it may be read on any thread.
+// Struct Slice is a part of a reference-counted string, whose bytes several owners share without a copy. The
+// data of a write stays in one buffer from the client's request through the journal until the checkpoint has
+// written it in place. Immutable, so that it may be read on any thread.
 #ifndef WALNUTSPUR_INTEGRITY_SLICE_H_
 #define WALNUTSPUR_INTEGRITY_SLICE_H_
 
@@ -18,7 +18,7 @@
 
   explicit operator bool() const { return owner != nullptr; }
   Slice Subslice(std::size_t from, std::size_t length) const { return {owner, bytes.substr(from, length)}; }
-  // Whether these bytes follow the other's in memory, in the same string.
+  // Returns whether these bytes directly follow those of `before` in the same string.
   bool Continues(const Slice& before) const {
     return owner == before.owner && before.bytes.data() + before.bytes.size() == bytes.data();
   }
@@ -26,15 +26,15 @@
   void ExtendBy(const Slice& next) { bytes = {bytes.data(), bytes.size() + next.bytes.size()}; }
 };
 
-// A slice of a string of its own.
+// Returns a slice that owns the text.
 inline Slice Own(std::string text) {
   auto owner = std::make_shared<const std::string>(std::move(text));
   const std::string_view bytes(*owner);
   return {std::move(owner), bytes};
 }
 
-// Appends a slice to the parts of a write. Joins it with the last part if it continues that one, as the
-// blocks of one write mostly do.
+// Appends a slice to the parts of a write. Merges it into the last part if it directly follows that part, as
+// the blocks of one write usually do.
 inline void AppendSlice(std::vector<Slice>* parts, const Slice& slice) {
   if (!parts->empty() && slice.Continues(parts->back())) {
     parts->back().ExtendBy(slice);
--- a/src/integrity/structured_field.h
+++ b/src/integrity/structured_field.h
@@ -1,5 +1,5 @@
-// Dictionaries of HTTP structured fields (RFC 8941, 3.2), as far as digest fields use them. No state; safe on
-// any thread.
+// Parses dictionaries of HTTP structured fields (RFC 8941, 3.2), as far as digest fields use them. No state;
+// safe on any thread.
 #ifndef WALNUTSPUR_INTEGRITY_STRUCTURED_FIELD_H_
 #define WALNUTSPUR_INTEGRITY_STRUCTURED_FIELD_H_
 
@@ -18,8 +18,9 @@
   std::optional<std::int64_t> integer;
 };
 
-// The members of a dictionary, each key once with the last of its values (RFC 8941, 4.2.2). Nothing if the
-// field is malformed, since RFC 8941, 4.2, requires that a malformed field is ignored completely.
+// Returns the members of a dictionary, each key once with the last of its values (RFC 8941, 4.2.2). Returns
+// nullopt if the field is malformed, since RFC 8941, 4.2, requires that a malformed field is ignored
+// completely.
 std::optional<std::vector<Member>> ReadDictionary(std::string_view field);
 
 }  // namespace walnutspur::integrity
--- a/src/integrity/tag_cache.h
+++ b/src/integrity/tag_cache.h
@@ -1,10 +1,11 @@
-// Tag blocks of one volume in memory, least recently used evicted first, and the evidence by which a tag
-// block that was read is trusted: the newest version seen of each, and slots that did not decode.
+// Class TagCache caches the tag blocks of one volume, evicting the least recently used first. It also decides
+// whether a tag block that was read is trusted, by the newest version seen of each and by slots that did not
+// decode.
 //
 // Failure: a slot is corrupted in transit, or a read returns stale content. If the tags of the other, older
 // slot were used then, good blocks would be reported as corrupt and the next checkpoint would write outdated
-// tags. So a slot that does not decode must read the same several times before it is considered corrupt on
-// storage, and a tag block older than one seen before is not used.
+// tags. So a slot that does not decode must return the same bytes on several reads before it is considered
+// corrupt on storage, and a tag block older than one seen before is not used.
 //
 // Owned by VolumeContext; used on the thread of the volume's owner.
 #ifndef WALNUTSPUR_INTEGRITY_TAG_CACHE_H_
@@ -32,24 +33,24 @@
   // `max_tag_blocks` bounds the cache; pinned tag blocks may exceed it.
   explicit TagCache(std::size_t max_tag_blocks) : max_tag_blocks_(max_tag_blocks) {}
 
-  // The tag block, now the most recently used; null if it is not cached.
+  // Returns the tag block, which becomes the most recently used, or null if it is not cached.
   const TagBlock* Find(std::uint64_t index);
-  // The tag of a block in place; its tag block must be cached.
+  // Returns the tag of a block in place; its tag block must be cached.
   const Tag& TagOf(std::uint64_t block) const;
   void Insert(TagBlock tag_block);
 
-  // Takes both slots of a tag block as they were read and caches the current one. False: the newer slot may
-  // have been corrupted in transit, and both must be read again. A tag block of which both slots are
-  // confirmed as corrupt is cached with all its tags unknown.
+  // Decodes both slots of a tag block as they were read and caches the current one. Returns false if the
+  // newer slot may have been corrupted in transit, so that both slots must be read again. If both slots are
+  // confirmed as corrupt, the tag block is cached with all its tags unknown.
   bool InsertFromSlots(std::uint64_t index, std::string_view slots, std::uint64_t export_id);
 
-  // Pinned tag blocks are not evicted.
+  // Excludes a tag block from eviction.
   void Pin(std::uint64_t index) { pinned_.insert(index); }
   void UnpinAll() { pinned_.clear(); }
-  // Evicts down to the bound; needed after UnpinAll only.
+  // Evicts tag blocks until the cache is within its bound. Needed only after UnpinAll.
   void Evict();
 
-  // The block, other than `block`, whose cached tag matches the content with this sum.
+  // Returns the block, other than `block`, whose cached tag matches the content with this sum, or nullopt.
   std::optional<std::uint64_t> FindOwner(std::uint32_t data_sum, std::uint64_t block,
                                          std::uint64_t export_id) const;
   std::size_t unreadable_slots() const { return unreadable_.size(); }
--- a/src/integrity/tag_loader.h
+++ b/src/integrity/tag_loader.h
@@ -1,5 +1,5 @@
-// Reads of tag blocks in flight and the waiters of each: one read serves all waiters. A waiter is a command,
-// or kVolumeCommand for the checkpoint.
+// Class TagLoader reads tag blocks and tracks the waiters of each read in flight: one read serves all
+// waiters. A waiter is a command, or kVolumeCommand for the checkpoint.
 //
 // Owned by VolumeContext; used on the thread of the volume's owner.
 #ifndef WALNUTSPUR_INTEGRITY_TAG_LOADER_H_
@@ -15,7 +15,7 @@
 
 namespace walnutspur::integrity {
 
-// How a read of a tag block ended.
+// The result of a read of a tag block.
 enum class TagReadStatus {
   kLoaded,
   kUncertain,  // a slot may have been corrupted in transit
--- a/src/integrity/time.h
+++ b/src/integrity/time.h
@@ -6,7 +6,7 @@
 
 namespace walnutspur::integrity {
 
-// Microseconds of a clock that never runs backwards.
+// Microseconds of a monotonic clock.
 using Time = std::int64_t;
 
 }  // namespace walnutspur::integrity
--- a/src/integrity/volume.cpp
+++ b/src/integrity/volume.cpp
@@ -7,7 +7,7 @@
 namespace walnutspur::integrity {
 namespace {
 
-// Blocks of an export with room for anything beside the superblocks.
+// Minimum number of blocks of an export: the superblocks and one more.
 constexpr std::uint64_t kMinBlocks = kSuperblockCopies + 1;
 
 }  // namespace
@@ -47,7 +47,7 @@
   if (status != IoStatus::kCompleted || (is_read && data.size() != request.length)) {
     journal_reads_in_flight_ = 0;
     context_.io_queue.DiscardPending();
-    return Fail("the box did not carry out what attaching the export needs");
+    return Fail("attaching the export failed: the target did not execute a storage request");
   }
   if (is_read && request.purpose == IoPurpose::kSuperblock) {
     return OnSuperblockRead(data);
--- a/src/integrity/volume.h
+++ b/src/integrity/volume.h
@@ -1,20 +1,20 @@
-// One checksummed export: which storage requests the commands of its clients need, and when each command may
-// be answered. No I/O, clock or thread: the owner executes the requests and reports their completions, in any
-// order.
+// Class Volume implements one checksummed export: it determines which storage requests the commands of its
+// clients need, and when each command completes. No I/O, clock or thread: the owner executes the requests and
+// reports their completions, in any order.
 //
-// A write is recorded in the journal and answered once its record and all before it are written; a later
+// A write is recorded in the journal and completes once its record and all before it are written; a later
 // checkpoint writes data and tags in place. So a crash at any time leaves the old or the new content of every
 // block, with matching tags. This requires the order
 //
 //   records  ->  flush  ->  data and tags in place  ->  flush  ->  superblock with the new tail  ->  reuse
 //
-// A read is verified against its tags before any of it is passed on. Blocks that do not match are reported
-// with a classification of their content; fault_attribution.h decides which component is at fault.
+// A read is verified against its tags before any of its data reaches the client. Blocks that do not match are
+// reported with a classification of their content; fault_attribution.h decides which component is at fault.
 //
 // One writer: an export must be attached by one owner at a time. Every attachment increments its epoch.
 //
-// Errors: a volume that cannot be attached is in state kFailed and says why in error(); commands end with a
-// CommandResult::Status. Nothing is thrown.
+// Errors: a volume that cannot be attached is in state kFailed, and error() returns the cause; commands end
+// with a CommandResult::Status. No exceptions are thrown.
 //
 // Owned by checksummed::ChecksummedExports; used on its thread only.
 #ifndef WALNUTSPUR_INTEGRITY_VOLUME_H_
@@ -41,20 +41,21 @@
   Volume(const Volume&) = delete;
   Volume& operator=(const Volume&) = delete;
 
-  // Reads superblock and journal and becomes the export's writer; the volume is ready or failed after that.
+  // Starts reading the superblock and the journal and becomes the export's writer. The state is kReady or
+  // kFailed when this has ended.
   void Attach();
-  // Commands that are submitted before the volume is ready wait; once it has failed all are rejected.
+  // Submits a command. Commands wait until the volume is ready, and are rejected if it has failed.
   void Submit(Command command);
-  // The client no longer waits for the command, which has no result then. Its requests in flight may still be
+  // Discards the result of a command whose client no longer waits for it. Its requests in flight may still be
   // executed.
   void Abandon(CommandId command);
-  // A storage request has ended; `data` is the content that a read returned.
+  // Handles the completion of a storage request; `data` is the content that a read returned.
   void OnIoCompleted(IoId id, IoStatus status, std::string data = "");
   // Starts a checkpoint if the journal has acknowledged records and none is running. The owner calls it when
   // the volume has been idle, and to retry after a failure.
   void Checkpoint();
 
-  // The storage requests since the last call, in order.
+  // Returns the storage requests issued since the last call, in order.
   std::vector<IoRequest> TakeIoRequests() { return context_.io_queue.TakeRequests(); }
   std::vector<CommandResult> TakeResults() { return commands_.TakeResults(); }
 
@@ -69,10 +70,10 @@
   std::uint64_t checkpoints() const { return checkpointer_.completed(); }
   std::size_t pending_commands() const { return commands_.pending(); }
   std::size_t in_flight() const { return context_.io_queue.in_flight(); }
-  // Entries in all tables but the tag cache: 0 when the volume is idle and clean.
+  // Returns the number of entries in all tables except the tag cache: 0 when the volume is idle and clean.
   std::size_t tracked_entries() const;
-  // Blocks whose newest content was in a corrupt journal record, until a checkpoint has recorded that or they
-  // are written again.
+  // Returns the blocks whose newest content was in a corrupt journal record, until a checkpoint has marked
+  // their tags as unknown or they are written again.
   const std::set<std::uint64_t>& unrecoverable_blocks() const { return context_.unrecoverable_blocks; }
 
  private:
--- a/src/integrity/volume_context.h
+++ b/src/integrity/volume_context.h
@@ -1,5 +1,5 @@
-// The state that the components of one volume share: its superblock, the journal and its overlay, cached
-// tags, and the queue of storage requests.
+// Struct VolumeContext holds the state that the components of one volume share: its superblock, the journal
+// and its overlay, cached tags, and the queue of storage requests.
 //
 // Owned by Volume, which outlives the components that point to it; used on the thread of the volume's owner.
 #ifndef WALNUTSPUR_INTEGRITY_VOLUME_CONTEXT_H_
@@ -23,7 +23,7 @@
   std::uint64_t size = 0;                           // bytes of the export at the target
   std::uint32_t max_io_bytes = kDefaultMaxIoBytes;  // of one storage request
   std::size_t max_cached_tag_blocks = 256;          // kBlockBytes each
-  double checkpoint_fraction = 0.5;  // used fraction of the journal from which a checkpoint begins
+  double checkpoint_fraction = 0.5;  // used fraction of the journal at which a checkpoint starts
   // Journal records are written with FUA, for targets whose flush covers one connection only.
   bool fua_journal = false;
 };
--- a/src/integrity/volume_io.h
+++ b/src/integrity/volume_io.h
@@ -1,5 +1,5 @@
-// The types that a Volume and its owner exchange: commands of clients, storage requests that the volume
-// issues, and results of commands. Plain values, without an owner or a thread.
+// Defines the types that a Volume and its owner exchange: commands of clients, storage requests that the
+// volume issues, and results of commands. Plain values, without an owner or a thread.
 #ifndef WALNUTSPUR_INTEGRITY_VOLUME_IO_H_
 #define WALNUTSPUR_INTEGRITY_VOLUME_IO_H_
 
@@ -14,13 +14,13 @@
 using CommandId = std::uint64_t;  // clients' commands are numbered from 1
 using IoId = std::uint64_t;
 
-// Stands for the volume's own work where a command is expected.
+// The command id of requests that the volume issues for itself.
 constexpr CommandId kVolumeCommand = 0;
 
 enum class IoKind { kRead, kWrite, kFlush };
 
-// The purpose of a storage request, which selects the handler of its completion. kCheckpoint: content or tags
-// that are written in place; kBarrier: a flush.
+// The purpose of a storage request, which selects the handler of its completion. kCheckpoint is a write of
+// content or tags in place; kBarrier is a flush.
 enum class IoPurpose { kSuperblock, kJournal, kTags, kData, kCheckpoint, kBarrier };
 
 // A request to the storage server.
@@ -31,18 +31,18 @@
   CommandId command = kVolumeCommand;
   std::uint64_t offset = 0;  // bytes from the start of the export
   std::uint32_t length = 0;  // bytes
-  std::string data;          // of a write: its first bytes,
-  std::vector<Slice> tail;   // followed by these
+  std::string data;          // the first bytes of a write
+  std::vector<Slice> tail;   // the bytes of a write that follow `data`
   bool fua = false;          // must be durable when it completes
 
-  // All bytes of a write: `data` and `tail`.
+  // Returns all bytes of a write: `data` followed by `tail`.
   std::string AllBytes() const;
 };
 
 enum class IoStatus {
   kCompleted,
   kNotExecuted,  // the target has not received it
-  kFailed        // it may have been executed, or may be executed later
+  kFailed        // the target may have executed it, or may execute it later
 };
 
 // A command of a client.
@@ -58,11 +58,11 @@
 
 // Classification of content that does not match its tag.
 enum class MismatchKind {
-  kUnrecognized,     // matches nothing that is known
+  kUnrecognized,     // matches neither the previous content nor that of a block with a cached tag
   kPreviousContent,  // the content before the last write: a lost write or a stale read
   kOtherBlock,       // the content of another block: a misdirected write
-  kTagsUnreadable,   // its tags cannot be read, so its content cannot be verified
-  kRecordCorrupt     // its newest content was in a journal record that is corrupt
+  kTagsUnreadable,   // the block's tag cannot be read, so its content cannot be verified
+  kRecordCorrupt     // the block's newest content was in a journal record that is corrupt
 };
 
 struct CorruptBlock {
@@ -76,9 +76,9 @@
 struct CommandResult {
   enum class Status {
     kCompleted,
-    kRejected,  // no part of it has been executed
+    kRejected,  // no part of the command was executed
     kFailed,    // a write may have been executed
-    // A read met corrupt blocks; a write would have had to preserve part of one, and was not executed.
+    // A read met corrupt blocks; a write was not executed because it would have preserved part of one.
     kCorrupted
   };
   CommandId id = 0;
--- a/tests/fuzz/integrity_fuzz.cpp
+++ b/tests/fuzz/integrity_fuzz.cpp
@@ -1,6 +1,6 @@
-// A libFuzzer target for all decoders of external bytes: digest fields, superblock, tag blocks, journal
-// records, the corruption log and the scrub's cursors. The first byte selects the decoder. Bytes that decode
-// must encode to the same bytes.
+// Fuzzes, as a libFuzzer target, all decoders of external bytes: digest fields, superblock, tag blocks,
+// journal records, the corruption log and the scrub's cursors. The first byte selects the decoder. Bytes that
+// decode must encode to the same bytes.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -17,7 +17,7 @@
 
 namespace {
 
-// Aborts, which the fuzzer reports, unless the invariant holds.
+// Aborts if the invariant does not hold, which the fuzzer reports.
 void Require(bool holds) {
   if (!holds) {
     std::abort();
@@ -33,7 +33,7 @@
   if (!members) {
     Require(match == Match::kNone && !PreferredAlgorithm(text));
   }
-  // A valid digest ahead of other well-formed members counts, unless they name the same algorithm copy.
+  // A valid digest ahead of other well-formed members is verified, unless they name the same algorithm.
   if (members && !members->empty() && text.find("crc32c") == std::string_view::npos &&
       match != Match::kDifferent) {
     std::string both = DigestField(Algorithm::kCrc32c, "content") + ", ";
--- a/tests/integrity/corruption_test.cpp
+++ b/tests/integrity/corruption_test.cpp
@@ -1,7 +1,7 @@
-// Blocks on a checksummed volume are corrupted. Bits flip on the disk or on one path; a write reports success
-// and is lost, torn or written to another block; a read returns the content before the last write; the
-// volume's tags, journal or superblock are corrupted themselves. No corrupt content may reach a client, the
-// corruption log has to name the component at fault, and writing a block again has to repair it.
+// Tests that corruption on a checksummed volume is detected and attributed. Bits flip on the disk or on one
+// path; a write reports success but is lost, torn or written to another block; a read returns the content
+// before the last write; the volume's tags, journal or superblock are corrupt. No corrupt content may reach a
+// client, the corruption log must name the component at fault, and writing a block again must repair it.
 #include <doctest/doctest.h>
 
 #include "driver.h"
@@ -48,7 +48,7 @@
     driver.Settle();
     REQUIRE_FALSE(driver.volume().dirty());
   }
-  // Reads until a fault is attributed, by other paths where there are any, at most `max_reads` times.
+  // Reads a block until a fault is attributed, on other paths if there are any, at most `max_reads` times.
   std::optional<FaultAttribution> Read(std::uint64_t block, int max_reads = 6) {
     std::set<int> avoid;
     for (int i = 0; i < max_reads; ++i) {
@@ -92,7 +92,7 @@
   std::map<std::uint64_t, std::string> content;
 };
 
-// Executes a write that reports success and is lost, misdirected to `other`, or torn.
+// Makes a write of the block report success although it is lost, misdirected to `other`, or torn.
 void InjectAtWrite(CorruptionFixture& fixture, Damage damage, std::uint64_t block, std::uint64_t other,
                    int* injected) {
   lab::BlockDevice& disk = fixture.driver.disk();
@@ -141,7 +141,7 @@
   };
 }
 
-// Injects the corruption, and counts the injections in `injected`.
+// Injects the corruption and counts the injections in `*injected`.
 void Inject(CorruptionFixture& fixture, Damage damage, std::uint64_t block, std::uint64_t other,
             int* injected) {
   if (damage == Damage::kLostWrite || damage == Damage::kMisdirectedWrite || damage == Damage::kTornWrite) {
@@ -214,7 +214,7 @@
   CHECK_FALSE(fixture.Read(other));
 }
 
-TEST_CASE("each kind of corruption is detected and attributed to the component at fault") {
+TEST_CASE("Volume: each kind of corruption is detected and attributed to the component at fault") {
   for (const Damage damage : {Damage::kTransitBitFlip, Damage::kStoredBitFlip, Damage::kLostWrite,
                               Damage::kMisdirectedWrite, Damage::kStaleRead, Damage::kTornWrite}) {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
@@ -225,8 +225,8 @@
   }
 }
 
-// The target's memory is faulty: every reading of a block has other bits flipped, on whichever path it comes.
-TEST_CASE("mismatches that differ on every path are attributed to the target's memory") {
+// The target's memory is faulty: each reading of a block has different bits flipped, on every path.
+TEST_CASE("Fault attribution: mismatches that differ on every path are attributed to the target's memory") {
   CorruptionFixture fixture(3, 2);
   fixture.driver.on_io = [&](const IoRequest& io, std::string* data, bool*) {
     if (io.purpose != IoPurpose::kData) {
@@ -241,9 +241,9 @@
   CHECK(attribution->fault == Fault::kMemory);
 }
 
-// A client overwrites a part of a block whose other part is corrupt. With a new tag over both, the corruption
-// would become undetectable.
-TEST_CASE("a write over part of a corrupt block is not executed: the block would look intact") {
+// A client overwrites a part of a block whose other part is corrupt. A new tag over both parts would make the
+// corruption undetectable.
+TEST_CASE("Volume: a write over part of a corrupt block is not executed") {
   CorruptionFixture fixture(4, 1);
   fixture.driver.disk().Flip(9 * kBlockBytes, kBlockBytes, 2);
   const CommandResult result =
@@ -251,7 +251,7 @@
   CHECK(result.status == CommandResult::Status::kCorrupted);
   CHECK(fixture.driver.Do(Kind::kRead, 9 * kBlockBytes, kBlockBytes).status ==
         CommandResult::Status::kCorrupted);
-  // A larger read returns the blocks around it, and reports it.
+  // A larger read returns the blocks around the corrupt one, which it reports.
   const CommandResult wide = fixture.driver.Do(Kind::kRead, 8 * kBlockBytes, 3 * kBlockBytes);
   REQUIRE(wide.corrupt_blocks.size() == 1);
   CHECK(wide.corrupt_blocks[0].block == 9);
@@ -261,7 +261,7 @@
 
 // One or both slots of a tag block are corrupted while no process runs, so that no tag is in memory. With one
 // slot left some blocks can be verified; with none no block may be returned, until it is written again.
-TEST_CASE("one corrupt tag slot leaves the other, two leave no block that can be verified") {
+TEST_CASE("Tag blocks: with one corrupt slot the other is used, with two no block can be verified") {
   for (const bool both : {false, true}) {
     CorruptionFixture fixture(5, 1);
     const std::uint64_t at = fixture.driver.volume().superblock().geometry.SlotOffset(0, 0);
@@ -292,9 +292,9 @@
   }
 }
 
-// The first read of a tag block after a restart has a flipped bit in one slot, on the way. If the other
-// slot's outdated tags were used, good blocks would be reported as corrupt.
-TEST_CASE("a tag slot that is corrupted in transit does not make outdated tags trusted") {
+// The first read of a tag block after a restart has a bit of one slot flipped in transit. If the outdated
+// tags of the other slot were used, intact blocks would be reported as corrupt.
+TEST_CASE("Tag blocks: if one slot is corrupted in transit, the outdated tags of the other are not used") {
   for (const int slot : {0, 1}) {
     CorruptionFixture fixture(8, 1);
     fixture.driver.disk().Flush();
@@ -320,7 +320,7 @@
 
 // A write was flushed, so its journal record is durable; while no process runs, the record's header or data
 // is corrupted. A replay that took it for a record cut off by a crash would return the block's old content.
-TEST_CASE("the blocks of a corrupt durable record are reported instead of read with old content") {
+TEST_CASE("Journal replay: blocks of a corrupt durable record are reported, not read with old content") {
   for (const bool head : {false, true}) {
     CorruptionFixture fixture(6, 1);
     const std::uint64_t start = fixture.driver.volume().superblock().geometry.journal_offset +
@@ -338,7 +338,7 @@
     REQUIRE(result.status == CommandResult::Status::kCorrupted);
     CHECK(fixture.driver.Do(Kind::kRead, 11 * kBlockBytes, kBlockBytes).data == fixture.content[11]);
     CHECK(fixture.driver.Do(Kind::kRead, 12 * kBlockBytes, kBlockBytes).data == fixture.content[12]);
-    fixture.Checkpoint();  // nor are they after a checkpoint and another restart
+    fixture.Checkpoint();  // the same holds after a checkpoint and another restart
     fixture.driver.Kill(false);
     fixture.driver.Start();
     fixture.driver.Settle();
@@ -349,9 +349,9 @@
   }
 }
 
-// An export whose superblock is missing, of another program, of a newer version or corrupt is attached and
-// written to.
-TEST_CASE("an export that is unformatted, foreign, newer or corrupt is not changed, and one line says why") {
+// An export is attached and written to although its superblock is missing, belongs to another program, has a
+// newer version or is corrupt.
+TEST_CASE("Volume: attaching an unformatted, foreign, newer or corrupt export fails and does not change it") {
   for (const char* state : {"nothing", "foreign", "newer", "corrupt"}) {
     CAPTURE(state);
     Driver driver(kSize, 1);
--- a/tests/integrity/driver.cpp
+++ b/tests/integrity/driver.cpp
@@ -86,7 +86,7 @@
     if (io.kind != IoKind::kWrite) {
       continue;
     }
-    const auto fate = disk_.Draw(3);  // lost, executed, or torn
+    const auto fate = disk_.Draw(3);  // 0: lost, 1: executed, 2: torn
     if (fate == 1) {
       disk_.Write(io.offset, io.AllBytes(), false);
     }
--- a/tests/integrity/driver.h
+++ b/tests/integrity/driver.h
@@ -1,5 +1,5 @@
-// Runs a Volume on a simulated disk: storage requests are executed in an order that the disk's seed decides,
-// and may be lost or torn by a crash. Used on the test's thread.
+// Class Driver runs a Volume on a simulated disk. Storage requests are executed in an order that the disk's
+// seed determines, and may be lost or torn by a crash. Used on the test's thread.
 #ifndef WALNUTSPUR_TESTS_INTEGRITY_DRIVER_H_
 #define WALNUTSPUR_TESTS_INTEGRITY_DRIVER_H_
 
@@ -20,17 +20,17 @@
   Driver(std::uint64_t size, std::uint64_t seed, integrity::VolumeOptions options = {});
 
   void Format(std::uint64_t journal = 0);
-  void Start();  // attaches, as a new process does
-  // Executes one of the pending storage requests; false if there is none.
+  void Start();  // attaches the volume, as a new process does
+  // Executes one of the pending storage requests. Returns false if there is none.
   bool Step();
-  void Settle();  // until none is pending
-  // The process crashes; with `power`, so does the storage server, which loses unflushed writes by chance.
-  // Requests in flight are executed, torn or lost.
+  void Settle();  // executes storage requests until none is pending
+  // Simulates a crash of the process and, if `power` is true, of the storage server, which then loses a
+  // random part of its unflushed writes. Requests in flight are executed, torn or lost.
   void Kill(bool power);
 
   integrity::CommandId Submit(integrity::Command::Kind kind, std::uint64_t offset, std::uint32_t length,
                               std::string data = "", bool fua = false);
-  // Submits and settles.
+  // Submits a command, executes all storage requests and returns the result.
   integrity::CommandResult Do(integrity::Command::Kind kind, std::uint64_t offset, std::uint32_t length,
                               std::string data = "", bool fua = false);
 
@@ -38,7 +38,8 @@
   lab::BlockDevice& disk() { return disk_; }
   std::map<integrity::CommandId, integrity::CommandResult> results;  // in arrival order of ids
   std::function<void(const integrity::CommandResult&)> on_result;
-  // May change the data of a read and how a request ends; it is not executed if `executed` is set to false.
+  // Called for each storage request. May set the data of a read and returns the status of the request, which
+  // is not executed if `*executed` is set to false.
   std::function<integrity::IoStatus(const integrity::IoRequest&, std::string* data, bool* executed)> on_io;
   std::size_t pending() const { return pending_.size(); }
 
@@ -49,7 +50,7 @@
   integrity::VolumeOptions options_;
   std::unique_ptr<integrity::Volume> volume_;
   std::vector<integrity::IoRequest> pending_;
-  std::map<integrity::IoId, std::uint64_t> flush_marks_;  // the writes that each flush covers
+  std::map<integrity::IoId, std::uint64_t> flush_marks_;  // by flush: the writes it covers
   integrity::CommandId next_command_ = 1;
 };
 
--- a/tests/integrity/fault_attribution_test.cpp
+++ b/tests/integrity/fault_attribution_test.cpp
@@ -1,7 +1,7 @@
-// One path to a target starts to corrupt what it transfers, and later recovers: requests must avoid it
-// meanwhile and return to it after a probation. Many blocks are corrupt at once: investigations and the
-// corruption log stay bounded. The log's file is truncated, corrupt or of another program: it is rejected
-// completely and not overwritten.
+// Tests path health, investigations and the corruption log. A path that corrupts data must be avoided until
+// it has recovered and passed a probation. If many blocks are corrupt at once, investigations and the
+// corruption log must stay bounded. A log file that is truncated, corrupt or of another program must be
+// rejected completely and not be overwritten.
 #include "integrity/fault_attribution.h"
 
 #include <doctest/doctest.h>
@@ -20,7 +20,7 @@
 
 constexpr Time kSecond = 1'000'000;
 
-TEST_CASE("a path goes from healthy to suspect, quarantined, on probation and back, without flapping") {
+TEST_CASE("PathHealth: faults and successes move a path through all states and back without flapping") {
   PathHealth paths(2);
   Time now = 0;
   for (int i = 0; i < 100; ++i) {
@@ -30,7 +30,7 @@
   CHECK(paths.StateOf(0, now) == PathState::kSuspect);
   CHECK(paths.Choose(now) == 1);
   CHECK(paths.Choose(now) == 1);
-  CHECK(paths.Choose(now, {1}) == 0);  // a path to avoid comes after a suspect one
+  CHECK(paths.Choose(now, {1}) == 0);  // a path to avoid ranks after a suspect one
   CHECK(paths.StateOf(0, now + 61 * kSecond) ==
         PathState::kSuspect);  // 0.5 is under one bound, not the other
   CHECK(paths.StateOf(0, now + 125 * kSecond) == PathState::kHealthy);
@@ -59,7 +59,7 @@
   CHECK(paths.StateOf(0, now) == PathState::kHealthy);
 }
 
-TEST_CASE("the only path is used whatever its state") {
+TEST_CASE("PathHealth: the only path is chosen in every state") {
   PathHealth paths(1);
   for (int i = 0; i < 10; ++i) {
     paths.RecordFault(0, 0);
@@ -69,7 +69,7 @@
   CHECK(paths.Choose(0, {0}) == 0);
 }
 
-TEST_CASE("a few faults among very many successes quarantine no path") {
+TEST_CASE("PathHealth: a few faults among very many successes do not quarantine a path") {
   PathHealth paths(2);
   for (int i = 0; i < 10000; ++i) {
     paths.RecordSuccess(0, 0);
@@ -80,7 +80,7 @@
   CHECK(paths.StateOf(0, 0) == PathState::kSuspect);
 }
 
-TEST_CASE("open investigations are bounded, and a block that was written again starts a new one") {
+TEST_CASE("CorruptionInvestigations: open ones are bounded, and a rewritten block starts a new one") {
   CorruptionInvestigations investigations(3);
   Reading bad;
   for (std::uint64_t block = 0; block < 10; ++block) {
@@ -89,7 +89,8 @@
   CHECK(investigations.open_count() == 3);
   CHECK(investigations.IsOpen({"b", "e", 9}));
   investigations.Forget({"b", "e", 9});
-  CHECK_FALSE(investigations.AddReading({"b", "e", 9}, 1, bad, 20));  // the first reading of a new one
+  CHECK_FALSE(
+      investigations.AddReading({"b", "e", 9}, 1, bad, 20));  // the first reading of a new investigation
   const auto attribution = investigations.AddReading({"b", "e", 9}, 1, bad, 21);
   REQUIRE(attribution);
   CHECK(attribution->fault == Fault::kAtRest);
@@ -104,7 +105,7 @@
   return log;
 }
 
-TEST_CASE("the corruption log decodes completely or not at all") {
+TEST_CASE("CorruptionLog: truncated or corrupt bytes are rejected completely") {
   CorruptionLog log = FilledLog();
   CHECK(log.IsCorrupt({"b", "e", 1}));
   CHECK_FALSE(log.IsCorrupt({"b", "e", 2}));  // the path is at fault: the block is intact
@@ -126,10 +127,10 @@
   std::string newer = bytes;
   newer[8] = 2;
   CHECK_FALSE(read.Decode(newer, &error));
-  CHECK(error == "is of version 2; known are versions up to 1");
+  CHECK(error == "has format version 2; this program supports versions up to 1");
 }
 
-TEST_CASE("the corruption log is bounded: repaired entries go first, and dropped ones are counted") {
+TEST_CASE("CorruptionLog: when full, repaired entries are dropped first, and dropped ones are counted") {
   CorruptionLog log(3);
   log.Record({"b", "e", 1}, {Fault::kAtRest, -1, 0, 2}, 10);
   log.Record({"b", "e", 2}, {Fault::kAtRest, -1, 0, 2}, 11);
@@ -143,7 +144,7 @@
   CHECK(log.corrupt_count() == 3);
 }
 
-TEST_CASE("a corruption log file that was rejected is moved aside and not overwritten") {
+TEST_CASE("CorruptionLogFile: a rejected file is renamed and not overwritten") {
   char folder[] = "/tmp/walnutspur-ledger-XXXXXX";
   REQUIRE(mkdtemp(folder));
   std::string error;
@@ -156,7 +157,7 @@
   CHECK(read.entries() == log.entries());
   std::ofstream(file.path(), std::ios::trunc) << "of another program";
   CHECK(file.Load(&read, &error) == CorruptionLogFile::LoadResult::kRejected);
-  CHECK(error == file.path() + " is no damage ledger");
+  CHECK(error == file.path() + " is not a corruption log");
   REQUIRE(file.Save(log, &error));
   std::ifstream rejected(file.path() + ".refused");
   std::string text;
--- a/tests/integrity/layout_test.cpp
+++ b/tests/integrity/layout_test.cpp
@@ -1,6 +1,6 @@
-// The stored structures of a checksummed export have flipped bits, come from another export or a newer
-// version, or were read from the wrong offset. Each of these must be recognized, and each valid structure
-// must decode to what was encoded.
+// Tests that stored structures of a checksummed export are rejected if they have flipped bits, come from
+// another export or a newer version, or were read from the wrong offset, and that valid structures decode to
+// the encoded values.
 #include "integrity/layout.h"
 
 #include <doctest/doctest.h>
@@ -10,7 +10,7 @@
 namespace walnutspur::integrity {
 namespace {
 
-TEST_CASE("the regions of any size fit, adjoin and cover every block") {
+TEST_CASE("FitGeometry: for any size the regions fit, adjoin and cover every block") {
   CHECK_FALSE(FitGeometry(kMinJournalBytes + 2 * kBlockBytes, kMinJournalBytes));
   CHECK_FALSE(FitGeometry(0, kMinJournalBytes));
   for (std::uint64_t blocks = 3; blocks < 3000; blocks += 7) {
@@ -23,7 +23,7 @@
     CHECK(g->journal_offset + g->journal_size <= g->superblock_offset);
     CHECK(g->superblock_offset + 2 * kBlockBytes <= size);
     CHECK(g->superblock_offset - g->journal_offset - g->journal_size <
-          3 * kBlockBytes);  // next to no space is wasted
+          3 * kBlockBytes);  // fewer than three blocks are unused
   }
 }
 
@@ -38,7 +38,7 @@
   return s;
 }
 
-TEST_CASE("a superblock is read back; corrupt, newer, foreign and resized ones are recognized") {
+TEST_CASE("Superblock: a valid one decodes; corrupt, newer, foreign and resized ones are rejected") {
   const std::uint64_t size = 1 << 20;
   const std::string good = Encode(Sample(size));
   const DecodedSuperblock read = DecodeSuperblock(good, size);
@@ -63,7 +63,7 @@
   CHECK(later.error.find("version 2") != std::string::npos);
 }
 
-TEST_CASE("of two superblocks the later valid one is used, and a newer version is never ignored") {
+TEST_CASE("ChooseSuperblock: the later valid copy is used, and a newer version is never ignored") {
   const std::uint64_t size = 1 << 20;
   Superblock old = Sample(size);
   Superblock young = Sample(size);
@@ -81,7 +81,7 @@
   CHECK(ChooseSuperblock(a, c).state == SuperblockState::kNewer);
 }
 
-TEST_CASE("tag blocks and records: each flipped bit and each other location is detected") {
+TEST_CASE("Tag blocks and journal records: each flipped bit and each wrong location is detected") {
   TagBlock tags;
   tags.index = 5;
   tags.version = 8;
@@ -122,7 +122,7 @@
       RecordDataMatches(*DecodeRecordHeader(record, 77), std::string_view(record).substr(0, 5000), 77));
 }
 
-TEST_CASE("an export that is too small is rejected with an explanation") {
+TEST_CASE("FormatPlan: an export that is too small is rejected with an explanation") {
   CHECK_THROWS_WITH(FormatPlan(kBlockBytes, kMinJournalBytes, 1), doctest::Contains("no room for tags"));
 }
 
--- a/tests/integrity/stored_data_test.cpp
+++ b/tests/integrity/stored_data_test.cpp
@@ -1,6 +1,6 @@
-// An initiator is updated and finds files of an earlier version. Those in tests/integrity/stored were written
-// by version 0.2.0: a checksummed export with a journal that had not been applied yet and one corrupt block,
-// a corruption log, and scrub cursors. Every stored file has to be read, and written again byte for byte.
+// Tests that an updated initiator reads the files of an earlier version. The files in tests/integrity/stored
+// were written by version 0.2.0: a checksummed export with an unapplied journal and one corrupt block, a
+// corruption log, and scrub cursors. Every stored file must be read, and written again byte for byte.
 #include <doctest/doctest.h>
 
 #include <fstream>
@@ -24,7 +24,7 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-TEST_CASE("a checksummed export that version 0.2.0 left with an unapplied journal is read in full") {
+TEST_CASE("Volume: an export of version 0.2.0 with an unapplied journal is read completely") {
   const std::string image = ReadStored("export.img");
   REQUIRE(image.size() == 12 * kBlockBytes + (64 << 10));
   Driver driver(image.size(), 1);
@@ -35,7 +35,7 @@
   REQUIRE(driver.volume().size() == 8 * kBlockBytes);
 
   std::string second(kBlockBytes, 'a');
-  second.replace(100, 50, std::string(50, 'd'));  // a partial write that stands in the journal alone
+  second.replace(100, 50, std::string(50, 'd'));  // a partial write that is only in the journal
   const std::string expected[] = {std::string(kBlockBytes, 'a'),
                                   second,
                                   std::string(kBlockBytes, '\0'),  // trimmed in the journal
@@ -57,7 +57,7 @@
     }
   }
 
-  // The next process reads what this one has written.
+  // The next process reads the data that this one has written.
   driver.Start();
   driver.Settle();
   REQUIRE(driver.volume().state() == Volume::State::kReady);
@@ -67,7 +67,7 @@
   CHECK(driver.Do(Kind::kRead, 4 * kBlockBytes, kBlockBytes).data == std::string(kBlockBytes, 'e'));
 }
 
-TEST_CASE("a corruption log that version 0.2.0 wrote is read, and written again as it was") {
+TEST_CASE("CorruptionLog: the log of version 0.2.0 is read and written again unchanged") {
   const std::string bytes = ReadStored("damage.ledger");
   CorruptionLog log;
   std::string error;
@@ -89,7 +89,7 @@
   CHECK(log.Encode() == bytes);
 }
 
-TEST_CASE("scrub cursors that version 0.2.0 wrote are read, and written again as they were") {
+TEST_CASE("Cursors: the scrub cursors of version 0.2.0 are read and written again unchanged") {
   const std::string bytes = ReadStored("scrub.cursor");
   std::string error;
   const auto cursors = DecodeCursors(bytes, &error);
--- a/tests/integrity/volume_test.cpp
+++ b/tests/integrity/volume_test.cpp
@@ -1,7 +1,8 @@
-// The initiator or its storage server is killed at any moment, with writes in flight that the disk executes
-// in any order, in part or not at all; in some processes the target fails requests as well. After each
-// restart every block must have a content that its acknowledged and flushed writes allow, and no corruption
-// may be reported, since there is none. An oracle keeps the allowed contents of each block.
+// Tests that crashes lose no acknowledged and flushed write. The initiator or its storage server is killed at
+// random times, with writes in flight that the disk executes in any order, in part or not at all; in some
+// processes the target fails requests as well. After each restart every block must have a content that its
+// acknowledged and flushed writes allow, and no corruption may be reported, since there is none. An oracle
+// keeps the allowed contents of each block.
 #include <doctest/doctest.h>
 
 #include <cstdlib>
@@ -20,19 +21,19 @@
     (24 + 2 + 2) * kBlockBytes + (96 << 10);  // 24 blocks, one tag block, a small journal
 constexpr std::uint64_t kJournal = 96 << 10;
 
-// SEED (the first seed) and SEEDS (their number) in the environment extend a run.
+// Reads an integer from the environment. SEED sets the first seed of a run, SEEDS the number of seeds.
 int FromEnvironment(const char* name, int default_value) {
   const char* value = std::getenv(name);
   return value ? std::atoi(value) : default_value;
 }
 
-// The contents that one block may have.
+// The allowed contents of one block.
 struct Oracle {
   struct Write {
     CommandId id = 0;
     std::uint32_t from = 0;
     std::string data;
-    enum { kOpen, kAcked, kFailed, kRefused } status = kOpen;
+    enum { kOpen, kAcked, kFailed, kRejected } status = kOpen;
     bool durable = false;
   };
   std::set<std::string> before{std::string(kBlockBytes, '\0')};
@@ -42,14 +43,14 @@
     content.replace(w.from, w.data.size(), w.data);
     return content;
   }
-  // The contents that are allowed after a crash; with `running`, those that a read in a running process may
-  // return if it was submitted when `acked` writes of the chain had been acknowledged.
+  // Returns the contents that are allowed after a crash. If `running` is true, returns those that a read in a
+  // running process may return if it was submitted when `acked` writes of the chain had been acknowledged.
   std::set<std::string> States(bool running, std::size_t acked = 0) const {
     std::set<std::string> now = before;
     std::set<std::string> all = before;
     for (std::size_t i = 0; i < chain.size(); ++i) {
       const Write& w = chain[i];
-      if (w.status == Write::kRefused) {
+      if (w.status == Write::kRejected) {
         continue;
       }
       std::set<std::string> next;
@@ -168,7 +169,7 @@
         }
         w.status = status == Status::kCompleted ? Oracle::Write::kAcked
                    : status == Status::kFailed  ? Oracle::Write::kFailed
-                                                : Oracle::Write::kRefused;
+                                                : Oracle::Write::kRejected;
         w.durable = w.durable || (status == Status::kCompleted && fuas.contains(id));
       }
     }
@@ -191,7 +192,7 @@
     if (const auto at = reads.find(r.id); at != reads.end() && r.status == Status::kCompleted) {
       const ReadState read = at->second;
       CHECK_MESSAGE(blocks[read.block].States(true, read.acked).contains(r.data), "block ", read.block,
-                    " was read with a content that it never had");
+                    ": the read returned content that the block never had");
       ++checked;
     }
     if (!reads.contains(r.id) && !writes.contains(r.id)) {
@@ -212,8 +213,7 @@
       const CommandResult r = driver.Do(Kind::kRead, i * kBlockBytes, kBlockBytes);
       REQUIRE(r.status == Status::kCompleted);
       const auto states = blocks[i].States(false);
-      CHECK_MESSAGE(states.contains(r.data), "block ", i,
-                    " has a content that it may not have after a crash");
+      CHECK_MESSAGE(states.contains(r.data), "block ", i, " has content that is not allowed after a crash");
       ++checked;
       // A storage server that was not killed may still lose content that it has not flushed.
       blocks[i].before = power ? std::set<std::string>{r.data} : states;
@@ -236,7 +236,7 @@
   int checked = 0;
 };
 
-TEST_CASE("killed anywhere, with and without a power loss, each block has its old or its new content") {
+TEST_CASE("Volume: after a crash or a power loss, each block has its old or its new content") {
   int kills = 0;
   int checked = 0;
   std::uint64_t checkpoints = 0;
@@ -244,7 +244,7 @@
   const int count = FromEnvironment("SEEDS", 40);
   for (int i = 0; i <= count; ++i) {
     const int seed =
-        i < count ? first + i : 1071;  // a regression: a record of an earlier epoch was replayed as a new one
+        i < count ? first + i : 1071;  // regression: a record of an earlier epoch was replayed as a new one
     CAPTURE(seed);
     CrashFixture fixture(static_cast<std::uint64_t>(seed));
     fixture.driver.Start();
@@ -293,7 +293,7 @@
   CHECK(checkpoints > 0);
 }
 
-TEST_CASE("an idle volume tracks nothing") {
+TEST_CASE("Volume: when idle, it tracks no entries") {
   Driver driver(kSize, 7, CrashFixture::Options());
   driver.Format(kJournal);
   driver.Start();
--- a/tests/unit/file_store_test.cpp
+++ b/tests/unit/file_store_test.cpp
@@ -109,7 +109,7 @@
     CHECK_MESSAGE(!DecodeCursors(bad, &error), "a flipped bit in byte ", i, " was not detected");
   }
   CHECK_FALSE(DecodeCursors("walnutspur-scrub 2\nanything", &error));
-  CHECK(error == "is of a newer version");
+  CHECK(error == "has a newer format version than this program supports");
 }
 
 }  // namespace
