--- a/bench/integrity/run.h
+++ b/bench/integrity/run.h
@@ -22,7 +22,7 @@
 
 struct RunOptions {
   std::string program;      // the initiator
-  std::string lab_program;  // path of walnutspur-lab, which is built beside it
+  std::string lab_program;  // path of walnutspur-lab, in the folder of `program`
   std::uint64_t seed = 1;
   bool brief = false;
   std::set<std::string> parts;  // names of the parts to run; empty: all
--- a/src/integrity/command_executor.cpp
+++ b/src/integrity/command_executor.cpp
@@ -330,7 +330,7 @@
   if (!pending) {
     return;
   }
-  // FUA on the record's write alone would make it durable without those before it.
+  // FUA on the record's write alone would make the record durable without those before it.
   if (pending->command.fua && !context_->options.fua_journal) {
     pending->phase = PendingCommand::Phase::kFlushing;
     return context_->io_queue.IssueFlush(command, context_->journal.acknowledged_sequence());
--- a/src/integrity/corruption_log.h
+++ b/src/integrity/corruption_log.h
@@ -1,5 +1,5 @@
 // Class CorruptionLog records which blocks are corrupt, since when, and which component was at fault. Its
-// input are the attributions of fault_attribution.h; corruption_log_file.h stores it. No I/O and no clock.
+// inputs are the attributions of fault_attribution.h; corruption_log_file.h stores it. No I/O and no clock.
 //
 // Owned by checksummed::CorruptionTracker; used on its thread only.
 #ifndef WALNUTSPUR_INTEGRITY_CORRUPTION_LOG_H_
--- a/src/integrity/layout.h
+++ b/src/integrity/layout.h
@@ -150,7 +150,7 @@
   std::uint64_t first_block = 0;
   std::uint32_t size = 0;  // bytes of the record, header and data
   bool has_data = true;    // false: the blocks become holes
-  // The blocks of the record before this one. Stored twice, so that they are known even if that record's
+  // The blocks of the record before this one, stored twice so that they are known even if that record's
   // header is corrupt.
   std::uint64_t previous_first_block = 0;
   std::uint16_t previous_block_count = 0;
--- a/src/integrity/path_health.h
+++ b/src/integrity/path_health.h
@@ -42,7 +42,7 @@
   Time max_quarantine = 600'000'000;
   // Consecutive successes that end a probation.
   int probation_successes = 64;
-  // Requests to the target of which one goes to a path on probation.
+  // Number of requests to the target of which one is sent on a path on probation.
   int probation_interval = 16;
 };
 
--- a/src/integrity/tag_cache.h
+++ b/src/integrity/tag_cache.h
@@ -24,7 +24,7 @@
 
 namespace walnutspur::integrity {
 
-// The tag block that contains a data block's tag, and the tag's position in it.
+// Return the index of the tag block that contains a data block's tag, and the tag's position in it.
 inline std::uint64_t TagBlockOf(std::uint64_t block) { return block / kTagsPerBlock; }
 inline std::size_t TagPositionOf(std::uint64_t block) { return block % kTagsPerBlock; }
 
--- a/src/integrity/time.h
+++ b/src/integrity/time.h
@@ -1,4 +1,4 @@
-// The time that callers pass to this folder's modules, none of which reads a clock.
+// Defines the time that callers pass to this folder's modules, none of which reads a clock.
 #ifndef WALNUTSPUR_INTEGRITY_TIME_H_
 #define WALNUTSPUR_INTEGRITY_TIME_H_
 
--- a/tests/integrity/volume_test.cpp
+++ b/tests/integrity/volume_test.cpp
@@ -178,7 +178,7 @@
     }
   }
   void OnResult(const CommandResult& r) {
-    CHECK(r.status != Status::kCorrupted);  // nothing is corrupt here: that would be a false alarm
+    CHECK(r.status != Status::kCorrupted);  // no block is corrupt: a mismatch is a false alarm
     if (writes.contains(r.id)) {
       Mark(r.id, r.status);
     }
