--- a/bench/integrity/crashes.cpp
+++ b/bench/integrity/crashes.cpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "parts.h"
-#include "testbed.h"
+#include "test_environment.h"
 
 namespace walnutspur::bench {
 namespace {
@@ -27,12 +27,12 @@
 
 class Measurement {
  public:
-  explicit Measurement(const Run& run) : testbed_(run, {.child_server = true}) {}
+  explicit Measurement(const Run& run) : test_environment_(run, {.child_server = true}) {}
 
-  // One crash, and the check after the restart.
+  // Causes one crash during writes and verifies all blocks after the restart.
   void CrashAndVerify() {
-    auto client = testbed_.Connect();
-    const auto delay = static_cast<int>(testbed_.Draw(kMaxCrashDelay));
+    auto client = test_environment_.Connect();
+    const auto delay = static_cast<int>(test_environment_.Draw(kMaxCrashDelay));
     const Crash crash = DrawCrash();
     std::atomic<bool> crashed = false;
     std::thread killer([&] {
@@ -43,7 +43,7 @@
     try {
       WriteUntilCrash(*client, crashed);
     } catch (const std::exception&) {
-      // The connection has ended with the initiator.
+      // The connection was closed because the initiator exited.
     }
     killer.join();
     client.reset();
@@ -54,39 +54,39 @@
   void Report(Run& run, int crashes) const {
     run.Claim("2 kills", unexpected_blocks_ == 0 && false_alarms_ == 0,
               std::to_string(crashes) + " kills (" + std::to_string(crashes - server_crashes_) +
-                  " of the program and " + std::to_string(server_crashes_ - power_cuts_) +
-                  " of the box by SIGKILL, " + std::to_string(power_cuts_) + " of the box's power), " +
+                  " of the initiator and " + std::to_string(server_crashes_ - power_cuts_) +
+                  " of the storage server by SIGKILL, " + std::to_string(power_cuts_) + " of its power), " +
                   std::to_string(writes_) + " writes: " + std::to_string(unexpected_blocks_) +
                   " blocks lost, " + std::to_string(false_alarms_) + " false alarms");
   }
 
  private:
   Crash DrawCrash() {
-    if (testbed_.Draw(3) != 0) {
+    if (test_environment_.Draw(3) != 0) {
       return Crash::kInitiator;
     }
-    return testbed_.Draw(2) == 0 ? Crash::kPowerCut : Crash::kStorageServer;
+    return test_environment_.Draw(2) == 0 ? Crash::kPowerCut : Crash::kStorageServer;
   }
 
   void Execute(Crash crash) {
     switch (crash) {
       case Crash::kInitiator:
-        testbed_.initiator().Kill();
+        test_environment_.initiator().Kill();
         break;
       case Crash::kStorageServer:
-        testbed_.server_process().Kill();
+        test_environment_.server_process().Kill();
         break;
       case Crash::kPowerCut:
-        testbed_.server_process().Signal(SIGUSR2);
-        testbed_.server_process().Wait(kExitTimeout);
+        test_environment_.server_process().Signal(SIGUSR2);
+        test_environment_.server_process().Wait(kExitTimeout);
         break;
     }
   }
 
   void WriteUntilCrash(nbd::BlockingClient& client, const std::atomic<bool>& crashed) {
     while (true) {
-      const std::uint64_t block = testbed_.Draw(kBlocks);
-      const std::string data = testbed_.RandomData(kBlockBytes);
+      const std::uint64_t block = test_environment_.Draw(kBlocks);
+      const std::string data = test_environment_.RandomData(kBlockBytes);
       contents_[block].push_back(data);
       const nbd::Error error = client.Write(block * kBlockBytes, data).error;
       const bool rejected = error == nbd::kNoMemory;
@@ -97,13 +97,13 @@
         return;
       }
       ++writes_;
-      if (testbed_.Draw(kWritesPerFlush) == 0) {
+      if (test_environment_.Draw(kWritesPerFlush) == 0) {
         Flush(client);
       }
     }
   }
 
-  // After a flush the newest content is the only possible one.
+  // Flushes the export, after which only the newest content of each block is possible.
   void Flush(nbd::BlockingClient& client) {
     if (client.Flush().error != nbd::kOk) {
       return;
@@ -114,17 +114,17 @@
   }
 
   void Restart(Crash crash) {
-    testbed_.initiator().Kill();
-    if (crash != Crash::kInitiator && !testbed_.StartChildServer()) {
-      throw BenchError("the box does not start again");
+    test_environment_.initiator().Kill();
+    if (crash != Crash::kInitiator && !test_environment_.StartChildServer()) {
+      throw BenchError("the storage server did not restart");
     }
     power_cuts_ += crash == Crash::kPowerCut ? 1 : 0;
     server_crashes_ += crash != Crash::kInitiator ? 1 : 0;
-    testbed_.StartInitiator();
+    test_environment_.StartInitiator();
   }
 
   void Verify(Crash crash) {
-    const auto client = testbed_.Connect();
+    const auto client = test_environment_.Connect();
     for (std::uint64_t block = 0; block < kBlocks; ++block) {
       const nbd::Reply reply = Read(*client, block);
       if (reply.error != nbd::kOk) {
@@ -145,8 +145,8 @@
     return reply;
   }
 
-  // The content found becomes the newest. Until a flush a power cut can still bring back an earlier one; a
-  // power cut that has happened has made it durable.
+  // Compares the content found with the possible ones, and makes it the newest. Until a flush, a power cut
+  // can still restore an earlier one; content found after a power cut is durable.
   void Compare(std::uint64_t block, const std::string& found, Crash crash) {
     auto& possible = contents_[block];
     if (std::find(possible.begin(), possible.end(), found) == possible.end()) {
@@ -159,14 +159,14 @@
     possible.push_back(found);
   }
 
-  Testbed testbed_;
+  TestEnvironment test_environment_;
   // By block: each content that a read may return, the newest last.
   std::vector<std::vector<std::string>> contents_ =
       std::vector(kBlocks, std::vector{std::string(kBlockBytes, '\0')});
   int writes_ = 0;
   int server_crashes_ = 0;
   int power_cuts_ = 0;
-  int unexpected_blocks_ = 0;  // with another content than the possible ones
+  int unexpected_blocks_ = 0;  // whose content is not a possible one
   int false_alarms_ = 0;       // blocks that are reported as corrupt
 };
 
--- a/bench/integrity/nbd_corruption.cpp
+++ b/bench/integrity/nbd_corruption.cpp
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "parts.h"
-#include "testbed.h"
+#include "test_environment.h"
 
 namespace walnutspur::bench {
 namespace {
@@ -53,13 +53,14 @@
   }
 }
 
-// One testbed with corruption of all kinds, each far enough from the others to have its blocks to itself.
+// Runs one test environment with corruption of all kinds, at blocks far enough from each other not to
+// overlap.
 class Round {
  public:
   Round(const Run& run, Tally* tally)
-      : testbed_(run, {.paths = 2}),
-        client_(testbed_.Connect()),
-        content_(testbed_.RandomData(kBlocks * kBlockBytes)),
+      : test_environment_(run, {.paths = 2}),
+        client_(test_environment_.Connect()),
+        content_(test_environment_.RandomData(kBlocks * kBlockBytes)),
         tally_(tally) {}
 
   void Measure() {
@@ -74,27 +75,28 @@
     CompareWithLog();
     tally_->injected += static_cast<int>(corrupt_.size());
     if (injections < corrupt_.size()) {
-      std::printf("     %llu of %zu struck\n", static_cast<unsigned long long>(injections), corrupt_.size());
+      std::printf("     %llu of %zu injected\n", static_cast<unsigned long long>(injections),
+                  corrupt_.size());
     }
   }
 
  private:
   void Fill() {
-    content_ = testbed_.RandomData(kBlocks * kBlockBytes);
+    content_ = test_environment_.RandomData(kBlocks * kBlockBytes);
     const std::size_t size = kFillBlocks * kBlockBytes;
     for (std::size_t offset = 0; offset < content_.size(); offset += size) {
       if (!WriteWithRetry(*client_, offset, content_.substr(offset, size))) {
         ++tally_->wrong_reads;
       }
     }
-    testbed_.WaitForCheckpoint();
+    test_environment_.WaitForCheckpoint();
   }
 
   void ChooseBlocks() {
     std::uint64_t block = 1;
     for (std::uint64_t i = 0; i < kKinds.size() * kFaultsPerKind && block + 4 < kBlocks; ++i) {
       corrupt_[block] = kKinds[i % kKinds.size()];
-      block += 5 + testbed_.Draw(2);
+      block += 5 + test_environment_.Draw(2);
     }
   }
 
@@ -108,27 +110,28 @@
       if (damage == Damage::kMisdirectedWrite) {
         overwritten_.insert(block + kMisdirectedDistance);
       }
-      testbed_.server().AddFault(fault);
-      const std::string data = testbed_.RandomData(kBlockBytes);
+      test_environment_.server().AddFault(fault);
+      const std::string data = test_environment_.RandomData(kBlockBytes);
       WriteWithRetry(*client_, block * kBlockBytes, data);
       content_.replace(block * kBlockBytes, kBlockBytes, data);
     }
-    testbed_.WaitForCheckpoint();
+    test_environment_.WaitForCheckpoint();
   }
 
   void InjectStoredFaults() {
     for (const auto& [block, damage] : corrupt_) {
       if (damage == Damage::kStoredBitFlip) {
-        testbed_.server().AddFault(FaultAt(block, damage));
+        test_environment_.server().AddFault(FaultAt(block, damage));
       }
     }
   }
 
-  // One after the other, each on the path that the read takes: a path that is always bad would be avoided.
+  // Injects the faults of reads one after the other, on the path that each read takes: a path that always
+  // corrupts data would be avoided.
   void InjectReadFaults() {
     for (const auto& [block, damage] : corrupt_) {
       if (IsReadFault(damage)) {
-        testbed_.server().AddFault(FaultAt(block, damage));
+        test_environment_.server().AddFault(FaultAt(block, damage));
       }
       ReadRepeatedly(block);
     }
@@ -161,13 +164,13 @@
   std::uint64_t CountInjections() {
     std::uint64_t total = 0;
     for (const Damage damage : kKinds) {
-      total += testbed_.server().injections(damage);
+      total += test_environment_.server().injections(damage);
     }
     return total;
   }
 
   void CompareWithLog() {
-    const CorruptionLog log = testbed_.LoadCorruptionLog();
+    const CorruptionLog log = test_environment_.LoadCorruptionLog();
     for (const auto& [block, damage] : corrupt_) {
       const auto* entry = log.Find({"a", "disk", block});
       tally_->detected += entry != nullptr ? 1 : 0;
@@ -185,11 +188,11 @@
     }
   }
 
-  Testbed testbed_;
+  TestEnvironment test_environment_;
   std::unique_ptr<nbd::BlockingClient> client_;
-  std::string content_;                      // what the export must hold
+  std::string content_;                      // the expected content of the export
   std::map<std::uint64_t, Damage> corrupt_;  // by block
-  std::set<std::uint64_t> overwritten_;      // blocks that hold a misdirected write
+  std::set<std::uint64_t> overwritten_;      // blocks overwritten by a misdirected write
   Tally* tally_;
 };
 
@@ -208,8 +211,8 @@
   const std::string total = std::to_string(tally.injected);
   run.Claim("1 damages over NBD",
             tally.detected == tally.injected && tally.wrong_reads == 0 && tally.false_alarms == 0,
-            std::to_string(tally.detected) + " of " + total + " caught, " +
-                std::to_string(tally.wrong_reads) + " delivered damaged, " +
+            std::to_string(tally.detected) + " of " + total + " detected, " +
+                std::to_string(tally.wrong_reads) + " delivered corrupt, " +
                 std::to_string(tally.false_alarms) + " false alarms");
   run.Claim("1 blame over NBD", tally.attributed == tally.injected,
             std::to_string(tally.attributed) + " of " + total + misattributed);
--- a/src/integrity/volume.cpp
+++ b/src/integrity/volume.cpp
@@ -7,7 +7,7 @@
 namespace walnutspur::integrity {
 namespace {
 
-// Blocks of an export with room for anything beside the superblocks.
+// Minimum number of blocks of an export: the superblocks and one more.
 constexpr std::uint64_t kMinBlocks = kSuperblockCopies + 1;
 
 }  // namespace
@@ -46,8 +46,8 @@
   const bool is_read = request.kind == IoKind::kRead;
   if (status != IoStatus::kCompleted || (is_read && data.size() != request.length)) {
     journal_reads_in_flight_ = 0;
-    context_.io_queue.ForgetPending();
-    return Fail("the box did not carry out what attaching the export needs");
+    context_.io_queue.DiscardPending();
+    return Fail("attaching the export failed: the target did not execute a storage request");
   }
   if (is_read && request.purpose == IoPurpose::kSuperblock) {
     return OnSuperblockRead(data);
--- a/tests/fuzz/integrity_fuzz.cpp
+++ b/tests/fuzz/integrity_fuzz.cpp
@@ -1,6 +1,6 @@
-// A libFuzzer target for all decoders of external bytes: digest fields, superblock, tag blocks, journal
-// records, the corruption log and the scrub's cursors. The first byte selects the decoder. Bytes that decode
-// must encode to the same bytes.
+// Fuzzes, as a libFuzzer target, all decoders of external bytes: digest fields, superblock, tag blocks,
+// journal records, the corruption log and the scrub's cursors. The first byte selects the decoder. Bytes that
+// decode must encode to the same bytes.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -17,7 +17,7 @@
 
 namespace {
 
-// Aborts, which the fuzzer reports, unless the invariant holds.
+// Aborts if the invariant does not hold, which the fuzzer reports.
 void Require(bool holds) {
   if (!holds) {
     std::abort();
@@ -33,7 +33,7 @@
   if (!members) {
     Require(match == Match::kNone && !PreferredAlgorithm(text));
   }
-  // A valid digest ahead of other well-formed members counts, unless they name the same algorithm copy.
+  // A valid digest ahead of other well-formed members is verified, unless they name the same algorithm.
   if (members && !members->empty() && text.find("crc32c") == std::string_view::npos &&
       match != Match::kDifferent) {
     std::string both = DigestField(Algorithm::kCrc32c, "content") + ", ";
@@ -69,24 +69,24 @@
 
 void CheckCorruptionLog(std::string_view bytes) {
   CorruptionLog log(16);
-  std::string what;
-  if (!log.Decode(bytes, &what)) {
-    Require(!what.empty() && what.find('\n') == what.npos && log.entries().empty());
+  std::string error;
+  if (!log.Decode(bytes, &error)) {
+    Require(!error.empty() && error.find('\n') == error.npos && log.entries().empty());
     return;
   }
   CorruptionLog copy(16);
-  Require(copy.Decode(log.Encode(), &what) && copy.entries() == log.entries());
+  Require(copy.Decode(log.Encode(), &error) && copy.entries() == log.entries());
 }
 
 // Adds a valid checksum so that the fuzzer reaches the code behind it.
 void CheckCursors(std::string_view bytes) {
-  std::string what;
+  std::string error;
   std::string text = "walnutspur-scrub 1\n" + std::string(bytes) + "\n";
   text += "sum " + std::to_string(Crc32c(text)) + "\n";
-  const auto cursors = DecodeCursors(text, &what);
-  Require(cursors || !what.empty());
+  const auto cursors = DecodeCursors(text, &error);
+  Require(cursors || !error.empty());
   if (cursors) {
-    Require(DecodeCursors(Encode(*cursors), &what) == cursors);
+    Require(DecodeCursors(Encode(*cursors), &error) == cursors);
   }
 }
 
