--- a/src/app/fleet_library.cpp
+++ b/src/app/fleet_library.cpp
@@ -28,10 +28,10 @@
 
 std::unique_ptr<fleet::Fleet> OpenFleet(event_base* base, const fleet::FleetOptions& options,
                                         fleet::FleetHooks hooks) {
-  const auto open = reinterpret_cast<fleet::Open*>(dlsym(LoadLibrary(), fleet::kEntry));
+  const auto open = reinterpret_cast<fleet::OpenFunction*>(dlsym(LoadLibrary(), fleet::kEntryPoint));
   if (open == nullptr) {
     throw FleetError(std::string("fleet: ") + kLibrary + " is of another version: it does not export " +
-                     fleet::kEntry);
+                     fleet::kEntryPoint);
   }
   return std::unique_ptr<fleet::Fleet>(open(base, options, std::move(hooks)));
 }
--- a/src/app/fleet_publisher.cpp
+++ b/src/app/fleet_publisher.cpp
@@ -21,8 +21,10 @@
   result.log = [](bool warning, std::string_view kind, const std::vector<log::Field>& fields) {
     log::Event(warning ? log::Level::kWarn : log::Level::kInfo, kind, fields);
   };
-  result.on_size = [on_size = hooks.on_size](int live, double part) { on_size(FleetSize{live, part}); };
-  result.on_end = hooks.on_removed;
+  result.on_size_changed = [on_size = hooks.on_size](int live, double part) {
+    on_size(FleetSize{live, part});
+  };
+  result.on_terminate = hooks.on_removed;
   return result;
 }
 
--- a/src/fleet/codec/codec.cpp
+++ b/src/fleet/codec/codec.cpp
@@ -26,7 +26,7 @@
   out->set_incarnation(record.incarnation);
   out->set_started_at_us(static_cast<std::uint64_t>(record.started_at));
   out->set_state(static_cast<std::uint32_t>(record.state));
-  out->set_by(record.by);
+  out->set_by(record.reported_by);
   wire::Facts* facts = out->mutable_facts();
   facts->set_version(record.facts.version);
   facts->set_phase(static_cast<std::uint32_t>(record.facts.phase));
@@ -66,7 +66,7 @@
   record.incarnation = in.incarnation();
   record.started_at = static_cast<Time>(in.started_at_us());
   record.state = static_cast<MemberState>(in.state());
-  record.by = in.by();
+  record.reported_by = in.by();
   record.facts.version = in.facts().version();
   record.facts.phase = static_cast<Phase>(in.facts().phase());
   record.facts.started_at = in.facts().started_at_us();
@@ -95,7 +95,7 @@
   envelope.set_from_address(message.from_address);
   envelope.set_incarnation(message.incarnation);
   envelope.set_started_at_us(static_cast<std::uint64_t>(message.started_at));
-  envelope.set_number(message.number);
+  envelope.set_number(message.sequence_number);
   envelope.set_probe(message.probe);
   envelope.set_target(message.target);
   envelope.set_target_address(message.target_address);
@@ -117,7 +117,7 @@
   message.from_address = envelope.from_address();
   message.incarnation = envelope.incarnation();
   message.started_at = static_cast<Time>(envelope.started_at_us());
-  message.number = envelope.number();
+  message.sequence_number = envelope.number();
   message.probe = envelope.probe();
   message.target = envelope.target();
   message.target_address = envelope.target_address();
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -36,9 +36,9 @@
 struct FleetHooks {
   std::function<void(bool warning, std::string_view kind, const std::vector<log::Field>& fields)> log;
   // The number of live members, or this one's share of the load of all members' clients, has changed.
-  std::function<void(int live, double load_share)> on_size;
+  std::function<void(int live, double load_share)> on_size_changed;
   // This process has to terminate: an older one has its name.
-  std::function<void(const std::string& why)> on_end;
+  std::function<void(const std::string& error)> on_terminate;
 };
 
 // This process's membership of a fleet. Destroying it without Leave looks like a crash to the others.
@@ -54,9 +54,9 @@
   virtual std::string Execute(const std::vector<std::string>& words) = 0;
 };
 
-// The library's entry point, exported as kEntry. The caller owns the result. Throws FleetError.
-using Open = Fleet*(event_base* base, const FleetOptions& options, FleetHooks hooks);
-constexpr const char* kEntry = "walnutspur_fleet_open";
+// The library's entry point, exported as kEntryPoint. The caller owns the result. Throws FleetError.
+using OpenFunction = Fleet*(event_base* base, const FleetOptions& options, FleetHooks hooks);
+constexpr const char* kEntryPoint = "walnutspur_fleet_open";
 
 }  // namespace walnutspur::fleet
 
--- a/src/fleet/membership/actions.h
+++ b/src/fleet/membership/actions.h
@@ -26,12 +26,12 @@
 // One change of one member. Incarnations of a name never decrease, each change is reported once, and a reader
 // that applies the changes in order of `number` has the same records as the member table.
 struct MemberChanged {
-  std::uint64_t number = 0;
+  std::uint64_t sequence_number = 0;
   Record record;
 };
 
 // A member that failed or left long ago was removed from the table.
-struct MemberForgotten {
+struct MemberRemoved {
   std::string name;
 };
 
@@ -42,11 +42,11 @@
 
 // An older process has this member's name: this process has to terminate.
 struct NameConflict {
-  std::string reason;
+  std::string error;
 };
 
 using Action =
-    std::variant<SendDatagram, StartTimer, MemberChanged, MemberForgotten, ConvergenceChanged, NameConflict>;
+    std::variant<SendDatagram, StartTimer, MemberChanged, MemberRemoved, ConvergenceChanged, NameConflict>;
 
 }  // namespace walnutspur::fleet
 
--- a/src/fleet/membership/admission.cpp
+++ b/src/fleet/membership/admission.cpp
@@ -25,10 +25,10 @@
     return true;
   }
   if (message.incarnation > known->incarnation) {
-    state_.replays.Set(message.from, message.number);
+    state_.replays.Set(message.from, message.sequence_number);
     return true;
   }
-  if (!state_.replays.Accept(message.from, message.number)) {
+  if (!state_.replays.Accept(message.from, message.sequence_number)) {
     ++state_.counters.replayed;
     return false;
   }
--- a/src/fleet/membership/convergence.h
+++ b/src/fleet/membership/convergence.h
@@ -19,7 +19,7 @@
   void Reset();
   // A message of `name` arrived whose hash equals ours, or does not.
   void Observe(const std::string& name, bool agrees);
-  void Forget(const std::string& name) { observations_.erase(name); }
+  void Remove(const std::string& name) { observations_.erase(name); }
   // Whether all members whose messages were received since the table last changed agree. In a large fleet a
   // sample of consecutive messages is sufficient, since messages of all members cannot arrive between two
   // changes.
--- a/src/fleet/membership/failure_detector.cpp
+++ b/src/fleet/membership/failure_detector.cpp
@@ -13,7 +13,7 @@
 // A relay replies with a nack after a period divided by this.
 constexpr Time kRelayTimeoutDivisor = 2;
 // Periods after a stall of this process during which missing answers do not count.
-constexpr Time kStallMemoryPeriods = 2;
+constexpr Time kStallGracePeriods = 2;
 
 }  // namespace
 
@@ -55,7 +55,7 @@
 
 void FailureDetector::RequestIndirectProbes(std::uint64_t id) {
   const auto at = probes_.find(id);
-  if (at == probes_.end() || at->second.answered) {
+  if (at == probes_.end() || at->second.acked) {
     return;
   }
   const std::string target = at->second.target;
@@ -81,13 +81,13 @@
   }
   const Probe probe = at->second;
   probes_.erase(at);
-  if (probe.answered) {
+  if (probe.acked) {
     state_.health.Adjust(-1);
     return;
   }
   const Time period = state_.options.period;
   // This process did not run in time: the answer may be waiting unread.
-  if (lateness > period || state_.health.StalledSince(state_.timers.now() - kStallMemoryPeriods * period)) {
+  if (lateness > period || state_.health.StalledSince(state_.timers.now() - kStallGracePeriods * period)) {
     state_.health.Adjust(1);
     return;
   }
@@ -143,7 +143,7 @@
     return;
   }
   if (Probe* probe = FindProbe(message)) {
-    probe->answered = true;
+    probe->acked = true;
   }
 }
 
--- a/src/fleet/membership/failure_detector.h
+++ b/src/fleet/membership/failure_detector.h
@@ -43,7 +43,7 @@
  private:
   struct Probe {
     std::string target;
-    bool answered = false;
+    bool acked = false;
     int relays = 0;  // members that were requested to probe
     int nacks = 0;   // of them
   };
--- a/src/fleet/membership/member.cpp
+++ b/src/fleet/membership/member.cpp
@@ -4,7 +4,7 @@
 
 bool IsDead(MemberState state) { return state == MemberState::kFailed || state == MemberState::kLeft; }
 
-const char* NameOf(const Record& record) {
+const char* StateName(const Record& record) {
   switch (record.state) {
     case MemberState::kSuspect:
       return "suspect";
--- a/src/fleet/membership/member.h
+++ b/src/fleet/membership/member.h
@@ -43,7 +43,7 @@
   std::uint64_t incarnation = 0;  // begins as `started_at`; only the member itself increments it, to refute
   Time started_at = 0;            // start of the process; a restart under the same name has a later one
   MemberState state = MemberState::kAlive;
-  std::string by;  // name of the member that reported `state`
+  std::string reported_by;  // name of the member that reported `state`
   Facts facts;
 };
 
@@ -51,7 +51,7 @@
 bool IsDead(MemberState state);
 
 // State and phase as the one word that operators read.
-const char* NameOf(const Record& record);
+const char* StateName(const Record& record);
 
 }  // namespace walnutspur::fleet
 
--- a/src/fleet/membership/member_lifecycle.cpp
+++ b/src/fleet/membership/member_lifecycle.cpp
@@ -26,7 +26,7 @@
     CancelTombstone(record.name);
     suspicions_.Clear(record.name);
   }
-  state_.actions.emplace_back(MemberChanged{next_change_++, record});
+  state_.actions.emplace_back(MemberChanged{next_change_number_++, record});
   state_.convergence.Reset();
   if (record.name == state_.table.self_name()) {
     return;
@@ -52,7 +52,7 @@
   }
   Record next = *known;
   next.state = MemberState::kSuspect;
-  next.by = reporter;
+  next.reported_by = reporter;
   Store(next);
   ConfirmSuspicion(name, reporter);
   disseminator_.Broadcast(name);
@@ -92,7 +92,7 @@
 void MemberLifecycle::DeclareFailed(const std::string& name, const std::string& reporter) {
   Record next = state_.table.Get(name);
   next.state = MemberState::kFailed;
-  next.by = reporter;
+  next.reported_by = reporter;
   StoreAndBroadcast(next);
   RefuteIfPartitioned();
 }
@@ -124,14 +124,14 @@
 }
 
 void MemberLifecycle::StartTombstone(const std::string& name) {
-  tombstone_timers_[name] = state_.timers.Start(kTombstoneAge, [this, name](Time) { Forget(name); });
+  tombstone_timers_[name] = state_.timers.Start(kTombstoneAge, [this, name](Time) { Remove(name); });
   if (state_.table.dead_count() <= kMaxDeadMembers) {
     return;
   }
   // Names that are used once each must not exhaust the memory.
   const std::string oldest = state_.table.OldestDead(name);
   if (!oldest.empty()) {
-    Forget(oldest);
+    Remove(oldest);
   }
 }
 
@@ -144,7 +144,7 @@
   tombstone_timers_.erase(at);
 }
 
-void MemberLifecycle::Forget(const std::string& name) {
+void MemberLifecycle::Remove(const std::string& name) {
   const Record* known = state_.table.Find(name);
   if (!known || !IsDead(known->state)) {
     return;
@@ -152,9 +152,9 @@
   CancelTombstone(name);
   state_.table.Remove(name);
   state_.broadcasts.Remove(name);
-  state_.convergence.Forget(name);
-  state_.replays.Forget(name);
-  state_.actions.emplace_back(MemberForgotten{name});
+  state_.convergence.Remove(name);
+  state_.replays.Remove(name);
+  state_.actions.emplace_back(MemberRemoved{name});
 }
 
 }  // namespace walnutspur::fleet
--- a/src/fleet/membership/member_lifecycle.h
+++ b/src/fleet/membership/member_lifecycle.h
@@ -49,13 +49,13 @@
   void RefuteIfPartitioned();
   void StartTombstone(const std::string& name);
   void CancelTombstone(const std::string& name);
-  void Forget(const std::string& name);
+  void Remove(const std::string& name);
 
   MembershipState& state_;
   Disseminator& disseminator_;
   SuspicionTracker suspicions_;
   std::unordered_map<std::string, std::uint64_t> tombstone_timers_;  // by name of a dead member
-  std::uint64_t next_change_ = 1;
+  std::uint64_t next_change_number_ = 1;
   int recent_failures_ = 0;  // members, since recent_failures_since_
   Time recent_failures_since_ = 0;
 };
--- a/src/fleet/membership/member_table.cpp
+++ b/src/fleet/membership/member_table.cpp
@@ -41,7 +41,7 @@
   result.transitioned =
       is_new || entry.record.state != record.state || entry.record.incarnation != record.incarnation;
   if (!is_new) {
-    Count(entry.record, -1);
+    UpdateTotals(entry.record, -1);
     RemoveAddress(entry.record);
   }
   if (!IsDead(record.state) || !name_by_address_.contains(record.address)) {
@@ -51,21 +51,21 @@
     entry.since = now;
   }
   entry.record = record;
-  Count(record, +1);
+  UpdateTotals(record, +1);
   if (record.name == self_name_) {
     self_ = record;
   } else {
-    Index(record.name, !IsDead(record.state));
+    SetLive(record.name, !IsDead(record.state));
   }
   return result;
 }
 
 void MemberTable::Remove(const std::string& name) {
   const auto at = entries_.find(name);
-  Count(at->second.record, -1);
+  UpdateTotals(at->second.record, -1);
   RemoveAddress(at->second.record);
   dead_names_.erase(name);
-  pool_index_.erase(name);
+  live_pool_index_.erase(name);
   entries_.erase(at);
 }
 
@@ -94,13 +94,13 @@
                                                  const DrawIndex& draw) {
   std::vector<std::string> picked;
   // A partial Fisher-Yates shuffle in place, since the pool has no order to preserve.
-  for (std::size_t i = 0; i < pool_.size() && picked.size() < count; ++i) {
-    const std::size_t other = i + draw(pool_.size() - i);
-    std::swap(pool_[i], pool_[other]);
-    pool_index_[pool_[i]] = i;
-    pool_index_[pool_[other]] = other;
-    if (pool_[i] != except) {
-      picked.push_back(pool_[i]);
+  for (std::size_t i = 0; i < live_pool_.size() && picked.size() < count; ++i) {
+    const std::size_t other = i + draw(live_pool_.size() - i);
+    std::swap(live_pool_[i], live_pool_[other]);
+    live_pool_index_[live_pool_[i]] = i;
+    live_pool_index_[live_pool_[other]] = other;
+    if (live_pool_[i] != except) {
+      picked.push_back(live_pool_[i]);
     }
   }
   return picked;
@@ -126,7 +126,7 @@
   return records;
 }
 
-void MemberTable::Count(const Record& record, int sign) {
+void MemberTable::UpdateTotals(const Record& record, int sign) {
   const bool dead = IsDead(record.state);
   if (record.name != self_name_) {
     (dead ? dead_count_ : live_count_) += sign;
@@ -150,9 +150,9 @@
   }
 }
 
-void MemberTable::Index(const std::string& name, bool live) {
-  std::size_t& index = pool_index_[name];
-  const bool in_pool = index < pool_.size() && pool_[index] == name;
+void MemberTable::SetLive(const std::string& name, bool live) {
+  std::size_t& index = live_pool_index_[name];
+  const bool in_pool = index < live_pool_.size() && live_pool_[index] == name;
   if (live) {
     dead_names_.erase(name);
   } else {
@@ -162,12 +162,12 @@
     return;
   }
   if (live) {
-    index = pool_.size();
-    pool_.push_back(name);
+    index = live_pool_.size();
+    live_pool_.push_back(name);
   } else {
-    pool_index_[pool_.back()] = index;
-    std::swap(pool_[index], pool_.back());
-    pool_.pop_back();
+    live_pool_index_[live_pool_.back()] = index;
+    std::swap(live_pool_[index], live_pool_.back());
+    live_pool_.pop_back();
   }
 }
 
--- a/src/fleet/membership/member_table.h
+++ b/src/fleet/membership/member_table.h
@@ -41,7 +41,7 @@
   void Remove(const std::string& name);
   // Sets the member that is named as the reporter of the state; not a change of the member.
   void SetReporter(const std::string& name, const std::string& reporter) {
-    entries_.at(name).record.by = reporter;
+    entries_.at(name).record.reported_by = reporter;
   }
 
   // Null: unknown. Valid until the table changes.
@@ -75,16 +75,16 @@
 
  private:
   // Adds (+1) or removes (-1) a record from the counts; the hashes are symmetric.
-  void Count(const Record& record, int sign);
+  void UpdateTotals(const Record& record, int sign);
   void RemoveAddress(const Record& record);
   // Moves a member between the live pool and the dead names.
-  void Index(const std::string& name, bool live);
+  void SetLive(const std::string& name, bool live);
 
   std::string self_name_;
   Record self_;
   std::map<std::string, MemberEntry> entries_;
-  std::vector<std::string> pool_;  // the live members other than this one, in no order
-  std::unordered_map<std::string, std::size_t> pool_index_;
+  std::vector<std::string> live_pool_;  // the live members other than this one, in no order
+  std::unordered_map<std::string, std::size_t> live_pool_index_;
   std::set<std::string> dead_names_;
   std::unordered_map<std::string, std::string> name_by_address_;
   std::array<std::uint64_t, kDigestBuckets> buckets_{};
--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -47,7 +47,7 @@
   self.address = state_.options.address;
   self.incarnation = static_cast<std::uint64_t>(now);
   self.started_at = now;
-  self.by = self.name;
+  self.reported_by = self.name;
   self.facts.started_at = now;
   self.facts.building = state_.options.building;
   lifecycle_.Store(self);
@@ -157,7 +157,7 @@
   }
   const Record* sender = state_.table.Find(message.from);
   if (sender && sender->started_at == message.started_at) {
-    state_.replays.Advance(message.from, message.number);
+    state_.replays.Advance(message.from, message.sequence_number);
     state_.convergence.Observe(message.from, message.hash == state_.table.hash());
   }
   switch (message.kind) {
--- a/src/fleet/membership/message.cpp
+++ b/src/fleet/membership/message.cpp
@@ -11,8 +11,8 @@
 }  // namespace
 
 std::size_t EstimateSize(const Record& record) {
-  std::size_t size = kRecordOverhead + record.name.size() + record.address.size() + record.by.size() +
-                     record.facts.building.size();
+  std::size_t size = kRecordOverhead + record.name.size() + record.address.size() +
+                     record.reported_by.size() + record.facts.building.size();
   for (const auto& [target, count] : record.facts.connections) {
     size += kConnectionOverhead + target.size();
   }
--- a/src/fleet/membership/message.h
+++ b/src/fleet/membership/message.h
@@ -33,11 +33,11 @@
   MessageKind kind = MessageKind::kGossip;
   std::string from;
   std::string from_address;
-  std::uint64_t incarnation = 0;  // of the sender
-  Time started_at = 0;            // of the sender's process
-  std::uint64_t number = 0;       // datagrams of the sender so far; replayed datagrams are detected by it
-  std::uint64_t probe = 0;        // id of the probe that is requested or answered
-  std::string target;             // member that is probed
+  std::uint64_t incarnation = 0;      // of the sender
+  Time started_at = 0;                // of the sender's process
+  std::uint64_t sequence_number = 0;  // datagrams of the sender so far; replayed datagrams are detected by it
+  std::uint64_t probe = 0;            // id of the probe that is requested or answered
+  std::string target;                 // member that is probed
   std::string target_address;
   std::uint64_t hash = 0;              // of the sender's table
   std::vector<std::uint64_t> buckets;  // of a digest
--- a/src/fleet/membership/message_sender.cpp
+++ b/src/fleet/membership/message_sender.cpp
@@ -45,7 +45,7 @@
   message.from_address = self.address;
   message.incarnation = self.incarnation;
   message.started_at = self.started_at;
-  message.number = ++last_number_;
+  message.sequence_number = ++last_sequence_number_;
   message.hash = state_.table.hash();
   UpdateAppender appender(state_.table, message);
   // Each message to a suspect or failed member carries its record, so that it can refute it (Lifeguard's
--- a/src/fleet/membership/message_sender.h
+++ b/src/fleet/membership/message_sender.h
@@ -21,7 +21,7 @@
 
  private:
   MembershipState& state_;
-  std::uint64_t last_number_ = 0;
+  std::uint64_t last_sequence_number_ = 0;
 };
 
 }  // namespace walnutspur::fleet
--- a/src/fleet/membership/replay_filter.h
+++ b/src/fleet/membership/replay_filter.h
@@ -19,19 +19,19 @@
 class ReplayFilter {
  public:
   // False: the number is below the window.
-  bool Accept(const std::string& sender, std::uint64_t number) {
-    if (number + kReorderWindow <= highest_[sender]) {
+  bool Accept(const std::string& sender, std::uint64_t sequence_number) {
+    if (sequence_number + kReorderWindow <= highest_[sender]) {
       return false;
     }
-    Advance(sender, number);
+    Advance(sender, sequence_number);
     return true;
   }
-  void Advance(const std::string& sender, std::uint64_t number) {
-    highest_[sender] = std::max(highest_[sender], number);
+  void Advance(const std::string& sender, std::uint64_t sequence_number) {
+    highest_[sender] = std::max(highest_[sender], sequence_number);
   }
   // Resets the highest number, for a new process or incarnation.
-  void Set(const std::string& sender, std::uint64_t number) { highest_[sender] = number; }
-  void Forget(const std::string& sender) { highest_.erase(sender); }
+  void Set(const std::string& sender, std::uint64_t sequence_number) { highest_[sender] = sequence_number; }
+  void Remove(const std::string& sender) { highest_.erase(sender); }
 
  private:
   std::unordered_map<std::string, std::uint64_t> highest_;  // by sender
--- a/src/fleet/membership/update_handler.cpp
+++ b/src/fleet/membership/update_handler.cpp
@@ -56,13 +56,13 @@
     lifecycle_.Store(update);
   }
   if (update.state == MemberState::kSuspect) {
-    lifecycle_.ConfirmSuspicion(update.name, update.by);
+    lifecycle_.ConfirmSuspicion(update.name, update.reported_by);
   }
 }
 
 void UpdateHandler::MergeSameIncarnation(const Record& known, const Record& update) {
   if (update.state == MemberState::kSuspect && known.state == MemberState::kSuspect) {
-    lifecycle_.ConfirmSuspicion(update.name, update.by);
+    lifecycle_.ConfirmSuspicion(update.name, update.reported_by);
   }
   Record next = known;
   const bool newer_facts = update.facts.version > known.facts.version;
@@ -71,7 +71,7 @@
   }
   if (update.state > known.state) {
     next.state = update.state;
-    next.by = update.by;
+    next.reported_by = update.reported_by;
   }
   if (!newer_facts && next.state == known.state) {
     return;
@@ -80,9 +80,9 @@
     if (newer_facts) {
       lifecycle_.Store(next);
     }
-    lifecycle_.Suspect(update.name, update.by);
+    lifecycle_.Suspect(update.name, update.reported_by);
   } else if (next.state == MemberState::kFailed && known.state != MemberState::kFailed) {
-    lifecycle_.DeclareFailed(update.name, update.by);
+    lifecycle_.DeclareFailed(update.name, update.reported_by);
   } else {
     lifecycle_.StoreAndBroadcast(next);
   }
@@ -104,7 +104,7 @@
   }
   lifecycle_.StoreAndBroadcast(next);
   if (update.state == MemberState::kSuspect) {
-    lifecycle_.Suspect(update.name, update.by);
+    lifecycle_.Suspect(update.name, update.reported_by);
   }
 }
 
--- a/src/fleet/transport/gossip_transport.cpp
+++ b/src/fleet/transport/gossip_transport.cpp
@@ -65,10 +65,10 @@
   const Record& record = entry.record;
   return {{"name", record.name},
           {"address", record.address},
-          {"state", NameOf(record)},
+          {"state", StateName(record)},
           {"incarnation", record.incarnation},
           {"since_us", entry.since},
-          {"reported_by", record.by},
+          {"reported_by", record.reported_by},
           {"building", record.facts.building},
           {"started_at_us", record.facts.started_at},
           {"load", record.facts.load},
@@ -88,7 +88,7 @@
   Bind();
   readable_ = loop::EventHandle(base_, fd_, EV_READ | EV_PERSIST, [this] { OnReadable(); });
   readable_.Start();
-  Run(membership_.Start(Now()));
+  RunActions(membership_.Start(Now()));
 }
 
 GossipTransport::~GossipTransport() {
@@ -117,12 +117,12 @@
     }
     ++received_;
     if (const auto message = codec_.Decode({buffer.data(), static_cast<std::size_t>(size)})) {
-      Run(membership_.HandleMessage(*message, Now()));
+      RunActions(membership_.HandleMessage(*message, Now()));
     }
   }
 }
 
-void GossipTransport::Run(const std::vector<Action>& actions) {
+void GossipTransport::RunActions(const std::vector<Action>& actions) {
   for (const Action& action : actions) {
     if (const auto* datagram = std::get_if<SendDatagram>(&action)) {
       Send(*datagram);
@@ -134,8 +134,8 @@
       hooks_.log(false, log::kFleetConvergenceChanged,
                  {{"converged", convergence->converged ? "yes" : "no"}});
     } else if (const auto* conflict = std::get_if<NameConflict>(&action)) {
-      hooks_.log(true, log::kFleetNameRejected, {{"reason", conflict->reason}});
-      hooks_.on_end(conflict->reason);
+      hooks_.log(true, log::kFleetNameRejected, {{"reason", conflict->error}});
+      hooks_.on_terminate(conflict->error);
       return;
     }
   }
@@ -160,7 +160,7 @@
   loop::EventHandle& handle = timers_[timer.id];
   handle = loop::MakeTimer(base_, [this, id = timer.id] {
     timers_.erase(id);
-    Run(membership_.HandleTimer(id, Now()));
+    RunActions(membership_.HandleTimer(id, Now()));
   });
   handle.Start(timer.delay);
 }
@@ -169,9 +169,9 @@
   const Record& record = change.record;
   hooks_.log(record.state == MemberState::kFailed && record.name != options_.name, log::kFleetMemberChanged,
              {{"member", record.name},
-              {"state", NameOf(record)},
+              {"state", StateName(record)},
               {"incarnation", std::to_string(record.incarnation)},
-              {"reported_by", record.by}});
+              {"reported_by", record.reported_by}});
 }
 
 void GossipTransport::ReportSize() {
@@ -183,12 +183,12 @@
   }
   reported_live_ = live;
   reported_share_ = share;
-  hooks_.on_size(live, share);
+  hooks_.on_size_changed(live, share);
 }
 
-void GossipTransport::Publish(const Facts& facts) { Run(membership_.Publish(facts, Now())); }
+void GossipTransport::Publish(const Facts& facts) { RunActions(membership_.Publish(facts, Now())); }
 
-void GossipTransport::Leave() { Run(membership_.Leave(Now())); }
+void GossipTransport::Leave() { RunActions(membership_.Leave(Now())); }
 
 std::string GossipTransport::Execute(const std::vector<std::string>& words) {
   if (words.size() != 1 || words[0] != "view") {
--- a/src/fleet/transport/gossip_transport.h
+++ b/src/fleet/transport/gossip_transport.h
@@ -32,7 +32,7 @@
  private:
   void Bind();
   void OnReadable();
-  void Run(const std::vector<Action>& actions);
+  void RunActions(const std::vector<Action>& actions);
   void Send(const SendDatagram& datagram);
   void Start(const StartTimer& timer);
   void Log(const MemberChanged& change) const;
@@ -51,7 +51,7 @@
   std::uint64_t received_ = 0;                         // datagrams
   std::uint64_t sent_ = 0;
   std::uint64_t unsent_ = 0;
-  int reported_live_ = 0;  // as last passed to on_size
+  int reported_live_ = 0;  // as last passed to on_size_changed
   double reported_share_ = 0;
 };
 
--- a/src/lab/fleet/cluster_invariants.cpp
+++ b/src/lab/fleet/cluster_invariants.cpp
@@ -19,7 +19,7 @@
     }
     const fleet::Record& record = known->second.record;
     if (record.state != fleet::MemberState::kAlive) {
-      return member.name + " calls " + name + " " + fleet::NameOf(record);
+      return member.name + " calls " + name + " " + fleet::StateName(record);
     }
     if (record.incarnation != other->membership->self().incarnation) {
       return member.name + " has an old incarnation of " + name;
@@ -31,7 +31,7 @@
 std::string CheckOthersDead(const SimulatedMember& member, const RunningMembers& running) {
   for (const auto& [name, entry] : member.membership->members()) {
     if (!running.contains(name) && !fleet::IsDead(entry.record.state)) {
-      return member.name + " calls " + name + ", which is dead, " + fleet::NameOf(entry.record);
+      return member.name + " calls " + name + ", which is dead, " + fleet::StateName(entry.record);
     }
   }
   return "";
--- a/src/lab/fleet/fault_injector.cpp
+++ b/src/lab/fleet/fault_injector.cpp
@@ -50,9 +50,9 @@
   cluster_.Start(member);
 }
 
-void FaultInjector::RestartAllBut(int spared) {
+void FaultInjector::RestartAllBut(int excluded) {
   for (int i = 0; i < members_; ++i) {
-    if (i != spared && !IsDown(i)) {
+    if (i != excluded && !IsDown(i)) {
       Restart(i);
     }
   }
--- a/src/lab/fleet/fault_injector.h
+++ b/src/lab/fleet/fault_injector.h
@@ -39,7 +39,7 @@
  private:
   bool IsDown(int member) const { return dead_.contains(member) || stopped_.contains(member); }
   void Restart(int member);
-  void RestartAllBut(int spared);
+  void RestartAllBut(int excluded);
   void InjectNetworkFault(FaultKind kind, int member, int other);
 
   ProcessCluster& cluster_;
--- a/src/lab/fleet/simulated_cluster.cpp
+++ b/src/lab/fleet/simulated_cluster.cpp
@@ -49,7 +49,7 @@
   started.replica.clear();
   started.pending_messages.clear();
   started.pending_timers.clear();
-  started.termination_reason.clear();
+  started.termination_error.clear();
   started.last_change = 0;
   started.started_at = now_;
   started.random = std::make_unique<Random>(options_.seed, "draw", started.process_id);
@@ -115,10 +115,10 @@
       StartTimer(member, *timer);
     } else if (const auto* change = std::get_if<fleet::MemberChanged>(&action)) {
       ApplyChange(member, *change);
-    } else if (const auto* forgotten = std::get_if<fleet::MemberForgotten>(&action)) {
-      at(member).replica.erase(forgotten->name);
+    } else if (const auto* removed = std::get_if<fleet::MemberRemoved>(&action)) {
+      at(member).replica.erase(removed->name);
     } else if (const auto* conflict = std::get_if<fleet::NameConflict>(&action)) {
-      at(member).termination_reason = conflict->reason;
+      at(member).termination_error = conflict->error;
       Crash(member);
       return;
     }
@@ -179,10 +179,10 @@
 void SimulatedCluster::ApplyChange(int member, const fleet::MemberChanged& change) {
   SimulatedMember& reporter = at(member);
   const fleet::Record& record = change.record;
-  if (change.number != reporter.last_change + 1) {
+  if (change.sequence_number != reporter.last_change + 1) {
     ++out_of_order_changes_;
   }
-  reporter.last_change = change.number;
+  reporter.last_change = change.sequence_number;
   const auto before = reporter.replica.find(record.name);
   if (before != reporter.replica.end() &&
       (record.incarnation < before->second.incarnation ||
--- a/src/lab/fleet/simulated_cluster.h
+++ b/src/lab/fleet/simulated_cluster.h
@@ -70,7 +70,7 @@
   const fleet::Membership& membership(int member) const { return *at(member).membership; }
   const std::string& name(int member) const { return at(member).name; }
   // Why the member's process was terminated by its membership; empty: it was not.
-  const std::string& termination_reason(int member) const { return at(member).termination_reason; }
+  const std::string& termination_error(int member) const { return at(member).termination_error; }
   // The first violation of the invariants; empty: there is none.
   std::string FindViolation() const { return lab::FindViolation(members_); }
   bool Converged() const { return FindViolation().empty(); }
--- a/src/lab/fleet/simulated_member.h
+++ b/src/lab/fleet/simulated_member.h
@@ -22,7 +22,7 @@
   double clock_rate = 1;
   Time started_at = 0;                           // of the process: virtual time, and its clock at that time
   std::uint64_t process_id = 0;                  // differs between restarts; 0: no process runs
-  std::string termination_reason;                // why the membership terminated it
+  std::string termination_error;                 // why the membership terminated it
   std::map<std::string, fleet::Record> replica;  // built from the reported changes alone
   std::uint64_t last_change = 0;
   std::vector<std::uint64_t> pending_timers;     // that fired while it was stopped
--- a/tests/fleet/cluster_fixture.h
+++ b/tests/fleet/cluster_fixture.h
@@ -50,7 +50,7 @@
   message.from = sender.name;
   message.from_address = sender.address;
   message.started_at = sender.started_at;
-  message.number = 1'000'000;
+  message.sequence_number = 1'000'000;
   return message;
 }
 
--- a/tests/fleet/codec_test.cpp
+++ b/tests/fleet/codec_test.cpp
@@ -15,7 +15,7 @@
   record.incarnation = 7;
   record.started_at = 5;
   record.state = fleet::MemberState::kSuspect;
-  record.by = std::string("m3");
+  record.reported_by = std::string("m3");
   record.facts.connections = {{"box-1", 4}};
   return record;
 }
@@ -48,28 +48,28 @@
 
 TEST_CASE(
     "a datagram decodes; truncated at any byte, with any bit inverted, or of another fleet it is dropped") {
-  fleet::Codec ours("lab", "a key of sixteen bytes");
-  fleet::Codec same("lab", "a key of sixteen bytes");
-  fleet::Codec other("lab2", "a key of sixteen bytes");
-  fleet::Codec stranger("lab", "another key of bytes");
+  fleet::Codec sender("lab", "a key of sixteen bytes");
+  fleet::Codec receiver("lab", "a key of sixteen bytes");
+  fleet::Codec other_fleet("lab2", "a key of sixteen bytes");
+  fleet::Codec other_key("lab", "another key of bytes");
   fleet::Message message;
   message.kind = fleet::MessageKind::kDigest;
   message.from = "m1";
   message.from_address = "127.0.0.1:7";
-  message.number = 9;
+  message.sequence_number = 9;
   message.buckets = {1, 2, ~0ull};
   const fleet::Record record = SuspectRecord();
   message.updates = {record};
-  const std::string bytes = ours.Encode(message);
-  CheckDecodesTo(same, bytes, message);
-  CheckCorruptIsDropped(same, bytes);
-  CHECK_FALSE(stranger.Decode(bytes));
-  CHECK(stranger.dropped().untagged == 1);
-  CHECK_FALSE(other.Decode(bytes));
-  CHECK(other.dropped().other_fleet == 1);
+  const std::string bytes = sender.Encode(message);
+  CheckDecodesTo(receiver, bytes, message);
+  CheckCorruptIsDropped(receiver, bytes);
+  CHECK_FALSE(other_key.Decode(bytes));
+  CHECK(other_key.dropped().untagged == 1);
+  CHECK_FALSE(other_fleet.Decode(bytes));
+  CHECK(other_fleet.dropped().other_fleet == 1);
   message.updates.assign(100, record);
-  CHECK(ours.Encode(message).size() <= fleet::kMaxDatagramSize);
-  CHECK(ours.dropped().oversized > 0);
+  CHECK(sender.Encode(message).size() <= fleet::kMaxDatagramSize);
+  CHECK(sender.dropped().oversized > 0);
 }
 
 }  // namespace walnutspur
--- a/tests/fleet/dissemination_test.cpp
+++ b/tests/fleet/dissemination_test.cpp
@@ -92,14 +92,14 @@
   cluster.Run(2 * kSecond);
   Message message = ForgedMessage(cluster, 1);
   for (int i = 0; i < 3'000; ++i) {
-    fleet::Record guest;
-    guest.name = "guest" + std::to_string(i);
-    guest.address = "127.2.0.1:7000";
-    guest.incarnation = static_cast<std::uint64_t>(cluster.now());
-    guest.started_at = cluster.now();
-    guest.state = MemberState::kFailed;
-    message.updates = {guest};
-    message.number = 1'000'000 + static_cast<std::uint64_t>(i);
+    fleet::Record record;
+    record.name = "guest" + std::to_string(i);
+    record.address = "127.2.0.1:7000";
+    record.incarnation = static_cast<std::uint64_t>(cluster.now());
+    record.started_at = cluster.now();
+    record.state = MemberState::kFailed;
+    message.updates = {record};
+    message.sequence_number = 1'000'000 + static_cast<std::uint64_t>(i);
     cluster.Inject(0, message);
     cluster.Run(kSecond / 100);
   }
--- a/tests/fleet/identity_test.cpp
+++ b/tests/fleet/identity_test.cpp
@@ -19,7 +19,7 @@
   CheckConverges(cluster);
   fleet::Record failed = before;
   failed.state = MemberState::kFailed;
-  failed.by = "m1";
+  failed.reported_by = "m1";
   Message old = ForgedMessage(cluster, 1);
   old.updates = {failed, before};
   InjectIntoAll(cluster, 5, old);
@@ -59,7 +59,7 @@
   const int duplicate = cluster.StartDuplicate(3);
   cluster.Run(2 * kSecond);
   CHECK_FALSE(cluster.has_process(duplicate));
-  CHECK(cluster.termination_reason(duplicate).find("the name m3 is in use at 127.1.0.4:7000") !=
+  CHECK(cluster.termination_error(duplicate).find("the name m3 is in use at 127.1.0.4:7000") !=
         std::string::npos);
   CheckConverges(cluster);
   CHECK(cluster.false_failures() == 0);
@@ -86,7 +86,7 @@
   record = cluster.membership(3).self();
   record.facts.version = ~0ull;
   record.facts.load = 1e9;
-  forged.number = 1'000'001;
+  forged.sequence_number = 1'000'001;
   forged.updates = {record};
   InjectIntoAll(cluster, 5, forged);
   cluster.Run(2 * kSecond);
--- a/tests/fleet/message_mutation_test.cpp
+++ b/tests/fleet/message_mutation_test.cpp
@@ -38,7 +38,7 @@
       cluster.Inject(receiver, *message);
       break;
     case Mutation::kNumberZero:
-      message->number = 0;
+      message->sequence_number = 0;
       break;
     case Mutation::kOtherProbe:
       message->probe += 1;
@@ -84,8 +84,8 @@
 }
 
 struct ScenarioResult {
-  std::size_t messages = 0;  // until the last fault
-  bool holds = false;        // all invariants
+  std::size_t messages = 0;      // until the last fault
+  bool invariants_hold = false;  // all invariants
   std::string violation;
 };
 
@@ -115,25 +115,25 @@
   ScenarioResult result;
   result.messages = messages;
   const bool converged = cluster.RunUntilConverged(kConvergenceTime) >= 0;
-  result.holds = converged && cluster.out_of_order_changes() == 0;
+  result.invariants_hold = converged && cluster.out_of_order_changes() == 0;
   result.violation = cluster.FindViolation();
   return result;
 }
 
-void CheckHolds(std::size_t index, int mutation) {
+void CheckInvariantsHold(std::size_t index, int mutation) {
   const ScenarioResult result = RunScenario(index, static_cast<Mutation>(mutation));
-  CHECK_MESSAGE(result.holds, "message ", index, " mutation ", mutation, ": ", result.violation);
+  CHECK_MESSAGE(result.invariants_hold, "message ", index, " mutation ", mutation, ": ", result.violation);
 }
 
 }  // namespace
 
 TEST_CASE("each message by itself dropped, duplicated or changed: all invariants hold") {
   const ScenarioResult unchanged = RunScenario(SIZE_MAX, Mutation::kDrop);
-  REQUIRE(unchanged.holds);
+  REQUIRE(unchanged.invariants_hold);
   REQUIRE(unchanged.messages > 80);
   for (std::size_t index = 0; index < unchanged.messages; ++index) {
     for (int mutation = 0; mutation < kMutations; ++mutation) {
-      CheckHolds(index, mutation);
+      CheckInvariantsHold(index, mutation);
     }
   }
   MESSAGE(unchanged.messages, " messages, ", kMutations, " mutations, ", unchanged.messages * kMutations,
