--- a/src/fleet/codec/codec.cpp
+++ b/src/fleet/codec/codec.cpp
@@ -15,7 +15,7 @@
 namespace walnutspur::fleet {
 namespace {
 
-// Bytes of the checksum.
+// Bytes of the CRC-32C.
 constexpr std::size_t kChecksumSize = 4;
 // Bytes to which the HMAC-SHA-256 is truncated.
 constexpr std::size_t kTagSize = 16;
@@ -38,7 +38,7 @@
   }
 }
 
-// Whether all enumerators exist and all sizes are within bounds.
+// Returns whether all enum values are defined and all sizes are within bounds.
 bool IsValid(const wire::Record& record) {
   const wire::Facts& facts = record.facts();
   if (record.state() > static_cast<std::uint32_t>(MemberState::kLeft) ||
@@ -58,7 +58,7 @@
          facts.connections_size() <= static_cast<int>(kMaxReportedConnections) && std::isfinite(facts.load());
 }
 
-// `in` has to be valid.
+// `in` must be valid.
 Record DecodeRecord(const wire::Record& in) {
   Record record;
   record.name = in.name();
@@ -109,7 +109,7 @@
   return envelope;
 }
 
-// `envelope` has to be valid.
+// `envelope` must be valid.
 Message DecodeEnvelope(const wire::Envelope& envelope) {
   Message message;
   message.kind = static_cast<MessageKind>(envelope.kind());
--- a/src/fleet/codec/codec.h
+++ b/src/fleet/codec/codec.h
@@ -1,8 +1,8 @@
-// Encodes messages as datagrams: protobuf (lite) behind a checksum and, where the fleet has a key, a tag.
+// Encodes messages as datagrams and decodes them.
 //
-// A datagram is 4 bytes CRC-32C of what follows, then 16 bytes of HMAC-SHA-256 if the fleet has a key, then
-// the envelope (fleet.proto). One owner and thread; no socket or clock, and no state but the key and
-// counters.
+// A datagram consists of a 4-byte CRC-32C of all bytes after it, an authentication tag (the first 16 bytes of
+// an HMAC-SHA-256) if the fleet has a key, and the envelope (fleet.proto, protobuf lite). A Codec has one
+// owner, is used on one thread and has no state besides the key and its counters.
 #ifndef WALNUTSPUR_FLEET_CODEC_CODEC_H_
 #define WALNUTSPUR_FLEET_CODEC_CODEC_H_
 
@@ -17,27 +17,27 @@
 
 namespace walnutspur::fleet {
 
-// Version of the protocol; datagrams of another one are dropped.
+// Major version of the protocol; datagrams of another major version are dropped.
 constexpr std::uint32_t kMajorVersion = 1;
-// Bytes of a datagram; updates that do not fit are left out.
+// Maximum bytes of a datagram; updates that do not fit are omitted.
 constexpr std::size_t kMaxDatagramSize = 1200;
 
 class Codec {
  public:
   struct Dropped {
-    std::uint64_t corrupt = 0;   // truncated, or the checksum or a field is wrong
-    std::uint64_t untagged = 0;  // the tag is not that of the key
+    std::uint64_t corrupt = 0;   // truncated, or the checksum or a field is invalid
+    std::uint64_t untagged = 0;  // without a tag that matches the key
     std::uint64_t other_fleet = 0;
     std::uint64_t other_major = 0;
-    std::uint64_t oversized = 0;  // updates that were left out of outgoing datagrams
+    std::uint64_t oversized = 0;  // updates omitted from outgoing datagrams
   };
 
-  // Empty `key`: datagrams carry no tag.
+  // If `key` is empty, datagrams carry no tag.
   Codec(std::string fleet, std::string key) : fleet_(std::move(fleet)), key_(std::move(key)) {}
 
-  // Updates that do not fit are left out, from the back, and counted.
+  // Returns the message as a datagram. Omits and counts updates that do not fit, starting with the last one.
   std::string Encode(const Message& message);
-  // Nothing if the datagram is dropped, which is counted.
+  // Returns nullopt and counts the cause if the datagram is dropped.
   std::optional<Message> Decode(std::string_view datagram);
   const Dropped& dropped() const { return dropped_; }
 
--- a/src/fleet/error.h
+++ b/src/fleet/error.h
@@ -1,4 +1,4 @@
-// The errors that the fleet's library throws.
+// Declares the exception that the fleet library throws.
 #ifndef WALNUTSPUR_FLEET_ERROR_H_
 #define WALNUTSPUR_FLEET_ERROR_H_
 
@@ -6,7 +6,7 @@
 
 namespace walnutspur::fleet {
 
-// The fleet cannot be joined with the given options; one line that names the option.
+// Reports that this process cannot join the fleet with the given options, in one line that names the option.
 class FleetError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/fleet/membership/actions.h
+++ b/src/fleet/membership/actions.h
@@ -1,5 +1,5 @@
-// What the caller of a Membership has to do, in the order of the returned actions. Plain values without an
-// owner or a thread.
+// Declares the actions that a Membership returns and its caller must execute in the given order. Plain values
+// without an owner or a thread.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_ACTIONS_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_ACTIONS_H_
 
@@ -17,30 +17,31 @@
   Message message;
 };
 
-// Call Membership::HandleTimer with this id after `delay` microseconds.
+// Requests a call of Membership::HandleTimer with this id after `delay` microseconds.
 struct StartTimer {
   std::uint64_t id = 0;
   Time delay = 0;
 };
 
-// One change of one member. Incarnations of a name never decrease, each change is reported once, and a reader
-// that applies the changes in order of `number` has the same records as the member table.
+// Reports one change of one member. Incarnations of a name never decrease, each change is reported once, and
+// a reader that applies the changes in the order of `sequence_number` has the same records as the member
+// table.
 struct MemberChanged {
   std::uint64_t sequence_number = 0;
   Record record;
 };
 
-// A member that failed or left long ago was removed from the table.
+// Reports that a member that failed or left long ago was removed from the table.
 struct MemberRemoved {
   std::string name;
 };
 
-// Whether all members are known to have the same table.
+// Reports whether all members are known to have the same table.
 struct ConvergenceChanged {
   bool converged = false;
 };
 
-// An older process has this member's name: this process has to terminate.
+// Reports that an older process has this member's name, so this process must terminate.
 struct NameConflict {
   std::string error;
 };
--- a/src/fleet/membership/admission.cpp
+++ b/src/fleet/membership/admission.cpp
@@ -20,7 +20,7 @@
     ++state_.counters.earlier_process;
     return false;
   }
-  // A new process counts its datagrams from the start; UpdateHandler decides whether it is accepted.
+  // A new process assigns sequence numbers from 1 again; UpdateHandler decides whether it is accepted.
   if (message.started_at > known->started_at) {
     return true;
   }
@@ -48,9 +48,9 @@
     sender_.Send(message.from_address, std::move(conflict), Piggyback::kNone);
   } else if (message.kind == MessageKind::kConflict) {
     state_.terminated = true;
-    state_.actions.emplace_back(NameConflict{"the name " + self.name + " is in use at " +
-                                             message.from_address +
-                                             " by an older process; each initiator needs a name of its own"});
+    state_.actions.emplace_back(
+        NameConflict{"the name " + self.name + " is in use at " + message.from_address +
+                     " by an older process; initiator names must be unique within a fleet"});
   }
 }
 
--- a/src/fleet/membership/admission.h
+++ b/src/fleet/membership/admission.h
@@ -1,14 +1,17 @@
-// Decides whether a message is processed. Rejects datagrams of a sender's earlier process, replayed ones, and
-// those of a second process under this member's name.
+// Decides whether a message is processed. Rejects messages of a sender's earlier process, replayed messages,
+// and messages of a second process with this member's name.
 //
 // Failures and their guards:
-// - Delayed or replayed datagrams would restore outdated states. Those of an earlier process are recognized
-//   by its start time, others by their number (ReplayFilter). A higher incarnation resets the numbers: after
-//   datagrams with forged high numbers, a member is accepted again as soon as it has refuted that it failed.
-// - Two processes with one name: the older one answers messages of the younger one with a conflict, upon
-//   which the younger one terminates. An older one that is no longer reachable does not answer.
+// - Delayed or replayed datagrams would restore outdated states. Datagrams of an earlier process are detected
+// by
+//   its start time, others by their sequence number (ReplayFilter). A higher incarnation resets the sequence
+//   number: after datagrams with forged high numbers, a member is accepted again as soon as it has refuted
+//   that it failed.
+// - Two processes have the same name. The older one replies to messages of the younger one with a conflict,
+// and
+//   the younger one terminates. An older process that can no longer be reached sends no conflict.
 //
-// A component of a Membership, used on the thread of its caller.
+// A component of a Membership, used on its thread.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_ADMISSION_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_ADMISSION_H_
 
@@ -21,10 +24,11 @@
  public:
   Admission(MembershipState& state, MessageSender& sender) : state_(state), sender_(sender) {}
 
+  // Returns whether the message is to be processed.
   bool Admit(const Message& message);
 
  private:
-  // A message that bears this member's own name.
+  // Handles a message whose sender has this member's name.
   void ResolveNameConflict(const Message& message);
 
   MembershipState& state_;
--- a/src/fleet/membership/anti_entropy.cpp
+++ b/src/fleet/membership/anti_entropy.cpp
@@ -8,7 +8,7 @@
 
 // Interval between comparisons of digests, us.
 constexpr Time kCompareInterval = 1'000'000;
-// Interval between attempts to contact addresses that are not live, us.
+// Interval between attempts to contact addresses of failed members and of peers that are not live, us.
 constexpr Time kReconnectInterval = 1'000'000;
 // Addresses contacted per interval once this member has joined.
 constexpr int kReconnectAttempts = 1;
@@ -17,7 +17,7 @@
 // Encoded size of a digest's bucket, bytes.
 constexpr std::size_t kBucketBytes = 9;
 
-// Splits records into pages that fit a message each. The first page shares its datagram with a digest.
+// Splits records into pages that each fit one message. The first page is sent together with a digest.
 std::vector<std::vector<Record>> SplitIntoPages(std::vector<Record> records) {
   std::vector<std::vector<Record>> pages(1);
   std::size_t size = 0;
@@ -38,7 +38,7 @@
 
 void AntiEntropy::Start() {
   const double interval = kCompareInterval;
-  // A random delay, since members that start at the same time must not all compare at the same time.
+  // The delay is random so that members that start at the same time do not compare at the same time.
   state_.timers.Start(static_cast<Time>(state_.draw() * interval), [this](Time) { CompareDigests(); });
   Reconnect();
 }
@@ -53,8 +53,8 @@
   }
 }
 
-// Without this two partitions that consider each other failed would stay apart, and a member that no other
-// one knows would stay alone.
+// Contacts addresses that are not live. Without this, two sides of a partition that have declared each other
+// failed would stay separated, and a member that no other member has in its table would stay alone.
 void AntiEntropy::Reconnect() {
   if (state_.left) {
     return;
@@ -100,7 +100,7 @@
   if (!differing.empty()) {
     SendRecords(message, state_.table.RecordsInBuckets(differing));
   } else if (message.kind == MessageKind::kDigest) {
-    // An equal digest is answered as well, since the sender may be waiting for the reply to join.
+    // An equal digest gets a reply as well, since the sender may need the reply to join.
     SendDigest(message.from_address, MessageKind::kDigestReply, {});
   }
 }
--- a/src/fleet/membership/anti_entropy.h
+++ b/src/fleet/membership/anti_entropy.h
@@ -1,15 +1,15 @@
-// Anti-entropy: compares digests of the complete table with other members, and contacts members and
-// configured peers that are not live in the table.
+// Implements anti-entropy: compares digests of the complete table with other members, and contacts failed
+// members and configured peers that are not live in the table.
 //
 // Failures and their guards:
 // - An update is transmitted a limited number of times, and all of its datagrams may be lost. The tables of
-//   two members then differ for good, and nothing fails visibly. Comparing digests detects any difference,
-//   and the records of the differing buckets are exchanged.
+//   two members would then differ permanently, without any visible error. Comparing digests detects any
+//   difference, and the members exchange the records of the differing buckets.
 // - After a partition the members of each side are failed in the tables of the other, and failed members are
-//   not probed. Each second one of them, or a configured peer, gets a digest: its reply reconnects the two
-//   sides.
+//   not probed. Each second a digest is sent to one of them or to a configured peer; the reply reconnects the
+//   two sides.
 //
-// A component of a Membership, used on the thread of its caller.
+// A component of a Membership, used on its thread.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_ANTI_ENTROPY_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_ANTI_ENTROPY_H_
 
@@ -25,9 +25,9 @@
  public:
   AntiEntropy(MembershipState& state, MessageSender& sender) : state_(state), sender_(sender) {}
 
-  // Starts both timers. Called once.
+  // Starts the timers of comparing digests and of reconnecting. Must be called once.
   void Start();
-  // Answers a digest or a reply to one with the records that differ.
+  // Replies to a digest, or to a reply to one, with the records of the buckets that differ.
   void OnDigest(const Message& message);
 
  private:
--- a/src/fleet/membership/convergence.cpp
+++ b/src/fleet/membership/convergence.cpp
@@ -5,7 +5,7 @@
 namespace walnutspur::fleet {
 namespace {
 
-// Consecutive messages that have to agree in a large fleet, as a multiple of log2 of its members.
+// Number of consecutive messages that must agree in a large fleet, as a multiple of log2 of its members.
 constexpr double kSampleFactor = 3;
 
 }  // namespace
--- a/src/fleet/membership/disseminator.cpp
+++ b/src/fleet/membership/disseminator.cpp
@@ -6,7 +6,7 @@
 namespace walnutspur::fleet {
 namespace {
 
-// Transmissions of an update by each member, as a multiple of log2 of the members.
+// Number of times that each member transmits an update, as a multiple of log2 of the number of members.
 constexpr double kRetransmitFactor = 3;
 
 }  // namespace
@@ -36,7 +36,7 @@
     }
     sender_.Send(state_.table.Get(name).address, Message{});
   }
-  // Without other members there is no receiver; a member that joins gets the table by anti-entropy.
+  // Without other members there is no receiver; a member that joins later receives the table by anti-entropy.
   if (state_.table.live_count() <= 1) {
     state_.broadcasts.Clear();
   }
--- a/src/fleet/membership/disseminator.h
+++ b/src/fleet/membership/disseminator.h
@@ -1,6 +1,6 @@
-// Disseminates updates: each is queued for piggybacking, and sent to random members every half period until
-// it has been transmitted often enough to reach all with high probability. Lost updates are left to
-// anti-entropy. A component of a Membership, used on the thread of its caller.
+// Disseminates updates: queues each one for piggybacking, and gossips it to random members every half
+// protocol period until it has been transmitted often enough to reach all members with high probability.
+// Anti-entropy repairs updates that are lost nevertheless. A component of a Membership, used on its thread.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_DISSEMINATOR_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_DISSEMINATOR_H_
 
@@ -11,14 +11,14 @@
 
 namespace walnutspur::fleet {
 
-// Members that a gossip message is sent to per half period.
+// Members to which a gossip message is sent per half protocol period.
 constexpr std::size_t kGossipFanout = 3;
 
 class Disseminator {
  public:
   Disseminator(MembershipState& state, MessageSender& sender) : state_(state), sender_(sender) {}
 
-  // `name` has to be in the table.
+  // Queues the record of a member, which must be in the table, for transmission.
   void Broadcast(const std::string& name);
 
  private:
--- a/src/fleet/membership/failure_detector.cpp
+++ b/src/fleet/membership/failure_detector.cpp
@@ -6,13 +6,13 @@
 namespace walnutspur::fleet {
 namespace {
 
-// Members that are requested to probe a member that has not answered.
+// Members that are requested to probe a member whose ack has not arrived in time.
 constexpr int kIndirectProbes = 3;
-// Indirect probes are requested after a period divided by this.
+// Divisor of the protocol period; the quotient is the time after which indirect probes are requested.
 constexpr Time kDirectTimeoutDivisor = 3;
-// A relay replies with a nack after a period divided by this.
+// Divisor of the protocol period; the quotient is the time after which a relay replies with a nack.
 constexpr Time kRelayTimeoutDivisor = 2;
-// Periods after a stall of this process during which missing answers do not count.
+// Protocol periods after a stall of this process during which missing acks are ignored.
 constexpr Time kStallGracePeriods = 2;
 
 }  // namespace
@@ -40,7 +40,7 @@
   const Time period = state_.options.period;
   state_.timers.Start(state_.health.Scale(period / kDirectTimeoutDivisor),
                       [this, id](Time) { RequestIndirectProbes(id); });
-  // One microsecond before the next probe starts.
+  // The probe ends one microsecond before the next one starts.
   state_.timers.Start(state_.health.Scale(period) - 1,
                       [this, id](Time lateness) { FinishProbe(id, lateness); });
 }
@@ -86,12 +86,12 @@
     return;
   }
   const Time period = state_.options.period;
-  // This process did not run in time: the answer may be waiting unread.
+  // This process did not run in time, so the ack may still be unread in its socket.
   if (lateness > period || state_.health.StalledSince(state_.timers.now() - kStallGracePeriods * period)) {
     state_.health.Adjust(1);
     return;
   }
-  // Relays that do not send a nack either indicate that this member is not reached itself.
+  // Relays that send neither an ack nor a nack indicate that this member itself cannot be reached.
   state_.health.Adjust(probe.relays > 0 ? std::max(0, probe.relays - probe.nacks) : 1);
   const Record* known = state_.table.Find(probe.target);
   if (!known) {
--- a/src/fleet/membership/failure_detector.h
+++ b/src/fleet/membership/failure_detector.h
@@ -1,16 +1,18 @@
-// SWIM's failure detector: each period one member is probed, by others on this one's behalf if it does not
-// answer in time, and suspected if none of them gets an answer. Also relays the probes of others.
+// Implements SWIM's failure detector: in each protocol period this member probes one other member, requests
+// indirect probes by further members if the ack does not arrive in time, and suspects the target if none of
+// the probes is acknowledged. Also relays the probes of other members.
 //
 // Failures and their guards:
 // - The link between two members is broken and both suspect each other although all others reach them.
-//   Indirect probes by other members take other links.
-// - This process was stopped or got no processor: its probes time out although the answers have arrived. A
-//   probe that ends late, or soon after a stall, suspects no member and lowers this member's local health
-//   instead.
-// - This member is cut off itself and would suspect all others. Relays reply with a nack when their target
-//   does not answer; missing nacks lower the local health, which lengthens its timeouts.
+//   Indirect probes by other members use other links.
+// - This process was stopped or got no processor time: its probes time out although the acks have arrived. A
+//   probe that ends late, or soon after a stall, does not make its target suspect but worsens this member's
+//   local health.
+// - This member is partitioned from all others and would suspect all of them. Relays reply with a nack if the
+//   target does not acknowledge their ping; missing nacks worsen the local health, which lengthens the
+//   timeouts.
 //
-// A component of a Membership, used on the thread of its caller.
+// A component of a Membership, used on its thread.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_FAILURE_DETECTOR_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_FAILURE_DETECTOR_H_
 
@@ -30,22 +32,22 @@
   FailureDetector(MembershipState& state, MessageSender& sender, MemberLifecycle& lifecycle)
       : state_(state), sender_(sender), lifecycle_(lifecycle) {}
 
-  // Starts probing after a random fraction of a period, since members that start at the same time must not
-  // all probe at the same time. Called once.
+  // Starts probing after a random fraction of a period, so that members that start at the same time do not
+  // probe at the same time. Must be called once.
   void Start();
   void OnPing(const Message& message);
   void OnPingRequest(const Message& message);
   void OnAck(const Message& message);
   void OnNack(const Message& message);
-  // Probes in flight, this member's own and relayed ones.
+  // Returns the number of probes in flight, this member's own and relayed ones.
   std::size_t size() const { return probes_.size() + relays_.size(); }
 
  private:
   struct Probe {
     std::string target;
     bool acked = false;
-    int relays = 0;  // members that were requested to probe
-    int nacks = 0;   // of them
+    int relays = 0;  // members requested to probe the target
+    int nacks = 0;   // nacks received from relays
   };
   struct Relay {
     std::string requester_address;
--- a/src/fleet/membership/local_health.h
+++ b/src/fleet/membership/local_health.h
@@ -1,9 +1,9 @@
-// Lifeguard's local health: a score of how slow or badly connected this member is itself. Owned by the
-// member's MembershipState, used on the thread of its caller. Times are microseconds.
+// Class LocalHealth maintains Lifeguard's local health: a score of how slow or badly connected this member is
+// itself. Owned by a MembershipState and used on its thread. Times are microseconds.
 //
-// Failure: a member that lacks processor time, or whose link is bad, misses answers and would declare healthy
-// members failed. Each indication of that raises the score, which lengthens its intervals and timeouts; each
-// answered probe lowers it.
+// Failure: a member that lacks processor time, or whose link loses datagrams, misses acks and would declare
+// healthy members failed. Each indication of that raises the score, which lengthens the member's intervals
+// and timeouts; each acknowledged probe lowers it.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_LOCAL_HEALTH_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_LOCAL_HEALTH_H_
 
@@ -13,26 +13,26 @@
 
 namespace walnutspur::fleet {
 
-// Highest score; intervals and timeouts are at most this many times longer, plus one.
+// Maximum score; intervals and timeouts are multiplied by at most this number plus one.
 constexpr int kMaxHealthScore = 8;
 
 class LocalHealth {
  public:
-  // Disabled, the score stays 0.
+  // If `enabled` is false, the score remains 0.
   explicit LocalHealth(bool enabled) : enabled_(enabled) {}
 
-  // 0: healthy.
+  // Returns the score; 0 means healthy.
   int score() const { return score_; }
   void Adjust(int difference) {
     if (enabled_) {
       score_ = std::clamp(score_ + difference, 0, kMaxHealthScore);
     }
   }
-  // Intervals and timeouts grow with the score.
+  // Returns an interval or timeout multiplied by the score plus one.
   Time Scale(Time time) const { return time * (1 + score_); }
 
-  // This process was stopped or got no processor. It did not receive either: timeouts that passed meanwhile
-  // are no evidence against other members.
+  // Records that this process was stopped or got no processor time. It received no datagrams meanwhile
+  // either, so timeouts that expired in that time are no evidence against other members.
   void RecordStall(Time now) {
     stalled_at_ = now;
     Adjust(1);
--- a/src/fleet/membership/member_lifecycle.cpp
+++ b/src/fleet/membership/member_lifecycle.cpp
@@ -7,15 +7,16 @@
 
 // Time for which a dead member stays in the table, us.
 constexpr Time kTombstoneAge = 600'000'000;
-// Dead members in the table.
+// Maximum dead members in the table.
 constexpr int kMaxDeadMembers = 1024;
-// Fraction of the members whose failure within kPartitionWindow indicates that this member is partitioned.
+// Fraction of the members whose failure within kPartitionWindow indicates that this member is partitioned
+// from them.
 constexpr double kPartitionFraction = 0.25;
-// Smallest number of failures that indicates a partition.
+// Minimum number of failures that indicates a partition.
 constexpr int kMinPartitionFailures = 2;
-// Window in which failures are counted, us.
+// Window within which failures are counted, us.
 constexpr Time kPartitionWindow = 10'000'000;
-// Expected number of members that probe a suspect after a notification of the suspicion.
+// Expected number of members that probe a suspect out of turn when they are notified of the suspicion.
 constexpr double kSuspectProbes = 8;
 
 }  // namespace
@@ -56,7 +57,8 @@
   Store(next);
   ConfirmSuspicion(name, reporter);
   disseminator_.Broadcast(name);
-  // Receivers of a suspicion probe the suspect themselves: in a small fleet all of them, in a large one some.
+  // Members that are notified of a suspicion probe the suspect themselves: all of them in a small fleet, a
+  // random subset in a large one.
   if (reporter != state_.table.self_name() && state_.draw() * state_.table.live_count() < kSuspectProbes) {
     state_.schedule.ProbeOutOfTurn(name);
   }
@@ -66,7 +68,8 @@
   if (!suspicions_.Confirm(name, reporter)) {
     return;
   }
-  // Each confirmation is broadcast under its own reporter: the timeout shortens with distinct reporters only.
+  // Each confirmation is broadcast with its own reporter, because only distinct reporters shorten the
+  // timeout.
   state_.table.SetReporter(name, reporter);
   if (suspicions_.confirmations(name) > 1) {
     disseminator_.Broadcast(name);
@@ -80,7 +83,7 @@
   if (!known || known->state != MemberState::kSuspect || known->incarnation != incarnation) {
     return;
   }
-  // A refutation may have arrived unread during a stall: the suspicion starts over.
+  // A refutation that arrived during a stall may still be unread, so the suspicion is restarted.
   if (state_.health.StalledSince(suspicions_.started_at(name))) {
     suspicions_.Clear(name);
     ConfirmSuspicion(name, state_.table.self_name());
@@ -97,9 +100,10 @@
   RefuteIfPartitioned();
 }
 
-// If many members fail at once it is more likely that this one is partitioned from them, and that they
-// consider it failed as well. The new incarnation is known on this side when the partition heals, so that one
-// comparison of digests makes its members alive on the other side, without one refutation for each.
+// Increments this member's incarnation if many members fail at once: it is more likely that this member is
+// partitioned from them, and that they have declared it failed as well. The members on this side have the new
+// incarnations when the partition ends, so one comparison of digests makes all of them alive on the other
+// side, without one refutation for each.
 void MemberLifecycle::RefuteIfPartitioned() {
   const Time now = state_.timers.now();
   if (now - recent_failures_since_ > kPartitionWindow) {
@@ -128,7 +132,7 @@
   if (state_.table.dead_count() <= kMaxDeadMembers) {
     return;
   }
-  // Names that are used once each must not exhaust the memory.
+  // The limit prevents names that are used once each from exhausting the memory.
   const std::string oldest = state_.table.OldestDead(name);
   if (!oldest.empty()) {
     Remove(oldest);
--- a/src/fleet/membership/member_lifecycle.h
+++ b/src/fleet/membership/member_lifecycle.h
@@ -1,17 +1,19 @@
-// The state transitions of members: alive, suspect, failed, left and forgotten. The only writer of the member
-// table.
+// Applies the state transitions of members: alive, suspect, failed, left and removed. The only writer of the
+// member table.
 //
 // Failures and their guards:
 // - A late update about a member that failed or left would make it alive again. Dead members stay in the
-//   table as tombstones for longer than updates circulate; their incarnation decides.
-// - This process was stopped while a suspicion was running, and the refutation waits unread in its socket.
-//   The suspicion starts over instead of ending.
-// - This member is partitioned from the others: here they fail, there it fails, and after the partition each
-//   member on this side needs one refutation. It refutes its own failure in advance, with a new incarnation.
-// - Names that are used once each (a process with a random name) would exhaust the memory. The number of dead
-//   members is bounded; the oldest is forgotten first.
+//   table as tombstones for longer than updates circulate, and their incarnation overrides late updates.
+// - This process was stopped while a suspicion was running, and the refutation is still unread in its socket.
+//   The suspicion is restarted, and the member is not declared failed yet.
+// - This member is partitioned from others. Each side declares the members of the other side failed, and
+// after
+//   the partition each member would need one refutation. This member refutes its own failure in advance, with
+//   a new incarnation.
+// - Names that are used once each (processes with random names) would exhaust the memory. The number of dead
+//   members is bounded; the one that has been dead for longest is removed first.
 //
-// A component of a Membership, used on the thread of its caller.
+// A component of a Membership, used on its thread.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_MEMBER_LIFECYCLE_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_MEMBER_LIFECYCLE_H_
 
@@ -31,17 +33,17 @@
   MemberLifecycle(MembershipState& state, Disseminator& disseminator)
       : state_(state), disseminator_(disseminator), suspicions_(state) {}
 
-  // Stores a record and reports the change; does not broadcast it.
+  // Stores a record and reports the change to the caller, without a broadcast.
   void Store(const Record& record);
   void StoreAndBroadcast(const Record& record);
-  // Makes an alive member suspect; others are left as they are.
+  // Makes an alive member suspect; has no effect on a member in another state.
   void Suspect(const std::string& name, const std::string& reporter);
   // Counts a further confirmation of a running suspicion.
   void ConfirmSuspicion(const std::string& name, const std::string& reporter);
   void DeclareFailed(const std::string& name, const std::string& reporter);
-  // Refutes all updates about this member's incarnations up to `above`.
+  // Refutes all updates about this member's incarnations up to `above`, with a higher incarnation.
   void IncrementIncarnation(std::uint64_t above);
-  // Entries beside the table, for tests of memory bounds.
+  // Returns the number of entries outside the table, for tests of memory bounds.
   std::size_t size() const { return suspicions_.size() + tombstone_timers_.size(); }
 
  private:
@@ -56,7 +58,7 @@
   SuspicionTracker suspicions_;
   std::unordered_map<std::string, std::uint64_t> tombstone_timers_;  // by name of a dead member
   std::uint64_t next_change_number_ = 1;
-  int recent_failures_ = 0;  // members, since recent_failures_since_
+  int recent_failures_ = 0;  // members declared failed since recent_failures_since_
   Time recent_failures_since_ = 0;
 };
 
--- a/src/fleet/membership/member_table.cpp
+++ b/src/fleet/membership/member_table.cpp
@@ -7,10 +7,11 @@
 namespace walnutspur::fleet {
 namespace {
 
-// Bits by which versions are shifted in a hash, above the bits of incarnations, which are microseconds.
+// Bits by which the version of facts is shifted in a hash, so that it lies above the bits of the incarnation,
+// which is a time in microseconds.
 constexpr int kVersionShift = 48;
 
-// The final mix of SplitMix64.
+// Applies the final mix of SplitMix64.
 std::uint64_t Mix(std::uint64_t value) {
   value ^= value >> 30;
   value *= 0xbf58476d1ce4e5b9;
@@ -19,7 +20,8 @@
   return value ^ (value >> 31);
 }
 
-// FNV-1a with a final mix: equal on all members, whatever standard library they were built with.
+// Returns an FNV-1a hash with a final mix. Unlike std::hash, it is the same on all members, whatever standard
+// library they were built with.
 std::uint64_t HashOf(std::string_view text) {
   std::uint64_t hash = 0xcbf29ce484222325;
   for (const char byte : text) {
--- a/src/fleet/membership/member_table.h
+++ b/src/fleet/membership/member_table.h
@@ -1,5 +1,6 @@
-// The records of all known members, with the indexes over them: by address, live ones, dead ones, and the
-// hashes by which tables are compared. Owned by a MembershipState, used on the thread of its caller.
+// Class MemberTable stores the records of all known members, with indexes by address and by live and dead
+// members, and with the hashes by which tables are compared. Owned by a MembershipState and used on its
+// thread.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_MEMBER_TABLE_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_MEMBER_TABLE_H_
 
@@ -17,7 +18,7 @@
 
 namespace walnutspur::fleet {
 
-// Draws an index below `count`.
+// Returns a random index below `count`.
 using DrawIndex = std::function<std::size_t(std::size_t count)>;
 
 struct MemberEntry {
@@ -37,44 +38,48 @@
 
   // Inserts or replaces the record of its name.
   StoreResult Store(const Record& record, Time now);
-  // `name` has to be in the table and dead.
+  // Removes a member, which must be in the table and dead.
   void Remove(const std::string& name);
-  // Sets the member that is named as the reporter of the state; not a change of the member.
+  // Sets the member that is named as the reporter of the state. Does not count as a change of the member.
   void SetReporter(const std::string& name, const std::string& reporter) {
     entries_.at(name).record.reported_by = reporter;
   }
 
-  // Null: unknown. Valid until the table changes.
+  // Returns the member's record, or null if the member is unknown. The pointer is valid until the table
+  // changes.
   const Record* Find(const std::string& name) const;
-  // `name` has to be in the table.
+  // Returns the record of a member that must be in the table.
   const Record& Get(const std::string& name) const { return entries_.at(name).record; }
-  // Null: unknown. Where several members had the address, the live one.
+  // Returns the record of the member with this address, or null if the address is unknown. If several members
+  // had the address, returns the record of the live one.
   const Record* FindByAddress(const std::string& address) const;
-  // This member's own record, as last stored.
+  // Returns this member's own record, as last stored.
   const Record& self() const { return self_; }
   const std::string& self_name() const { return self_name_; }
   const std::map<std::string, MemberEntry>& entries() const { return entries_; }
   const std::set<std::string>& dead_names() const { return dead_names_; }
-  // The dead member whose state is oldest, `except` left out; empty: there is none.
+  // Returns the member that has been dead for longest, apart from `except`; empty if there is none.
   std::string OldestDead(const std::string& except) const;
 
-  // Up to `count` distinct live members other than this one, drawn at random.
+  // Returns up to `count` distinct random live members other than this member and `except`.
   std::vector<std::string> PickRandom(std::size_t count, const std::string& except, const DrawIndex& draw);
 
-  // This member and those that are alive or suspect.
+  // Returns the number of members that are alive or suspect, including this member.
   int live_count() const { return live_count_; }
   int dead_count() const { return dead_count_; }
   int suspect_count() const { return suspect_count_; }
-  // This member's share of the load of all live members, between 0 and 1.
+  // Returns this member's share of the load of all live members, between 0 and 1.
   double LoadShare() const;
 
-  // Of all live members' names, incarnations and fact versions: equal on members with the same table.
+  // Returns the hash of all live members' names, incarnations and versions of facts, which is equal on
+  // members with the same table.
   std::uint64_t hash() const { return hash_; }
   const std::array<std::uint64_t, kDigestBuckets>& buckets() const { return buckets_; }
   std::vector<Record> RecordsInBuckets(const std::set<std::size_t>& buckets) const;
 
  private:
-  // Adds (+1) or removes (-1) a record from the counts; the hashes are symmetric.
+  // Adds a record to the counts (`sign` +1) or removes it from them (-1). Toggles it in the hashes, where
+  // adding and removing are the same operation (XOR).
   void UpdateTotals(const Record& record, int sign);
   void RemoveAddress(const Record& record);
   // Moves a member between the live pool and the dead names.
@@ -83,7 +88,7 @@
   std::string self_name_;
   Record self_;
   std::map<std::string, MemberEntry> entries_;
-  std::vector<std::string> live_pool_;  // the live members other than this one, in no order
+  std::vector<std::string> live_pool_;  // live members other than this one, unordered
   std::unordered_map<std::string, std::size_t> live_pool_index_;
   std::set<std::string> dead_names_;
   std::unordered_map<std::string, std::string> name_by_address_;
--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -5,20 +5,21 @@
 namespace walnutspur::fleet {
 namespace {
 
-// Time without an answer of a peer after which this member considers itself the first one, us.
+// Time without a reply from a peer after which this member starts a fleet alone, us.
 constexpr Time kJoinTimeout = 3'000'000;
-// Shortest interval between updates of a member's facts, us.
+// Minimum interval between updates of a member's facts, us.
 constexpr Time kMinPublishInterval = 5'000'000;
-// Interval between updates of a member's facts per member of the fleet, us: the fleet's total rate is
-// bounded.
+// Minimum interval between updates of a member's facts for each member of the fleet, us. Limits the total
+// rate of updates in the fleet.
 constexpr Time kPublishIntervalPerMember = 200'000;
-// Lateness of a timer from which the process counts as stalled: the greater of us and periods.
+// Lateness of a timer above which the process counts as stalled: the greater of kMinStall, in us, and
+// kStallPeriods protocol periods.
 constexpr Time kMinStall = 1'000'000;
 constexpr Time kStallPeriods = 5;
-// Members that are notified of a departure.
+// Members to which a leaving member sends its departure directly.
 constexpr std::size_t kLeaveFanout = 2 * kGossipFanout;
 
-// Keeps the most used connections.
+// Removes all but the kMaxReportedConnections targets with the most connections.
 void LimitConnections(Facts& facts) {
   while (facts.connections.size() > kMaxReportedConnections) {
     facts.connections.erase(
@@ -123,7 +124,7 @@
   Record self = state_.table.self();
   self.state = MemberState::kLeft;
   lifecycle_.Store(self);
-  // The process may terminate at once, so several members are notified now and disseminate it.
+  // The process may exit immediately, so several members are notified now and disseminate the departure.
   Message message;
   message.updates = {self};
   for (const std::string& name : state_.PickRandom(kLeaveFanout)) {
@@ -187,7 +188,7 @@
   const bool converged = state_.table.suspect_count() == 0 && state_.joined &&
                          state_.convergence.Agreed(state_.table.live_count());
   if (converged) {
-    state_.broadcasts.Clear();  // all members have the updates
+    state_.broadcasts.Clear();  // all members have received the updates
   }
   if (converged == converged_) {
     return;
--- a/src/fleet/membership/membership_state.h
+++ b/src/fleet/membership/membership_state.h
@@ -1,5 +1,5 @@
-// The state that the components of one Membership share. Owned by the Membership, used on the thread of its
-// caller; the components have references to it and decide how it changes.
+// Struct MembershipState holds the state that the components of one Membership share. Owned by the Membership
+// and used on its thread; the components hold references to it and modify it.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_MEMBERSHIP_STATE_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_MEMBERSHIP_STATE_H_
 
@@ -22,21 +22,21 @@
 
 struct MembershipOptions {
   std::string name;
-  std::string address;  // host:port where the others reach this member
+  std::string address;  // host:port where other members reach this member
   std::string building;
-  std::vector<std::string> peers;  // addresses that are contacted to join; this member's own is ignored
-  Time period = 200'000;           // us between probes of one member, 10 ms to 10 s
-  bool lifeguard = true;           // off only for comparison
+  std::vector<std::string> peers;  // addresses that this member contacts to join; its own address is ignored
+  Time period = 200'000;           // protocol period: us between probes, 10 ms to 10 s
+  bool lifeguard = true;           // disabled only to compare with plain SWIM
 };
 
-// Totals since the start.
+// Totals since the start of the process.
 struct MembershipCounters {
-  std::uint64_t earlier_process = 0;  // datagrams of a process that was restarted since
-  std::uint64_t replayed = 0;         // datagrams
-  std::uint64_t forged = 0;           // updates with an impossible incarnation
-  std::uint64_t table_full = 0;       // updates of new members that were not stored
+  std::uint64_t earlier_process = 0;  // dropped datagrams of a member's process before its restart
+  std::uint64_t replayed = 0;         // dropped datagrams with a sequence number below the window
+  std::uint64_t forged = 0;           // dropped updates with an incarnation or start too far in the future
+  std::uint64_t table_full = 0;       // updates of new members dropped because the table is full
   std::uint64_t stalls = 0;           // timers that fired late because this process did not run
-  std::uint64_t refuted = 0;          // updates about this member that were false
+  std::uint64_t refuted = 0;          // false updates about this member that it refuted
 };
 
 struct MembershipState {
@@ -55,7 +55,7 @@
 
   MembershipOptions options;
   std::function<double()> draw;
-  std::vector<Action> actions;  // not yet handed to the caller
+  std::vector<Action> actions;  // not yet returned to the caller
   TimerQueue timers{actions};
   MemberTable table{options.name};
   ProbeSchedule schedule{table, [this](std::size_t below) { return DrawBelow(below); }};
@@ -64,9 +64,9 @@
   ReplayFilter replays;
   LocalHealth health{options.lifeguard};
   MembershipCounters counters;
-  bool joined = false;      // has the table of another member, or there is no other member
-  bool left = false;        // Leave was called
-  bool terminated = false;  // lost its name to an older process
+  bool joined = false;      // has received the table of another member, or started a fleet alone
+  bool left = false;        // whether Leave was called
+  bool terminated = false;  // an older process has this member's name
 };
 
 }  // namespace walnutspur::fleet
--- a/src/fleet/membership/message.cpp
+++ b/src/fleet/membership/message.cpp
@@ -5,7 +5,7 @@
 
 // Bytes of a record's numbers and field tags.
 constexpr std::size_t kRecordOverhead = 40;
-// Bytes of an entry of Facts::connections, without its name.
+// Bytes of an entry of Facts::connections, without the target's name.
 constexpr std::size_t kConnectionOverhead = 8;
 
 }  // namespace
--- a/src/fleet/membership/message_sender.cpp
+++ b/src/fleet/membership/message_sender.cpp
@@ -6,7 +6,7 @@
 namespace walnutspur::fleet {
 namespace {
 
-// Appends records to a message up to its size limit.
+// Appends records to a message up to kMaxUpdateBytes.
 class UpdateAppender {
  public:
   UpdateAppender(const MemberTable& table, Message& message) : table_(table), message_(message) {
@@ -15,7 +15,7 @@
     }
   }
 
-  // False: the message is full.
+  // Returns false if the record does not fit.
   bool Append(const std::string& name) {
     const Record& record = table_.Get(name);
     const std::size_t size = EstimateSize(record);
@@ -48,8 +48,8 @@
   message.sequence_number = ++last_sequence_number_;
   message.hash = state_.table.hash();
   UpdateAppender appender(state_.table, message);
-  // Each message to a suspect or failed member carries its record, so that it can refute it (Lifeguard's
-  // buddy system).
+  // Each message to a suspect or failed member carries the record of that member, so that it can refute the
+  // record (Lifeguard's buddy system).
   const Record* receiver = state_.table.FindByAddress(address);
   if (receiver && state_.options.lifeguard && receiver->state != MemberState::kAlive) {
     appender.Append(receiver->name);
--- a/src/fleet/membership/message_sender.h
+++ b/src/fleet/membership/message_sender.h
@@ -1,5 +1,5 @@
-// Completes outgoing messages: sender's identity, datagram number, table hash and piggybacked updates. A
-// component of a Membership, used on the thread of its caller.
+// Sends messages after adding the sender's identity, the sequence number, the hash of the table and
+// piggybacked updates. A component of a Membership, used on its thread.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_MESSAGE_SENDER_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_MESSAGE_SENDER_H_
 
@@ -10,7 +10,7 @@
 
 namespace walnutspur::fleet {
 
-// Whether queued updates are appended to a message.
+// Selects whether queued updates are appended to a message.
 enum class Piggyback : std::uint8_t { kUpdates, kNone };
 
 class MessageSender {
--- a/src/fleet/membership/probe_schedule.cpp
+++ b/src/fleet/membership/probe_schedule.cpp
@@ -24,7 +24,7 @@
       return name;
     }
   }
-  // The remaining members of this round may be dead; a new round may be empty.
+  // Two attempts: all remaining members of this round may be dead, and the new round may be empty.
   for (int attempt = 0; attempt < 2; ++attempt) {
     while (!round_.empty()) {
       std::string name = round_.back();
--- a/src/fleet/membership/probe_schedule.h
+++ b/src/fleet/membership/probe_schedule.h
@@ -1,5 +1,5 @@
-// Order in which members are probed: SWIM's shuffled round robin, and members that are probed out of turn.
-// Owned by a MembershipState, used on the thread of its caller.
+// Determines the order in which members are probed: SWIM's randomized round robin, preceded by members that
+// are probed out of turn. Owned by a MembershipState and used on its thread.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_PROBE_SCHEDULE_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_PROBE_SCHEDULE_H_
 
@@ -14,15 +14,15 @@
 
 class ProbeSchedule {
  public:
-  // `table` has to outlive the schedule.
+  // `table` must outlive the schedule.
   ProbeSchedule(const MemberTable& table, DrawIndex draw) : table_(table), draw_(std::move(draw)) {}
 
-  // Inserts a new member into the current round, at a random place.
+  // Inserts a new member into the current round, at a random position.
   void Add(const std::string& name);
   void ProbeOutOfTurn(const std::string& name) { out_of_turn_.push_back(name); }
-  // Likewise, unless it is waiting for that already.
+  // Schedules a probe of the member out of turn, unless one is already scheduled.
   void ProbeOutOfTurnOnce(const std::string& name);
-  // The next live member to probe; empty: there is none.
+  // Returns the next live member to probe; empty if there is none.
   std::string Next();
   std::size_t size() const { return round_.size() + out_of_turn_.size(); }
 
@@ -32,7 +32,7 @@
 
   const MemberTable& table_;
   DrawIndex draw_;
-  std::vector<std::string> round_;  // taken from the back
+  std::vector<std::string> round_;  // in reverse order: Next takes the last one
   std::deque<std::string> out_of_turn_;
 };
 
--- a/src/fleet/membership/suspicion_tracker.cpp
+++ b/src/fleet/membership/suspicion_tracker.cpp
@@ -7,11 +7,11 @@
 namespace walnutspur::fleet {
 namespace {
 
-// Minimum timeout of a suspicion, as a multiple of the period and log10 of the members.
+// Minimum timeout of a suspicion, as a multiple of the protocol period times log10 of the number of members.
 constexpr double kMinTimeoutPeriods = 3;
-// Timeout while no other member confirms the suspicion, as a multiple of the minimum.
+// Maximum timeout, used while no other member confirms the suspicion, as a multiple of the minimum.
 constexpr double kMaxTimeoutFactor = 4;
-// Confirmations by other members from which the timeout is at its minimum.
+// Number of confirmations by other members at which the timeout reaches its minimum.
 constexpr int kConfirmationsForMinimum = 3;
 
 }  // namespace
--- a/src/fleet/membership/suspicion_tracker.h
+++ b/src/fleet/membership/suspicion_tracker.h
@@ -1,12 +1,12 @@
-// Running suspicions: the members that confirm each, and its timeout, after which the suspect is declared
-// failed.
+// Tracks the running suspicions: the members that confirm each one, and the timeout after which the suspect
+// is declared failed.
 //
-// Failure: a slow member suspects others although they answer in time, and declares them failed before their
-// refutations arrive. By Lifeguard the timeout is long while a single member reports the suspicion, and
-// shortens with each other member that confirms it: a real crash is confirmed by several within a few
-// periods.
+// Failure: a slow member suspects others although they reply in time, and declares them failed before it
+// processes their refutations. As in Lifeguard, the timeout is long while a single member reports the
+// suspicion, and shortens with each other member that confirms it: several members confirm a real crash
+// within a few protocol periods.
 //
-// A component of a Membership, used on the thread of its caller.
+// A component of a Membership, used on its thread.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_SUSPICION_TRACKER_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_SUSPICION_TRACKER_H_
 
@@ -24,16 +24,16 @@
  public:
   explicit SuspicionTracker(MembershipState& state) : state_(state) {}
 
-  // Counts a confirmation, the first of which starts the suspicion. False: `reporter` has confirmed it
-  // before, or the timeout is at its minimum already.
+  // Counts a confirmation; the first one starts the suspicion. Returns false if `reporter` has already
+  // confirmed it or the timeout has already reached its minimum.
   bool Confirm(const std::string& name, const std::string& reporter);
-  // Number of members that confirm the suspicion.
+  // Returns the number of members that confirm the suspicion.
   std::size_t confirmations(const std::string& name) const;
-  // When the suspicion started; only while there is one.
+  // Returns when the suspicion started; a suspicion of `name` must be running.
   Time started_at(const std::string& name) const { return suspicions_.at(name).started_at; }
-  // Starts or replaces the suspicion's timer, by its current confirmations.
+  // Starts or restarts the suspicion's timer, with the timeout for its current number of confirmations.
   void StartTimer(const std::string& name, TimerQueue::Callback on_timeout);
-  // Ends a suspicion and its timer, if there is one.
+  // Ends the suspicion of `name`, if one is running, and cancels its timer.
   void Clear(const std::string& name);
   std::size_t size() const { return suspicions_.size(); }
 
--- a/src/fleet/membership/timer_queue.h
+++ b/src/fleet/membership/timer_queue.h
@@ -1,5 +1,5 @@
-// The clock and the pending timers of one member. Owned by its MembershipState and used on the thread of its
-// caller, who passes the time and reports each timer that fires.
+// Class TimerQueue holds the current time and the pending timers of one member. Owned by a MembershipState
+// and used on its thread; the caller passes the time and reports each timer that fires.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_TIMER_QUEUE_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_TIMER_QUEUE_H_
 
@@ -17,25 +17,25 @@
 
 class TimerQueue {
  public:
-  // `lateness`: microseconds by which the timer fired after its deadline.
+  // `lateness` is the time in microseconds from the timer's deadline until it fired.
   using Callback = std::function<void(Time lateness)>;
   struct Expired {
     Time lateness = 0;
     Callback callback;
   };
 
-  // Timers are started by appending a StartTimer to `actions`, which has to outlive the queue.
+  // Starts timers by appending a StartTimer to `actions`, which must outlive the queue.
   explicit TimerQueue(std::vector<Action>& actions) : actions_(actions) {}
 
-  // A time before the current one is ignored: time never runs backwards.
+  // Sets the current time. Ignores an earlier time, so that now() never decreases.
   void AdvanceTo(Time now) { now_ = std::max(now_, now); }
   Time now() const { return now_; }
 
-  // Returns the timer's id; ids are never 0.
+  // Starts a timer and returns its id, which is never 0.
   std::uint64_t Start(Time delay, Callback callback);
-  // The caller's timer still fires; Take returns nothing for it then.
+  // Cancels a timer. The caller's timer still fires, but Take returns nullopt for it.
   void Cancel(std::uint64_t id) { pending_.erase(id); }
-  // Removes a timer that fired; nothing if it was cancelled.
+  // Removes and returns a timer that fired, or returns nullopt if it was cancelled.
   std::optional<Expired> Take(std::uint64_t id);
   std::size_t size() const { return pending_.size(); }
 
--- a/src/fleet/membership/update_handler.cpp
+++ b/src/fleet/membership/update_handler.cpp
@@ -5,9 +5,10 @@
 namespace walnutspur::fleet {
 namespace {
 
-// Live members in the table; further ones are not stored.
+// Maximum live members in the table; further ones are not stored.
 constexpr int kMaxLiveMembers = 4096;
-// Time by which an incarnation or a start may lie in the future, us: members' clocks differ.
+// Maximum time by which an incarnation or a start time may lie in the future, us, because members' clocks
+// differ.
 constexpr Time kMaxClockSkew = 3'600'000'000;
 
 }  // namespace
@@ -37,8 +38,8 @@
   }
 }
 
-// Incarnations begin as the time of a start and are incremented by one: a real one is never far in the
-// future.
+// Returns whether the update cannot come from a member: an incarnation starts as the start time of a process
+// and is incremented by one, so a genuine one never lies far in the future.
 bool UpdateHandler::IsForged(const Record& update) const {
   const Time latest = state_.timers.now() + kMaxClockSkew;
   return update.incarnation > static_cast<std::uint64_t>(latest) || update.started_at > latest;
@@ -89,8 +90,8 @@
 }
 
 void UpdateHandler::ReplaceIncarnation(const Record& known, const Record& update) {
-  // A later start at another address may be a second process: it is accepted once the first one is dead,
-  // which the probe decides.
+  // A later start time at another address may be a second process with the same name. The update is accepted
+  // once the known process is dead, so that process is probed out of turn.
   if (update.address != known.address && !IsDead(known.state)) {
     state_.schedule.ProbeOutOfTurnOnce(known.name);
     return;
@@ -108,15 +109,16 @@
   }
 }
 
-// Refutes false updates about this member: that it is suspect or dead, or facts that it never published.
+// Refutes false updates about this member: that it is suspect or dead, or that it has facts that it never
+// published.
 void UpdateHandler::ApplyUpdateOfSelf(const Record& update) {
   if (state_.left) {
     return;
   }
   const Record& self = state_.table.self();
   if (update.address != self.address && !IsDead(update.state)) {
-    // Another process under this name, or an earlier one of this member: it is pinged, since only its own
-    // reply counts.
+    // The update is about another process with this name, or an earlier process of this member. The address
+    // is pinged, since only a message from that process shows that it still runs.
     Message ping;
     ping.kind = MessageKind::kPing;
     ping.target = self.name;
--- a/src/fleet/membership/update_handler.h
+++ b/src/fleet/membership/update_handler.h
@@ -1,18 +1,20 @@
-// Merges updates of members into the table, by SWIM's rules of precedence: the higher incarnation wins, then
-// the later state; facts by their version.
+// Merges updates about members into the table by SWIM's rules of precedence: the higher incarnation overrides
+// the lower one, then the later state the earlier one; the higher version of facts overrides the lower one.
 //
 // Failures and their guards:
-// - Updates of an earlier process of a member, still in circulation, would fail its restarted process.
-//   Incarnations begin as the time of the start, so that a restart exceeds all earlier ones without knowing
-//   them.
-// - A forged or corrupt incarnation near the largest value could never be refuted. Incarnations and start
-//   times that lie further in the future than clocks may differ are dropped and counted.
-// - Two processes with one name would replace each other in the table again and again. A live member keeps
-//   its address; another one is accepted once the member is dead, for which it is probed at once.
-// - False updates about this member itself: it refutes them with a higher incarnation.
-// - Made-up members would exhaust the memory: the number of live members is bounded.
+// - Updates about an earlier process of a member, still in circulation, would fail its restarted process. The
+//   initial incarnation is the start time of the process, so that a restarted process exceeds all earlier
+//   incarnations without having stored them.
+// - A forged or corrupt incarnation near the maximum value could never be refuted. Updates whose incarnation
+// or
+//   start time lies further in the future than clocks may differ are dropped and counted.
+// - Two processes with the same name would replace each other in the table repeatedly. A live member keeps
+// its
+//   address; a different address is accepted once the member is dead, so the member is probed out of turn.
+// - Other members receive false updates about this member. It refutes them with a higher incarnation.
+// - Forged members would exhaust the memory. The number of live members is bounded.
 //
-// A component of a Membership, used on the thread of its caller.
+// A component of a Membership, used on its thread.
 #ifndef WALNUTSPUR_FLEET_MEMBERSHIP_UPDATE_HANDLER_H_
 #define WALNUTSPUR_FLEET_MEMBERSHIP_UPDATE_HANDLER_H_
 
--- a/src/fleet/transport/gossip_transport.cpp
+++ b/src/fleet/transport/gossip_transport.cpp
@@ -22,17 +22,17 @@
 namespace walnutspur::fleet {
 namespace {
 
-// Datagrams that are read before other events are processed.
+// Maximum datagrams that are read before other events are processed.
 constexpr int kReadBatch = 64;
 // Bytes of the read buffer; longer datagrams are truncated and dropped.
 constexpr std::size_t kReadBuffer = 2048;
-// Bytes of a key.
+// Limits of the size of a key, bytes.
 constexpr std::size_t kMinKeySize = 16;
 constexpr std::size_t kMaxKeySize = 4096;
-// Relative change of the load share from which it is reported.
+// Relative change of the load share above which it is reported.
 constexpr double kReportedChange = 0.1;
 
-using core::Now;  // the time from which incarnations start
+using core::Now;  // source of the initial incarnation
 
 std::string ReadKey(const std::string& path) {
   if (path.empty()) {
@@ -46,7 +46,8 @@
     key.pop_back();
   }
   if (!file || key.size() < kMinKeySize || key.size() > kMaxKeySize) {
-    throw FleetError("fleet.key_file: " + path + " does not hold a key; allowed are 16 to 4096 bytes");
+    throw FleetError("fleet.key_file: cannot read a key from " + path + ": got " +
+                     std::to_string(key.size()) + " bytes; allowed: 16 to 4096");
   }
   return key;
 }
@@ -192,7 +193,7 @@
 
 std::string GossipTransport::Execute(const std::vector<std::string>& words) {
   if (words.size() != 1 || words[0] != "view") {
-    return "error: unknown command; allowed is fleet view\n";
+    return "error: unknown fleet command; allowed: fleet view\n";
   }
   return StatusText();
 }
--- a/src/fleet/transport/gossip_transport.h
+++ b/src/fleet/transport/gossip_transport.h
@@ -1,6 +1,6 @@
 // Runs a Membership on a UDP socket and the event loop's timers: executes its actions and makes no decisions
-// of its own. Created by the library's entry point and owned by the program; runs on the loop's thread.
-// Errors of the socket count as lost datagrams.
+// itself. Created by the library's entry point and owned by the program; runs on the loop's thread. Datagrams
+// that the socket fails to send are counted as unsent and treated as lost.
 #ifndef WALNUTSPUR_FLEET_TRANSPORT_GOSSIP_TRANSPORT_H_
 #define WALNUTSPUR_FLEET_TRANSPORT_GOSSIP_TRANSPORT_H_
 
@@ -19,7 +19,7 @@
 
 class GossipTransport : public Fleet {
  public:
-  // Throws FleetError if it cannot listen, or the key cannot be read.
+  // Throws FleetError if it cannot listen at the configured address or the key file holds no valid key.
   GossipTransport(event_base* base, FleetOptions options, FleetHooks hooks);
   ~GossipTransport() override;
   GossipTransport(const GossipTransport&) = delete;
@@ -47,11 +47,11 @@
   std::mt19937_64 random_;
   Membership membership_;
   loop::EventHandle readable_;
-  std::map<std::uint64_t, loop::EventHandle> timers_;  // by the membership's timer id
-  std::uint64_t received_ = 0;                         // datagrams
+  std::map<std::uint64_t, loop::EventHandle> timers_;  // by id of the membership's timer
+  std::uint64_t received_ = 0;                         // total datagrams
   std::uint64_t sent_ = 0;
   std::uint64_t unsent_ = 0;
-  int reported_live_ = 0;  // as last passed to on_size_changed
+  int reported_live_ = 0;  // value last passed to on_size_changed
   double reported_share_ = 0;
 };
 
