--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -1,10 +1,10 @@
-// The fleet under faults: claims with figures, and a JSON object of all in the last line. Parts: view, size,
-// loss.
+// Measures the fleet under faults. Prints claims with figures, and a JSON object of all of them in the last
+// line.
 //
-// view: clusters of processes with a fault-injecting proxy, and seeded scripts of faults. size: up to 1,000
-// members in virtual time. loss: member-hours in virtual time under lost datagrams, with and without
-// Lifeguard's extensions. SEED=N selects other runs, SHORT=1 ends within a minute. Exits 1 if a claim is
-// missed.
+// The part "view" runs clusters of processes with a fault-injecting proxy, under seeded scripts of faults.
+// The part "size" simulates up to 1,000 members in virtual time. The part "loss" simulates member-hours in
+// virtual time while datagrams are lost, with and without Lifeguard's extensions. SEED=N selects other runs;
+// SHORT=1 makes the bench end within a minute. Exits with 1 if a claim is missed.
 #include <algorithm>
 #include <atomic>
 #include <chrono>
@@ -37,11 +37,11 @@
 namespace core = walnutspur::core;
 
 constexpr Time kSecond = 1'000'000;              // us
-constexpr Time kConvergenceClaim = 3 * kSecond;  // after the last fault all members agree
+constexpr Time kConvergenceClaim = 3 * kSecond;  // maximum time from the last fault until all members agree
 constexpr Time kConvergenceTimeout = 30 * kSecond;
 constexpr Time kStartTimeout = 60 * kSecond;
-constexpr int kSmallCluster = 9;       // processes
-constexpr int kLargestCluster = 1000;  // simulated members
+constexpr int kSmallCluster = 9;       // number of processes
+constexpr int kLargestCluster = 1000;  // number of simulated members
 
 const bool kShort = std::getenv("SHORT") != nullptr;
 const std::uint64_t kSeed = std::getenv("SEED") ? std::strtoull(std::getenv("SEED"), nullptr, 10) : 1;
@@ -59,7 +59,7 @@
 
 double Seconds(Time time) { return static_cast<double>(time) / 1e6; }
 
-// In seconds; 0 where there are no times.
+// Returns a quantile of the times in seconds, or 0 if there are no times.
 double Quantile(std::vector<Time> times, double quantile) {
   if (times.empty()) {
     return 0;
@@ -75,14 +75,15 @@
 }
 
 struct ScriptResult {
-  Time converged_after = 0;  // us, -1: not within kConvergenceTimeout
+  Time converged_after = 0;  // us, or -1 if the members did not agree within kConvergenceTimeout
   std::string violation;
-  std::string faults;  // kind and member of each
-  double cpu = 0;      // cores of a member
-  double bytes = 0;    // of a member a second
+  std::string faults;  // kind and member of each fault
+  double cpu = 0;      // cores used per member
+  double bytes = 0;    // per member and second
 };
 
-// Some faults one after the other or at once, then none.
+// Starts a cluster, injects one to three random faults, which may overlap, then ends them and measures the
+// time until all members agree.
 ScriptResult RunScript(const std::string& program, int members, std::uint64_t seed) {
   Random random(seed, "script", static_cast<std::uint64_t>(members));
   ProcessCluster cluster(program, members, seed);
@@ -118,7 +119,7 @@
   return result;
 }
 
-// What many scripts have measured; filled by several threads.
+// Collects the results of many scripts; Add may be called by several threads.
 class ScriptTotals {
  public:
   void Add(std::uint64_t seed, const ScriptResult& result) {
@@ -151,7 +152,7 @@
   double max_cpu_ = 0;
 };
 
-// Calls `run` with 0 to `count` - 1, from several threads.
+// Calls `run` with each index from 0 to `count` - 1, on `threads` threads.
 void RunInParallel(int threads, int count, const std::function<void(int)>& run) {
   std::atomic<int> next = 0;
   std::vector<std::jthread> workers;
@@ -214,7 +215,7 @@
          {"start_settled_s", Seconds(start_duration)}});
 }
 
-// Traffic and processor time of a cluster without faults.
+// Measures traffic and processor time of a cluster without faults.
 void BenchCost(ClusterOptions options) {
   const int members = options.members;
   options.measure_sizes = true;
@@ -262,7 +263,7 @@
   }
 }
 
-// Failures of running members that were declared under loss, over all runs.
+// Returns how often a running member was declared failed while datagrams were lost, in all runs.
 int CountFalseFailures(double loss, bool lifeguard, double member_hours) {
   constexpr int kMembers = 30;
   constexpr int kRuns = 12;
@@ -287,7 +288,7 @@
   const double hours = kShort ? 3 : 1000;
   const auto bench = [](double member_hours, double loss, bool lifeguard, const std::string& name) {
     const int false_failures = CountFalseFailures(loss, lifeguard, member_hours);
-    // Under heavy loss the figure is measured, and nothing claimed.
+    // Under heavy loss the figure is only reported; the claim is always met.
     Claim("false_gone_under_" + name, loss > 0.2 || false_failures == 0,
           {{"member_hours", member_hours}, {"false_gone", false_failures}});
   };
--- a/src/lab/fault_proxy/fault_proxy.cpp
+++ b/src/lab/fault_proxy/fault_proxy.cpp
@@ -15,8 +15,8 @@
 namespace walnutspur::lab {
 namespace {
 
-constexpr std::size_t kMaxHistory = 20'000;  // datagrams that may be replayed
-constexpr Time kPollInterval = 20'000;       // us between checks of whether to stop
+constexpr std::size_t kMaxHistory = 20'000;  // maximum datagrams that may be replayed
+constexpr Time kPollInterval = 20'000;       // us; maximum time between checks of stop_
 constexpr std::size_t kReadBuffer = 2048;    // bytes
 
 struct BoundSocket {
@@ -30,16 +30,16 @@
   socklen_t size = sizeof address;
   if (bind(fd, reinterpret_cast<sockaddr*>(&address), size) != 0 ||
       getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) != 0) {
-    throw FaultProxyError("the fault proxy cannot bind a socket");
+    throw FaultProxyError("fault proxy: cannot bind a UDP socket at 127.0.0.1");
   }
   return {fd, ntohs(address.sin_port)};
 }
 
 }  // namespace
 
-// The stream's name stays as it is: with another one each seed would give another run.
+// The name of the random stream must not change: with another name each seed would give another run.
 FaultProxy::FaultProxy(int members, std::uint64_t seed) : random_(seed, "carrier") {
-  std::vector<int> reserved;  // held until all are bound, so that no two members get the same port
+  std::vector<int> reserved;  // kept open until all are bound, so that no two members get the same port
   for (int i = 0; i < members; ++i) {
     const BoundSocket proxy = BindAnyPort();
     const BoundSocket member = BindAnyPort();
@@ -152,7 +152,7 @@
     const auto sender = std::find_if(links_.begin(), links_.end(),
                                      [port](const Link& other) { return other.member_port == port; });
     if (sender == links_.end()) {
-      continue;  // not a member
+      continue;  // the sender is not a member
     }
     InjectFaults(static_cast<int>(sender - links_.begin()), static_cast<int>(link),
                  {buffer.data(), static_cast<std::size_t>(size)});
--- a/src/lab/fleet/cluster_invariants.cpp
+++ b/src/lab/fleet/cluster_invariants.cpp
@@ -6,7 +6,8 @@
 namespace walnutspur::lab {
 namespace {
 
-// In larger clusters one table is checked in full, and the others by their hash.
+// Maximum running members of which every table is checked in full; in larger clusters one table is, and the
+// others by their hash.
 constexpr std::size_t kMaxFullChecks = 50;
 
 using RunningMembers = std::map<std::string, const SimulatedMember*>;
@@ -15,14 +16,14 @@
   for (const auto& [name, other] : running) {
     const auto known = member.membership->members().find(name);
     if (known == member.membership->members().end()) {
-      return member.name + " does not know " + name;
+      return member.name + " has no record of " + name;
     }
     const fleet::Record& record = known->second.record;
     if (record.state != fleet::MemberState::kAlive) {
-      return member.name + " calls " + name + " " + fleet::StateName(record);
+      return member.name + " reports " + name + " as " + fleet::StateName(record);
     }
     if (record.incarnation != other->membership->self().incarnation) {
-      return member.name + " has an old incarnation of " + name;
+      return member.name + " has an outdated incarnation of " + name;
     }
   }
   return "";
@@ -31,7 +32,8 @@
 std::string CheckOthersDead(const SimulatedMember& member, const RunningMembers& running) {
   for (const auto& [name, entry] : member.membership->members()) {
     if (!running.contains(name) && !fleet::IsDead(entry.record.state)) {
-      return member.name + " calls " + name + ", which is dead, " + fleet::StateName(entry.record);
+      return member.name + " reports " + name + ", which is not running, as " +
+             fleet::StateName(entry.record);
     }
   }
   return "";
@@ -42,7 +44,7 @@
     const auto replicated = member.replica.find(name);
     if (replicated == member.replica.end() || replicated->second.state != entry.record.state ||
         replicated->second.incarnation != entry.record.incarnation) {
-      return "a reader at " + member.name + " was not notified of " + name;
+      return "the changes that " + member.name + " reported differ from its table in the record of " + name;
     }
   }
   return "";
@@ -71,10 +73,10 @@
   const SimulatedMember* first = running.empty() ? nullptr : running.begin()->second;
   for (const auto& [name, member] : running) {
     if (member->membership->hash() != first->membership->hash()) {
-      return name + " does not agree with " + first->name;
+      return name + " has a different table from " + first->name;
     }
     if (member->membership->suspect_count() > 0) {
-      return name + " suspects a member";
+      return name + " has a suspect member in its table";
     }
     if (member != first && running.size() > kMaxFullChecks) {
       continue;
--- a/src/lab/fleet/cluster_invariants.h
+++ b/src/lab/fleet/cluster_invariants.h
@@ -1,5 +1,5 @@
-// Checks the members' tables against what the simulation knows to be true. Pure functions over a
-// SimulatedCluster's members.
+// Checks the members' tables against the state of the simulated processes. Pure functions over the members of
+// a SimulatedCluster.
 #ifndef WALNUTSPUR_LAB_FLEET_CLUSTER_INVARIANTS_H_
 #define WALNUTSPUR_LAB_FLEET_CLUSTER_INVARIANTS_H_
 
@@ -10,11 +10,12 @@
 
 namespace walnutspur::lab {
 
-// The first violation of these, empty if there is none: all running members hold the same table, in which
-// just the running members are alive, and each member's reported changes add up to its table.
+// Returns the first violation of these invariants, or an empty string if there is none: all running members
+// have the same table, in which exactly the running members are alive, and applying a member's reported
+// changes in order gives its table.
 std::string FindViolation(const std::vector<SimulatedMember>& members);
 
-// Whether each running member holds `name` for failed or left, or does not know it.
+// Returns whether in each running member's table `name` has failed or left, or is missing.
 bool IsDeadEverywhere(const std::vector<SimulatedMember>& members, const std::string& name);
 
 }  // namespace walnutspur::lab
--- a/src/lab/fleet/fault_injector.h
+++ b/src/lab/fleet/fault_injector.h
@@ -1,5 +1,5 @@
-// Injects faults into a cluster of processes, and knows which members are down because of them. Owned by a
-// bench; one thread.
+// Injects faults into a cluster of processes and records which members are down because of them. Owned by a
+// bench and used on one thread.
 #ifndef WALNUTSPUR_LAB_FLEET_FAULT_INJECTOR_H_
 #define WALNUTSPUR_LAB_FLEET_FAULT_INJECTOR_H_
 
@@ -11,13 +11,14 @@
 
 namespace walnutspur::lab {
 
-// Scripts draw the values, so their order is part of what a seed means.
+// Scripts choose kinds by random numeric value, so the order of the enumerators must not change: with another
+// order the same seed would give another run.
 enum class FaultKind : std::uint8_t {
   kCrash,
   kRestart,
   kStop,
   kOneWayPartition,
-  kPairPartition,  // two members that do not reach each other, but all others
+  kPairPartition,  // two members cannot reach each other but can reach all others
   kBuildingPartition,
   kHeavyLoss,
   kReplay,
@@ -28,12 +29,13 @@
 
 class FaultInjector {
  public:
-  // For a cluster of `members` members, which has to outlive the injector.
+  // `cluster` has `members` members and must outlive the injector.
   FaultInjector(ProcessCluster& cluster, int members) : cluster_(cluster), members_(members) {}
 
-  // `other`: the second member of a pair. False: `member` is down already, and nothing was injected.
+  // Injects a fault into `member`; `other` is the second member of a pair partition. Returns false without a
+  // fault if `member` is already down.
   bool Inject(FaultKind kind, int member, int other);
-  // Ends all faults except crashes; half of the crashed members, drawn at random, are started again.
+  // Ends all faults. Starts each member that was crashed or shut down again with a probability of one half.
   void EndFaults(Random& random);
 
  private:
--- a/src/lab/fleet/process_cluster.cpp
+++ b/src/lab/fleet/process_cluster.cpp
@@ -15,9 +15,9 @@
 
 using nlohmann::json;
 
-constexpr int kPeers = 3;                  // the first members, whose addresses all are configured with
-constexpr int kPollIntervalMs = 20;        // between checks of the invariants
-constexpr int kShutdownTimeoutMs = 6'000;  // after SIGTERM
+constexpr int kPeers = 3;                  // number of first members that all are configured to contact
+constexpr int kPollIntervalMs = 20;        // interval between checks of the invariants
+constexpr int kShutdownTimeoutMs = 6'000;  // maximum time from SIGTERM until the exit
 constexpr const char* kKey = "a key of our own for this fleet\n";
 
 PlatformConfig MemberConfig(int discovery_port) {
@@ -29,7 +29,7 @@
   return config;
 }
 
-// A TOML array of strings.
+// Returns a TOML array of strings.
 std::string QuotedList(const std::vector<std::string>& values) {
   std::string list;
   for (const std::string& value : values) {
@@ -40,10 +40,10 @@
   return "[" + list + "]";
 }
 
-// The first violation in one member's status.
+// Returns the first violation in one member's status, or an empty string.
 std::string CheckStatus(const std::string& name, const json& status, const std::set<std::string>& running) {
   if (!status.is_object()) {
-    return name + " does not answer";
+    return name + " does not respond";
   }
   std::set<std::string> alive;
   for (const json& member : status["members"]) {
@@ -52,16 +52,16 @@
       continue;
     }
     if (state != "alive") {
-      std::string violation = name + " calls ";
+      std::string violation = name + " reports ";
       violation += member["name"].get<std::string>();
-      violation += " " + state;
+      violation += " as " + state;
       return violation;
     }
     alive.insert(member["name"].get<std::string>());
   }
   if (alive != running) {
-    return name + " holds " + std::to_string(alive.size()) + " for alive of " +
-           std::to_string(running.size());
+    return name + " reports " + std::to_string(alive.size()) +
+           " members as alive; running: " + std::to_string(running.size());
   }
   return "";
 }
@@ -138,7 +138,7 @@
   try {
     return json::parse(app::SendControlCommand(app::ControlPath(at(member).folder->path()), "fleet view"));
   } catch (const std::exception&) {
-    return nullptr;  // it may be starting
+    return nullptr;  // the process may still be starting
   }
 }
 
--- a/src/lab/fleet/simulated_cluster.cpp
+++ b/src/lab/fleet/simulated_cluster.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 constexpr std::size_t kMaxRecorded = 4096;        // datagrams
-constexpr std::size_t kMaxPendingMessages = 200;  // of a stopped process: a socket's buffer is limited
+constexpr std::size_t kMaxPendingMessages = 200;  // of a stopped process, as a socket's buffer is limited
 constexpr std::size_t kHeaderSize = 28;           // bytes of IP and UDP
-constexpr Time kCheckInterval = 50'000;           // us between checks of a condition
+constexpr Time kCheckInterval = 50'000;           // us between checks of the awaited condition
 constexpr int kMembersPerSubnet = 250;
 
-// Fixed: its length is part of the counted sizes, and with another name of the random
-// stream each seed would give another run.
+// Name of the fleet and of the random stream. It must not change: its length is part of the counted sizes,
+// and with another name of the stream each seed would give another run.
 constexpr const char* kClusterName = "town";
 
 }  // namespace
@@ -85,7 +85,7 @@
     return;
   }
   resumed.stopped = false;
-  // Timers first, as an event loop does it, then what waits in the socket.
+  // Timers fire first, as in an event loop; then the messages in the socket are read.
   for (const std::uint64_t timer : std::exchange(resumed.pending_timers, {})) {
     if (resumed.membership) {
       Execute(member, resumed.membership->HandleTimer(timer, ClockOf(resumed)));
--- a/src/lab/fleet/simulated_cluster.h
+++ b/src/lab/fleet/simulated_cluster.h
@@ -1,8 +1,9 @@
-// A fleet in virtual time: members that crash, stop, restart and are partitioned, on a network that loses,
-// delays, duplicates and replays. Their tables are checked against what the simulation knows to be true.
+// Simulates a fleet in virtual time: members crash, stop, restart and are partitioned, on a network that
+// loses, delays, duplicates and replays datagrams. Checks their tables against the state of the simulated
+// processes.
 //
-// Owns the members, their timers and all datagrams in flight; one thread. Draws from its seed alone: the same
-// seed gives the same run. Times are microseconds.
+// Owns the members, their timers and all datagrams in flight; used on one thread. All random numbers depend
+// on the seed only, so the same seed gives the same run. Times are microseconds.
 #ifndef WALNUTSPUR_LAB_FLEET_SIMULATED_CLUSTER_H_
 #define WALNUTSPUR_LAB_FLEET_SIMULATED_CLUSTER_H_
 
@@ -28,65 +29,67 @@
 struct ClusterOptions {
   int members = 9;
   std::uint64_t seed = 1;
-  int peers = 3;  // the first members, whose addresses all are configured with
+  int peers = 3;  // number of first members that all are configured to contact
   Time period = 200'000;
   bool lifeguard = true;
-  double loss = 0;  // probabilities of a datagram's faults
+  double loss = 0;  // probabilities that a datagram is lost or duplicated
   double duplication = 0;
   Time min_delay = 300;
   Time max_delay = 2'600;
-  bool measure_sizes = false;  // encode datagrams, to count their bytes
+  bool measure_sizes = false;  // whether datagrams are encoded to count their bytes
 };
 
 class SimulatedCluster {
  public:
   explicit SimulatedCluster(ClusterOptions options);
 
-  void Start(int member);   // a new process under its name and address
-  void Crash(int member);   // its process ends without an announcement
-  void Leave(int member);   // it announces that it leaves, and ends
-  void Stop(int member);    // as by SIGSTOP: what arrives is queued
-  void Resume(int member);  // as by SIGCONT
-  // Its clock runs `rate` times as fast as virtual time.
+  void Start(int member);   // starts a new process with its name and address
+  void Crash(int member);   // ends its process without an announcement
+  void Leave(int member);   // announces that it leaves, then ends its process
+  void Stop(int member);    // as by SIGSTOP: timers and messages are queued
+  void Resume(int member);  // as by SIGCONT: queued timers and messages are processed
+  // Makes the member's clock run `rate` times as fast as virtual time.
   void SetClockRate(int member, double rate) { at(member).clock_rate = rate; }
-  // Drops all datagrams for which `passes` is false; null: none.
+  // Drops all datagrams for which `passes` returns false; if null, drops none.
   void SetPartition(std::function<bool(int sender, int receiver)> passes) { passes_ = std::move(passes); }
   void SetLoss(double probability) { options_.loss = probability; }
-  // Starts a second process under the name of `member`, at another address. Returns its number.
+  // Starts a second process with the name of `member` at another address. Returns its member index.
   int StartDuplicate(int member);
-  // Delivers a message that no member has sent.
+  // Delivers a message to a member as if another one had sent it.
   void Inject(int receiver, const fleet::Message& message) {
     Deliver(receiver, std::make_shared<const fleet::Message>(message), 1);
   }
 
   void Run(Time duration);
-  // Runs until there is no violation. Returns the time that it took, or -1 if that is more than `timeout`.
+  // Runs until there is no violation. Returns the elapsed virtual time, or -1 if it exceeds `timeout`.
   Time RunUntilConverged(Time timeout);
-  // Likewise until each running member holds `member` for dead or does not know it.
+  // Runs until each running member has `member` as failed or left, or has no record of it. Returns the
+  // elapsed virtual time, or -1 if it exceeds `timeout`.
   Time RunUntilFailed(int member, Time timeout);
 
   Time now() const { return now_; }
   bool has_process(int member) const { return at(member).membership != nullptr; }
   const fleet::Membership& membership(int member) const { return *at(member).membership; }
   const std::string& name(int member) const { return at(member).name; }
-  // Why the member's process was terminated by its membership; empty: it was not.
+  // Returns the error with which the membership terminated the member's process; empty if it did not.
   const std::string& termination_error(int member) const { return at(member).termination_error; }
-  // The first violation of the invariants; empty: there is none.
+  // Returns the first violation of the invariants; empty if there is none.
   std::string FindViolation() const { return lab::FindViolation(members_); }
   bool Converged() const { return FindViolation().empty(); }
-  // Times that a running member was declared failed by another one, over all pairs.
+  // Returns how often a member's table changed a running member to failed, in total.
   int false_failures() const { return false_failures_; }
-  // Changes that were reported out of order.
+  // Returns the number of changes that were reported out of order.
   int out_of_order_changes() const { return out_of_order_changes_; }
-  // Totals of the network; bytes include the headers of IP and UDP.
+  // Return totals of the network; bytes include the IP and UDP headers.
   std::uint64_t datagrams() const { return datagrams_; }
   std::uint64_t bytes() const { return bytes_; }
   std::size_t largest_datagram() const { return largest_datagram_; }
-  // The last but `back` datagram that was sent to a member, for replaying it; null: not recorded.
+  // Returns the datagram that was sent to a member `back` datagrams before the last one, for replays; null if
+  // it is not recorded.
   const fleet::Message* Recorded(std::size_t back) const {
     return back < recorded_.size() ? recorded_[recorded_.size() - 1 - back].get() : nullptr;
   }
-  // Called with each datagram before it is sent, and may change it; false: it is dropped.
+  // Called with each message before it is sent; may change it. If it returns false, the message is dropped.
   std::function<bool(int sender, int receiver, fleet::Message*)> mutate;
 
  private:
@@ -94,15 +97,15 @@
     Time at = 0;
     std::uint64_t order = 0;
     int member = 0;
-    std::uint64_t process_id = 0;  // of a timer: the process that started it
+    std::uint64_t process_id = 0;  // process that started the timer
     std::uint64_t timer = 0;
-    std::shared_ptr<const fleet::Message> message;  // null: a timer
+    std::shared_ptr<const fleet::Message> message;  // null if the event is a timer
     bool operator>(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
 
   SimulatedMember& at(int member) { return members_[static_cast<std::size_t>(member)]; }
   const SimulatedMember& at(int member) const { return members_[static_cast<std::size_t>(member)]; }
-  // The time that the member's clock shows.
+  // Returns the time of the member's clock.
   Time ClockOf(const SimulatedMember& member) const {
     return member.started_at +
            static_cast<Time>(static_cast<double>(now_ - member.started_at) * member.clock_rate);
