--- a/tests/fleet/cluster_fixture.h
+++ b/tests/fleet/cluster_fixture.h
@@ -1,4 +1,4 @@
-// Simulated clusters for the tests of the membership, and the checks that they share.
+// Provides simulated clusters for the tests of the membership, and the checks that these tests share.
 #ifndef WALNUTSPUR_TESTS_FLEET_CLUSTER_FIXTURE_H_
 #define WALNUTSPUR_TESTS_FLEET_CLUSTER_FIXTURE_H_
 
@@ -11,9 +11,9 @@
 namespace walnutspur {
 
 constexpr Time kSecond = 1'000'000;             // us
-constexpr Time kConvergenceTime = 3 * kSecond;  // after the last fault all members agree
+constexpr Time kConvergenceTime = 3 * kSecond;  // maximum time from the last fault until all members agree
 
-// A cluster whose members have all started and agree.
+// Returns a cluster whose members have all started and agree.
 inline lab::SimulatedCluster ConvergedCluster(int members, std::uint64_t seed = 1) {
   lab::ClusterOptions options;
   options.members = members;
@@ -42,7 +42,8 @@
   }
 }
 
-// A gossip message that appears to come from the member, with a number that is ahead of its own ones.
+// Returns a gossip message that appears to come from member `from`, with a sequence number far above those of
+// its own messages.
 inline fleet::Message ForgedMessage(const lab::SimulatedCluster& cluster, int from) {
   const fleet::Record& sender = cluster.membership(from).self();
   fleet::Message message;
--- a/tests/fleet/codec_test.cpp
+++ b/tests/fleet/codec_test.cpp
@@ -1,5 +1,6 @@
-// Datagrams arrive truncated, with flipped bits, with the tag of another key, or from another fleet. Each is
-// dropped and counted by its cause; a valid one decodes to what was encoded.
+// Guards against accepting invalid datagrams: truncated ones, ones with inverted bits or the tag of another
+// key, and ones of another fleet. Each must be dropped and counted by its cause; a valid datagram must decode
+// to the encoded message.
 #include "fleet/codec/codec.h"
 
 #include <doctest/doctest.h>
@@ -10,7 +11,7 @@
 
 fleet::Record SuspectRecord() {
   fleet::Record record;
-  // Explicit strings: GCC 12 warns falsely (maybe-uninitialized) where literals are assigned.
+  // Explicit strings, because GCC 12 gives false maybe-uninitialized warnings if literals are assigned.
   record.name = std::string("m2");
   record.incarnation = 7;
   record.started_at = 5;
@@ -46,8 +47,7 @@
 
 }  // namespace
 
-TEST_CASE(
-    "a datagram decodes; truncated at any byte, with any bit inverted, or of another fleet it is dropped") {
+TEST_CASE("Codec: a datagram that is truncated, has an inverted bit or is of another fleet is dropped") {
   fleet::Codec sender("lab", "a key of sixteen bytes");
   fleet::Codec receiver("lab", "a key of sixteen bytes");
   fleet::Codec other_fleet("lab2", "a key of sixteen bytes");
--- a/tests/fleet/dissemination_test.cpp
+++ b/tests/fleet/dissemination_test.cpp
@@ -1,6 +1,7 @@
-// Updates are lost, or a partition separates the members for minutes, or all are restarted while their
-// configured peers are down. When that ends, all members must soon have the same table, without a storm of
-// refutations, and traffic and memory must stay bounded. In virtual time.
+// Guards against tables that stay different after updates were lost, after a partition of minutes, or after
+// all members were restarted while their configured peers were down. When the fault ends, all members must
+// soon have the same table, without a burst of refutations, and traffic and memory must stay bounded. Runs in
+// virtual time.
 #include "cluster_fixture.h"
 
 namespace walnutspur {
@@ -10,8 +11,9 @@
 using fleet::MessageKind;
 using lab::SimulatedCluster;
 
-// Every update is removed from every message but digests and their replies, while a member is restarted.
-TEST_CASE("lost updates are replaced by comparing digests") {
+// All updates are removed from all messages apart from digests and their replies, while a member is
+// restarted.
+TEST_CASE("AntiEntropy: if all gossiped updates are lost, comparing digests replaces them") {
   SimulatedCluster cluster = ConvergedCluster(9);
   cluster.mutate = [](int, int, Message* message) {
     if (message->kind != MessageKind::kDigest && message->kind != MessageKind::kDigestReply) {
@@ -24,8 +26,8 @@
   CheckConverges(cluster, 10 * kSecond);
 }
 
-// After the start of 100 members, updates that all have received already would go on to be transmitted.
-TEST_CASE("broadcasts end once all members agree") {
+// Failure: after the start of 100 members, updates that all have already received are still transmitted.
+TEST_CASE("Disseminator: once all members agree, traffic falls below the limit") {
   lab::ClusterOptions options;
   options.members = 100;
   options.measure_sizes = true;
@@ -41,9 +43,9 @@
   CHECK(cluster.largest_datagram() <= fleet::kMaxDatagramSize);
 }
 
-// A partition divides the fleet into halves that declare each other failed. Afterwards members would need one
-// refutation each to become alive on the other side.
-TEST_CASE("halves that were partitioned for minutes are one fleet again soon after") {
+// A partition divides the fleet into halves that declare each other failed. Failure: after the partition each
+// member needs a refutation to become alive on the other side.
+TEST_CASE("Membership: after a partition of minutes, both halves converge with few refutations") {
   for (const int members : {4, 30}) {
     SimulatedCluster cluster = ConvergedCluster(members);
     cluster.SetPartition([](int sender, int receiver) { return sender % 2 == receiver % 2; });
@@ -51,7 +53,8 @@
     CHECK(cluster.membership(0).live_count() == members / 2);
     cluster.SetPartition(nullptr);
     CheckConverges(cluster);
-    // Members incremented their incarnations while partitioned, so that few have to refute their failure.
+    // Members incremented their incarnations during the partition, so few of them have to refute their
+    // failure.
     std::uint64_t refuted = 0;
     for (int i = 0; i < members; ++i) {
       refuted += cluster.membership(i).counters().refuted;
@@ -60,9 +63,9 @@
   }
 }
 
-// All members restart at once; then again, and the configured peers, by which the others would join, start
-// later.
-TEST_CASE("all are restarted at once; and the configured peers are down at first") {
+// All members restart at the same time; then again, but the configured peers, which the others contact to
+// join, start later than the others.
+TEST_CASE("Membership: after a restart of all members, with peers up or down at first, they converge") {
   SimulatedCluster cluster = ConvergedCluster(9);
   for (int i = 0; i < 9; ++i) {
     cluster.Crash(i);
@@ -81,8 +84,9 @@
   CheckConverges(cluster);
 }
 
-// Thousands of members join under names that are never used again, and fail.
-TEST_CASE("members with names that are used once are forgotten") {
+// Thousands of members join under names that are never used again, and fail. Failure: their records exhaust
+// the memory.
+TEST_CASE("MemberLifecycle: failed members with names that are used once are removed from the table") {
   lab::ClusterOptions options;
   options.members = 3;
   SimulatedCluster cluster(options);
@@ -109,7 +113,7 @@
   CHECK(cluster.membership(0).EntryCount() < 100);
 }
 
-TEST_CASE("without load all members have the same load share") {
+TEST_CASE("Membership: if no member has load, all have the same load share") {
   SimulatedCluster cluster = ConvergedCluster(3);
   CHECK(cluster.membership(0).LoadShare() == doctest::Approx(1.0 / 3));
 }
--- a/tests/fleet/failure_detection_test.cpp
+++ b/tests/fleet/failure_detection_test.cpp
@@ -1,6 +1,6 @@
-// Members crash, leave, restart or are stopped for a while; links lose datagrams or work in one direction
-// only. A member that has crashed must be failed for all others within seconds, and no running member that
-// can be reached may be declared failed. In virtual time.
+// Guards against false and late failure detection. Members crash, leave, restart or are stopped temporarily;
+// links lose datagrams or work in one direction only. All others must declare a crashed member failed within
+// seconds, and no running member that can be reached may be declared failed. Runs in virtual time.
 #include "cluster_fixture.h"
 
 namespace walnutspur {
@@ -9,13 +9,13 @@
 
 namespace {
 
-// Stops a member while one of its probes is unanswered and a suspicion runs, and resumes it after 20 s.
+// Stops a member while one of its probes has no ack and a suspicion is running, and resumes it after 20 s.
 void CheckStopWithProbeInFlight(SimulatedCluster& cluster) {
   cluster.SetPartition([](int sender, int receiver) { return sender != 1 && receiver != 0; });
   for (int i = 0; i < 100 && cluster.membership(0).suspect_count() == 0; ++i) {
     cluster.Run(kSecond / 100);
   }
-  REQUIRE(cluster.membership(0).suspect_count() > 0);  // and a probe is in flight
+  REQUIRE(cluster.membership(0).suspect_count() > 0);  // a probe is in flight as well
   cluster.Stop(0);
   cluster.SetPartition(nullptr);
   cluster.Run(20 * kSecond);
@@ -29,9 +29,9 @@
 
 }  // namespace
 
-TEST_CASE("all learn of a crash, of a departure at once, and of a restart under the same name at once") {
+TEST_CASE("Membership: a crash is detected within 3 s, a departure and a restart within 1 s") {
   SimulatedCluster cluster = ConvergedCluster(9);
-  cluster.Run(60 * kSecond);  // so that its datagrams' numbers are far above those of its next process
+  cluster.Run(60 * kSecond);  // its datagrams' sequence numbers are then far above those of its next process
   cluster.Crash(4);
   CHECK(cluster.RunUntilFailed(4, kConvergenceTime) >= 0);
   cluster.Start(4);
@@ -44,9 +44,9 @@
   CHECK(cluster.false_failures() == 0);
 }
 
-// A process is stopped for 20 s, as by a debugger or a paused virtual machine. All its timers fire late when
-// it resumes, with the answers of the others unread in its socket.
-TEST_CASE("a process that resumes after 20 s declares no member failed, and is alive again") {
+// A process is stopped for 20 s, as by a debugger or a paused virtual machine. When it resumes, all its
+// timers fire late, and the acks of the others are unread in its socket.
+TEST_CASE("FailureDetector: a process that resumes after 20 s declares no member failed and is alive again") {
   SimulatedCluster cluster = ConvergedCluster(9);
   cluster.Stop(5);
   cluster.Run(20 * kSecond);
@@ -58,15 +58,16 @@
   CHECK(cluster.membership(5).counters().stalls > 0);
 }
 
-TEST_CASE("probes that time out while a process is stopped are no evidence against others") {
+TEST_CASE("FailureDetector: probes that time out while the process is stopped cause no suspicion") {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulatedCluster cluster = ConvergedCluster(5, seed);
     CheckStopWithProbeInFlight(cluster);
   }
 }
 
-// A member of a large fleet crashes. A suspicion that only one member confirms would last too long.
-TEST_CASE("confirmations shorten a suspicion: 30 members learn of a crash within 2 s") {
+// A member of a large fleet crashes. Failure: the suspicion lasts too long because only one member confirms
+// it.
+TEST_CASE("SuspicionTracker: confirmations shorten a suspicion, so 30 members detect a crash within 2 s") {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulatedCluster cluster = ConvergedCluster(30, seed);
     cluster.Crash(15);
@@ -74,13 +75,13 @@
   }
 }
 
-// Datagrams of one member do not reach one other, and then two members do not reach each other, while all
+// Datagrams from one member to one other are lost; then all datagrams between two members are lost, while all
 // others reach both.
-TEST_CASE("a one-way partition, and two members that do not reach each other, make no member failed") {
+TEST_CASE("FailureDetector: if one link is broken in one or both directions, no member is declared failed") {
   SimulatedCluster cluster = ConvergedCluster(9);
   cluster.SetPartition([](int sender, int receiver) { return sender != 3 || receiver != 6; });
   cluster.Run(20 * kSecond);
-  // No datagrams between 1 and 2.
+  // Drops all datagrams between members 1 and 2.
   cluster.SetPartition(
       [](int sender, int receiver) { return !(sender + receiver == 3 && (sender == 1 || receiver == 1)); });
   cluster.Run(20 * kSecond);
@@ -92,7 +93,7 @@
   }
 }
 
-TEST_CASE("a clock that runs 1 % fast changes nothing") {
+TEST_CASE("Membership: if one clock runs 1 % fast, members stay converged and none is declared failed") {
   SimulatedCluster cluster = ConvergedCluster(5);
   cluster.SetClockRate(2, 1.01);
   cluster.Run(300 * kSecond);
@@ -100,7 +101,7 @@
   CHECK(cluster.false_failures() == 0);
 }
 
-TEST_CASE("no member is declared failed while datagrams are lost") {
+TEST_CASE("FailureDetector: while 10 % of datagrams are lost, no member is declared failed") {
   SimulatedCluster cluster = ConvergedCluster(30);
   cluster.SetLoss(0.1);
   cluster.Run(120 * kSecond);
--- a/tests/fleet/fleet_settings_test.cpp
+++ b/tests/fleet/fleet_settings_test.cpp
@@ -1,5 +1,5 @@
-// An operator makes a mistake in the [fleet] table of the settings. One line must say where it is and what is
-// allowed.
+// Guards against errors in the [fleet] table of the settings that are not reported, or without their place.
+// One line must name the key, the line of the file and the allowed values.
 #include "app/fleet_settings.h"
 
 #include <doctest/doctest.h>
@@ -14,8 +14,8 @@
 namespace {
 
 struct Case {
-  std::string text;  // of the settings file
-  std::string line;  // part of the one line that is reported
+  std::string text;  // content of the settings file
+  std::string line;  // contained in the one reported line
 };
 
 void CheckReported(const Case& expected) {
@@ -31,7 +31,8 @@
 
 }  // namespace
 
-TEST_CASE("an error in a [fleet] table is reported in one line, with its line and what is allowed") {
+TEST_CASE(
+    "Settings: an error in the [fleet] table is reported in one line with its place and the allowed values") {
   const std::string good = R"([fleet]
 id = "f"
 name = "a"
--- a/tests/fleet/identity_test.cpp
+++ b/tests/fleet/identity_test.cpp
@@ -1,6 +1,7 @@
-// Messages come from another process than they seem to: from a member's process before its restart, replayed
-// minutes later, forged, or from a second process with the same name. None of them may fail a running member
-// or hide a new process, and of two processes with one name only the older may continue. In virtual time.
+// Guards against messages that do not come from the process that they name: from a member's process before
+// its restart, replayed minutes later, forged, or from a second process with the same name. None of them may
+// fail a running member or hide a new process, and of two processes with the same name only the older one may
+// continue. Runs in virtual time.
 #include "cluster_fixture.h"
 
 namespace walnutspur {
@@ -9,8 +10,8 @@
 using fleet::Message;
 using lab::SimulatedCluster;
 
-// A member is restarted, and updates about its earlier process are still in circulation.
-TEST_CASE("updates of an earlier process neither fail the new one nor hide it") {
+// A member is restarted while updates about its earlier process are still in circulation.
+TEST_CASE("UpdateHandler: updates about an earlier process neither fail nor hide the new one") {
   SimulatedCluster cluster = ConvergedCluster(5);
   const fleet::Record before = cluster.membership(3).self();
   cluster.Crash(3);
@@ -23,7 +24,7 @@
   Message old = ForgedMessage(cluster, 1);
   old.updates = {failed, before};
   InjectIntoAll(cluster, 5, old);
-  old.from = before.name;  // and what it sent itself, replayed
+  old.from = before.name;  // the earlier process's own message, replayed
   old.from_address = before.address;
   old.started_at = before.started_at;
   InjectIntoAll(cluster, 5, old);
@@ -32,8 +33,8 @@
   CHECK(cluster.membership(0).counters().earlier_process > 0);
 }
 
-// A network delivers hundreds of old datagrams again, from before and after the crash of a member.
-TEST_CASE("datagrams of minutes ago, replayed by the hundred, change nothing") {
+// A network delivers hundreds of old datagrams again, sent before and after the crash of a member.
+TEST_CASE("ReplayFilter: hundreds of datagrams replayed after minutes are rejected and change no table") {
   SimulatedCluster cluster = ConvergedCluster(5);
   cluster.Crash(2);
   REQUIRE(cluster.RunUntilFailed(2, kConvergenceTime) >= 0);
@@ -54,7 +55,8 @@
 }
 
 // An operator copies a settings file and starts a second process with the name of a running one.
-TEST_CASE("of two processes under one name the younger ends with a reason, and no member flaps") {
+TEST_CASE(
+    "Admission: of two processes with one name the younger terminates, and no member is declared failed") {
   SimulatedCluster cluster = ConvergedCluster(5);
   const int duplicate = cluster.StartDuplicate(3);
   cluster.Run(2 * kSecond);
@@ -63,16 +65,16 @@
         std::string::npos);
   CheckConverges(cluster);
   CHECK(cluster.false_failures() == 0);
-  cluster.Crash(3);  // once the first one has failed, the name may move
+  cluster.Crash(3);  // once the first process has failed, another one may take the name
   REQUIRE(cluster.RunUntilFailed(3, kConvergenceTime) >= 0);
   const int next = cluster.StartDuplicate(3);
   CheckConverges(cluster);
   CHECK(cluster.has_process(next));
 }
 
-// Forged messages claim that a member failed in the last possible incarnation, and facts that it never
+// Forged messages claim that a member failed in the highest possible incarnation, and has facts that it never
 // published.
-TEST_CASE("a forged incarnation near the largest is dropped, and forged facts are refuted") {
+TEST_CASE("UpdateHandler: a forged incarnation at the maximum is dropped, and forged facts are refuted") {
   SimulatedCluster cluster = ConvergedCluster(5);
   Message forged = ForgedMessage(cluster, 1);
   fleet::Record record = cluster.membership(3).self();
@@ -90,7 +92,8 @@
   forged.updates = {record};
   InjectIntoAll(cluster, 5, forged);
   cluster.Run(2 * kSecond);
-  // After the forged datagrams' high numbers, m1's own ones are rejected until it has refuted that it failed.
+  // After the high sequence numbers of the forged datagrams, m1's own datagrams are rejected until it has
+  // refuted that it failed.
   CheckConverges(cluster, 2 * kConvergenceTime);
   CHECK(cluster.membership(0).members().at("m3").record.facts.load < 1e9);
 }
--- a/tests/fleet/message_mutation_test.cpp
+++ b/tests/fleet/message_mutation_test.cpp
@@ -1,6 +1,7 @@
-// One message of a run is lost, duplicated or changed: its number, probe, hash, target, sender or updates. A
-// scenario in virtual time, a crash and a restart among three members, is repeated for each of its messages
-// and each mutation of that message. All members must agree at the end of each.
+// Guards against a single message that is lost, duplicated or changed (sequence number, probe, hash, target,
+// sender or updates) and leaves the tables different. A scenario in virtual time, a crash and a restart of
+// one of three members, is repeated for each of its messages and each mutation of that message. All members
+// must agree at the end of each run.
 #include <utility>
 
 #include "cluster_fixture.h"
@@ -29,7 +30,7 @@
 };
 constexpr int kMutations = 13;
 
-// False: the message is dropped.
+// Applies mutations of the message itself. Returns false if the message is to be dropped.
 bool Mutate(SimulatedCluster& cluster, Mutation mutation, int receiver, Message* message) {
   switch (mutation) {
     case Mutation::kDrop:
@@ -84,12 +85,12 @@
 }
 
 struct ScenarioResult {
-  std::size_t messages = 0;      // until the last fault
-  bool invariants_hold = false;  // all invariants
+  std::size_t messages = 0;  // messages sent before the wait for convergence
+  bool invariants_hold = false;
   std::string violation;
 };
 
-// A crash and a restart among three members; the message at `index` is mutated.
+// Runs a crash and a restart of one of three members; mutates the message at `index`.
 ScenarioResult RunScenario(std::size_t index, Mutation mutation) {
   lab::ClusterOptions options;
   options.members = 3;
@@ -127,7 +128,7 @@
 
 }  // namespace
 
-TEST_CASE("each message by itself dropped, duplicated or changed: all invariants hold") {
+TEST_CASE("Membership: if any one message is dropped, duplicated or changed, all invariants hold") {
   const ScenarioResult unchanged = RunScenario(SIZE_MAX, Mutation::kDrop);
   REQUIRE(unchanged.invariants_hold);
   REQUIRE(unchanged.messages > 80);
--- a/tests/fleet/process_cluster_test.cpp
+++ b/tests/fleet/process_cluster_test.cpp
@@ -1,6 +1,7 @@
-// Five real processes lose, duplicate, corrupt and replay datagrams between them, are partitioned, killed,
-// restarted and stopped, and another one takes a name that is in use. They must agree after each fault, and
-// the younger process of that name must end.
+// Guards against faults that only occur between real processes. Datagrams between five processes are lost,
+// duplicated, corrupted and replayed; the processes are partitioned, killed, restarted and stopped, and a
+// sixth one starts with a name that is in use. They must agree after each fault, and the younger process with
+// that name must exit.
 #include "lab/fleet/process_cluster.h"
 
 #include <doctest/doctest.h>
@@ -17,8 +18,7 @@
 
 }  // namespace
 
-TEST_CASE(
-    "five processes: a partition by building, a crash, a restart, a stop, and a name that is used twice") {
+TEST_CASE("ProcessCluster: five processes converge after a partition, a crash, a stop and a duplicate name") {
   lab::ProcessCluster cluster(WALNUTSPUR_PROGRAM, 5, 7);
   for (int i = 0; i < 5; ++i) {
     cluster.Start(i);
