--- a/src/fleet/transport/gossip_transport.cpp
+++ b/src/fleet/transport/gossip_transport.cpp
@@ -22,17 +22,17 @@
 namespace walnutspur::fleet {
 namespace {
 
-// Datagrams that are read before other events are processed.
+// Maximum datagrams that are read before other events are processed.
 constexpr int kReadBatch = 64;
 // Bytes of the read buffer; longer datagrams are truncated and dropped.
 constexpr std::size_t kReadBuffer = 2048;
-// Bytes of a key.
+// Limits of the size of a key, bytes.
 constexpr std::size_t kMinKeySize = 16;
 constexpr std::size_t kMaxKeySize = 4096;
-// Relative change of the load share from which it is reported.
+// Relative change of the load share above which it is reported.
 constexpr double kReportedChange = 0.1;
 
-using core::Now;  // the time from which incarnations start
+using core::Now;  // source of the initial incarnation
 
 std::string ReadKey(const std::string& path) {
   if (path.empty()) {
@@ -46,7 +46,8 @@
     key.pop_back();
   }
   if (!file || key.size() < kMinKeySize || key.size() > kMaxKeySize) {
-    throw FleetError("fleet.key_file: " + path + " does not hold a key; allowed are 16 to 4096 bytes");
+    throw FleetError("fleet.key_file: cannot read a key from " + path + ": got " +
+                     std::to_string(key.size()) + " bytes; allowed: 16 to 4096");
   }
   return key;
 }
@@ -65,10 +66,10 @@
   const Record& record = entry.record;
   return {{"name", record.name},
           {"address", record.address},
-          {"state", NameOf(record)},
+          {"state", StateName(record)},
           {"incarnation", record.incarnation},
           {"since_us", entry.since},
-          {"reported_by", record.by},
+          {"reported_by", record.reported_by},
           {"building", record.facts.building},
           {"started_at_us", record.facts.started_at},
           {"load", record.facts.load},
@@ -88,7 +89,7 @@
   Bind();
   readable_ = loop::EventHandle(base_, fd_, EV_READ | EV_PERSIST, [this] { OnReadable(); });
   readable_.Start();
-  Run(membership_.Start(Now()));
+  RunActions(membership_.Start(Now()));
 }
 
 GossipTransport::~GossipTransport() {
@@ -117,12 +118,12 @@
     }
     ++received_;
     if (const auto message = codec_.Decode({buffer.data(), static_cast<std::size_t>(size)})) {
-      Run(membership_.HandleMessage(*message, Now()));
+      RunActions(membership_.HandleMessage(*message, Now()));
     }
   }
 }
 
-void GossipTransport::Run(const std::vector<Action>& actions) {
+void GossipTransport::RunActions(const std::vector<Action>& actions) {
   for (const Action& action : actions) {
     if (const auto* datagram = std::get_if<SendDatagram>(&action)) {
       Send(*datagram);
@@ -134,8 +135,8 @@
       hooks_.log(false, log::kFleetConvergenceChanged,
                  {{"converged", convergence->converged ? "yes" : "no"}});
     } else if (const auto* conflict = std::get_if<NameConflict>(&action)) {
-      hooks_.log(true, log::kFleetNameRejected, {{"reason", conflict->reason}});
-      hooks_.on_end(conflict->reason);
+      hooks_.log(true, log::kFleetNameRejected, {{"reason", conflict->error}});
+      hooks_.on_terminate(conflict->error);
       return;
     }
   }
@@ -160,7 +161,7 @@
   loop::EventHandle& handle = timers_[timer.id];
   handle = loop::MakeTimer(base_, [this, id = timer.id] {
     timers_.erase(id);
-    Run(membership_.HandleTimer(id, Now()));
+    RunActions(membership_.HandleTimer(id, Now()));
   });
   handle.Start(timer.delay);
 }
@@ -169,9 +170,9 @@
   const Record& record = change.record;
   hooks_.log(record.state == MemberState::kFailed && record.name != options_.name, log::kFleetMemberChanged,
              {{"member", record.name},
-              {"state", NameOf(record)},
+              {"state", StateName(record)},
               {"incarnation", std::to_string(record.incarnation)},
-              {"reported_by", record.by}});
+              {"reported_by", record.reported_by}});
 }
 
 void GossipTransport::ReportSize() {
@@ -183,16 +184,16 @@
   }
   reported_live_ = live;
   reported_share_ = share;
-  hooks_.on_size(live, share);
+  hooks_.on_size_changed(live, share);
 }
 
-void GossipTransport::Publish(const Facts& facts) { Run(membership_.Publish(facts, Now())); }
+void GossipTransport::Publish(const Facts& facts) { RunActions(membership_.Publish(facts, Now())); }
 
-void GossipTransport::Leave() { Run(membership_.Leave(Now())); }
+void GossipTransport::Leave() { RunActions(membership_.Leave(Now())); }
 
 std::string GossipTransport::Execute(const std::vector<std::string>& words) {
   if (words.size() != 1 || words[0] != "view") {
-    return "error: unknown command; allowed is fleet view\n";
+    return "error: unknown fleet command; allowed: fleet view\n";
   }
   return StatusText();
 }
--- a/tests/fleet/codec_test.cpp
+++ b/tests/fleet/codec_test.cpp
@@ -1,5 +1,6 @@
-// Datagrams arrive truncated, with flipped bits, with the tag of another key, or from another fleet. Each is
-// dropped and counted by its cause; a valid one decodes to what was encoded.
+// Guards against accepting invalid datagrams: truncated ones, ones with inverted bits or the tag of another
+// key, and ones of another fleet. Each must be dropped and counted by its cause; a valid datagram must decode
+// to the encoded message.
 #include "fleet/codec/codec.h"
 
 #include <doctest/doctest.h>
@@ -10,12 +11,12 @@
 
 fleet::Record SuspectRecord() {
   fleet::Record record;
-  // Explicit strings: GCC 12 warns falsely (maybe-uninitialized) where literals are assigned.
+  // Explicit strings, because GCC 12 gives false maybe-uninitialized warnings if literals are assigned.
   record.name = std::string("m2");
   record.incarnation = 7;
   record.started_at = 5;
   record.state = fleet::MemberState::kSuspect;
-  record.by = std::string("m3");
+  record.reported_by = std::string("m3");
   record.facts.connections = {{"box-1", 4}};
   return record;
 }
@@ -46,30 +47,29 @@
 
 }  // namespace
 
-TEST_CASE(
-    "a datagram decodes; truncated at any byte, with any bit inverted, or of another fleet it is dropped") {
-  fleet::Codec ours("lab", "a key of sixteen bytes");
-  fleet::Codec same("lab", "a key of sixteen bytes");
-  fleet::Codec other("lab2", "a key of sixteen bytes");
-  fleet::Codec stranger("lab", "another key of bytes");
+TEST_CASE("Codec: a datagram that is truncated, has an inverted bit or is of another fleet is dropped") {
+  fleet::Codec sender("lab", "a key of sixteen bytes");
+  fleet::Codec receiver("lab", "a key of sixteen bytes");
+  fleet::Codec other_fleet("lab2", "a key of sixteen bytes");
+  fleet::Codec other_key("lab", "another key of bytes");
   fleet::Message message;
   message.kind = fleet::MessageKind::kDigest;
   message.from = "m1";
   message.from_address = "127.0.0.1:7";
-  message.number = 9;
+  message.sequence_number = 9;
   message.buckets = {1, 2, ~0ull};
   const fleet::Record record = SuspectRecord();
   message.updates = {record};
-  const std::string bytes = ours.Encode(message);
-  CheckDecodesTo(same, bytes, message);
-  CheckCorruptIsDropped(same, bytes);
-  CHECK_FALSE(stranger.Decode(bytes));
-  CHECK(stranger.dropped().untagged == 1);
-  CHECK_FALSE(other.Decode(bytes));
-  CHECK(other.dropped().other_fleet == 1);
+  const std::string bytes = sender.Encode(message);
+  CheckDecodesTo(receiver, bytes, message);
+  CheckCorruptIsDropped(receiver, bytes);
+  CHECK_FALSE(other_key.Decode(bytes));
+  CHECK(other_key.dropped().untagged == 1);
+  CHECK_FALSE(other_fleet.Decode(bytes));
+  CHECK(other_fleet.dropped().other_fleet == 1);
   message.updates.assign(100, record);
-  CHECK(ours.Encode(message).size() <= fleet::kMaxDatagramSize);
-  CHECK(ours.dropped().oversized > 0);
+  CHECK(sender.Encode(message).size() <= fleet::kMaxDatagramSize);
+  CHECK(sender.dropped().oversized > 0);
 }
 
 }  // namespace walnutspur
