--- a/src/lab/fleet/simulated_cluster.cpp
+++ b/src/lab/fleet/simulated_cluster.cpp
@@ -63,7 +63,7 @@
     options.peers.push_back(at(i).address);
   }
   started.membership = std::make_unique<fleet::Membership>(
-      options, [random = started.random.get()] { return random->Part(); });
+      options, [random = started.random.get()] { return random->Uniform(); });
   Execute(member, started.membership->Start(ClockOf(started)));
 }
 
--- a/src/lab/random.h
+++ b/src/lab/random.h
@@ -21,13 +21,13 @@
   // Uniform in [0, bound); 0 without a draw if `bound` is at most 1.
   std::uint64_t Below(std::uint64_t bound) { return bound <= 1 ? 0 : pcg_(bound); }
   // Uniform in [0, 1).
-  double Part() { return static_cast<double>(pcg_() >> 11) * 0x1.0p-53; }
-  // True with probability `part`.
-  bool Chance(double part) { return Part() < part; }
-  // Uniform in [least, most).
-  double Between(double least, double most) { return least + (most - least) * Part(); }
+  double Uniform() { return static_cast<double>(pcg_() >> 11) * 0x1.0p-53; }
+  // True with probability `probability`.
+  bool Chance(double probability) { return Uniform() < probability; }
+  // Uniform in [min, max).
+  double Between(double min, double max) { return min + (max - min) * Uniform(); }
   // Exponentially distributed.
-  double Exponential(double mean) { return -mean * std::log1p(-Part()); }
+  double Exponential(double mean) { return -mean * std::log1p(-Uniform()); }
 
   // FNV-1a.
   static std::uint64_t Hash(std::string_view name) {
--- a/src/lab/sim/discovery_model.cpp
+++ b/src/lab/sim/discovery_model.cpp
@@ -11,8 +11,9 @@
   }
   const Experiment& experiment = context_.experiment();
   for (int initiator = 0; initiator < experiment.initiators; ++initiator) {
-    const Time delay = experiment.discovery_delay +
-                       static_cast<Time>(random_.Part() * static_cast<double>(experiment.discovery_jitter));
+    const Time delay =
+        experiment.discovery_delay +
+        static_cast<Time>(random_.Uniform() * static_cast<double>(experiment.discovery_jitter));
     context_.Schedule(context_.now() + delay, EndpointNotified{initiator, server, state});
   }
 }
--- a/src/lab/sim/explore.cpp
+++ b/src/lab/sim/explore.cpp
@@ -22,7 +22,7 @@
 FaultPlan DrawFault(const Experiment& experiment, Random* random) {
   FaultPlan fault;
   fault.kind = kFaultKinds[random->Below(kFaultKinds.size())];
-  fault.start = static_cast<Time>(random->Part() * static_cast<double>(experiment.duration) * 0.8);
+  fault.start = static_cast<Time>(random->Uniform() * static_cast<double>(experiment.duration) * 0.8);
   fault.duration = static_cast<Time>(random->Between(0.1e6, 5e6));
   const int targets = FaultTargetCount(experiment, fault.kind);
   const bool single = fault.kind == FaultKind::kPartition || fault.kind == FaultKind::kSurge;
--- a/src/lab/sim/load_generator.cpp
+++ b/src/lab/sim/load_generator.cpp
@@ -95,7 +95,7 @@
 
 std::size_t LoadGenerator::DrawPlan(double surged_weight) {
   const std::vector<TenantPlan>& tenants = context_.experiment().tenants;
-  double pick = random_.Part() * surged_weight;
+  double pick = random_.Uniform() * surged_weight;
   std::size_t plan = 0;
   while (plan + 1 < tenants.size() && pick >= tenants[plan].weight * plans_[plan].surge_multiple) {
     pick -= tenants[plan].weight * plans_[plan].surge_multiple;
@@ -107,7 +107,7 @@
 std::size_t LoadGenerator::DrawVolume(const PlanLoad& plan) {
   const std::vector<double>& sums = plan.cumulative_popularity;
   const auto index = static_cast<std::size_t>(
-      std::upper_bound(sums.begin(), sums.end(), random_.Part() * sums.back()) - sums.begin());
+      std::upper_bound(sums.begin(), sums.end(), random_.Uniform() * sums.back()) - sums.begin());
   return plan.volumes[std::min(index, sums.size() - 1)];
 }
 
@@ -117,7 +117,7 @@
   for (const ClassPlan& class_plan : classes) {
     shares += class_plan.share;
   }
-  double pick = random_.Part() * shares;
+  double pick = random_.Uniform() * shares;
   std::size_t index = 0;
   while (index + 1 < classes.size() && pick >= classes[index].share) {
     pick -= classes[index].share;
@@ -130,7 +130,7 @@
 void LoadGenerator::DrawObject(const ClassPlan& class_plan, const Volume& volume, std::int64_t number,
                                RequestState* request, RequestArrived* attributes) {
   const Experiment& experiment = context_.experiment();
-  const double kind = random_.Part();
+  const double kind = random_.Uniform();
   const std::uint64_t object = random_.Below(kObjectDrawBound);
   if (class_plan.writes && kind < experiment.new_object_fraction) {
     request->places_new_object = true;
--- a/src/lab/sim/network_model.cpp
+++ b/src/lab/sim/network_model.cpp
@@ -10,7 +10,7 @@
 
 Time NetworkModel::DrawDelay() {
   double time = static_cast<double>(experiment_.network_delay) +
-                static_cast<double>(experiment_.network_jitter) * random_.Part();
+                static_cast<double>(experiment_.network_jitter) * random_.Uniform();
   if (experiment_.reorder_probability > 0 && random_.Chance(experiment_.reorder_probability)) {
     time *= kReorderedDelayMultiple;
   }
--- a/src/lab/soak/load_client.cpp
+++ b/src/lab/soak/load_client.cpp
@@ -108,7 +108,7 @@
   loop::Write(connection.stream.get(), connection.request_text);
   connection.deadline.Start(options_.deadline + kAnswerGrace);
   if (random_.Chance(options_.leave_fraction)) {
-    connection.leave.Start(static_cast<Time>(random_.Part() * static_cast<double>(options_.deadline)));
+    connection.leave.Start(static_cast<Time>(random_.Uniform() * static_cast<double>(options_.deadline)));
   }
 }
 
--- a/src/lab/soak/plan.cpp
+++ b/src/lab/soak/plan.cpp
@@ -60,7 +60,7 @@
   const double max_seconds = event.kind == FaultEventKind::kDiscoveryFault ? 9 : 3;
   event.duration = static_cast<Time>(random->Between(0.3, max_seconds) * kSecond);
   if (event.kind == FaultEventKind::kPause) {
-    event.duration = static_cast<Time>(random->Part() * kMaxPause);
+    event.duration = static_cast<Time>(random->Uniform() * kMaxPause);
   }
   return event;
 }
@@ -77,9 +77,9 @@
   plan.drain_grace =
       std::array<Time, 3>{500, 1'000, 300}[static_cast<std::size_t>(random.Below(3))] * kMillisecond;
   plan.load.deadline = static_cast<Time>(random.Between(0.3, 1.5) * kSecond);
-  plan.load.write_fraction = random.Part();
-  plan.load.leave_fraction = random.Chance(0.5) ? 0.2 * random.Part() : 0;
-  plan.load.reconnect_fraction = random.Chance(0.5) ? 0.2 * random.Part() : 0;
+  plan.load.write_fraction = random.Uniform();
+  plan.load.leave_fraction = random.Chance(0.5) ? 0.2 * random.Uniform() : 0;
+  plan.load.reconnect_fraction = random.Chance(0.5) ? 0.2 * random.Uniform() : 0;
   plan.load.think_time = static_cast<Time>(random.Between(20, 200)) * kMillisecond;
   plan.load.connections = 2 + static_cast<int>(random.Below(7));
   plan.load.shards = plan.targets;
