--- a/src/lab/commands/explore.cpp
+++ b/src/lab/commands/explore.cpp
@@ -64,7 +64,8 @@
 }
 
 // Shrinks the failing experiment, and prints or writes it.
-void ReportSmallest(const Experiment& base, const CheckedRun& failing, const std::string& replay_path) {
+void ReportShrunkExperiment(const Experiment& base, const CheckedRun& failing,
+                            const std::string& replay_path) {
   const std::string invariant = failing.violations.front().invariant;
   const Experiment smallest = Shrink(DrawExperiment(base, failing.seed), invariant, kMaxShrinkRuns);
   if (replay_path.empty()) {
@@ -88,7 +89,7 @@
   if (!progress.first_failing) {
     return kExitOk;
   }
-  ReportSmallest(base, *progress.first_failing, options.replay_path);
+  ReportShrunkExperiment(base, *progress.first_failing, options.replay_path);
   return kExitViolation;
 }
 
--- a/src/lab/commands/soak.cpp
+++ b/src/lab/commands/soak.cpp
@@ -56,12 +56,12 @@
     for (std::thread& thread : threads) {
       thread.join();
     }
-    std::printf("seeds %d, broken %zu", options_.count, broken_.size());
+    std::printf("seeds %d, broken %zu", options_.count, failing_plans_.size());
     for (const auto& [invariant, count] : violations_) {
       std::printf(", %s %zu", invariant.c_str(), count);
     }
     std::printf("\n");
-    return broken_.empty() ? kExitOk : kExitViolation;
+    return failing_plans_.empty() ? kExitOk : kExitViolation;
   }
 
  private:
@@ -97,7 +97,7 @@
     if (result.violations.empty()) {
       return;
     }
-    broken_.push_back(plan);
+    failing_plans_.push_back(plan);
     WriteLogs(plan, result);
     for (const Violation& violation : result.violations) {
       ++violations_[violation.invariant];
@@ -125,7 +125,7 @@
   SoakOptions options_;
   std::atomic<int> next_{0};
   std::mutex mutex_;  // guards the two below and standard output
-  std::vector<SoakPlan> broken_;
+  std::vector<SoakPlan> failing_plans_;
   std::map<std::string, std::size_t> violations_;  // by invariant
 };
 
--- a/src/lab/sim/baseline_policy.cpp
+++ b/src/lab/sim/baseline_policy.cpp
@@ -159,12 +159,12 @@
 // ---- token buckets ----
 
 // An even part of the volume's rate for each initiator, whatever the others use of theirs.
-double BaselinePolicy::RateOfInstance(int plan) const {
+double BaselinePolicy::RatePerInitiator(int plan) const {
   return settings_.plans[static_cast<std::size_t>(plan)].rate / std::max(1, initiator_count_);
 }
 
 double BaselinePolicy::BucketCapacity(int plan) const {
-  return std::max(settings_.max_request_units, kBucketSeconds * RateOfInstance(plan));
+  return std::max(settings_.max_request_units, kBucketSeconds * RatePerInitiator(plan));
 }
 
 void BaselinePolicy::DrainBucket(const std::string& volume) {
@@ -180,7 +180,7 @@
     const double seconds = static_cast<double>(now_ - bucket.filled_at) / 1e6;
     if (bucket.filled_at != 0) {
       bucket.tokens = std::min(BucketCapacity(attributes.plan),
-                               bucket.tokens + seconds * RateOfInstance(attributes.plan));
+                               bucket.tokens + seconds * RatePerInitiator(attributes.plan));
     }
     bucket.filled_at = now_;
     if (bucket.tokens < attributes.units) {
--- a/src/lab/sim/baseline_policy.h
+++ b/src/lab/sim/baseline_policy.h
@@ -65,8 +65,8 @@
   void Send(Target& target, const RequestId& id);
   void SendWaiting(Target& target);
 
-  double RateOfInstance(int plan) const;  // units per second
-  double BucketCapacity(int plan) const;  // units
+  double RatePerInitiator(int plan) const;  // units per second
+  double BucketCapacity(int plan) const;    // units
   // Fills the bucket of a volume and places the requests that it allows.
   void DrainBucket(const std::string& volume);
   // Starts the refill timer unless it runs or nothing waits.
--- a/src/lab/sim/experiment.cpp
+++ b/src/lab/sim/experiment.cpp
@@ -22,7 +22,7 @@
   return kind != FaultKind::kPartition && kind != FaultKind::kSurge && kind != FaultKind::kDiscoveryOutage;
 }
 
-bool EndsProcess(FaultKind kind) { return kind == FaultKind::kRestart || kind == FaultKind::kReplace; }
+bool StopsProcess(FaultKind kind) { return kind == FaultKind::kRestart || kind == FaultKind::kReplace; }
 
 int FaultTargetCount(const Experiment& experiment, FaultKind kind) {
   if (kind == FaultKind::kPartition) {
--- a/src/lab/sim/experiment.h
+++ b/src/lab/sim/experiment.h
@@ -44,7 +44,7 @@
 // Whether the targets of the fault are servers.
 bool AffectsServers(FaultKind kind);
 // Whether the fault ends the processes of its servers.
-bool EndsProcess(FaultKind kind);
+bool StopsProcess(FaultKind kind);
 
 // A fault that is injected.
 struct FaultPlan {
--- a/src/lab/sim/experiment_file.cpp
+++ b/src/lab/sim/experiment_file.cpp
@@ -15,7 +15,7 @@
 constexpr double kMicrosPerSecond = 1e6;
 constexpr double kMicrosPerMilli = 1000;
 constexpr Time kPollInterval = 10'000'000;  // of the scheduler, us; discovery pushes its updates here
-constexpr Time kAnswerGrace = 8'000;        // us
+constexpr Time kResponseGrace = 8'000;      // us
 constexpr int kDefaultVolumesPerServer = 4;
 
 // ---- reading ----
@@ -78,7 +78,7 @@
   Rules& rules = experiment->rules;
   rules.poll_interval = kPollInterval;
   rules.drain_grace = Millis(root, "rules.drain_grace_ms");
-  rules.response_grace = kAnswerGrace;
+  rules.response_grace = kResponseGrace;
   rules.slow_start_fraction = root.Number("rules.cold_share");
   rules.slow_start_duration = Seconds(root, "rules.warm_up_s");
   rules.overload_threshold = root.Number("rules.tip_multiple");
@@ -168,7 +168,7 @@
 
 // ---- contradictions, which no single key shows; each function returns the first one, or an empty text ----
 
-std::string ClassContradiction(const Experiment& experiment) {
+std::string FindClassError(const Experiment& experiment) {
   std::set<std::string> names;
   for (const ClassPlan& plan : experiment.classes) {
     if (!names.insert(plan.name).second) {
@@ -181,7 +181,7 @@
   return "";
 }
 
-std::string TenantContradiction(const Experiment& experiment) {
+std::string FindPlanError(const Experiment& experiment) {
   std::set<std::string> names;
   for (const TenantPlan& plan : experiment.tenants) {
     if (!names.insert(plan.name).second) {
@@ -194,13 +194,13 @@
 Time EndOf(const FaultPlan& fault) { return fault.start + fault.duration + fault.stagger * fault.count; }
 
 // Whether two faults end the process of the same server at the same time.
-bool BothEndAServer(const FaultPlan& fault, const FaultPlan& other) {
+bool BothStopSameServer(const FaultPlan& fault, const FaultPlan& other) {
   const bool same_server = fault.first < other.first + other.count && other.first < fault.first + fault.count;
   const bool same_time = fault.start < EndOf(other) && other.start < EndOf(fault);
-  return EndsProcess(fault.kind) && EndsProcess(other.kind) && same_server && same_time;
+  return StopsProcess(fault.kind) && StopsProcess(other.kind) && same_server && same_time;
 }
 
-std::string FaultContradiction(const Experiment& experiment, std::size_t index) {
+std::string FindFaultError(const Experiment& experiment, std::size_t index) {
   const FaultPlan& fault = experiment.faults[index];
   const int targets = FaultTargetCount(experiment, fault.kind);
   if (fault.kind != FaultKind::kDiscoveryOutage && fault.first + fault.count > targets) {
@@ -211,7 +211,7 @@
   }
   for (std::size_t i = 0; i < index; ++i) {
     const FaultPlan& earlier = experiment.faults[i];
-    if (BothEndAServer(fault, earlier)) {
+    if (BothStopSameServer(fault, earlier)) {
       return std::string("it contradicts the fault ") + NameOf(earlier.kind) +
              " before it, of the same boxes at the same time";
     }
@@ -230,18 +230,18 @@
   return line == lines.end() ? "" : std::to_string(line->second) + ": ";
 }
 
-std::string Contradiction(const Experiment& experiment, const Table& root) {
-  std::string problem = ClassContradiction(experiment);
-  if (problem.empty()) {
-    problem = TenantContradiction(experiment);
+std::string FindInconsistency(const Experiment& experiment, const Table& root) {
+  std::string error = FindClassError(experiment);
+  if (error.empty()) {
+    error = FindPlanError(experiment);
   }
-  for (std::size_t index = 0; problem.empty() && index < experiment.faults.size(); ++index) {
-    problem = FaultContradiction(experiment, index);
-    if (!problem.empty()) {
-      return LineOfFault(root, index) + "fault " + NameOf(experiment.faults[index].kind) + ": " + problem;
+  for (std::size_t index = 0; error.empty() && index < experiment.faults.size(); ++index) {
+    error = FindFaultError(experiment, index);
+    if (!error.empty()) {
+      return LineOfFault(root, index) + "fault " + NameOf(experiment.faults[index].kind) + ": " + error;
     }
   }
-  return problem;
+  return error;
 }
 
 // ---- writing ----
@@ -321,10 +321,10 @@
   ReadLoad(root, &experiment);
   ReadRules(root, &experiment);
   ReadTables(root, &experiment);
-  const std::string problem = Contradiction(experiment, root);
-  if (!problem.empty()) {
-    const bool has_line = std::isdigit(static_cast<unsigned char>(problem[0])) != 0;
-    throw ExperimentError(file + ":" + (has_line ? "" : " ") + problem);
+  const std::string error = FindInconsistency(experiment, root);
+  if (!error.empty()) {
+    const bool has_line = std::isdigit(static_cast<unsigned char>(error[0])) != 0;
+    throw ExperimentError(file + ":" + (has_line ? "" : " ") + error);
   }
   return experiment;
 }
--- a/src/lab/sim/explore.cpp
+++ b/src/lab/sim/explore.cpp
@@ -30,19 +30,19 @@
   fault.count = single ? 1 : 1 + static_cast<int>(random->Below(Unsigned(targets - fault.first)));
   fault.factor = fault.kind == FaultKind::kSurge ? random->Between(2, 8) : random->Between(0.05, 0.9);
   fault.stagger = random->Chance(0.5) ? 0 : static_cast<Time>(random->Between(0, 1e6));
-  if (EndsProcess(fault.kind)) {
+  if (StopsProcess(fault.kind)) {
     fault.duration = std::max(fault.duration, kMinProcessFault);
   }
   return fault;
 }
 
-// Marks the servers of a fault as ended; returns whether one of them was before.
-bool MarkEnded(const FaultPlan& fault, std::vector<bool>* ended) {
+// Marks the servers of a fault as stopped; returns whether one of them was before.
+bool MarkStopped(const FaultPlan& fault, std::vector<bool>* stopped) {
   bool repeated = false;
   for (int server = fault.first; server < fault.first + fault.count; ++server) {
     const auto index = static_cast<std::size_t>(server);
-    repeated = repeated || (*ended)[index];
-    (*ended)[index] = true;
+    repeated = repeated || (*stopped)[index];
+    (*stopped)[index] = true;
   }
   return repeated;
 }
@@ -50,10 +50,10 @@
 std::vector<FaultPlan> DrawFaults(const Experiment& experiment, Random* random) {
   std::vector<FaultPlan> faults;
   const std::uint64_t count = random->Below(kFaultCountBound);
-  std::vector<bool> ended(static_cast<std::size_t>(experiment.servers), false);
+  std::vector<bool> stopped(static_cast<std::size_t>(experiment.servers), false);
   for (std::uint64_t i = 0; i < count; ++i) {
     const FaultPlan fault = DrawFault(experiment, random);
-    if (EndsProcess(fault.kind) && MarkEnded(fault, &ended)) {
+    if (StopsProcess(fault.kind) && MarkStopped(fault, &stopped)) {
       continue;  // a server ends at most once in a drawn experiment
     }
     faults.push_back(fault);
@@ -141,7 +141,7 @@
 }
 
 void Explore(const Experiment& base, std::uint64_t first, std::uint64_t last, int jobs, bool until_violation,
-             const std::function<void(const CheckedRun&)>& each, const TestHooks& hooks) {
+             const std::function<void(const CheckedRun&)>& on_run, const TestHooks& hooks) {
   std::atomic<std::uint64_t> next = first;
   std::atomic<bool> stop = false;
   std::mutex mutex;
@@ -152,7 +152,7 @@
       if (until_violation && !run.violations.empty()) {
         stop = true;
       }
-      each(run);
+      on_run(run);
     }
   };
   std::vector<std::thread> threads;
--- a/src/lab/sim/explore.h
+++ b/src/lab/sim/explore.h
@@ -29,11 +29,11 @@
 // Simulates an experiment and checks its log.
 CheckedRun RunChecked(const Experiment& experiment, const TestHooks& hooks = {});
 
-// Draws and checks the experiments of the seeds from `first` to `last` on `jobs` threads. `each` is called
+// Draws and checks the experiments of the seeds from `first` to `last` on `jobs` threads. `on_run` is called
 // under a lock on one of these threads, in the order in which runs end. Stops after the first violation if
 // `until_violation`.
 void Explore(const Experiment& base, std::uint64_t first, std::uint64_t last, int jobs, bool until_violation,
-             const std::function<void(const CheckedRun&)>& each, const TestHooks& hooks = {});
+             const std::function<void(const CheckedRun&)>& on_run, const TestHooks& hooks = {});
 
 // The smallest experiment found in at most `max_runs` runs that still violates the invariant of this name.
 Experiment Shrink(const Experiment& failing, const std::string& invariant, int max_runs,
--- a/src/lab/sim/initiator_fleet.cpp
+++ b/src/lab/sim/initiator_fleet.cpp
@@ -39,7 +39,7 @@
   CreateEngines();
   for (int number = 0; number < context_.experiment().initiators; ++number) {
     Initiator& initiator = At(number);
-    CarryOut(number, initiator.engine->Start(initiator.LocalTime(context_.now())));
+    ExecuteOutputs(number, initiator.engine->Start(initiator.LocalTime(context_.now())));
     PublishAllEndpoints(number);
   }
 }
@@ -78,15 +78,15 @@
 
 void InitiatorFleet::Submit(int number, const core::Input& input) {
   Initiator& initiator = At(number);
-  CarryOut(number, initiator.engine->Handle(input, initiator.LocalTime(context_.now())));
+  ExecuteOutputs(number, initiator.engine->Handle(input, initiator.LocalTime(context_.now())));
 }
 
-void InitiatorFleet::CarryOut(int number, std::vector<core::Output> outputs) {
+void InitiatorFleet::ExecuteOutputs(int number, std::vector<core::Output> outputs) {
   if (context_.hooks().outputs) {
     context_.hooks().outputs(number, context_.now(), &outputs);
   }
   for (const core::Output& output : outputs) {
-    std::visit([&](const auto& typed) { Perform(number, typed); }, output);
+    std::visit([&](const auto& typed) { Execute(number, typed); }, output);
   }
 }
 
@@ -102,24 +102,24 @@
 }
 
 void InitiatorFleet::Handle(const DeadlinePassed& event) {
-  if (requests_.IsUnanswered(event.request)) {
+  if (requests_.IsAwaitingResponse(event.request)) {
     Submit(event.initiator, core::DeadlineExpired{static_cast<core::RequestNumber>(event.request)});
   }
 }
 
-void InitiatorFleet::Perform(int number, const core::Response& response) {
+void InitiatorFleet::Execute(int number, const core::Response& response) {
   const auto id = static_cast<std::int64_t>(response.request);
   context_.Record({.type = LogEntryType::kResponse,
                    .initiator = number,
                    .request = id,
                    .value = static_cast<int>(response.status)});
   RequestState* request = requests_.Find(id);
-  if (!request || request->answered) {
+  if (!request || request->has_response) {
     return;
   }
-  request->answered = true;
+  request->has_response = true;
   CountResponse(*request, response.status);
-  requests_.EraseIfSettled(id);
+  requests_.EraseIfFinished(id);
 }
 
 void InitiatorFleet::CountResponse(const RequestState& request, core::ResponseStatus status) {
@@ -151,7 +151,7 @@
 
 // ---- attempts ----
 
-void InitiatorFleet::Perform(int number, const core::StartAttempt& attempt) {
+void InitiatorFleet::Execute(int number, const core::StartAttempt& attempt) {
   const auto id = static_cast<std::int64_t>(attempt.request);
   const int server = ServerOf(attempt.target);
   ++context_.results().attempts;
@@ -195,7 +195,7 @@
   }
 }
 
-void InitiatorFleet::Perform(int number, const core::AbortAttempt& abort) {
+void InitiatorFleet::Execute(int number, const core::AbortAttempt& abort) {
   const auto id = static_cast<std::int64_t>(abort.request);
   const RequestState* request = requests_.Find(id);
   if (!request || abort.attempt >= static_cast<int>(request->attempts.size())) {
@@ -234,12 +234,12 @@
   result.outcome = event.outcome;
   result.latency = context_.now() - attempt.sent;
   Submit(event.initiator, result);
-  requests_.EraseIfSettled(event.request);
+  requests_.EraseIfFinished(event.request);
 }
 
 // ---- timers, health checks and discovery ----
 
-void InitiatorFleet::Perform(int number, const core::ArmTimer& timer) {
+void InitiatorFleet::Execute(int number, const core::ArmTimer& timer) {
   context_.Schedule(context_.now() + At(number).VirtualDuration(timer.delay),
                     EngineTimerExpired{number, timer.timer_id});
 }
@@ -248,9 +248,9 @@
   Submit(event.initiator, core::TimerExpired{event.timer_id});
 }
 
-void InitiatorFleet::Perform(int number, const core::StartHealthCheck& check) {
-  const Time there = network_.DrawDelay();
-  const Time latency = there + network_.DrawDelay();
+void InitiatorFleet::Execute(int number, const core::StartHealthCheck& check) {
+  const Time request_delay = network_.DrawDelay();
+  const Time latency = request_delay + network_.DrawDelay();
   context_.Schedule(context_.now() + latency, HealthCheckEnded{number, ServerOf(check.target), latency});
 }
 
--- a/src/lab/sim/initiator_fleet.h
+++ b/src/lab/sim/initiator_fleet.h
@@ -56,18 +56,18 @@
   void PublishAllEndpoints(int number);
   // Passes an input to the engine and carries out its outputs.
   void Submit(int number, const core::Input& input);
-  void CarryOut(int number, std::vector<core::Output> outputs);
+  void ExecuteOutputs(int number, std::vector<core::Output> outputs);
 
   // What the engine of initiator `number` wants done, by type of output.
-  void Perform(int number, const core::StartAttempt& attempt);
-  void Perform(int number, const core::AbortAttempt& abort);
-  void Perform(int number, const core::Response& response);
-  void Perform(int number, const core::ArmTimer& timer);
-  void Perform(int number, const core::StartHealthCheck& check);
+  void Execute(int number, const core::StartAttempt& attempt);
+  void Execute(int number, const core::AbortAttempt& abort);
+  void Execute(int number, const core::Response& response);
+  void Execute(int number, const core::ArmTimer& timer);
+  void Execute(int number, const core::StartHealthCheck& check);
   // Every initiator watches here, and an attempt to a drained target is under way already.
-  void Perform(int, const core::DrainTarget&) {}
-  void Perform(int, const core::ActivateTarget&) {}
-  void Perform(int, const core::OpenWatch&) {}
+  void Execute(int, const core::DrainTarget&) {}
+  void Execute(int, const core::ActivateTarget&) {}
+  void Execute(int, const core::OpenWatch&) {}
 
   // Sends an attempt to a server that exists, through the network.
   void SendToServer(int number, const StorageServer& server, AttemptDelivered delivery);
--- a/src/lab/sim/load_generator.cpp
+++ b/src/lab/sim/load_generator.cpp
@@ -78,15 +78,15 @@
 
 void LoadGenerator::ScheduleNext(double surged_weight) {
   const Experiment& experiment = context_.experiment();
-  double plain_weight = 0;
+  double base_weight = 0;
   for (const TenantPlan& tenant : experiment.tenants) {
-    plain_weight += tenant.weight;
+    base_weight += tenant.weight;
   }
   const double progress =
       static_cast<double>(context_.now() - kLoadStart) / static_cast<double>(experiment.duration);
   const double ramp = 1 + (experiment.final_rate_multiple - 1) * progress;
   const double rate =
-      experiment.InitialRequestRate() * ramp * (plain_weight > 0 ? surged_weight / plain_weight : 1);
+      experiment.InitialRequestRate() * ramp * (base_weight > 0 ? surged_weight / base_weight : 1);
   const Time next = context_.now() + static_cast<Time>(random_.Exponential(1e6 / std::max(rate, 1e-6)));
   if (next < context_.load_end()) {
     context_.Schedule(next, RequestDue{});
--- a/src/lab/sim/request_table.cpp
+++ b/src/lab/sim/request_table.cpp
@@ -14,14 +14,14 @@
   return at == requests_.end() ? nullptr : &at->second;
 }
 
-bool RequestTable::IsUnanswered(std::int64_t number) const {
+bool RequestTable::IsAwaitingResponse(std::int64_t number) const {
   const auto at = requests_.find(number);
-  return at != requests_.end() && !at->second.answered;
+  return at != requests_.end() && !at->second.has_response;
 }
 
-void RequestTable::EraseIfSettled(std::int64_t number) {
+void RequestTable::EraseIfFinished(std::int64_t number) {
   const auto at = requests_.find(number);
-  if (at == requests_.end() || !at->second.answered) {
+  if (at == requests_.end() || !at->second.has_response) {
     return;
   }
   const std::vector<AttemptState>& attempts = at->second.attempts;
--- a/src/lab/sim/request_table.h
+++ b/src/lab/sim/request_table.h
@@ -28,7 +28,7 @@
   Time received = 0;              // us
   Time deadline = 0;              // us
   std::int64_t units = 0;         // thousandths of a unit
-  bool answered = false;
+  bool has_response = false;
   bool places_new_object = false;
   std::size_t volume = 0;  // number of its volume
   std::string key;         // of its object
@@ -43,9 +43,9 @@
   // nullptr if the request is settled or was never added.
   RequestState* Find(std::int64_t number);
   // Whether the client still waits for the response.
-  bool IsUnanswered(std::int64_t number) const;
+  bool IsAwaitingResponse(std::int64_t number) const;
   // Erases a request that is answered and has no attempt without an outcome.
-  void EraseIfSettled(std::int64_t number);
+  void EraseIfFinished(std::int64_t number);
 
  private:
   std::unordered_map<std::int64_t, RequestState> requests_;
--- a/src/lab/sim/results.cpp
+++ b/src/lab/sim/results.cpp
@@ -28,7 +28,7 @@
 }
 
 double SimulationResults::worst_service(int span) const {
-  double least = 1;
+  double lowest = 1;
   const std::size_t width = std::min(seconds.size(), static_cast<std::size_t>(span));
   for (std::size_t from = 0; width > 0 && from + width <= seconds.size(); ++from) {
     double due = 0;
@@ -38,19 +38,19 @@
       earned += seconds[i].earned;
     }
     if (due > 0) {
-      least = std::min(least, earned / due);
+      lowest = std::min(lowest, earned / due);
     }
   }
-  return least;
+  return lowest;
 }
 
-double SimulationResults::percentile(double part) const {
+double SimulationResults::percentile(double fraction) const {
   if (latencies.empty()) {
     return 0;
   }
   std::vector<float> sorted = latencies;
   const auto index =
-      std::min(sorted.size() - 1, static_cast<std::size_t>(part * static_cast<double>(sorted.size())));
+      std::min(sorted.size() - 1, static_cast<std::size_t>(fraction * static_cast<double>(sorted.size())));
   std::nth_element(sorted.begin(), sorted.begin() + static_cast<std::ptrdiff_t>(index), sorted.end());
   return sorted[index];
 }
--- a/src/lab/sim/results.h
+++ b/src/lab/sim/results.h
@@ -42,8 +42,8 @@
   double service() const;
   // The least service within any `span` consecutive seconds.
   double worst_service(int span) const;
-  // The latency in ms that the fraction `part` of the served requests stays under; 0 if none was served.
-  double percentile(double part) const;
+  // The latency in ms that `fraction` of the served requests stays under; 0 if none was served.
+  double percentile(double fraction) const;
 };
 
 }  // namespace walnutspur::lab::sim
--- a/src/lab/sim/storage_servers.cpp
+++ b/src/lab/sim/storage_servers.cpp
@@ -72,7 +72,7 @@
     FailAttempt(server, attempt);
     return;
   }
-  if (!BearsLoad(server, event.units)) {
+  if (!AddLoad(server, event.units)) {
     CrashByOverload(server);
     return;
   }
@@ -109,7 +109,7 @@
 }
 
 // What is sent to the server counts, not what it accepts: rejecting is work as well.
-bool StorageServers::BearsLoad(StorageServer& server, std::int64_t units) {
+bool StorageServers::AddLoad(StorageServer& server, std::int64_t units) {
   const double warm_fraction = WarmFraction(server);
   if (server.warming_since <= 0 || warm_fraction >= 1) {
     return true;
@@ -122,10 +122,10 @@
     server.recent_units -= server.recent.front().units;
     server.recent.pop_front();
   }
-  const double most = experiment.server_capacity() * server.speed * warm_fraction *
-                      experiment.rules.overload_threshold *
-                      static_cast<double>(experiment.rules.overload_window) / 1e6 * kOverloadSlack;
-  return server.recent_units <= most;
+  const double max_units = experiment.server_capacity() * server.speed * warm_fraction *
+                           experiment.rules.overload_threshold *
+                           static_cast<double>(experiment.rules.overload_window) / 1e6 * kOverloadSlack;
+  return server.recent_units <= max_units;
 }
 
 void StorageServers::CrashByOverload(StorageServer& server) {
@@ -171,7 +171,7 @@
   Record(LogEntryType::kWorkFinished, server, attempt, 0, attempt.units);
   SimulationResults& results = context_.results();
   results.completed_units += static_cast<std::uint64_t>(attempt.units);
-  if (!requests_.IsUnanswered(attempt.request)) {
+  if (!requests_.IsAwaitingResponse(attempt.request)) {
     results.wasted_units += static_cast<std::uint64_t>(attempt.units);
   }
   if (!server.no_replies) {
@@ -191,7 +191,7 @@
   }
   const AcceptedAttempt attempt = *at;
   server.queue.erase(at);
-  Lose(server, attempt, false);
+  RecordDropped(server, attempt, false);
 }
 
 void StorageServers::Reply(const StorageServer& server, const AcceptedAttempt& attempt, Outcome outcome) {
@@ -202,7 +202,8 @@
                     AttemptEnded{attempt.initiator, attempt.request, attempt.attempt, outcome});
 }
 
-void StorageServers::Lose(const StorageServer& server, const AcceptedAttempt& attempt, bool started) {
+void StorageServers::RecordDropped(const StorageServer& server, const AcceptedAttempt& attempt,
+                                   bool started) {
   Record(LogEntryType::kDropped, server, attempt, static_cast<std::int64_t>(started), attempt.units);
 }
 
@@ -227,11 +228,11 @@
   server.up = false;
   context_.Record({.type = LogEntryType::kServerDown, .server = server.number});
   for (const AcceptedAttempt& attempt : server.queue) {
-    Lose(server, attempt, false);
+    RecordDropped(server, attempt, false);
     Reply(server, attempt, Outcome::kConnectionReset);
   }
   for (const AcceptedAttempt& attempt : server.running) {
-    Lose(server, attempt, true);
+    RecordDropped(server, attempt, true);
     Reply(server, attempt, Outcome::kConnectionReset);
   }
   server.queue.clear();
--- a/src/lab/sim/storage_servers.h
+++ b/src/lab/sim/storage_servers.h
@@ -100,13 +100,13 @@
   double WarmFraction(const StorageServer& server) const;
   void FailAttempt(const StorageServer& server, const AcceptedAttempt& attempt);
   // Counts work sent to a warming server; false if that was more than it bears.
-  bool BearsLoad(StorageServer& server, std::int64_t units);
+  bool AddLoad(StorageServer& server, std::int64_t units);
   void CrashByOverload(StorageServer& server);
   void StartQueuedWork(StorageServer& server);
   void Reply(const StorageServer& server, const AcceptedAttempt& attempt, Outcome outcome);
   void StopProcess(StorageServer& server);
   // Drops an accepted attempt together with the process.
-  void Lose(const StorageServer& server, const AcceptedAttempt& attempt, bool started);
+  void RecordDropped(const StorageServer& server, const AcceptedAttempt& attempt, bool started);
   void StartProcess(StorageServer& server);
   void Record(LogEntryType type, const StorageServer& server, const AcceptedAttempt& attempt,
               std::int64_t value = 0, std::int64_t detail = 0);
--- a/tests/lab/invariant_checker_test.cpp
+++ b/tests/lab/invariant_checker_test.cpp
@@ -30,29 +30,29 @@
   return experiment;
 }
 
-bool IsNoticed(const Mutation& mutation, const Experiment& experiment) {
+bool IsDetected(const Mutation& mutation, const Experiment& experiment) {
   const CheckedRun run = RunChecked(experiment, mutation.hooks());
   return std::any_of(run.violations.begin(), run.violations.end(), [&](const LogViolation& violation) {
     return violation.invariant == mutation.invariant;
   });
 }
 
-TEST_CASE("each invariant violated on purpose is noticed, by its own name, within 200 experiments") {
+TEST_CASE("each invariant violated on purpose is detected, by its own name, within 200 experiments") {
   Experiment base = BaseExperiment();
   base.discovery_delay = 1'000'000;
   for (const Mutation& mutation : Mutations()) {
     CAPTURE(mutation.name);
     std::uint64_t seed = 1;
-    bool noticed = false;
-    for (; seed <= kMaxSeed && !noticed; ++seed) {
+    bool detected = false;
+    for (; seed <= kMaxSeed && !detected; ++seed) {
       Experiment experiment = DrawWithFaults(base, seed);
       if (mutation.invariant == name::kUnknownTarget) {
         experiment.discovery_delay = 100'000;
       }
-      noticed = IsNoticed(mutation, experiment);
+      detected = IsDetected(mutation, experiment);
     }
-    CHECK_MESSAGE(noticed, mutation.name, " was not noticed");
-    MESSAGE(mutation.name, ": noticed in experiment ", seed - 1);
+    CHECK_MESSAGE(detected, mutation.name, " was not detected");
+    MESSAGE(mutation.name, ": detected in experiment ", seed - 1);
   }
 }
 
--- a/tests/lab/record_checker_test.cpp
+++ b/tests/lab/record_checker_test.cpp
@@ -58,7 +58,7 @@
   return record;
 }
 
-void Lose(Record* record, const char* request_id) {
+void RemoveResponse(Record* record, const char* request_id) {
   ClientRequest& request = record->requests[request_id];
   request.result = ClientResult::kNoResponse;
   request.responses = 0;
@@ -74,7 +74,7 @@
       {name::kKnownRequest, [](Record* record) { record->requests.erase(kRead); }},
       {name::kUnsafeRetry, [](Record* record) { record->arrivals[1].was_overloaded = false; }},
       {name::kOneResponse, [](Record* record) { record->requests[kRead].responses = 2; }},
-      {name::kMissingResponse, [](Record* record) { Lose(record, kRead); }},
+      {name::kMissingResponse, [](Record* record) { RemoveResponse(record, kRead); }},
       {name::kAttemptDeadline, [](Record* record) { record->arrivals[0].stated_deadline = 2 * kSecond; }},
       {name::kAttemptDeadline,
        [](Record* record) {
@@ -136,7 +136,7 @@
 
 TEST_CASE("a response may be missing where the process was killed, or late in its shutdown") {
   Record record = CleanRecord();
-  Lose(&record, kRead);
+  RemoveResponse(&record, kRead);
   record.kills[kProcess] = {record.requests[kRead].sent_at + 1'000};
   CHECK(ViolatedBy(record).empty());
 
