--- a/src/lab/commands/bench.cpp
+++ b/src/lab/commands/bench.cpp
@@ -1,5 +1,5 @@
-// walnutspur-lab bench: what the simulation costs, and whether it can be believed. SEED= and SHORT= of the
-// environment are those of `make bench-lab`.
+// walnutspur-lab bench: measures the cost of the simulation and checks its results against known effects.
+// Reads the environment variables SEED and SHORT, which `make bench-lab` sets.
 #include <CLI/CLI.hpp>
 #include <cstdlib>
 #include <memory>
@@ -32,8 +32,8 @@
 Command DeclareBench(CLI::App& program) {
   const auto parts = std::make_shared<std::vector<std::string>>();
   CLI::App* const cli = program.add_subcommand(
-      "bench", "Measure what the simulation costs and whether it can be believed (SEED=, SHORT=1)");
-  cli->add_option("PART", *parts, "size, worlds, signs or sizes; none: all");
+      "bench", "Measure the cost of the simulation and check its results (environment: SEED, SHORT)");
+  cli->add_option("PART", *parts, "Parts to run: size, worlds, signs, sizes (default: all)");
   return {cli, [parts] { return Bench(*parts); }};
 }
 
--- a/src/lab/commands/check.cpp
+++ b/src/lab/commands/check.cpp
@@ -1,4 +1,4 @@
-// walnutspur-lab check: judges an event log that `simulate --log` has written.
+// walnutspur-lab check: checks the invariants on an event log written by `simulate --log`.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <fstream>
@@ -29,7 +29,7 @@
   for (int number = 1; std::getline(file, line); ++number) {
     const std::optional<LogEntry> entry = ParseEntry(line);
     if (!entry) {
-      throw EventLogError(path + ":" + std::to_string(number) + ": is no entry of an event log");
+      throw EventLogError(path + ":" + std::to_string(number) + ": not a valid event log entry");
     }
     checker.Observe(*entry);
   }
@@ -43,8 +43,9 @@
 
 Command DeclareCheck(CLI::App& program) {
   const auto path = std::make_shared<std::string>();
-  CLI::App* const cli = program.add_subcommand("check", "Check the invariants on an event log alone");
-  cli->add_option("LOG", *path, "What simulate --log wrote")->required();
+  CLI::App* const cli =
+      program.add_subcommand("check", "Check the invariants on an event log, without running the simulation");
+  cli->add_option("LOG", *path, "Event log written by simulate --log")->required();
   return {cli, [path] { return CheckLog(*path); }};
 }
 
--- a/src/lab/commands/explore.cpp
+++ b/src/lab/commands/explore.cpp
@@ -1,5 +1,5 @@
-// walnutspur-lab explore: runs many experiments drawn around a given one and shrinks the first that violates
-// an invariant.
+// walnutspur-lab explore: runs many random variants of an experiment and shrinks the first that violates an
+// invariant.
 #include "lab/sim/explore.h"
 
 #include <CLI/CLI.hpp>
@@ -29,28 +29,28 @@
 using sim::Shrink;
 
 constexpr int kMaxShrinkRuns = 200;
-constexpr std::uint64_t kProgressStep = 10;  // runs between two reports of progress
+constexpr std::uint64_t kProgressStep = 10;  // runs between two progress reports
 
 struct ExploreOptions {
   std::string file;
   std::uint64_t first_seed = 1;
   std::uint64_t last_seed = 100;
-  std::string replay_path;  // of the shrunk experiment; empty: it is printed
+  std::string replay_path;  // file for the shrunk experiment; empty: prints it
 };
 
-// What is known of the runs that have ended.
+// Totals of the runs that have ended.
 struct Progress {
   std::uint64_t runs = 0;
   std::uint64_t failing = 0;
   std::uint64_t requests = 0;
-  std::optional<CheckedRun> first_failing;  // by seed
+  std::optional<CheckedRun> first_failing;  // the one with the lowest seed
 };
 
 void Add(const CheckedRun& run, Progress* progress) {
   ++progress->runs;
   progress->requests += run.results.requests;
   if (progress->runs % kProgressStep == 0) {
-    std::fprintf(stderr, "\r%llu worlds", Printable{progress->runs});
+    std::fprintf(stderr, "\r%llu experiments", Printable{progress->runs});
   }
   if (run.violations.empty()) {
     return;
@@ -63,7 +63,7 @@
   }
 }
 
-// Shrinks the failing experiment, and prints or writes it.
+// Shrinks the failing experiment, and prints it or writes it to `replay_path`.
 void ReportShrunkExperiment(const Experiment& base, const CheckedRun& failing,
                             const std::string& replay_path) {
   const std::string invariant = failing.violations.front().invariant;
@@ -98,11 +98,11 @@
 Command DeclareExplore(CLI::App& program) {
   const auto options = std::make_shared<ExploreOptions>();
   CLI::App* const cli = program.add_subcommand(
-      "explore", "Run many experiments drawn around one, and shrink the first that violates an invariant");
-  cli->add_option("FILE", options->file, "The experiment (TOML)")->required();
-  cli->add_option("--from", options->first_seed, "The first seed")->capture_default_str();
-  cli->add_option("--to", options->last_seed, "The last seed")->capture_default_str();
-  cli->add_option("--replay", options->replay_path, "Write the shrunk experiment there");
+      "explore", "Run many random variants of an experiment and shrink the first that violates an invariant");
+  cli->add_option("FILE", options->file, "Experiment file (TOML)")->required();
+  cli->add_option("--from", options->first_seed, "First seed")->capture_default_str();
+  cli->add_option("--to", options->last_seed, "Last seed")->capture_default_str();
+  cli->add_option("--replay", options->replay_path, "Write the shrunk experiment to this file");
   return {cli, [options] { return ExploreSeeds(*options); }};
 }
 
--- a/src/lab/commands/invariants.cpp
+++ b/src/lab/commands/invariants.cpp
@@ -32,8 +32,8 @@
 }  // namespace
 
 Command DeclareInvariants(CLI::App& program) {
-  const CLI::App* const cli =
-      program.add_subcommand("invariants", "Print the invariants and on which runs each is checked");
+  const CLI::App* const cli = program.add_subcommand(
+      "invariants", "Print the invariants and the kinds of runs on which each is checked");
   return {cli, PrintInvariants};
 }
 
--- a/src/lab/commands/keys.cpp
+++ b/src/lab/commands/keys.cpp
@@ -1,4 +1,4 @@
-// walnutspur-lab keys: prints an experiment file of all keys, commented, with their defaults.
+// walnutspur-lab keys: prints an example experiment file with the description and default of every key.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 
@@ -12,7 +12,7 @@
 
 Command DeclareKeys(CLI::App& program) {
   const CLI::App* const cli =
-      program.add_subcommand("keys", "Print all keys of an experiment file, with their defaults");
+      program.add_subcommand("keys", "Print all keys of an experiment file with their defaults");
   return {cli, [] {
             std::fputs(config::FormatExample(ExperimentKeys()).c_str(), stdout);
             return kExitOk;
--- a/src/lab/commands/simulate.cpp
+++ b/src/lab/commands/simulate.cpp
@@ -1,4 +1,4 @@
-// walnutspur-lab simulate: runs one experiment in virtual time and judges its event log.
+// walnutspur-lab simulate: runs one experiment in virtual time and checks the invariants on its event log.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <chrono>
@@ -32,9 +32,9 @@
 
 struct SimulateOptions {
   std::string file;
-  std::optional<std::uint64_t> seed;  // in place of the file's
-  std::string policy;                 // in place of the file's; empty: as there
-  std::string log_path;               // empty: no log is written
+  std::optional<std::uint64_t> seed;  // replaces the seed of the file
+  std::string policy;                 // replaces the policy of the file; empty: the policy of the file
+  std::string log_path;               // empty: writes no log
 };
 
 double Ratio(std::uint64_t part, std::uint64_t total) {
@@ -100,11 +100,12 @@
   const auto options = std::make_shared<SimulateOptions>();
   CLI::App* const cli =
       program.add_subcommand("simulate", "Run an experiment in virtual time and check the invariants");
-  cli->add_option("FILE", options->file, "The experiment (TOML)")->required();
-  cli->add_option("--seed", options->seed, "In place of the file's");
-  cli->add_option("--policy", options->policy,
-                  "In place of the file's: walnutspur, at-once, buckets or least-out");
-  cli->add_option("--log", options->log_path, "Write the event log there");
+  cli->add_option("FILE", options->file, "Experiment file (TOML)")->required();
+  cli->add_option("--seed", options->seed, "Use this seed instead of the one in the file");
+  cli->add_option(
+      "--policy", options->policy,
+      "Use this policy instead of the one in the file: walnutspur, at-once, buckets or least-out");
+  cli->add_option("--log", options->log_path, "Write the event log to this file");
   return {cli, [options] { return Simulate(*options); }};
 }
 
--- a/src/lab/commands/soak.cpp
+++ b/src/lab/commands/soak.cpp
@@ -1,4 +1,5 @@
-// walnutspur-lab soak: runs drawn plans of faults on real processes over loopback and judges their records.
+// walnutspur-lab soak: runs random fault plans on real processes over loopback and checks the invariants on
+// their records.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <atomic>
@@ -38,11 +39,11 @@
   int count = 1;
   int parallel = 2;
   bool shrinks = false;
-  std::string log_folder;  // for the processes' logs of broken runs; empty: none
+  std::string log_folder;  // for the process logs of runs that violate an invariant; empty: not written
   SoakPrograms programs;
 };
 
-// Runs the plans of the seeds, several at a time, and prints each result.
+// Draws and runs one plan per seed, several concurrently, and prints each result.
 class SoakRunner {
  public:
   explicit SoakRunner(const SoakOptions& options) : options_(options) {}
@@ -72,7 +73,7 @@
     }
   }
 
-  // A plan that cannot be run counts as broken.
+  // Runs the plan. A plan that cannot be run is reported as a violation.
   SoakResult RunOrFail(const SoakPlan& plan) const {
     try {
       return RunPlan(plan, options_.programs);
@@ -124,25 +125,27 @@
 
   SoakOptions options_;
   std::atomic<int> next_{0};
-  std::mutex mutex_;  // guards the two below and standard output
+  std::mutex mutex_;  // guards the two members below and standard output
   std::vector<SoakPlan> failing_plans_;
   std::map<std::string, std::size_t> violations_;  // by invariant
 };
 
 void DeclareOptions(CLI::App* cli, SoakOptions* options) {
-  cli->add_option("--program", options->programs.program, "path of the walnutspur program")
+  cli->add_option("--program", options->programs.program, "Path of the walnutspur program")
       ->required()
       ->check(CLI::ExistingFile);
   cli->add_option("--fault-shim", options->programs.fault_shim,
-                  "path of the library to preload; without it no system call fails")
+                  "Path of the fault injection library to preload; without it no system call is made to fail")
       ->check(CLI::ExistingFile);
-  cli->add_option("--seed", options->seed, "the first seed");
-  cli->add_option("--count", options->count, "how many seeds")->check(CLI::Range(1, 10'000));
-  cli->add_option("--parallel", options->parallel, "runs at a time")->check(CLI::Range(1, 16));
-  cli->add_option("--logs", options->log_folder, "a folder for the processes' logs of broken runs")
+  cli->add_option("--seed", options->seed, "First seed");
+  cli->add_option("--count", options->count, "Number of consecutive seeds to run")
+      ->check(CLI::Range(1, 10'000));
+  cli->add_option("--parallel", options->parallel, "Number of runs at a time")->check(CLI::Range(1, 16));
+  cli->add_option("--logs", options->log_folder,
+                  "Write the process logs of runs that violate an invariant to this folder")
       ->check(CLI::ExistingDirectory);
   cli->add_flag("--shrink", options->shrinks,
-                "drop faults from a plan that violates an invariant while it still does");
+                "Shrink a plan that violates an invariant: remove faults as long as it still does");
 }
 
 }  // namespace
@@ -150,7 +153,7 @@
 Command DeclareSoak(CLI::App& program) {
   const auto options = std::make_shared<SoakOptions>();
   CLI::App* const cli = program.add_subcommand(
-      "soak", "Run drawn plans of faults on real processes over loopback and check the invariants");
+      "soak", "Run random fault plans on real processes over loopback and check the invariants");
   DeclareOptions(cli, options.get());
   return {cli, [options] { return SoakRunner(*options).Run(); }};
 }
--- a/src/lab/commands/storage_server.cpp
+++ b/src/lab/commands/storage_server.cpp
@@ -1,5 +1,5 @@
-// walnutspur-lab storage-server: the storage server stand-in as a program, until SIGTERM or SIGINT. SIGUSR2
-// is a power cut: writes that were not flushed are lost at random, and the process exits at once.
+// walnutspur-lab storage-server: runs the fake storage server until SIGTERM or SIGINT. SIGUSR2 simulates a
+// power cut: a random part of the writes that were not flushed is lost, and the process exits immediately.
 #include "lab/storage_server/storage_server.h"
 
 #include <unistd.h>
@@ -18,24 +18,28 @@
 
 constexpr int kPowerCutSignal = SIGUSR2;
 
-// The command line.
+// Parsed command-line arguments.
 struct StorageServerArguments {
   StorageServerOptions options;
-  std::string damage;  // a kind's name; empty: no fault
+  std::string damage;  // name of the kind; empty: injects no fault
   Fault fault;
 };
 
 void AddServerOptions(CLI::App& cli, StorageServerOptions& options) {
-  cli.add_option("--export", options.export_name, "The export's name")->capture_default_str();
-  cli.add_option("--size", options.size, "Its size in bytes")->capture_default_str();
-  cli.add_option("--seed", options.seed, "Of all chance")->capture_default_str();
-  cli.add_option("--paths", options.paths, "NBD listeners")->check(CLI::Range(1, 64))->capture_default_str();
-  cli.add_flag("--http", options.http, "One more listener, which speaks HTTP");
+  cli.add_option("--export", options.export_name, "Name of the export")->capture_default_str();
+  cli.add_option("--size", options.size, "Size of the export in bytes")->capture_default_str();
+  cli.add_option("--seed", options.seed, "Seed of all random draws")->capture_default_str();
+  cli.add_option("--paths", options.paths, "Number of NBD listeners")
+      ->check(CLI::Range(1, 64))
+      ->capture_default_str();
+  cli.add_flag("--http", options.http, "Add an HTTP listener");
   cli.add_option("--file", options.file,
-                 "The disk's bytes lie in it, and stay there however the process ends");
-  cli.add_option("--delay-us", options.delay, "Before each answer")->capture_default_str();
-  cli.add_option("--host", options.host, "The address to listen at")->capture_default_str();
-  cli.add_option("--port", options.first_port, "Of the first listener, the others follow; 0: free ones")
+                 "Store the data in this file, where it persists after the process exits or is killed");
+  cli.add_option("--delay-us", options.delay, "Delay before each response, in microseconds")
+      ->capture_default_str();
+  cli.add_option("--host", options.host, "Address to listen on")->capture_default_str();
+  cli.add_option("--port", options.first_port,
+                 "Port of the first listener; the others use the following ports; 0: free ports")
       ->check(CLI::Range(0, 65000))
       ->capture_default_str();
 }
@@ -48,17 +52,17 @@
   }
   Fault& fault = arguments.fault;
   cli.add_option("--damage", arguments.damage,
-                 "What to damage: flip-path, flip-rest, lost, astray, stale or torn")
+                 "Kind of corruption to inject: flip-path, flip-rest, lost, astray, stale or torn")
       ->check(CLI::IsMember(names));
-  cli.add_option("--from", fault.from, "The first byte that the damage is about");
-  cli.add_option("--to", fault.to, "And the one after the last");
-  cli.add_option("--elsewhere", fault.elsewhere, "astray: where the write lands");
-  cli.add_option("--path", fault.path, "flip-path, stale: of one listener only");
-  cli.add_option("--times", fault.times, "How often; -1: for good")->capture_default_str();
+  cli.add_option("--from", fault.from, "First byte of the affected range");
+  cli.add_option("--to", fault.to, "End of the affected range (exclusive)");
+  cli.add_option("--elsewhere", fault.elsewhere, "For astray: the offset to which the write goes instead");
+  cli.add_option("--path", fault.path, "For flip-path and stale: the only listener that is affected");
+  cli.add_option("--times", fault.times, "Number of times to inject the fault; -1: unlimited")
+      ->capture_default_str();
 }
 
-// Blocks the signals that end the program, in the threads started later as well. They are then taken by
-// sigwait.
+// Blocks the signals that stop the program, also for threads started later, so that sigwait receives them.
 sigset_t BlockExitSignals() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -101,7 +105,7 @@
   if (signal == kPowerCutSignal) {
     server.WithDevice([](BlockDevice& device) {
       device.Crash();
-      _exit(kExitOk);  // with the device held, so that no later command reaches it
+      _exit(kExitOk);  // while the device is locked, so that no later command reaches it
     });
   }
   return kExitOk;
@@ -112,7 +116,7 @@
 Command DeclareStorageServer(CLI::App& program) {
   const auto arguments = std::make_shared<StorageServerArguments>();
   CLI::App* const cli = program.add_subcommand(
-      "storage-server", "A storage server that keeps bytes, speaks NBD and HTTP, and damages on demand");
+      "storage-server", "Run a fake storage server over NBD and HTTP that can corrupt data on demand");
   AddServerOptions(*cli, arguments->options);
   AddFaultOptions(*cli, *arguments);
   return {cli, [arguments] { return Serve(*arguments); }};
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -1,5 +1,5 @@
-// walnutspur-lab: the laboratory. Simulated and real runs under faults, the invariants judged on them, and
-// stand-ins to try things on. lab/commands holds the sub-commands.
+// walnutspur-lab: runs the scheduler under faults in simulations and on real processes, checks the invariants
+// on these runs, and provides fakes for manual tests. lab/commands contains the sub-commands.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <exception>
@@ -15,8 +15,9 @@
 std::vector<Command> DeclareCommands(CLI::App& program) {
   program.require_subcommand(1);
   program.footer(
-      "Exit codes: 0 done and every invariant holds, 1 an invariant is violated or a claim missed, 2 the "
-      "command line or an experiment is wrong, or nothing could be started.");
+      "Exit codes: 0 success and every invariant holds; 1 an invariant is violated or a claim is missed; 2 "
+      "the "
+      "command line or an experiment file is invalid, or the run could not be started.");
   return {walnutspur::lab::DeclareSimulate(program),      walnutspur::lab::DeclareExplore(program),
           walnutspur::lab::DeclareCheck(program),         walnutspur::lab::DeclareKeys(program),
           walnutspur::lab::DeclareInvariants(program),    walnutspur::lab::DeclareSoak(program),
@@ -39,7 +40,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App program{"walnutspur-lab: experiments on the scheduler in virtual time and on real processes."};
+  CLI::App program{"walnutspur-lab: run experiments on the scheduler in virtual time and on real processes."};
   const std::vector<Command> commands = DeclareCommands(program);
   try {
     program.parse(argc, argv);
--- a/src/lab/sim/experiment_file.cpp
+++ b/src/lab/sim/experiment_file.cpp
@@ -14,7 +14,7 @@
 
 constexpr double kMicrosPerSecond = 1e6;
 constexpr double kMicrosPerMilli = 1000;
-constexpr Time kPollInterval = 10'000'000;  // of the scheduler, us; discovery pushes its updates here
+constexpr Time kPollInterval = 10'000'000;  // us; only a fallback here, since discovery pushes its updates
 constexpr Time kResponseGrace = 8'000;      // us
 constexpr int kDefaultVolumesPerServer = 4;
 
@@ -28,7 +28,7 @@
 
 int Count(const Table& table, const char* key) { return static_cast<int>(table.Integer(key)); }
 
-// The tables `[[name]]` of the file.
+// Returns the tables `[[name]]` of the file.
 std::vector<Table> TablesOf(const Table& root, const char* name) {
   const auto at = root.tables.find(name);
   return at == root.tables.end() ? std::vector<Table>() : at->second;
@@ -99,7 +99,7 @@
   return plan;
 }
 
-// The classes of an experiment that names none.
+// Returns the request classes of an experiment file without `[[class]]` tables.
 std::vector<ClassPlan> DefaultClasses() {
   ClassPlan read;
   read.name = "read";
@@ -124,7 +124,7 @@
   return plan;
 }
 
-// The plan of an experiment that names none.
+// Returns the plan of an experiment file without `[[plan]]` tables.
 TenantPlan DefaultTenant(int servers) {
   TenantPlan plan;
   plan.name = "usual";
@@ -166,16 +166,16 @@
   }
 }
 
-// ---- contradictions, which no single key shows; each function returns the first one, or an empty text ----
+// ---- checks of several keys together; each function returns the first error, or an empty string ----
 
 std::string FindClassError(const Experiment& experiment) {
   std::set<std::string> names;
   for (const ClassPlan& plan : experiment.classes) {
     if (!names.insert(plan.name).second) {
-      return "class '" + plan.name + "' is there twice";
+      return "class '" + plan.name + "' is defined more than once";
     }
     if (plan.request_class.latency_objective > plan.request_class.deadline) {
-      return "class '" + plan.name + "': its aim is over its deadline";
+      return "class '" + plan.name + "': aim_ms must be at most deadline_ms";
     }
   }
   return "";
@@ -185,7 +185,7 @@
   std::set<std::string> names;
   for (const TenantPlan& plan : experiment.tenants) {
     if (!names.insert(plan.name).second) {
-      return "plan '" + plan.name + "' is there twice";
+      return "plan '" + plan.name + "' is defined more than once";
     }
   }
   return "";
@@ -193,7 +193,7 @@
 
 Time EndOf(const FaultPlan& fault) { return fault.start + fault.duration + fault.stagger * fault.count; }
 
-// Whether two faults end the process of the same server at the same time.
+// Returns whether both faults stop the process of the same server at the same time.
 bool BothStopSameServer(const FaultPlan& fault, const FaultPlan& other) {
   const bool same_server = fault.first < other.first + other.count && other.first < fault.first + fault.count;
   const bool same_time = fault.start < EndOf(other) && other.start < EndOf(fault);
@@ -204,22 +204,23 @@
   const FaultPlan& fault = experiment.faults[index];
   const int targets = FaultTargetCount(experiment, fault.kind);
   if (fault.kind != FaultKind::kDiscoveryOutage && fault.first + fault.count > targets) {
-    return "it names " + std::to_string(fault.first + fault.count) + " of " + std::to_string(targets);
+    return "first + count is " + std::to_string(fault.first + fault.count) + "; must be at most " +
+           std::to_string(targets);
   }
   if (fault.start >= experiment.duration) {
-    return "it begins after the end";
+    return "at_s must be less than length_s";
   }
   for (std::size_t i = 0; i < index; ++i) {
     const FaultPlan& earlier = experiment.faults[i];
     if (BothStopSameServer(fault, earlier)) {
-      return std::string("it contradicts the fault ") + NameOf(earlier.kind) +
-             " before it, of the same boxes at the same time";
+      return std::string("overlaps the earlier fault ") + NameOf(earlier.kind) +
+             ": both stop the same boxes at the same time";
     }
   }
   return "";
 }
 
-// The line of a fault's kind in the file, as "LINE: "; empty if it is not known.
+// Returns the line of the fault's `kind` key in the file as "LINE: ", or an empty string if it is unknown.
 std::string LineOfFault(const Table& root, std::size_t index) {
   const auto tables = root.tables.find("fault");
   if (tables == root.tables.end()) {
--- a/src/lab/sim/policies.cpp
+++ b/src/lab/sim/policies.cpp
@@ -29,7 +29,8 @@
   if (name == "least-out") {
     return MakeBaseline(BaselinePolicy::Kind::kLeastOutstanding, settings, seed);
   }
-  throw ExperimentError("unknown policy '" + name + "'; allowed are walnutspur, at-once, buckets, least-out");
+  throw ExperimentError("unknown policy '" + name +
+                        "'; must be one of walnutspur, at-once, buckets, least-out");
 }
 
 }  // namespace walnutspur::lab::sim
