--- a/src/lab/bench/simulation_bench.cpp
+++ b/src/lab/bench/simulation_bench.cpp
@@ -33,7 +33,7 @@
 using Change = std::function<void(Experiment*)>;
 
 constexpr double kUnitTime = 20;        // ms
-constexpr int kMaxPrintedFailures = 5;  // of drawn experiments
+constexpr int kMaxPrintedFailures = 5;  // of drawn experiments with a violation
 constexpr double kKilobytesPerGigabyte = 1e6;
 
 template <typename... Numbers>
@@ -43,14 +43,14 @@
   return text.data();
 }
 
-// The most memory that this process has used.
+// Returns the peak memory use of this process.
 double PeakGigabytes() {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
   return static_cast<double>(usage.ru_maxrss) / kKilobytesPerGigabyte;
 }
 
-// A checked run and what it cost.
+// Cost and result of a checked run.
 struct Cost {
   double seconds = 0;
   double micros_per_request = 0;
@@ -72,7 +72,7 @@
   return cost;
 }
 
-// Measures the claims and keeps their figures.
+// Class SimulationBench measures the claims and stores their figures.
 class SimulationBench {
  public:
   explicit SimulationBench(const SimulationBenchOptions& options) : options_(options) {}
@@ -120,7 +120,7 @@
   // ---- 3. size ----
 
   void MeasureSize() {
-    // Servers of 4 slots at 20 ms per unit: 60 of them take 7,200 requests a second at a load factor of 0.6.
+    // 60 servers with 4 slots at 20 ms per unit receive 7,200 requests per second at a load factor of 0.6.
     const double seconds = options_.brief ? 30 : 600;
     const Cost middle = Measure(Fleet(100, 60, seconds));
     Claim("3 100 initiators by 60 boxes", middle.seconds <= 60 * seconds / 600 && middle.clean,
@@ -165,9 +165,9 @@
                static_cast<double>(runs), static_cast<double>(requests)));
   }
 
-  // ---- 6. changes whose effect is known beforehand, from the journal or from arithmetic ----
+  // ---- 6. changes with a known effect, from the journal or from arithmetic ----
 
-  // Mean service of an overloaded fleet with faults, after a change.
+  // Returns the mean service of an overloaded fleet with faults after `change` was applied.
   double ServiceAfter(const Change& change) const {
     double sum = 0;
     const int seeds = options_.brief ? 2 : 6;
@@ -183,7 +183,7 @@
     return sum / seeds;
   }
 
-  // Mean service where connections break often.
+  // Returns the mean service if connections break often.
   double ServiceWithLoss(int max_attempts) const {
     return ServiceAfter([max_attempts](Experiment* experiment) {
       experiment->load_factor = 0.6;
@@ -210,7 +210,7 @@
     compare("less load is better", true, [](Experiment* experiment) { experiment->load_factor = 0.8; });
   }
 
-  // ---- 7. service against the fleet's size ----
+  // ---- 7. service by fleet size ----
 
   Experiment FleetWithTwoPlans(int initiators) const {
     Experiment experiment = Fleet(initiators, 60, options_.brief ? 10 : 20);
--- a/src/lab/bench/simulation_bench.h
+++ b/src/lab/bench/simulation_bench.h
@@ -1,6 +1,6 @@
-// What the simulated cluster costs, and whether it can be believed: a list of claims with their figures.
+// Measures the cost of the simulation and checks claims about its results, such as known effects of a change.
 //
-// Called by `walnutspur-lab bench`; on one thread, but for the drawn experiments, which run on four.
+// Called by `walnutspur-lab bench`. Runs on one thread, except the drawn experiments, which run on four.
 #ifndef WALNUTSPUR_LAB_BENCH_SIMULATION_BENCH_H_
 #define WALNUTSPUR_LAB_BENCH_SIMULATION_BENCH_H_
 
@@ -16,8 +16,8 @@
   std::set<std::string> parts;  // "size", "worlds", "signs" and "sizes"; empty: all
 };
 
-// Prints each claim with its figure, and one JSON object of all of them last. Returns
-// whether every claim is met.
+// Prints each claim with its figure, and finally one JSON object with all claims. Returns whether every claim
+// is met.
 bool RunSimulationBench(const SimulationBenchOptions& options);
 
 }  // namespace walnutspur::lab
--- a/src/lab/sim/baseline_policy.cpp
+++ b/src/lab/sim/baseline_policy.cpp
@@ -7,9 +7,9 @@
 namespace walnutspur::lab::sim {
 namespace {
 
-constexpr int kMaxOutstanding = 16;       // attempts at a server; kLeastOutstanding
-constexpr Time kRefillInterval = 20'000;  // of the buckets, us
-constexpr double kBucketSeconds = 1;      // of its rate that a bucket holds
+constexpr int kMaxOutstanding = 16;       // attempts per server, for kLeastOutstanding
+constexpr Time kRefillInterval = 20'000;  // us
+constexpr double kBucketSeconds = 1;      // capacity of a bucket, in seconds of its rate
 
 }  // namespace
 
@@ -158,7 +158,7 @@
 
 // ---- token buckets ----
 
-// An even part of the volume's rate for each initiator, whatever the others use of theirs.
+// Divides the volume's rate evenly among its initiators, regardless of what each of them uses.
 double BaselinePolicy::RatePerInitiator(int plan) const {
   return settings_.plans[static_cast<std::size_t>(plan)].rate / std::max(1, initiator_count_);
 }
--- a/src/lab/sim/baseline_policy.h
+++ b/src/lab/sim/baseline_policy.h
@@ -1,5 +1,6 @@
-// Baseline policies that the Scheduler is compared with. They keep the rules that any initiator must keep
-// (endpoints, drains, idempotency, attempts), and adapt to nothing. Owned by one engine; used on its thread.
+// Baseline policies that the Scheduler is compared with. They follow the rules that every initiator must
+// follow (endpoints, drains, idempotency, maximum attempts) but do not adapt to load or latency. Owned by one
+// engine; used on its thread.
 #ifndef WALNUTSPUR_LAB_SIM_BASELINE_POLICY_H_
 #define WALNUTSPUR_LAB_SIM_BASELINE_POLICY_H_
 
@@ -15,19 +16,19 @@
 
 namespace walnutspur::lab::sim {
 
-// One baseline policy; answers the events of one engine.
+// Class BaselinePolicy decides on the events of one engine.
 class BaselinePolicy {
  public:
   enum class Kind {
     kImmediate,         // sends each request to a random server as it arrives
-    kTokenBuckets,      // paces each volume by a bucket at an even part of its plan's rate
+    kTokenBuckets,      // limits each volume to its plan's rate divided by the number of initiators
     kLeastOutstanding,  // sends to the server with the fewest outstanding attempts, up to a limit for each
   };
 
   BaselinePolicy(Kind kind, const Settings& settings, std::uint64_t seed)
       : kind_(kind), settings_(settings), random_(seed, "baseline") {}
 
-  // Decides on an event at `now` (us); see Scheduler::Handle.
+  // Returns the actions for an event at `now` (us); see Scheduler::Handle.
   std::vector<Action> Handle(const Event& event, Time now);
 
  private:
@@ -57,7 +58,7 @@
   void On(const FleetSize&) {}
   void On(const ResponseStarted&) {}
 
-  // Retries, rejects or fails the request of an attempt that has finished, unless it is done.
+  // Retries, rejects or fails the request of a finished attempt, unless the request has a response.
   void Resolve(const AttemptFinished& event);
   // Sends or queues a request; rejects it if no active server holds its shard.
   void Place(const RequestId& id);
@@ -67,9 +68,9 @@
 
   double RatePerInitiator(int plan) const;  // units per second
   double BucketCapacity(int plan) const;    // units
-  // Fills the bucket of a volume and places the requests that it allows.
+  // Refills the bucket of a volume and places as many waiting requests as its tokens allow.
   void DrainBucket(const std::string& volume);
-  // Starts the refill timer unless it runs or nothing waits.
+  // Starts the refill timer if requests are waiting and it is not running.
   void StartRefillTimer();
 
   Kind kind_;
@@ -79,7 +80,7 @@
   std::map<TargetId, Target> targets_;
   std::unordered_map<RequestId, OpenRequest> requests_;
   std::map<std::string, TokenBucket> buckets_;  // by volume
-  int initiator_count_ = 1;                     // that the last placed volume's requests arrive at
+  int initiator_count_ = 1;                     // initiators that receive requests of the volume placed last
   bool timer_running_ = false;
   std::vector<Action> actions_;
 };
--- a/src/lab/sim/discovery_model.h
+++ b/src/lab/sim/discovery_model.h
@@ -1,5 +1,6 @@
-// Service discovery: notifies every initiator of a server's state, each after a delay of its own. During an
-// outage notifications are held back and sent when it ends. Owned by Simulation; used on its one thread.
+// Models service discovery: notifies every initiator of a server's state, each after a separately drawn
+// delay. Notifications are held back during an outage and sent when it ends. Owned by Simulation; used on its
+// one thread.
 #ifndef WALNUTSPUR_LAB_SIM_DISCOVERY_MODEL_H_
 #define WALNUTSPUR_LAB_SIM_DISCOVERY_MODEL_H_
 
--- a/src/lab/sim/event_log.cpp
+++ b/src/lab/sim/event_log.cpp
@@ -17,7 +17,7 @@
     "ran",   "dropped", "told", "up",   "down",    "topple", "left",  "end"};
 
 constexpr std::size_t kTypicalLineLength = 80;
-constexpr std::size_t kMaxDigits = 20;  // of a 64-bit number, with its sign
+constexpr std::size_t kMaxDigits = 20;  // maximum length of a 64-bit number with its sign
 
 // Splits a line at single spaces and parses its fields in order.
 class FieldReader {
@@ -37,7 +37,7 @@
     const std::from_chars_result result = std::from_chars(text.data(), end, *value);
     valid_ = valid_ && result.ec == std::errc() && result.ptr == end && !text.empty();
   }
-  // Whether all numbers were valid and the line is used up.
+  // Returns whether all numbers were valid and the whole line was consumed.
   bool Complete() const { return valid_ && rest_.empty(); }
 
  private:
--- a/src/lab/sim/event_log.h
+++ b/src/lab/sim/event_log.h
@@ -1,8 +1,8 @@
-// The event log of a simulated run: what happened, when and to whom, one short line each. It is all that the
-// invariant checker sees, and the same seed and build give the same bytes.
+// The event log of a simulated run, one line per event. It is the only input of the invariant checker. The
+// same seed and build produce the same bytes.
 //
-// A line is `TIME TYPE INITIATOR REQUEST ATTEMPT SERVER VALUE DETAIL`, numbers in decimal, -1 where there is
-// none.
+// A line is `TIME TYPE INITIATOR REQUEST ATTEMPT SERVER VALUE DETAIL`, numbers in decimal; -1: not
+// applicable.
 #ifndef WALNUTSPUR_LAB_SIM_EVENT_LOG_H_
 #define WALNUTSPUR_LAB_SIM_EVENT_LOG_H_
 
@@ -19,30 +19,30 @@
 
 namespace walnutspur::lab::sim {
 
-// An event log that cannot be read or written; what() is one line.
+// Reports that an event log cannot be read or written; what() is a one-line message.
 class EventLogError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// What an entry records, and what its value and detail mean.
+// The type of an entry, which determines the meaning of its value and detail.
 enum class LogEntryType {
-  kLimits,            // value: most attempts of a request; detail: drain grace, us. The first line
+  kLimits,            // value: maximum attempts of a request; detail: drain grace, us. The first line
   kClass,             // request: number of the class; value: 1 if not idempotent; detail: deadline, us
   kRequest,           // server: the shard, -1: a new object; value: class; detail: thousandths of a unit
   kSend,              // the initiator sends an attempt
-  kOutcome,           // the initiator knows the outcome of an attempt; value: Outcome
+  kOutcome,           // an attempt ends at the initiator; value: Outcome
   kResponse,          // the client's one response; value: core::ResponseStatus
   kAccepted,          // a server has accepted an attempt; detail: thousandths of a unit
   kQueueFull,         // a server has rejected an attempt before reading it
   kWorkStarted,       // a server works on an attempt
-  kWorkFinished,      // the work has its effect; detail: thousandths of a unit
+  kWorkFinished,      // the work takes effect; detail: thousandths of a unit
   kDropped,           // accepted, then cancelled or lost; value: 1 if work had started; detail: thousandths
   kEndpointNotified,  // the initiator is notified of a server; value: EndpointState; detail: its shard
-  kServerUp,          // a server's process runs; value: 1 if it is warming up
+  kServerUp,          // a server's process has started; value: 1 if it is warming up
   kServerDown,        // a server's process has ended
-  kOverloadCrash,     // a server has crashed by overload while it was warming up
-  kUnfinished,        // at the end, for each server; detail: thousandths of a unit that it still holds
+  kOverloadCrash,     // a server has crashed because of overload while it was warming up
+  kUnfinished,        // at the end, for each server; detail: unfinished work, thousandths of a unit
   kEnd                // the last line
 };
 
@@ -59,16 +59,16 @@
   bool operator==(const LogEntry&) const = default;
 };
 
-// The line of an entry, with its newline.
+// Returns the line of an entry, including its newline.
 std::string FormatEntry(const LogEntry& entry);
-// The entry of a line, with or without its newline; nullopt if it is none.
+// Parses a line, with or without its newline; returns nullopt if it is not a valid entry.
 std::optional<LogEntry> ParseEntry(std::string_view line);
 
-// Passes entries on as they are appended, and to a file if one is wanted; keeps count and checksum of the
-// bytes. Used on one thread.
+// Class EventLog passes each appended entry to a callback, writes it to a file if one is given, and counts
+// entries and bytes. Used on one thread.
 class EventLog {
  public:
-  // `path` empty: no file. Throws EventLogError if the file cannot be opened.
+  // Writes no file if `path` is empty. Throws EventLogError if the file cannot be opened.
   explicit EventLog(const std::string& path = "");
 
   void Append(const LogEntry& entry);
--- a/src/lab/sim/experiment.cpp
+++ b/src/lab/sim/experiment.cpp
@@ -73,7 +73,7 @@
   settings.sends_retry_after = true;
   settings.mean_request_units = MeanUnits();
   settings.max_request_units = max_request_units;
-  // What a warming server bears of all initiators together.
+  // The load from all initiators together that a warming server sustains, less the margin.
   settings.slow_start_units = kSlowStartMargin * rules.slow_start_fraction * server_capacity() *
                               rules.overload_threshold * static_cast<double>(rules.overload_window) / 1e6;
   settings.fair_share_weight = kFairShareWeight;
--- a/src/lab/sim/experiment_file.h
+++ b/src/lab/sim/experiment_file.h
@@ -1,5 +1,6 @@
-// Experiments as TOML files. Every key has a range and a default; a file with an unknown key, a value out of
-// range or a contradiction is rejected with file, line and key, before anything is started.
+// Reads and writes experiments as TOML files. Every key has a range and most have a default. A file with an
+// unknown key, a value out of range or inconsistent values is rejected before a run starts, with an error
+// that names the file, line and key.
 #ifndef WALNUTSPUR_LAB_SIM_EXPERIMENT_FILE_H_
 #define WALNUTSPUR_LAB_SIM_EXPERIMENT_FILE_H_
 
@@ -11,15 +12,15 @@
 
 namespace walnutspur::lab::sim {
 
-// All keys of an experiment file, in the order of its documentation.
+// Returns all keys of an experiment file, in the order in which they are documented.
 const std::vector<config::Key>& ExperimentKeys();
 
-// Parses the text of a file; `file` is its name in errors. Throws ExperimentError with the first problem as
-// one line: file, line, key, what is wrong, what is allowed.
+// Parses the text of a file; `file` is its name in errors. Throws ExperimentError with a one-line message
+// for the first error: file, line, key, the error and the allowed values.
 Experiment ParseExperiment(const std::string& text, const std::string& file);
 // Reads and parses a file. Throws ExperimentError.
 Experiment LoadExperiment(const std::string& path);
-// The text of a file that ParseExperiment parses to the same experiment.
+// Returns the text of a file that ParseExperiment parses to the same experiment.
 std::string FormatExperiment(const Experiment& experiment);
 
 }  // namespace walnutspur::lab::sim
--- a/src/lab/sim/explore.cpp
+++ b/src/lab/sim/explore.cpp
@@ -12,13 +12,13 @@
 namespace walnutspur::lab::sim {
 namespace {
 
-constexpr std::uint64_t kFaultCountBound = 5;  // fewer faults than this are drawn
-constexpr Time kMinProcessFault = 1'500'000;   // so that a drain outlives its grace, us
+constexpr std::uint64_t kFaultCountBound = 5;  // exclusive upper bound of the number of drawn faults
+constexpr Time kMinProcessFault = 1'500'000;   // longer than the drain grace, us
 constexpr Time kPauseInterval = 5'000'000;     // us
 
 std::uint64_t Unsigned(int value) { return static_cast<std::uint64_t>(value); }
 
-// Draws a fault of the experiment; the order of the draws is part of what a seed means.
+// Draws a fault. The order of the draws must not change: a seed would then give another experiment.
 FaultPlan DrawFault(const Experiment& experiment, Random* random) {
   FaultPlan fault;
   fault.kind = kFaultKinds[random->Below(kFaultKinds.size())];
@@ -36,7 +36,7 @@
   return fault;
 }
 
-// Marks the servers of a fault as stopped; returns whether one of them was before.
+// Marks the servers of a fault as stopped; returns whether one of them was already marked.
 bool MarkStopped(const FaultPlan& fault, std::vector<bool>* stopped) {
   bool repeated = false;
   for (int server = fault.first; server < fault.first + fault.count; ++server) {
@@ -54,14 +54,14 @@
   for (std::uint64_t i = 0; i < count; ++i) {
     const FaultPlan fault = DrawFault(experiment, random);
     if (StopsProcess(fault.kind) && MarkStopped(fault, &stopped)) {
-      continue;  // a server ends at most once in a drawn experiment
+      continue;  // a server stops at most once in a drawn experiment
     }
     faults.push_back(fault);
   }
   return faults;
 }
 
-// Whether the faults still lie within the duration and the servers of an experiment that was made smaller.
+// Returns whether all faults are within the duration and the servers of an experiment that was reduced.
 bool FaultsFit(const Experiment& experiment) {
   return std::all_of(experiment.faults.begin(), experiment.faults.end(), [&](const FaultPlan& fault) {
     return fault.start < experiment.duration &&
@@ -69,7 +69,7 @@
   });
 }
 
-// All experiments that are one step smaller, those with most effect first.
+// Returns all experiments that are one step smaller, the largest reductions first.
 std::vector<Experiment> SmallerExperiments(const Experiment& experiment) {
   std::vector<Experiment> smaller;
   for (std::size_t index = 0; index < experiment.faults.size(); ++index) {
@@ -99,7 +99,7 @@
 
 }  // namespace
 
-// The order of the draws is part of what a seed means.
+// The order of the draws must not change: a seed would then give another experiment.
 Experiment DrawExperiment(const Experiment& base, std::uint64_t seed) {
   Experiment drawn = base;
   Random random(seed, "worlds");
--- a/src/lab/sim/explore.h
+++ b/src/lab/sim/explore.h
@@ -1,5 +1,5 @@
 // Runs many randomly drawn experiments on all cores, checks the invariants of each, and shrinks one that
-// violates an invariant: faults, load, duration and fleet are reduced for as long as the same invariant is
+// violates an invariant: it reduces faults, load, duration and fleet as long as the same invariant is still
 // violated.
 #ifndef WALNUTSPUR_LAB_SIM_EXPLORE_H_
 #define WALNUTSPUR_LAB_SIM_EXPLORE_H_
@@ -15,7 +15,7 @@
 
 namespace walnutspur::lab::sim {
 
-// Draws sizes, network, discovery and faults of an experiment from the seed; everything else is as in `base`.
+// Returns `base` with sizes, network, discovery and faults drawn from the seed.
 Experiment DrawExperiment(const Experiment& base, std::uint64_t seed);
 
 // A simulated run and the invariants that it violates.
@@ -26,7 +26,7 @@
   std::uint32_t log_checksum = 0;  // CRC32C
 };
 
-// Simulates an experiment and checks its log.
+// Simulates an experiment and checks the invariants on its log.
 CheckedRun RunChecked(const Experiment& experiment, const TestHooks& hooks = {});
 
 // Draws and checks the experiments of the seeds from `first` to `last` on `jobs` threads. `on_run` is called
@@ -35,7 +35,7 @@
 void Explore(const Experiment& base, std::uint64_t first, std::uint64_t last, int jobs, bool until_violation,
              const std::function<void(const CheckedRun&)>& on_run, const TestHooks& hooks = {});
 
-// The smallest experiment found in at most `max_runs` runs that still violates the invariant of this name.
+// Returns the smallest experiment found within `max_runs` runs that still violates the named invariant.
 Experiment Shrink(const Experiment& failing, const std::string& invariant, int max_runs,
                   const TestHooks& hooks = {});
 
--- a/src/lab/sim/fault_schedule.cpp
+++ b/src/lab/sim/fault_schedule.cpp
@@ -61,7 +61,7 @@
     case FaultKind::kSlow:
       return servers_.SetSlow(target, 1);
     case FaultKind::kFreeze:
-      return;  // Freeze has scheduled its end
+      return;  // StorageServers::Freeze has already scheduled the end
     case FaultKind::kErrors:
       return servers_.SetErrors(target, false, 0);
     case FaultKind::kNoisyNeighbour:
--- a/src/lab/sim/fault_schedule.h
+++ b/src/lab/sim/fault_schedule.h
@@ -1,5 +1,5 @@
-// Schedules the faults of the experiment and applies each, when it begins and ends, to the model that it
-// concerns. Owned by Simulation; used on its one thread.
+// Schedules the faults of the experiment and applies the begin and end of each to the model that it affects.
+// Owned by Simulation; used on its one thread.
 #ifndef WALNUTSPUR_LAB_SIM_FAULT_SCHEDULE_H_
 #define WALNUTSPUR_LAB_SIM_FAULT_SCHEDULE_H_
 
@@ -18,7 +18,7 @@
   FaultSchedule(SimulationContext* context, NetworkModel* network, DiscoveryModel* discovery,
                 LoadGenerator* load, StorageServers* servers);
 
-  // Schedules the begin and end of every fault for each of its targets.
+  // Schedules the beginning and end of every fault for each of its targets.
   void Start();
   // Begins or ends a fault for one target.
   void Handle(const FaultStep& step);
--- a/src/lab/sim/initiator_fleet.cpp
+++ b/src/lab/sim/initiator_fleet.cpp
@@ -10,9 +10,10 @@
 namespace walnutspur::lab::sim {
 namespace {
 
-constexpr Time kClockOffset = 1'000'000'000;       // least local time at the start, us
-constexpr std::uint64_t kClockSpread = 1'000'000;  // by which local times differ at the start, us
-constexpr std::uint64_t kSeedStride = 1'000'003;   // between the seeds of two experiments' first engines
+constexpr Time kClockOffset = 1'000'000'000;       // minimum local time at the start, us
+constexpr std::uint64_t kClockSpread = 1'000'000;  // maximum difference between local times at the start, us
+constexpr std::uint64_t kSeedStride =
+    1'000'003;  // difference between the engine seeds of consecutive experiment seeds
 
 constexpr double kMicrosPerMilli = 1000;
 
@@ -209,7 +210,7 @@
   context_.Schedule(context_.now(), AttemptEnded{number, id, abort.attempt, Outcome::kCancelled});
 }
 
-// The first outcome of an attempt counts, as at a connector; later ones are dropped.
+// Uses only the first outcome of an attempt, as a connector does, and discards later ones.
 void InitiatorFleet::Handle(const AttemptEnded& event) {
   RequestState* request = requests_.Find(event.request);
   if (!request) {
--- a/src/lab/sim/initiator_fleet.h
+++ b/src/lab/sim/initiator_fleet.h
@@ -1,6 +1,5 @@
-// The initiators of the simulated cluster: one core::Engine each, with a clock of its own, and the
-// connections and health checks that carry out what the engines decide. Owned by Simulation; used on its one
-// thread.
+// The initiators of the simulated cluster: one core::Engine each, with a separate clock, and the connections
+// and health checks that execute the outputs of the engines. Owned by Simulation; used on its one thread.
 #ifndef WALNUTSPUR_LAB_SIM_INITIATOR_FLEET_H_
 #define WALNUTSPUR_LAB_SIM_INITIATOR_FLEET_H_
 
@@ -18,17 +17,17 @@
 
 namespace walnutspur::lab::sim {
 
-// All initiators, by number.
+// Class InitiatorFleet holds all initiators, by number.
 class InitiatorFleet {
  public:
   // Everything passed outlives the fleet.
   InitiatorFleet(SimulationContext* context, NetworkModel* network, const StorageServers* servers,
                  LoadGenerator* load, RequestTable* requests);
 
-  // Creates and starts the engines, and gives each the endpoints of all servers.
+  // Creates and starts the engines, and passes the endpoints of all servers to each.
   void Start();
 
-  // Takes a request of a client, whose deadline is in virtual time.
+  // Accepts a request of a client; its deadline is in virtual time.
   void Receive(core::RequestReceived request);
   void Handle(const DeadlinePassed& event);
   void Handle(const AttemptEnded& event);
@@ -40,7 +39,7 @@
   struct Initiator {
     std::unique_ptr<core::Engine> engine;
     int zone = 0;
-    double clock_rate = 1;  // local time that passes in a unit of virtual time
+    double clock_rate = 1;  // local time per unit of virtual time
     Time clock_offset = 0;  // local time at virtual time 0, us
 
     Time LocalTime(Time virtual_time) const {
@@ -54,17 +53,18 @@
   Initiator& At(int number) { return initiators_[static_cast<std::size_t>(number)]; }
   void CreateEngines();
   void PublishAllEndpoints(int number);
-  // Passes an input to the engine and carries out its outputs.
+  // Passes an input to the engine and executes its outputs.
   void Submit(int number, const core::Input& input);
   void ExecuteOutputs(int number, std::vector<core::Output> outputs);
 
-  // What the engine of initiator `number` wants done, by type of output.
+  // Executes one output of the engine of initiator `number`.
   void Execute(int number, const core::StartAttempt& attempt);
   void Execute(int number, const core::AbortAttempt& abort);
   void Execute(int number, const core::Response& response);
   void Execute(int number, const core::ArmTimer& timer);
   void Execute(int number, const core::StartHealthCheck& check);
-  // Every initiator watches here, and an attempt to a drained target is under way already.
+  // No effect in the simulation: every initiator is always subscribed to discovery, and attempts to a drained
+  // target are already in flight.
   void Execute(int, const core::DrainTarget&) {}
   void Execute(int, const core::ActivateTarget&) {}
   void Execute(int, const core::OpenWatch&) {}
--- a/src/lab/sim/load_generator.cpp
+++ b/src/lab/sim/load_generator.cpp
@@ -7,9 +7,9 @@
 namespace walnutspur::lab::sim {
 namespace {
 
-constexpr std::size_t kMaxRecentObjects = 64;  // remembered for each volume
-constexpr int kInitiatorsPerVolume = 4;        // that the requests of a volume arrive at
-constexpr double kMinUnits = 0.1;              // of a request
+constexpr std::size_t kMaxRecentObjects = 64;  // per volume
+constexpr int kInitiatorsPerVolume = 4;        // initiators that receive the requests of a volume
+constexpr double kMinUnits = 0.1;              // minimum size of a request
 constexpr std::uint64_t kObjectDrawBound = std::uint64_t{1} << 40;
 
 }  // namespace
@@ -126,7 +126,7 @@
   return index;
 }
 
-// Always two draws, whichever branch is taken: the load must not depend on how requests were answered.
+// Draws two numbers in every branch, so that the load does not depend on the responses to earlier requests.
 void LoadGenerator::DrawObject(const ClassPlan& class_plan, const Volume& volume, std::int64_t number,
                                RequestState* request, RequestArrived* attributes) {
   const Experiment& experiment = context_.experiment();
--- a/src/lab/sim/load_generator.h
+++ b/src/lab/sim/load_generator.h
@@ -1,6 +1,6 @@
-// The clients of the fleet: draws when the next request arrives, and its plan, volume, class, size, object
-// and initiator. The draws of a request do not depend on how earlier ones were answered, so that all policies
-// face the same load. Owned by Simulation; used on its one thread.
+// Models the clients of the fleet: draws the arrival time of the next request, and its plan, volume, class,
+// size, object and initiator. The draws do not depend on the responses to earlier requests, so that all
+// policies get the same load. Owned by Simulation; used on its one thread.
 #ifndef WALNUTSPUR_LAB_SIM_LOAD_GENERATOR_H_
 #define WALNUTSPUR_LAB_SIM_LOAD_GENERATOR_H_
 
@@ -28,7 +28,7 @@
   // Draws the request that arrives now, adds it to the table, counts and logs it, and schedules the next one.
   // The deadline of the result is in virtual time.
   core::RequestReceived Next();
-  // Remembers an object that a write has placed; later reads of its volume may go to it.
+  // Records an object placed by a write; later reads of its volume may go to it.
   void AddPlacedObject(std::size_t volume, const std::string& key, int shard);
   // Multiplies the request rate of a plan; 1 is its rate without a surge.
   void SetSurge(std::size_t plan, double multiple);
@@ -44,11 +44,11 @@
   };
   struct PlanLoad {
     std::vector<std::size_t> volumes;
-    std::vector<double> cumulative_popularity;  // of its volumes (Zipf)
+    std::vector<double> cumulative_popularity;  // cumulative Zipf weights of its volumes
     double surge_multiple = 1;
   };
 
-  // Sum of the plans' weights with their surges.
+  // Returns the sum of the plans' weights, each times its surge multiple.
   double SurgedWeight() const;
   void ScheduleNext(double surged_weight);
   std::size_t DrawPlan(double surged_weight);
--- a/src/lab/sim/log_checker.cpp
+++ b/src/lab/sim/log_checker.cpp
@@ -3,8 +3,8 @@
 namespace walnutspur::lab::sim {
 namespace {
 
-// The simulation records its events at their own times: only responses have a tolerance, for the way of the
-// engine's timer and of the response back to the client.
+// The simulation records exact event times, so only responses need a tolerance: for the engine's timer and
+// for the delay of the response to the client.
 constexpr Time kResponseGrace = 20'000;  // us
 
 invariants::Tolerances SimulationTolerances() {
@@ -30,7 +30,7 @@
   }
   LogViolation first{violation, entry_};
   if (violation.request != invariants::kNoRequest) {
-    first.entry.request = violation.request;  // the end of a log shows violations of many requests
+    first.entry.request = violation.request;  // the last entry of a log may show violations of many requests
   }
   first_violations_.push_back(std::move(first));
 }
--- a/src/lab/sim/log_checker.h
+++ b/src/lab/sim/log_checker.h
@@ -1,6 +1,6 @@
-// Judges the event log of a simulated run by the invariants of lab/invariants, entry by entry.
+// Checks the invariants of lab/invariants on the event log of a simulated run, entry by entry.
 //
-// Owned by whoever reads the log; used on one thread.
+// Owned by the reader of the log; used on one thread.
 #ifndef WALNUTSPUR_LAB_SIM_LOG_CHECKER_H_
 #define WALNUTSPUR_LAB_SIM_LOG_CHECKER_H_
 
@@ -26,12 +26,12 @@
   LogChecker(const LogChecker&) = delete;
   LogChecker& operator=(const LogChecker&) = delete;
 
-  // Judges the next entry of the log.
+  // Checks the invariants on the next entry of the log.
   void Observe(const LogEntry& entry);
 
-  // The first violation of each invariant, in the order of the log.
+  // Returns the first violation of each invariant, in the order of the log.
   const std::vector<LogViolation>& violations() const { return first_violations_; }
-  // Number of violations by name of the invariant.
+  // Returns the number of violations by name of the invariant.
   const std::map<std::string, std::uint64_t>& counts() const { return counts_; }
   bool clean() const { return counts_.empty(); }
 
--- a/src/lab/sim/log_events.cpp
+++ b/src/lab/sim/log_events.cpp
@@ -3,7 +3,7 @@
 namespace walnutspur::lab::sim {
 namespace {
 
-// Whether an attempt with this outcome may have had its effect.
+// Returns whether an attempt with this outcome may have taken effect.
 bool MayHaveRun(std::int64_t outcome) {
   const auto known = static_cast<Outcome>(outcome);
   return known != Outcome::kOverloaded && known != Outcome::kConnectFailed && known != Outcome::kNotSent;
--- a/src/lab/sim/log_events.h
+++ b/src/lab/sim/log_events.h
@@ -1,4 +1,4 @@
-// Turns the event log of a simulated run into the events on which the invariants are judged.
+// Converts the event log of a simulated run to the events on which the invariants are checked.
 //
 // Used on one thread, for one log.
 #ifndef WALNUTSPUR_LAB_SIM_LOG_EVENTS_H_
@@ -14,7 +14,7 @@
 
 class LogEventReader {
  public:
-  // The event of the log's next entry.
+  // Returns the event for the next entry of the log.
   invariants::Event Read(const LogEntry& entry);
 
  private:
--- a/src/lab/sim/network_model.cpp
+++ b/src/lab/sim/network_model.cpp
@@ -3,8 +3,9 @@
 namespace walnutspur::lab::sim {
 namespace {
 
-constexpr double kReorderedDelayMultiple = 10;  // of its drawn delay that a reordered message takes
-constexpr double kNotDeliveredFraction = 0.5;   // of the requests whose connection breaks
+constexpr double kReorderedDelayMultiple =
+    10;  // delay of a reordered message, as a multiple of its drawn delay
+constexpr double kNotDeliveredFraction = 0.5;  // fraction of the requests with a broken connection
 
 }  // namespace
 
--- a/src/lab/sim/network_model.h
+++ b/src/lab/sim/network_model.h
@@ -1,5 +1,5 @@
-// The network between initiators and storage servers: one-way delays, reordering, broken connections and
-// zones that are partitioned from the others. Owned by Simulation; used on its one thread.
+// Models the network between initiators and storage servers: one-way delays, reordering, broken connections
+// and zones that are partitioned from the others. Owned by Simulation; used on its one thread.
 #ifndef WALNUTSPUR_LAB_SIM_NETWORK_MODEL_H_
 #define WALNUTSPUR_LAB_SIM_NETWORK_MODEL_H_
 
@@ -10,17 +10,17 @@
 
 namespace walnutspur::lab::sim {
 
-// Time until both ends of a broken connection know of it, us.
+// Time until both ends of a broken connection detect the reset, us.
 constexpr Time kResetDetectionTime = 200'000;
 
-// What becomes of a request and its connection.
+// The fate of a request and its connection.
 enum class Delivery {
-  kDelivered,              // the connection holds
-  kDeliveredAndBroken,     // the server has the request, the initiator sees a reset
-  kNotDeliveredAndBroken,  // the request never reaches the server, the initiator sees a reset
+  kDelivered,              // the connection stays open
+  kDeliveredAndBroken,     // the server receives the request; the connection is reset
+  kNotDeliveredAndBroken,  // the server never receives the request; the connection is reset
 };
 
-// Draws what happens to messages; its random stream is its own.
+// Class NetworkModel draws the delays and failures of messages from its own random stream.
 class NetworkModel {
  public:
   // `experiment` outlives the model.
@@ -29,12 +29,12 @@
 
   // Draws a one-way delay, us.
   Time DrawDelay();
-  // Draws whether the connection breaks under a request, and on which side of its delivery.
+  // Draws whether the connection breaks during a request, and whether before or after the delivery.
   Delivery DrawDelivery();
 
-  // Partitions a zone from all others, or ends that.
+  // Begins or ends the partition of a zone from all others.
   void SetPartitioned(int zone, bool partitioned);
-  // Whether no message passes between two zones.
+  // Returns whether a partition separates the two zones.
   bool IsPartitioned(int zone_a, int zone_b) const;
 
  private:
--- a/src/lab/sim/request_table.h
+++ b/src/lab/sim/request_table.h
@@ -1,6 +1,6 @@
-// The requests of a simulated run that are unanswered or have an attempt without an outcome. Filled by the
-// load generator, kept up to date by the initiators, read by the storage servers. Owned by Simulation; used
-// on its one thread.
+// The requests of a simulated run without a response or with an attempt without an outcome. Filled by the
+// load generator, updated by the initiators, read by the storage servers. Owned by Simulation; used on its
+// one thread.
 #ifndef WALNUTSPUR_LAB_SIM_REQUEST_TABLE_H_
 #define WALNUTSPUR_LAB_SIM_REQUEST_TABLE_H_
 
@@ -14,14 +14,14 @@
 
 namespace walnutspur::lab::sim {
 
-// An attempt as its initiator knows it.
+// State of an attempt at its initiator.
 struct AttemptState {
   int server = -1;
-  bool ended = false;  // its outcome is known
+  bool ended = false;  // it has an outcome
   Time sent = 0;       // us
 };
 
-// A request as its initiator knows it.
+// State of a request at its initiator.
 struct RequestState {
   int initiator = 0;
   std::size_t request_class = 0;  // index into Experiment::classes
@@ -35,16 +35,16 @@
   std::vector<AttemptState> attempts;
 };
 
-// The open requests, by number.
+// Class RequestTable holds the unfinished requests, by number.
 class RequestTable {
  public:
-  // Adds a request under its number; the reference holds until it is erased.
+  // Adds a request; the reference is valid until the request is erased.
   RequestState& Add(std::int64_t number, RequestState request);
-  // nullptr if the request is settled or was never added.
+  // Returns nullptr if the request was erased or never added.
   RequestState* Find(std::int64_t number);
-  // Whether the client still waits for the response.
+  // Returns whether the request is in the table and has no response yet.
   bool IsAwaitingResponse(std::int64_t number) const;
-  // Erases a request that is answered and has no attempt without an outcome.
+  // Erases the request if it has a response and all its attempts have an outcome.
   void EraseIfFinished(std::int64_t number);
 
  private:
--- a/src/lab/sim/results.h
+++ b/src/lab/sim/results.h
@@ -14,8 +14,9 @@
 
 // Totals of the requests that arrived within one second of the run.
 struct SecondTotals {
-  double due = 0;     // sum of the priority weights of all requests
-  double earned = 0;  // part of `due` earned by responses in time, and by late ones as far as they count
+  double due = 0;  // sum of the priority weights of all requests
+  double earned =
+      0;  // sum of the weights earned by responses; a late response earns a fraction of its weight
   std::uint64_t requests = 0;
   std::uint64_t served = 0;
   std::uint64_t missed_objective = 0;  // served, but after the latency objective
@@ -31,18 +32,18 @@
   std::uint64_t requests = 0;
   std::uint64_t attempts = 0;
   std::uint64_t events = 0;            // events of the simulation
-  std::uint64_t wasted_units = 0;      // work for requests that were over already, thousandths of a unit
+  std::uint64_t wasted_units = 0;      // work for requests that already had a response, thousandths of a unit
   std::uint64_t completed_units = 0;   // all work, thousandths of a unit
-  std::uint64_t overload_crashes = 0;  // warming servers that ended because of overload
+  std::uint64_t overload_crashes = 0;  // warming servers that crashed because of overload
 
-  // The totals of the second that contains `since_start` (us after the first possible arrival); grows as
-  // needed.
+  // Returns the totals of the second that contains `since_start` (us after the first possible arrival);
+  // extends `seconds` as needed.
   SecondTotals& SecondAt(Time since_start);
-  // Earned over due weight of the run, 0 to 1; 1 for a run without requests.
+  // Returns the earned weight divided by the due weight, 0 to 1; 1 for a run without requests.
   double service() const;
-  // The least service within any `span` consecutive seconds.
+  // Returns the lowest service within any `span` consecutive seconds.
   double worst_service(int span) const;
-  // The latency in ms that `fraction` of the served requests stays under; 0 if none was served.
+  // Returns the latency in ms that `fraction` of the served requests does not exceed; 0 if none was served.
   double percentile(double fraction) const;
 };
 
--- a/src/lab/sim/scheduled_event.h
+++ b/src/lab/sim/scheduled_event.h
@@ -17,20 +17,20 @@
 
 // ---- initiators ----
 
-// The deadline of a request passes.
+// The deadline of a request expires.
 struct DeadlinePassed {
   int initiator = 0;
   std::int64_t request = 0;
 };
-// An attempt ends for its initiator: a reply, a broken connection, a timeout or a cancellation. Only the
-// first one of an attempt counts.
+// An attempt ends at its initiator with a reply, a broken connection, a timeout or a cancellation. Only the
+// first of these events of an attempt is used.
 struct AttemptEnded {
   int initiator = 0;
   std::int64_t request = 0;
   int attempt = 0;
   Outcome outcome = Outcome::kCompleted;
 };
-// A timer of an initiator's engine expires.
+// A timer of an initiator's engine fires.
 struct EngineTimerExpired {
   int initiator = 0;
   std::int64_t timer_id = 0;
@@ -88,7 +88,7 @@
 // A fault begins or ends for one of its targets.
 struct FaultStep {
   std::size_t fault = 0;  // index into Experiment::faults
-  int target = 0;         // counted from the fault's first target
+  int target = 0;         // relative to the fault's first target
   bool begins = true;
 };
 
--- a/src/lab/sim/simulation.cpp
+++ b/src/lab/sim/simulation.cpp
@@ -18,11 +18,12 @@
 namespace walnutspur::lab::sim {
 namespace {
 
-constexpr Time kDrainTime = 1'000'000;  // after the last deadline, for work that is still at servers, us
+constexpr Time kDrainTime = 1'000'000;  // time after the last deadline for work still at the servers, us
 
 }  // namespace
 
-// The models of a run and its loop: takes the events in order and passes each to the model that handles it.
+// Owns the models of a run and runs the event loop, which passes each event in order to the model that
+// handles it.
 class Simulation::Impl {
  public:
   Impl(const Experiment& experiment, EventLog* log, TestHooks hooks)
@@ -86,7 +87,7 @@
   return std::move(context_.results());
 }
 
-// What the checker needs to know of the experiment.
+// Records the limits and request classes of the experiment that the invariant checker needs.
 void Simulation::Impl::RecordLimits() {
   const Experiment& experiment = context_.experiment();
   context_.Record({.type = LogEntryType::kLimits,
--- a/src/lab/sim/simulation_context.h
+++ b/src/lab/sim/simulation_context.h
@@ -1,5 +1,5 @@
-// What the models of one simulated run share: the experiment, the virtual clock, the event queue, the event
-// log and the results. Owned by Simulation; used on its one thread.
+// The state shared by the models of one simulated run: the experiment, the virtual clock, the event queue,
+// the event log and the results. Owned by Simulation; used on its one thread.
 #ifndef WALNUTSPUR_LAB_SIM_SIMULATION_CONTEXT_H_
 #define WALNUTSPUR_LAB_SIM_SIMULATION_CONTEXT_H_
 
@@ -23,7 +23,6 @@
 // Work is counted and logged in integer thousandths of a unit.
 constexpr double kUnitScale = 1000;
 
-// The shared state of one run; see above.
 class SimulationContext {
  public:
   // `log` outlives the context.
@@ -33,12 +32,13 @@
   const TestHooks& hooks() const { return hooks_; }
   SimulationResults& results() { return results_; }
   Time now() const { return now_; }  // virtual time, us
-  // When the last request may arrive, us.
+  // Returns the end of the load, before which the last request arrives, us.
   Time load_end() const { return kLoadStart + experiment_.duration; }
 
-  // Schedules an event for `at`, or for now if that is past.
+  // Schedules an event for `at`, or for now if `at` is in the past.
   void Schedule(Time at, const EventBody& body);
-  // Takes the next event that is due until `end` off the queue and advances the clock to it.
+  // Removes the next event from the queue, advances the clock to its time and returns it; returns nullopt if
+  // no event is due up to `end`.
   std::optional<EventBody> TakeNext(Time end);
   // Advances the clock without an event, to the end of the run.
   void set_now(Time now) { now_ = now; }
--- a/src/lab/sim/storage_servers.cpp
+++ b/src/lab/sim/storage_servers.cpp
@@ -6,15 +6,15 @@
 namespace walnutspur::lab::sim {
 namespace {
 
-constexpr Time kCrashRestartTime = 2'000'000;  // until a crashed server runs again, us
-constexpr double kOverloadSlack = 1.1;         // of the overload threshold: chance alone exceeds it a little
-constexpr double kErrorAfterWorkFraction = 0.5;  // of the failed requests that have run nevertheless
+constexpr Time kCrashRestartTime = 2'000'000;  // time until a crashed server restarts, us
+constexpr double kOverloadSlack = 1.1;  // random variation alone slightly exceeds the overload threshold
+constexpr double kErrorAfterWorkFraction = 0.5;  // fraction of the failed requests that have run
 constexpr double kMinSpeed = 1e-3;
 constexpr double kMinFaultFactor = 0.01;
 constexpr double kMaxNeighbourShare = 0.95;
-// The work of a request differs by so much from what its units say.
-constexpr double kLeastWork = 0.8;
-constexpr double kMostWork = 1.2;
+// Range of the actual work of a request relative to its units.
+constexpr double kMinWorkFactor = 0.8;
+constexpr double kMaxWorkFactor = 1.2;
 
 }  // namespace
 
@@ -86,7 +86,7 @@
   StartQueuedWork(server);
 }
 
-// An error says nothing of the effect: part of the failed requests have run.
+// Fails the attempt. An error does not imply that the request did not run: a fraction of them has run.
 void StorageServers::FailAttempt(const StorageServer& server, const AcceptedAttempt& attempt) {
   Record(LogEntryType::kAccepted, server, attempt, 0, attempt.units);
   if (error_random_.Chance(kErrorAfterWorkFraction)) {
@@ -103,12 +103,13 @@
     return 1;
   }
   const Rules& rules = context_.experiment().rules;
-  const double part = std::min(1.0, static_cast<double>(context_.now() - server.warming_since) /
-                                        static_cast<double>(std::max<Time>(1, rules.slow_start_duration)));
-  return rules.slow_start_fraction + (1 - rules.slow_start_fraction) * part;
+  const double progress =
+      std::min(1.0, static_cast<double>(context_.now() - server.warming_since) /
+                        static_cast<double>(std::max<Time>(1, rules.slow_start_duration)));
+  return rules.slow_start_fraction + (1 - rules.slow_start_fraction) * progress;
 }
 
-// What is sent to the server counts, not what it accepts: rejecting is work as well.
+// Counts all work sent to the server, also work that it rejects, since rejecting costs time as well.
 bool StorageServers::AddLoad(StorageServer& server, std::int64_t units) {
   const double warm_fraction = WarmFraction(server);
   if (server.warming_since <= 0 || warm_fraction >= 1) {
@@ -150,7 +151,7 @@
     const double speed = server.speed * WarmFraction(server) * (server.errors ? 1 : server.fault_factor);
     const double time = static_cast<double>(attempt.units) / kUnitScale *
                         static_cast<double>(experiment.unit_time) / std::max(speed, kMinSpeed) *
-                        work_random_.Between(kLeastWork, kMostWork);
+                        work_random_.Between(kMinWorkFactor, kMaxWorkFactor);
     context_.Schedule(context_.now() + static_cast<Time>(time), WorkCompleted{server.number, attempt.ticket});
   }
 }
@@ -160,7 +161,7 @@
   const auto at = std::find_if(server.running.begin(), server.running.end(),
                                [&](const AcceptedAttempt& each) { return each.ticket == event.ticket; });
   if (at == server.running.end()) {
-    return;  // dropped when the process ended
+    return;  // dropped when the process stopped
   }
   if (context_.now() < server.frozen_until) {
     context_.Schedule(server.frozen_until, event);
@@ -187,7 +188,7 @@
            attempt.initiator == event.initiator;
   });
   if (at == server.queue.end()) {
-    return;  // running or over: only queued work can be cancelled
+    return;  // already running or finished: only queued work can be cancelled
   }
   const AcceptedAttempt attempt = *at;
   server.queue.erase(at);
@@ -220,7 +221,7 @@
 
 // ---- processes ----
 
-// The connections end with the process: initiators that wait on one see a reset soon.
+// Stopping the process closes its connections: waiting initiators see a reset after the network delay.
 void StorageServers::StopProcess(StorageServer& server) {
   if (!server.up) {
     return;
--- a/src/lab/sim/storage_servers.h
+++ b/src/lab/sim/storage_servers.h
@@ -1,5 +1,5 @@
-// The storage servers of the simulated cluster: slots, bounded queues, speeds, pauses, slow starts, crashes
-// by overload, and the faults that change them. Owned by Simulation; used on its one thread.
+// Models the storage servers of the cluster: slots, bounded queues, speeds, pauses, slow starts, crashes
+// because of overload, and the faults that affect them. Owned by Simulation; used on its one thread.
 #ifndef WALNUTSPUR_LAB_SIM_STORAGE_SERVERS_H_
 #define WALNUTSPUR_LAB_SIM_STORAGE_SERVERS_H_
 
@@ -36,22 +36,22 @@
   int number = 0;
   int shard = 0;
   int zone = 0;
-  double speed = 1;             // 1: an average server's
-  bool up = true;               // its process runs
+  double speed = 1;             // relative to an average server
+  bool up = true;               // its process is running
   bool decommissioned = false;  // replaced by another server; never starts again
-  Time warming_since = 0;       // start of its process, us; 0: it was warm when the run began
+  Time warming_since = 0;       // start of its process, us; 0: it was already warm at the start of the run
   std::deque<AcceptedAttempt> queue;
   std::vector<AcceptedAttempt> running;
-  double fault_factor = 1;       // part of its speed that is left; with `errors`: probability of an error
-  double neighbour_share = 0;    // part of its slots that other work takes
+  double fault_factor = 1;       // remaining fraction of its speed; with `errors`: probability of an error
+  double neighbour_share = 0;    // fraction of its slots taken by other work
   Time frozen_until = 0;         // us
-  bool errors = false;           // fails requests at once
-  bool no_replies = false;       // runs requests and never replies
-  std::deque<SentUnits> recent;  // within the overload window, while it warms up
+  bool errors = false;           // fails requests immediately
+  bool no_replies = false;       // runs requests but never replies
+  std::deque<SentUnits> recent;  // work sent within the overload window, only while it warms up
   double recent_units = 0;       // sum of `recent`
 };
 
-// All storage servers, by number and by shard.
+// Class StorageServers holds all storage servers, by number and by shard.
 class StorageServers {
  public:
   // Everything passed outlives the servers.
@@ -64,7 +64,7 @@
   int count() const { return static_cast<int>(servers_.size()); }
   bool Exists(int server) const { return server >= 0 && server < count(); }
   const StorageServer& at(int server) const { return servers_[static_cast<std::size_t>(server)]; }
-  // Logs the units that each server still holds at the end of the run.
+  // Logs the unfinished units of each server at the end of the run.
   void RecordUnfinished();
 
   void Handle(const AttemptDelivered& event);
@@ -74,20 +74,20 @@
   void Handle(const ServerResumed& event);
   void Handle(const ServerRestarted& event);
 
-  // ---- faults, each of the server that holds the shard ----
+  // ---- faults; each applies to the server that holds the shard ----
 
   void SetSlow(int shard, double factor);
   void Freeze(int shard, Time duration);
   void SetErrors(int shard, bool errors, double probability);
   void SetNeighbourShare(int shard, double share);
   void SetNoReplies(int shard, bool no_replies);
-  // Ends the process of the server.
+  // Stops the process of the server.
   void Stop(int shard);
   // Schedules its process to start again now.
   void ScheduleRestart(int shard);
-  // Publishes that the server drains.
+  // Publishes that the server is draining.
   void Drain(int shard);
-  // Ends the server for good, and starts another one that holds its shard.
+  // Decommissions the server and starts another one that holds its shard.
   void Replace(int shard);
 
  private:
@@ -96,16 +96,16 @@
     return Server(server_of_shard_[static_cast<std::size_t>(shard)]);
   }
 
-  // Part of its full speed that the server has reached, 0 to 1.
+  // Returns the fraction of its full speed that the server has reached, 0 to 1.
   double WarmFraction(const StorageServer& server) const;
   void FailAttempt(const StorageServer& server, const AcceptedAttempt& attempt);
-  // Counts work sent to a warming server; false if that was more than it bears.
+  // Adds work sent to a warming server to its recent load; returns false if the server is then overloaded.
   bool AddLoad(StorageServer& server, std::int64_t units);
   void CrashByOverload(StorageServer& server);
   void StartQueuedWork(StorageServer& server);
   void Reply(const StorageServer& server, const AcceptedAttempt& attempt, Outcome outcome);
   void StopProcess(StorageServer& server);
-  // Drops an accepted attempt together with the process.
+  // Logs that an accepted attempt was cancelled or lost with the process.
   void RecordDropped(const StorageServer& server, const AcceptedAttempt& attempt, bool started);
   void StartProcess(StorageServer& server);
   void Record(LogEntryType type, const StorageServer& server, const AcceptedAttempt& attempt,
@@ -118,7 +118,7 @@
   Random error_random_;
   Random work_random_;
   std::uint64_t next_ticket_ = 1;
-  std::deque<StorageServer> servers_;  // by number; decommissioned ones stay
+  std::deque<StorageServer> servers_;  // by number, including decommissioned ones
   std::vector<int> server_of_shard_;
 };
 
--- a/tests/lab/base_experiment.h
+++ b/tests/lab/base_experiment.h
@@ -1,4 +1,4 @@
-// The small experiment that the simulator's tests start from.
+// The small experiment that the tests of the simulator use as a base.
 #ifndef WALNUTSPUR_TESTS_LAB_BASE_EXPERIMENT_H_
 #define WALNUTSPUR_TESTS_LAB_BASE_EXPERIMENT_H_
 
@@ -7,7 +7,7 @@
 
 namespace walnutspur::lab::sim {
 
-// 4 s of the default load on 4 initiators and 6 storage servers.
+// Returns an experiment with 4 s of the default load on 4 initiators and 6 storage servers.
 inline Experiment BaseExperiment() {
   return ParseExperiment(
       "length_s = 4.0\n[fleet]\ninitiators = 4\n[boxes]\ncount = 6\nunit_ms = 16.0\n[rules]\nwarm_up_s = "
--- a/tests/lab/invariant_checker_test.cpp
+++ b/tests/lab/invariant_checker_test.cpp
@@ -1,5 +1,5 @@
-// The checker notices each invariant that is violated on purpose, and a failing experiment is shrunk to its
-// cause.
+// Tests that the checker detects each invariant that is violated on purpose, and that a failing experiment is
+// shrunk to its cause.
 #include "lab/invariants/invariant_checker.h"
 
 #include <doctest/doctest.h>
@@ -20,7 +20,8 @@
 
 constexpr std::uint64_t kMaxSeed = 200;
 
-// Draws an experiment in which a server is replaced and two restart under load, whatever else is drawn.
+// Draws an experiment and replaces its faults: a server is replaced, two restart, and all return errors under
+// load.
 Experiment DrawWithFaults(const Experiment& base, std::uint64_t seed) {
   Experiment experiment = DrawExperiment(base, seed);
   experiment.servers = 6;
@@ -37,7 +38,8 @@
   });
 }
 
-TEST_CASE("each invariant violated on purpose is detected, by its own name, within 200 experiments") {
+TEST_CASE(
+    "InvariantChecker: each invariant violated on purpose is detected by its name within 200 experiments") {
   Experiment base = BaseExperiment();
   base.discovery_delay = 1'000'000;
   for (const Mutation& mutation : Mutations()) {
@@ -56,7 +58,7 @@
   }
 }
 
-TEST_CASE("a failing experiment is shrunk, and the result still fails") {
+TEST_CASE("Shrink: a failing experiment is reduced and still violates the invariant") {
   const Mutation ignores_drains = Mutations()[4];
   REQUIRE(ignores_drains.invariant == name::kDrainGrace);
   Experiment experiment = DrawExperiment(BaseExperiment(), 3);
--- a/tests/lab/invariant_events_test.cpp
+++ b/tests/lab/invariant_events_test.cpp
@@ -1,5 +1,5 @@
-// Invariants that no mutation of a simulated cluster can violate are noticed on records written by hand, and
-// the table names each invariant once.
+// Tests, on hand-written events, the invariants that no mutation of a simulated cluster can violate, and the
+// table of the invariants.
 #include <doctest/doctest.h>
 
 #include <set>
@@ -16,7 +16,7 @@
 
 constexpr Time kDeadline = 1'000'000;
 
-// One request that server 0 serves at the first attempt.
+// Returns the events of one request that server 0 serves at the first attempt.
 std::vector<Event> CleanRun() {
   return {{0, RunLimits{3, 500'000}},
           {1, EndpointNotified{0, 0, true, 7}},
@@ -43,15 +43,17 @@
 
 std::vector<std::string> Only(std::string_view invariant) { return {std::string(invariant)}; }
 
-TEST_CASE("a run that serves a request violates nothing") { CHECK(ViolatedBy(CleanRun()).empty()); }
+TEST_CASE("InvariantChecker: a run that serves a request violates no invariant") {
+  CHECK(ViolatedBy(CleanRun()).empty());
+}
 
-TEST_CASE("an event after the end is noticed") {
+TEST_CASE("InvariantChecker: an event after the end is a violation") {
   std::vector<Event> events = CleanRun();
   events.push_back({2 * kDeadline, OtherEvent{}});
   CHECK(ViolatedBy(events) == Only(name::kRecordEnd));
 }
 
-TEST_CASE("a request of an undefined class, and one that is sent twice, are noticed") {
+TEST_CASE("InvariantChecker: a request of an undefined class and a request sent twice are violations") {
   std::vector<Event> events = CleanRun();
   events.insert(events.begin() + 3, {2, RequestSent{2, 0, 7, std::nullopt}});
   CHECK(ViolatedBy(events) == Only(name::kKnownRequest));
@@ -61,13 +63,13 @@
   CHECK(ViolatedBy(events) == Only(name::kKnownRequest));
 }
 
-TEST_CASE("a second outcome of an attempt is noticed") {
+TEST_CASE("InvariantChecker: a second outcome of an attempt is a violation") {
   std::vector<Event> events = CleanRun();
   events.insert(events.begin() + 8, events[7]);
   CHECK(ViolatedBy(events) == Only(name::kOneOutcome));
 }
 
-TEST_CASE("an attempt that another server accepts is noticed") {
+TEST_CASE("InvariantChecker: an attempt accepted by another server is a violation") {
   std::vector<Event> events = CleanRun();
   events[4].body = AttemptAccepted{1, 0, 1, 1000};
   events[5].body = WorkStarted{1, 0, 1};
@@ -75,7 +77,7 @@
   CHECK(ViolatedBy(events) == Only(name::kMisdelivered));
 }
 
-TEST_CASE("each invariant of the table has a name of its own, a promise and a check") {
+TEST_CASE("Invariant table: each invariant has a unique name, a promise and a check") {
   std::set<std::string_view> names;
   for (const Invariant& invariant : AllInvariants()) {
     CAPTURE(invariant.name);
--- a/tests/lab/invariant_mutations.cpp
+++ b/tests/lab/invariant_mutations.cpp
@@ -41,7 +41,7 @@
   return hooks;
 }
 
-// Calls `change` for each attempt that an engine starts.
+// Returns hooks that call `change` for each attempt that an engine starts.
 TestHooks OnStartedAttempts(const std::function<void(StartAttempt*)>& change) {
   return OnOutputs([change](int, Time, Outputs* outputs) {
     for (Output& output : *outputs) {
@@ -198,7 +198,7 @@
   });
 }
 
-// Sends the attempts for target `from` to `destination`; an empty `from` means all.
+// Returns hooks that send the attempts for target `from` to `destination`; an empty `from` means all.
 TestHooks Redirect(const TargetId& from, const TargetId& destination) {
   return OnStartedAttempts([from, destination](StartAttempt* attempt) {
     if (from.empty() || attempt->target == from) {
@@ -209,7 +209,7 @@
 
 std::vector<Mutation> InitiatorMutations() {
   return {
-      {"answers twice", name::kOneResponse, Duplicate<Response>},
+      {"responds twice", name::kOneResponse, Duplicate<Response>},
       {"drops one response in a hundred", name::kMissingResponse, DropResponses},
       {"delays responses", name::kResponseDeadline, DelayResponses},
       {"retries all failures", name::kUnsafeRetry, RetryAllFailures},
@@ -225,7 +225,7 @@
          return ChangeStatuses({ResponseStatus::kRejected, ResponseStatus::kTimedOut},
                                ResponseStatus::kServed);
        }},
-      {"rejects what may have run", name::kFalseRejected,
+      {"rejects requests that may have run", name::kFalseRejected,
        [] {
          return ChangeStatuses({ResponseStatus::kFailed, ResponseStatus::kTimedOut},
                                ResponseStatus::kRejected);
--- a/tests/lab/invariant_mutations.h
+++ b/tests/lab/invariant_mutations.h
@@ -13,11 +13,11 @@
 
 struct Mutation {
   std::string name;
-  std::string_view invariant;        // that it violates
-  std::function<TestHooks()> hooks;  // constructed for each run: some have state
+  std::string_view invariant;        // the name of the violated invariant
+  std::function<TestHooks()> hooks;  // creates new hooks for each run, since some have state
 };
 
-// All mutations.
+// Returns all mutations.
 std::vector<Mutation> Mutations();
 
 }  // namespace walnutspur::lab::sim
--- a/tests/lab/record_checker_test.cpp
+++ b/tests/lab/record_checker_test.cpp
@@ -1,5 +1,5 @@
-// The record of a run on real processes is judged by the common invariants: a record without faults violates
-// none, and each promise broken on purpose is noticed by its own name.
+// Tests that the record of a run on real processes is checked on the common invariants: a record without
+// faults violates none, and each invariant violated on purpose is detected by its name.
 #include "lab/soak/record_checker.h"
 
 #include <doctest/doctest.h>
@@ -43,9 +43,9 @@
   return arrival;
 }
 
-// A read and a write that were served 2 and 3 s after the process started; the write's first attempt was
-// rejected as overloaded. The target drains 4 s after the start, of
-// which the process is notified at once.
+// Returns the record of a read and a write that are served 2 and 3 s after the process started. The first
+// attempt of the write is rejected as overloaded. The target drains 4 s after the start, and the process is
+// notified immediately.
 Record CleanRecord() {
   Record record;
   record.starts[kProcess] = {kSecond};
@@ -65,7 +65,7 @@
 }
 
 struct RecordMutation {
-  std::string_view invariant;  // that it violates
+  std::string_view invariant;  // the name of the violated invariant
   std::function<void(Record*)> change;
 };
 
@@ -106,9 +106,11 @@
   return names;
 }
 
-TEST_CASE("a record without faults violates nothing") { CHECK(ViolatedBy(CleanRecord()).empty()); }
+TEST_CASE("FindViolations: a record without faults violates no invariant") {
+  CHECK(ViolatedBy(CleanRecord()).empty());
+}
 
-TEST_CASE("each invariant violated on purpose in a record is noticed, and no other is") {
+TEST_CASE("FindViolations: exactly the invariant that is violated on purpose is reported") {
   for (const RecordMutation& mutation : RecordMutations()) {
     CAPTURE(mutation.invariant);
     Record record = CleanRecord();
@@ -117,38 +119,41 @@
   }
 }
 
-TEST_CASE("times within the tolerances of real processes violate nothing") {
+TEST_CASE("FindViolations: times within the tolerances of real processes violate no invariant") {
   Record record = CleanRecord();
   record.requests[kRead] = Request(5 * kSecond + 500'000, true);
   record.arrivals[0].at = 5 * kSecond + 550'000;  // 50 ms past the drain grace
   CHECK(ViolatedBy(record).empty());
 
   record = CleanRecord();
-  record.arrivals[0].stated_deadline = kSecond - 1'000 + 150'000;  // 150 ms more than is left
+  record.arrivals[0].stated_deadline = kSecond - 1'000 + 150'000;  // 150 ms more than the remaining time
   CHECK(ViolatedBy(record).empty());
 
   record = CleanRecord();
   record.requests[kRead].result = ClientResult::kDisconnected;
   record.requests[kRead].responses = 0;
-  record.arrivals[0].at = record.requests[kRead].finished_at + 100'000;  // 100 ms after the client left
+  record.arrivals[0].at =
+      record.requests[kRead].finished_at + 100'000;  // 100 ms after the client disconnected
   CHECK(ViolatedBy(record).empty());
 }
 
-TEST_CASE("a response may be missing where the process was killed, or late in its shutdown") {
+TEST_CASE("FindViolations: a response may be missing if the process was killed or is late in its shutdown") {
   Record record = CleanRecord();
   RemoveResponse(&record, kRead);
   record.kills[kProcess] = {record.requests[kRead].sent_at + 1'000};
   CHECK(ViolatedBy(record).empty());
 
-  // Sent 0.6 s after SIGTERM: it has to be answered before the kill. At 0.8 s nothing is promised.
+  // A request sent 0.6 s after SIGTERM must get a response before the kill; one sent after 0.8 s need not.
   record.terminations[kProcess] = {record.requests[kRead].sent_at - 600'000};
   CHECK(ViolatedBy(record) == std::vector<std::string>{std::string(name::kMissingResponse)});
   record.terminations[kProcess] = {record.requests[kRead].sent_at - 800'000};
   CHECK(ViolatedBy(record).empty());
 }
 
-TEST_CASE("a process that starts after a drain may go by its first list for 6 s, or until discovery fails") {
-  // The process starts 1 s after the drain, and discovery writes it no list. It sends 5.9 s after its start.
+TEST_CASE(
+    "FindViolations: a process that starts after a drain may use its first list for 6 s or until discovery "
+    "fails") {
+  // The process starts 1 s after the drain and gets no list from discovery. It sends 5.9 s after its start.
   Record record = CleanRecord();
   record.lists.clear();
   record.starts[kProcess].push_back(6 * kSecond);
@@ -156,12 +161,12 @@
   record.arrivals = {Arrival(kRead, 6 * kSecond + 5'900'000, false)};
   CHECK(ViolatedBy(record).empty());
 
-  // Its first call of discovery failed 1 s after its start: what was drained 6 s ago is known by then.
+  // Its first call of discovery failed 1 s after its start, so it must not send to a target drained 6 s ago.
   const std::vector<std::string> drain_grace{std::string(name::kDrainGrace)};
   record.failed_calls[kProcess] = {7 * kSecond};
   CHECK(ViolatedBy(record) == drain_grace);
 
-  // No call failed, and it sends 10 s after its start.
+  // No call of discovery failed, and it sends 10 s after its start.
   record.failed_calls.clear();
   record.requests[kRead] = Request(16 * kSecond, true);
   record.arrivals = {Arrival(kRead, 16 * kSecond + 1'000, false)};
--- a/tests/lab/simulation_test.cpp
+++ b/tests/lab/simulation_test.cpp
@@ -1,5 +1,5 @@
-// The simulated cluster: runs repeat from their seed, simple cases agree with arithmetic, and drawn
-// experiments violate no invariant.
+// Tests of the simulated cluster: the seed determines a run, simple cases match the calculated results, and
+// drawn experiments violate no invariant.
 #include "lab/sim/simulation.h"
 
 #include <doctest/doctest.h>
@@ -18,14 +18,14 @@
 namespace walnutspur::lab::sim {
 namespace {
 
-// Runs an experiment with its log in a file; returns the log's checksum.
+// Runs an experiment with a log file; returns the checksum of the log.
 std::uint32_t RunWithLog(const Experiment& experiment, const std::string& path) {
   EventLog log(path);
   Simulation(experiment, &log).Run();
   return log.checksum();
 }
 
-// Checks that the entries of a log file are formatted as they were parsed and violate no invariant.
+// Checks that every entry of a log file is formatted back to the same line and that no invariant is violated.
 void CheckLogFile(const std::string& path) {
   std::ifstream file(path);
   LogChecker checker;
@@ -40,7 +40,7 @@
   CHECK(checker.clean());
 }
 
-TEST_CASE("the same seed gives the same log to the byte, another seed a different one") {
+TEST_CASE("Simulation: the same seed produces a byte-identical log, another seed a different one") {
   const Experiment experiment = DrawExperiment(BaseExperiment(), 7);
   const TemporaryFolder folder;
   const std::uint32_t first = RunWithLog(experiment, folder.path() + "/a");
@@ -57,7 +57,7 @@
   }
 }
 
-TEST_CASE("the load depends on the seed alone, not on how requests were answered") {
+TEST_CASE("Simulation: the load depends on the seed alone, not on the responses to requests") {
   Experiment experiment = BaseExperiment();
   std::map<std::string, std::string> loads;
   for (const char* policy : {"walnutspur", "at-once", "buckets", "least-out"}) {
@@ -77,7 +77,7 @@
   }
 }
 
-// Freezes both servers for 200 ms of every 2 s.
+// Returns faults that freeze both servers for 200 ms of every 2 s.
 std::vector<FaultPlan> RegularFreezes() {
   std::vector<FaultPlan> faults;
   for (int i = 0; i < 100; ++i) {
@@ -93,7 +93,7 @@
   return faults;
 }
 
-TEST_CASE("the latency of an idle server is two network delays and its work; a freeze adds its remainder") {
+TEST_CASE("Simulation: latency is two network delays plus work; a freeze adds its remaining time") {
   Experiment experiment = ParseExperiment(
       "length_s = 200.0\n[fleet]\ninitiators = 1\n[boxes]\ncount = 2\nunit_ms = 10.0\nspeed_spread = "
       "0.0\nslots = 64\n"
@@ -101,7 +101,8 @@
       "idle");
   EventLog log;
   const SimulationResults idle = Simulation(experiment, &log).Run();
-  // Units are 0.5 + exponential(0.5): their median is 0.5 + 0.5 ln 2. Work differs evenly by a fifth.
+  // Units are 0.5 + exponential(0.5), so their median is 0.5 + 0.5 ln 2. Work varies uniformly by up to a
+  // fifth.
   CHECK(idle.percentile(0.5) == doctest::Approx(4 + 10 * (0.5 + 0.5 * std::log(2.0))).epsilon(0.02));
   CHECK(idle.service() == 1);
   experiment.faults = RegularFreezes();
@@ -112,13 +113,13 @@
   for (const float latency : frozen.latencies) {
     slow += latency > 100 ? 1 : 0;
   }
-  // A tenth of the requests meet a freeze, and wait for the remainder of it, which is uniform: over 100 ms
-  // wait those of about its first half, 5 % of all.
+  // A tenth of the requests arrive during a freeze and wait for its remaining time, which is uniformly
+  // distributed: about half of them, 5 % of all requests, wait for more than 100 ms.
   CHECK(static_cast<double>(slow) / static_cast<double>(frozen.latencies.size()) ==
         doctest::Approx(0.055).epsilon(0.15));
 }
 
-TEST_CASE("under overload the scheduler sheds load and earns more than sending everything at once") {
+TEST_CASE("Scheduler: under overload it sheds load and achieves a better service than immediate sending") {
   Experiment experiment = BaseExperiment();
   experiment.load_factor = 1.6;
   std::map<std::string, double> service;
@@ -129,8 +130,9 @@
   CHECK(service["walnutspur"] > service["at-once"] + 0.05);
 }
 
-// Each of hundreds of initiators has a response of one server only every few seconds, too late for a surge.
-TEST_CASE("a surge costs a fleet of hundreds little more than one of five") {
+// In a fleet of hundreds, each initiator gets a response from a given server only every few seconds, which is
+// too slow to adapt to a surge.
+TEST_CASE("Scheduler: a surge reduces the service of 200 initiators little more than that of five") {
   const auto service = [](int initiators) {
     Experiment experiment = ParseExperiment(
         "length_s = 10.0\n[boxes]\ncount = 8\nunit_ms = 20.0\n[load]\npart = 0.85\n"
@@ -140,11 +142,11 @@
     experiment.initiators = initiators;
     return RunChecked(experiment).results.service();
   };
-  // 0.83; 0.71 if each initiator adapts to each server alone.
+  // The ratio is 0.83; it is 0.71 if each initiator adapts to each server separately.
   CHECK(service(200) > 0.78 * service(5));
 }
 
-TEST_CASE("drawn experiments violate no invariant") {
+TEST_CASE("Simulation: drawn experiments violate no invariant") {
   std::uint64_t requests = 0;
   std::uint64_t faults = 0;
   for (std::uint64_t seed = 1; seed <= 24; ++seed) {
