--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -16,8 +16,7 @@
   program.require_subcommand(1);
   program.footer(
       "Exit codes: 0 success and every invariant holds; 1 an invariant is violated or a claim is missed; 2 "
-      "the "
-      "command line or an experiment file is invalid, or the run could not be started.");
+      "the command line or an experiment file is invalid, or the run could not be started.");
   return {walnutspur::lab::DeclareSimulate(program),      walnutspur::lab::DeclareExplore(program),
           walnutspur::lab::DeclareCheck(program),         walnutspur::lab::DeclareKeys(program),
           walnutspur::lab::DeclareInvariants(program),    walnutspur::lab::DeclareSoak(program),
--- a/src/lab/sim/experiment_file.cpp
+++ b/src/lab/sim/experiment_file.cpp
@@ -14,7 +14,7 @@
 
 constexpr double kMicrosPerSecond = 1e6;
 constexpr double kMicrosPerMilli = 1000;
-constexpr Time kPollInterval = 10'000'000;  // us; only a fallback here, since discovery pushes its updates
+constexpr Time kPollInterval = 10'000'000;  // us; the simulated discovery pushes its updates
 constexpr Time kResponseGrace = 8'000;      // us
 constexpr int kDefaultVolumesPerServer = 4;
 
--- a/src/lab/sim/experiment_keys.cpp
+++ b/src/lab/sim/experiment_keys.cpp
@@ -116,7 +116,7 @@
   return {
       Integer("rules.try_limit", 1, 10, "", "3", "maximum number of attempts of a request"),
       Milliseconds("rules.drain_grace_ms", 60000, "500.0",
-                   "time after the drain notification from which no attempt may be sent to the box"),
+                   "time after a drain notification during which attempts may still be sent to the box"),
       Number("rules.cold_share", 0.01, 1, "", "0.25", "fraction of its full speed at which a box starts"),
       Seconds("rules.warm_up_s", 3600, "4.0", "time from the start of a box until it reaches full speed"),
       Number("rules.tip_multiple", 1, 100, "", "2.0",
--- a/src/lab/sim/explore.cpp
+++ b/src/lab/sim/explore.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::uint64_t kFaultCountBound = 5;  // exclusive upper bound of the number of drawn faults
-constexpr Time kMinProcessFault = 1'500'000;   // longer than the drain grace, us
+constexpr Time kMinProcessFault = 1'500'000;   // us; the drain grace expires within the fault
 constexpr Time kPauseInterval = 5'000'000;     // us
 
 std::uint64_t Unsigned(int value) { return static_cast<std::uint64_t>(value); }
--- a/src/lab/sim/initiator_fleet.cpp
+++ b/src/lab/sim/initiator_fleet.cpp
@@ -12,8 +12,7 @@
 
 constexpr Time kClockOffset = 1'000'000'000;       // minimum local time at the start, us
 constexpr std::uint64_t kClockSpread = 1'000'000;  // maximum difference between local times at the start, us
-constexpr std::uint64_t kSeedStride =
-    1'000'003;  // difference between the engine seeds of consecutive experiment seeds
+constexpr std::uint64_t kSeedStride = 1'000'003;   // between the engine seeds of consecutive experiments
 
 constexpr double kMicrosPerMilli = 1000;
 
--- a/src/lab/sim/network_model.cpp
+++ b/src/lab/sim/network_model.cpp
@@ -3,9 +3,8 @@
 namespace walnutspur::lab::sim {
 namespace {
 
-constexpr double kReorderedDelayMultiple =
-    10;  // delay of a reordered message, as a multiple of its drawn delay
-constexpr double kNotDeliveredFraction = 0.5;  // fraction of the requests with a broken connection
+constexpr double kReorderedDelayMultiple = 10;  // delay of a reordered message / its drawn delay
+constexpr double kNotDeliveredFraction = 0.5;   // fraction of broken connections that lose the request
 
 }  // namespace
 
--- a/src/lab/sim/network_model.h
+++ b/src/lab/sim/network_model.h
@@ -13,7 +13,7 @@
 // Time until both ends of a broken connection detect the reset, us.
 constexpr Time kResetDetectionTime = 200'000;
 
-// The fate of a request and its connection.
+// Whether a request is delivered and whether its connection breaks.
 enum class Delivery {
   kDelivered,              // the connection stays open
   kDeliveredAndBroken,     // the server receives the request; the connection is reset
--- a/src/lab/sim/results.h
+++ b/src/lab/sim/results.h
@@ -14,9 +14,8 @@
 
 // Totals of the requests that arrived within one second of the run.
 struct SecondTotals {
-  double due = 0;  // sum of the priority weights of all requests
-  double earned =
-      0;  // sum of the weights earned by responses; a late response earns a fraction of its weight
+  double due = 0;     // sum of the priority weights of all requests
+  double earned = 0;  // part of `due` earned by responses; a late one earns a fraction of its weight
   std::uint64_t requests = 0;
   std::uint64_t served = 0;
   std::uint64_t missed_objective = 0;  // served, but after the latency objective
--- a/src/lab/sim/storage_servers.cpp
+++ b/src/lab/sim/storage_servers.cpp
@@ -6,8 +6,8 @@
 namespace walnutspur::lab::sim {
 namespace {
 
-constexpr Time kCrashRestartTime = 2'000'000;  // time until a crashed server restarts, us
-constexpr double kOverloadSlack = 1.1;  // random variation alone slightly exceeds the overload threshold
+constexpr Time kCrashRestartTime = 2'000'000;    // time until a crashed server restarts, us
+constexpr double kOverloadSlack = 1.1;           // random variation alone exceeds the threshold slightly
 constexpr double kErrorAfterWorkFraction = 0.5;  // fraction of the failed requests that have run
 constexpr double kMinSpeed = 1e-3;
 constexpr double kMinFaultFactor = 0.01;
--- a/tests/lab/invariant_checker_test.cpp
+++ b/tests/lab/invariant_checker_test.cpp
@@ -20,8 +20,7 @@
 
 constexpr std::uint64_t kMaxSeed = 200;
 
-// Draws an experiment and replaces its faults: a server is replaced, two restart, and all return errors under
-// load.
+// Draws an experiment and replaces its faults: a server is replaced, two restart, and all fail some requests.
 Experiment DrawWithFaults(const Experiment& base, std::uint64_t seed) {
   Experiment experiment = DrawExperiment(base, seed);
   experiment.servers = 6;
--- a/tests/lab/record_checker_test.cpp
+++ b/tests/lab/record_checker_test.cpp
@@ -132,12 +132,11 @@
   record = CleanRecord();
   record.requests[kRead].result = ClientResult::kDisconnected;
   record.requests[kRead].responses = 0;
-  record.arrivals[0].at =
-      record.requests[kRead].finished_at + 100'000;  // 100 ms after the client disconnected
+  record.arrivals[0].at = record.requests[kRead].finished_at + 100'000;  // 100 ms after the disconnect
   CHECK(ViolatedBy(record).empty());
 }
 
-TEST_CASE("FindViolations: a response may be missing if the process was killed or is late in its shutdown") {
+TEST_CASE("FindViolations: no response is due after a kill or late in a shutdown") {
   Record record = CleanRecord();
   RemoveResponse(&record, kRead);
   record.kills[kProcess] = {record.requests[kRead].sent_at + 1'000};
@@ -151,8 +150,7 @@
 }
 
 TEST_CASE(
-    "FindViolations: a process that starts after a drain may use its first list for 6 s or until discovery "
-    "fails") {
+    "FindViolations: after a drain a new process may use its first list for 6 s or until discovery fails") {
   // The process starts 1 s after the drain and gets no list from discovery. It sends 5.9 s after its start.
   Record record = CleanRecord();
   record.lists.clear();
