--- a/tests/lab/simulation_test.cpp
+++ b/tests/lab/simulation_test.cpp
@@ -142,7 +142,7 @@
     experiment.initiators = initiators;
     return RunChecked(experiment).results.service();
   };
-  // The ratio is 0.83; it is 0.71 if each initiator adapts to each server separately.
+  // The ratio was 0.83; it was 0.71 when each initiator adapted to each server separately.
   CHECK(service(200) > 0.78 * service(5));
 }
 
