--- a/bench/integrity/http_corruption.cpp
+++ b/bench/integrity/http_corruption.cpp
@@ -11,18 +11,20 @@
 namespace walnutspur::bench {
 namespace {
 
-using lab::Damage;
+using lab::CorruptionKind;
 
-constexpr std::array kKinds = {Damage::kTransitBitFlip, Damage::kLostWrite, Damage::kTornWrite,
-                               Damage::kStaleRead, Damage::kMisdirectedWrite};
+constexpr std::array kKinds = {CorruptionKind::kTransitBitFlip, CorruptionKind::kLostWrite,
+                               CorruptionKind::kTornWrite, CorruptionKind::kStaleRead,
+                               CorruptionKind::kMisdirectedWrite};
 constexpr std::size_t kObjectBytes = 300;
 constexpr int kRereads = 2;
 constexpr int kOk = 200;
 // The first object by path, which the stand-in overwrites by misdirected writes.
 constexpr std::uint64_t kOverwrittenKey = 0;
 
-bool IsWriteFault(Damage damage) {
-  return damage == Damage::kLostWrite || damage == Damage::kTornWrite || damage == Damage::kMisdirectedWrite;
+bool IsWriteFault(CorruptionKind damage) {
+  return damage == CorruptionKind::kLostWrite || damage == CorruptionKind::kTornWrite ||
+         damage == CorruptionKind::kMisdirectedWrite;
 }
 
 class Measurement {
@@ -32,7 +34,7 @@
   }
 
   // Writes an object twice, with a fault of the kind injected into the second write or the read after it.
-  void Inject(std::uint64_t key, Damage damage) {
+  void Inject(std::uint64_t key, CorruptionKind damage) {
     const std::string old_body = testbed_.RandomData(kObjectBytes);
     const std::string body = testbed_.RandomData(kObjectBytes);
     const bool at_rest = IsWriteFault(damage);
@@ -71,7 +73,7 @@
       DeliversCorruption(key, body);
     }
     std::uint64_t injections = 0;
-    for (const Damage damage : kKinds) {
+    for (const CorruptionKind damage : kKinds) {
       injections += testbed_.server().injections(damage);
     }
     detected_ += injections > injections_before_ && intact_or_rejected ? 1 : 0;
--- a/bench/integrity/nbd_corruption.cpp
+++ b/bench/integrity/nbd_corruption.cpp
@@ -13,15 +13,16 @@
 namespace walnutspur::bench {
 namespace {
 
-using lab::Damage;
+using lab::CorruptionKind;
 
 constexpr std::uint64_t kBlocks = 600;
 constexpr std::uint64_t kFillBlocks = 16;          // of one write
 constexpr std::uint64_t kFaultsPerKind = 16;       // of one round
 constexpr std::uint64_t kMisdirectedDistance = 2;  // blocks
 constexpr int kReadsPerBlock = 3;
-constexpr std::array kKinds = {Damage::kLostWrite,     Damage::kMisdirectedWrite, Damage::kTornWrite,
-                               Damage::kStoredBitFlip, Damage::kStaleRead,        Damage::kTransitBitFlip};
+constexpr std::array kKinds = {CorruptionKind::kLostWrite, CorruptionKind::kMisdirectedWrite,
+                               CorruptionKind::kTornWrite, CorruptionKind::kStoredBitFlip,
+                               CorruptionKind::kStaleRead, CorruptionKind::kTransitBitFlip};
 
 struct Tally {
   int injected = 0;
@@ -32,21 +33,24 @@
   std::map<std::string, int> misattributed;  // "kind->fault"
 };
 
-bool IsWriteFault(Damage damage) {
-  return damage == Damage::kLostWrite || damage == Damage::kMisdirectedWrite || damage == Damage::kTornWrite;
+bool IsWriteFault(CorruptionKind damage) {
+  return damage == CorruptionKind::kLostWrite || damage == CorruptionKind::kMisdirectedWrite ||
+         damage == CorruptionKind::kTornWrite;
 }
 
-bool IsReadFault(Damage damage) { return damage == Damage::kStaleRead || damage == Damage::kTransitBitFlip; }
+bool IsReadFault(CorruptionKind damage) {
+  return damage == CorruptionKind::kStaleRead || damage == CorruptionKind::kTransitBitFlip;
+}
 
-integrity::Fault ExpectedFault(Damage damage) {
+integrity::Fault ExpectedFault(CorruptionKind damage) {
   switch (damage) {
-    case Damage::kLostWrite:
+    case CorruptionKind::kLostWrite:
       return integrity::Fault::kLostWrite;
-    case Damage::kMisdirectedWrite:
+    case CorruptionKind::kMisdirectedWrite:
       return integrity::Fault::kMisdirectedWrite;
-    case Damage::kStaleRead:
+    case CorruptionKind::kStaleRead:
       return integrity::Fault::kStaleRead;
-    case Damage::kTransitBitFlip:
+    case CorruptionKind::kTransitBitFlip:
       return integrity::Fault::kPath;
     default:
       return integrity::Fault::kAtRest;
@@ -105,7 +109,7 @@
       }
       lab::Fault fault = FaultAt(block, damage);
       fault.elsewhere = (block + kMisdirectedDistance) * kBlockBytes;
-      if (damage == Damage::kMisdirectedWrite) {
+      if (damage == CorruptionKind::kMisdirectedWrite) {
         overwritten_.insert(block + kMisdirectedDistance);
       }
       testbed_.server().AddFault(fault);
@@ -118,7 +122,7 @@
 
   void InjectStoredFaults() {
     for (const auto& [block, damage] : corrupt_) {
-      if (damage == Damage::kStoredBitFlip) {
+      if (damage == CorruptionKind::kStoredBitFlip) {
         testbed_.server().AddFault(FaultAt(block, damage));
       }
     }
@@ -137,7 +141,7 @@
     }
   }
 
-  static lab::Fault FaultAt(std::uint64_t block, Damage damage) {
+  static lab::Fault FaultAt(std::uint64_t block, CorruptionKind damage) {
     return {damage, lab::kAnyPath, block * kBlockBytes, (block + 1) * kBlockBytes};
   }
 
@@ -160,7 +164,7 @@
 
   std::uint64_t CountInjections() {
     std::uint64_t total = 0;
-    for (const Damage damage : kKinds) {
+    for (const CorruptionKind damage : kKinds) {
       total += testbed_.server().injections(damage);
     }
     return total;
@@ -171,7 +175,8 @@
     for (const auto& [block, damage] : corrupt_) {
       const auto* entry = log.Find({"a", "disk", block});
       tally_->detected += entry != nullptr ? 1 : 0;
-      const bool path_named = damage != Damage::kTransitBitFlip || (entry != nullptr && entry->path >= 0);
+      const bool path_named =
+          damage != CorruptionKind::kTransitBitFlip || (entry != nullptr && entry->path >= 0);
       if (entry && entry->fault == ExpectedFault(damage) && path_named) {
         ++tally_->attributed;
         continue;
@@ -187,9 +192,9 @@
 
   Testbed testbed_;
   std::unique_ptr<nbd::BlockingClient> client_;
-  std::string content_;                      // what the export must hold
-  std::map<std::uint64_t, Damage> corrupt_;  // by block
-  std::set<std::uint64_t> overwritten_;      // blocks that hold a misdirected write
+  std::string content_;                              // what the export must hold
+  std::map<std::uint64_t, CorruptionKind> corrupt_;  // by block
+  std::set<std::uint64_t> overwritten_;              // blocks that hold a misdirected write
   Tally* tally_;
 };
 
--- a/src/lab/commands/storage_server.cpp
+++ b/src/lab/commands/storage_server.cpp
@@ -42,8 +42,8 @@
 
 void AddFaultOptions(CLI::App& cli, StorageServerArguments& arguments) {
   std::vector<std::string> names;
-  names.reserve(kAllDamage.size());
-  for (const auto damage : kAllDamage) {
+  names.reserve(kAllCorruptionKinds.size());
+  for (const auto damage : kAllCorruptionKinds) {
     names.emplace_back(NameOf(damage));
   }
   Fault& fault = arguments.fault;
@@ -70,10 +70,10 @@
 }
 
 void InjectFault(StorageServer& server, const StorageServerArguments& arguments) {
-  for (const auto damage : kAllDamage) {
+  for (const auto damage : kAllCorruptionKinds) {
     if (arguments.damage == NameOf(damage)) {
       Fault fault = arguments.fault;
-      fault.damage = damage;
+      fault.kind = damage;
       server.AddFault(fault);
     }
   }
--- a/src/lab/storage_server/block_device.cpp
+++ b/src/lab/storage_server/block_device.cpp
@@ -10,7 +10,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "lab/storage_server/damage.h"
+#include "lab/storage_server/corruption_kind.h"
 #include "lab/storage_server/error.h"
 
 namespace walnutspur::lab {
--- a/src/lab/storage_server/damage.cpp
+++ b/src/lab/storage_server/corruption_kind.cpp
@@ -1,23 +1,23 @@
-#include "lab/storage_server/damage.h"
+#include "lab/storage_server/corruption_kind.h"
 
 #include <cstdint>
 #include <set>
 
 namespace walnutspur::lab {
 
-const char* NameOf(Damage damage) {
-  switch (damage) {
-    case Damage::kTransitBitFlip:
+const char* NameOf(CorruptionKind kind) {
+  switch (kind) {
+    case CorruptionKind::kTransitBitFlip:
       return "flip-path";
-    case Damage::kStoredBitFlip:
+    case CorruptionKind::kStoredBitFlip:
       return "flip-rest";
-    case Damage::kLostWrite:
+    case CorruptionKind::kLostWrite:
       return "lost";
-    case Damage::kMisdirectedWrite:
+    case CorruptionKind::kMisdirectedWrite:
       return "astray";
-    case Damage::kStaleRead:
+    case CorruptionKind::kStaleRead:
       return "stale";
-    case Damage::kTornWrite:
+    case CorruptionKind::kTornWrite:
       return "torn";
   }
   return "";
--- a/src/lab/storage_server/damage.h
+++ b/src/lab/storage_server/corruption_kind.h
@@ -2,8 +2,8 @@
 // flips.
 //
 // Owns nothing; any thread, as far as the generator that is passed in belongs to it.
-#ifndef WALNUTSPUR_LAB_STORAGE_SERVER_DAMAGE_H_
-#define WALNUTSPUR_LAB_STORAGE_SERVER_DAMAGE_H_
+#ifndef WALNUTSPUR_LAB_STORAGE_SERVER_CORRUPTION_KIND_H_
+#define WALNUTSPUR_LAB_STORAGE_SERVER_CORRUPTION_KIND_H_
 
 #include <array>
 #include <pcg_random.hpp>
@@ -11,7 +11,7 @@
 
 namespace walnutspur::lab {
 
-enum class Damage {
+enum class CorruptionKind {
   kTransitBitFlip,    // bit flips in one response, on one path
   kStoredBitFlip,     // bit flips in the stored data
   kLostWrite,         // lost write: acknowledged and not carried out
@@ -20,16 +20,16 @@
   kTornWrite          // torn write: only some of its sectors are written
 };
 
-inline constexpr std::array kAllDamage = {Damage::kTransitBitFlip, Damage::kStoredBitFlip,
-                                          Damage::kLostWrite,      Damage::kMisdirectedWrite,
-                                          Damage::kStaleRead,      Damage::kTornWrite};
+inline constexpr std::array kAllCorruptionKinds = {
+    CorruptionKind::kTransitBitFlip,   CorruptionKind::kStoredBitFlip, CorruptionKind::kLostWrite,
+    CorruptionKind::kMisdirectedWrite, CorruptionKind::kStaleRead,     CorruptionKind::kTornWrite};
 
 // The name on the command line and in reports.
-const char* NameOf(Damage damage);
+const char* NameOf(CorruptionKind kind);
 
 // Flips `bits` different bits of the bytes, or all bits where there are fewer.
 void FlipBits(std::string* bytes, int bits, pcg64* random);
 
 }  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_STORAGE_SERVER_DAMAGE_H_
+#endif  // WALNUTSPUR_LAB_STORAGE_SERVER_CORRUPTION_KIND_H_
--- a/src/lab/storage_server/fault_plan.cpp
+++ b/src/lab/storage_server/fault_plan.cpp
@@ -13,24 +13,24 @@
 
 }  // namespace
 
-Fault* FaultPlan::Match(std::initializer_list<Damage> kinds, int path, std::uint64_t offset,
+Fault* FaultPlan::Match(std::initializer_list<CorruptionKind> kinds, int path, std::uint64_t offset,
                         std::uint64_t length) {
   const auto found = std::find_if(faults_.begin(), faults_.end(), [&](const Fault& fault) {
-    return fault.times != 0 && std::find(kinds.begin(), kinds.end(), fault.damage) != kinds.end() &&
+    return fault.times != 0 && std::find(kinds.begin(), kinds.end(), fault.kind) != kinds.end() &&
            AppliesToPath(fault, path) && Overlaps(fault, offset, length);
   });
   return found == faults_.end() ? nullptr : &*found;
 }
 
 void FaultPlan::RecordInjection(Fault& fault) {
-  RecordInjection(fault.damage);
+  RecordInjection(fault.kind);
   if (fault.times > 0) {
     --fault.times;
   }
 }
 
-std::uint64_t FaultPlan::injections(Damage damage) const {
-  const auto found = injections_.find(damage);
+std::uint64_t FaultPlan::injections(CorruptionKind kind) const {
+  const auto found = injections_.find(kind);
   return found == injections_.end() ? 0 : found->second;
 }
 
--- a/src/lab/storage_server/fault_plan.h
+++ b/src/lab/storage_server/fault_plan.h
@@ -10,7 +10,7 @@
 #include <map>
 #include <vector>
 
-#include "lab/storage_server/damage.h"
+#include "lab/storage_server/corruption_kind.h"
 
 namespace walnutspur::lab {
 
@@ -19,7 +19,7 @@
 
 // A fault is injected into commands that overlap its range.
 struct Fault {
-  Damage damage = Damage::kTransitBitFlip;
+  CorruptionKind kind = CorruptionKind::kTransitBitFlip;
   int path = kAnyPath;     // kTransitBitFlip, kStaleRead: the listener whose commands are affected
   std::uint64_t from = 0;  // the range, in bytes of the device; all objects by HTTP are at 0
   std::uint64_t to = ~std::uint64_t{0};  // one past its end
@@ -35,16 +35,17 @@
 
   // The first fault of one of these kinds for a command on `path`, or null. `path` may be kAnyPath. Valid
   // until the plan is changed.
-  Fault* Match(std::initializer_list<Damage> kinds, int path, std::uint64_t offset, std::uint64_t length);
+  Fault* Match(std::initializer_list<CorruptionKind> kinds, int path, std::uint64_t offset,
+               std::uint64_t length);
   // Counts an injection of a fault that Match has returned.
   void RecordInjection(Fault& fault);
-  void RecordInjection(Damage damage) { ++injections_[damage]; }
+  void RecordInjection(CorruptionKind kind) { ++injections_[kind]; }
 
-  std::uint64_t injections(Damage damage) const;
+  std::uint64_t injections(CorruptionKind kind) const;
 
  private:
   std::vector<Fault> faults_;
-  std::map<Damage, std::uint64_t> injections_;
+  std::map<CorruptionKind, std::uint64_t> injections_;
 };
 
 }  // namespace walnutspur::lab
--- a/src/lab/storage_server/faulty_device.cpp
+++ b/src/lab/storage_server/faulty_device.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "lab/storage_server/damage.h"
+#include "lab/storage_server/corruption_kind.h"
 
 namespace walnutspur::lab {
 namespace {
@@ -15,14 +15,15 @@
 
 std::string FaultyDevice::Read(int path, std::uint64_t offset, std::uint32_t length) {
   std::string data = device_->Read(offset, length);
-  Fault* fault = plan_->Match({Damage::kTransitBitFlip, Damage::kStaleRead}, path, offset, length);
+  Fault* fault =
+      plan_->Match({CorruptionKind::kTransitBitFlip, CorruptionKind::kStaleRead}, path, offset, length);
   if (!fault) {
     return data;
   }
   const std::uint64_t from = std::max(fault->from, offset);
   const std::uint64_t end = std::min(fault->to, offset + length);
   std::string part;
-  if (fault->damage == Damage::kStaleRead) {
+  if (fault->kind == CorruptionKind::kStaleRead) {
     part = device_->Before(from, static_cast<std::uint32_t>(end - from));
   } else {
     part = data.substr(from - offset, end - from);
@@ -34,8 +35,9 @@
 }
 
 void FaultyDevice::Write(std::uint64_t offset, const std::string& data, bool fua) {
-  Fault* fault = plan_->Match({Damage::kLostWrite, Damage::kMisdirectedWrite, Damage::kTornWrite}, kAnyPath,
-                              offset, data.size());
+  Fault* fault = plan_->Match(
+      {CorruptionKind::kLostWrite, CorruptionKind::kMisdirectedWrite, CorruptionKind::kTornWrite}, kAnyPath,
+      offset, data.size());
   if (!fault) {
     device_->Write(offset, data, fua);
     return;
@@ -45,10 +47,10 @@
   const std::string part = data.substr(from - offset, end - from);
   device_->Write(offset, data.substr(0, from - offset), fua);
   device_->Write(end, data.substr(end - offset), fua);
-  if (fault->damage == Damage::kMisdirectedWrite) {
+  if (fault->kind == CorruptionKind::kMisdirectedWrite) {
     device_->Write(fault->elsewhere, part, fua);
   }
-  if (fault->damage == Damage::kTornWrite) {
+  if (fault->kind == CorruptionKind::kTornWrite) {
     const std::uint64_t sectors = part.size() / kSectorBytes;
     const std::uint64_t written = 1 + device_->Draw(sectors > 1 ? sectors - 1 : 1);
     device_->Write(from, part.substr(0, written * kSectorBytes), fua);
@@ -59,7 +61,7 @@
 void FaultyDevice::FlipStoredBits(const Fault& fault) {
   const auto length = static_cast<std::uint32_t>(fault.to - fault.from);
   device_->Flip(fault.from, length, DrawFlippedBits(*device_));
-  plan_->RecordInjection(fault.damage);
+  plan_->RecordInjection(fault.kind);
 }
 
 }  // namespace walnutspur::lab
--- a/src/lab/storage_server/object_store.cpp
+++ b/src/lab/storage_server/object_store.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdint>
 
-#include "lab/storage_server/damage.h"
+#include "lab/storage_server/corruption_kind.h"
 #include "lab/storage_server/faulty_device.h"
 
 namespace walnutspur::lab {
@@ -24,18 +24,19 @@
 }
 
 StoredObject ObjectStore::InjectWriteFault(const std::string& key, const StoredObject& object) {
-  Fault* fault = plan_->Match({Damage::kLostWrite, Damage::kMisdirectedWrite, Damage::kTornWrite}, kAnyPath,
-                              kObjectOffset, kObjectLength);
+  Fault* fault = plan_->Match(
+      {CorruptionKind::kLostWrite, CorruptionKind::kMisdirectedWrite, CorruptionKind::kTornWrite}, kAnyPath,
+      kObjectOffset, kObjectLength);
   if (!fault) {
     return object;
   }
   plan_->RecordInjection(*fault);
-  if (fault->damage == Damage::kTornWrite) {
+  if (fault->kind == CorruptionKind::kTornWrite) {
     return {object.digest, object.body.substr(0, object.body.size() / 2)};
   }
   const auto old = objects_.find(key);
   const std::string old_body = old == objects_.end() ? "" : old->second.body;
-  if (fault->damage == Damage::kMisdirectedWrite) {
+  if (fault->kind == CorruptionKind::kMisdirectedWrite) {
     OverwriteAnother(key, object.body);
   }
   return {object.digest, old_body};
@@ -62,13 +63,13 @@
 }
 
 void ObjectStore::InjectReadFault(const std::string& key, std::string* body) {
-  Fault* fault =
-      plan_->Match({Damage::kTransitBitFlip, Damage::kStaleRead}, kAnyPath, kObjectOffset, kObjectLength);
+  Fault* fault = plan_->Match({CorruptionKind::kTransitBitFlip, CorruptionKind::kStaleRead}, kAnyPath,
+                              kObjectOffset, kObjectLength);
   if (!fault) {
     return;
   }
   const auto old = previous_.find(key);
-  if (fault->damage == Damage::kStaleRead && old != previous_.end()) {
+  if (fault->kind == CorruptionKind::kStaleRead && old != previous_.end()) {
     *body = old->second.body;
   } else {
     FlipBits(body, DrawFlippedBits(*device_), &device_->random());
--- a/src/lab/storage_server/storage_server.cpp
+++ b/src/lab/storage_server/storage_server.cpp
@@ -82,7 +82,7 @@
 
 void StorageServer::AddFault(const Fault& fault) {
   const std::lock_guard lock(mutex_);
-  if (fault.damage == Damage::kStoredBitFlip) {
+  if (fault.kind == CorruptionKind::kStoredBitFlip) {
     faulty_device_.FlipStoredBits(fault);
     return;
   }
@@ -94,9 +94,9 @@
   faults_.Clear();
 }
 
-std::uint64_t StorageServer::injections(Damage damage) const {
+std::uint64_t StorageServer::injections(CorruptionKind kind) const {
   const std::lock_guard lock(mutex_);
-  return faults_.injections(damage);
+  return faults_.injections(kind);
 }
 
 std::uint64_t StorageServer::commands() const {
--- a/src/lab/storage_server/storage_server.h
+++ b/src/lab/storage_server/storage_server.h
@@ -18,7 +18,7 @@
 #include "http/message_reader.h"
 #include "lab/standins/event_loop_thread.h"
 #include "lab/storage_server/block_device.h"
-#include "lab/storage_server/damage.h"
+#include "lab/storage_server/corruption_kind.h"
 #include "lab/storage_server/error.h"
 #include "lab/storage_server/fault_plan.h"
 #include "lab/storage_server/faulty_device.h"
@@ -61,7 +61,7 @@
   void AddFault(const Fault& fault);
   void ClearFaults();
   // How often a kind of fault has been injected.
-  std::uint64_t injections(Damage damage) const;
+  std::uint64_t injections(CorruptionKind kind) const;
   // Commands received, by NBD and HTTP.
   std::uint64_t commands() const;
   // Sets StorageServerOptions::service.
--- a/tests/integrity/corruption_test.cpp
+++ b/tests/integrity/corruption_test.cpp
@@ -8,13 +8,13 @@
 #include "integrity/corruption_log.h"
 #include "integrity/fault_attribution.h"
 #include "integrity/path_health.h"
-#include "lab/storage_server/damage.h"
+#include "lab/storage_server/corruption_kind.h"
 
 namespace walnutspur::test {
 namespace {
 
 using namespace integrity;
-using lab::Damage;
+using lab::CorruptionKind;
 using Kind = Command::Kind;
 
 constexpr std::uint64_t kBlocks = 64;
@@ -93,8 +93,8 @@
 };
 
 // Executes a write that reports success and is lost, misdirected to `other`, or torn.
-void InjectAtWrite(CorruptionFixture& fixture, Damage damage, std::uint64_t block, std::uint64_t other,
-                   int* injected) {
+void InjectAtWrite(CorruptionFixture& fixture, CorruptionKind damage, std::uint64_t block,
+                   std::uint64_t other, int* injected) {
   lab::BlockDevice& disk = fixture.driver.disk();
   fixture.driver.on_io = [&, injected](const IoRequest& io, std::string*, bool* executed) {
     if (io.purpose != IoPurpose::kCheckpoint || io.offset != block * kBlockBytes) {
@@ -102,10 +102,10 @@
     }
     ++*injected;
     *executed = false;
-    if (damage == Damage::kMisdirectedWrite) {
+    if (damage == CorruptionKind::kMisdirectedWrite) {
       disk.Write(other * kBlockBytes, io.AllBytes(), false);
     }
-    if (damage == Damage::kTornWrite) {
+    if (damage == CorruptionKind::kTornWrite) {
       const auto sectors = 1 + disk.Draw(7);
       disk.Write(io.offset, io.AllBytes().substr(0, sectors * kSectorBytes), false);
     }
@@ -118,8 +118,8 @@
 
 // Makes reads return the previous content once, or flipped bits: once on the only path, always on path 0 of
 // several.
-void InjectAtRead(CorruptionFixture& fixture, Damage damage, std::uint64_t block, int* injected) {
-  if (damage == Damage::kStaleRead) {
+void InjectAtRead(CorruptionFixture& fixture, CorruptionKind damage, std::uint64_t block, int* injected) {
+  if (damage == CorruptionKind::kStaleRead) {
     fixture.Write(block);
     fixture.Checkpoint();
   }
@@ -128,11 +128,12 @@
     if (io.purpose != IoPurpose::kData) {
       return IoStatus::kCompleted;
     }
-    if (damage == Damage::kStaleRead && *injected == 0) {
+    if (damage == CorruptionKind::kStaleRead && *injected == 0) {
       *data = disk.Before(io.offset, io.length);
       ++*injected;
     }
-    if (damage == Damage::kTransitBitFlip && (fixture.path_count == 1 ? *injected == 0 : fixture.path == 0)) {
+    if (damage == CorruptionKind::kTransitBitFlip &&
+        (fixture.path_count == 1 ? *injected == 0 : fixture.path == 0)) {
       *data = disk.Read(io.offset, io.length);
       lab::FlipBits(data, 3, &disk.random());
       ++*injected;
@@ -142,11 +143,12 @@
 }
 
 // Injects the corruption, and counts the injections in `injected`.
-void Inject(CorruptionFixture& fixture, Damage damage, std::uint64_t block, std::uint64_t other,
+void Inject(CorruptionFixture& fixture, CorruptionKind damage, std::uint64_t block, std::uint64_t other,
             int* injected) {
-  if (damage == Damage::kLostWrite || damage == Damage::kMisdirectedWrite || damage == Damage::kTornWrite) {
+  if (damage == CorruptionKind::kLostWrite || damage == CorruptionKind::kMisdirectedWrite ||
+      damage == CorruptionKind::kTornWrite) {
     InjectAtWrite(fixture, damage, block, other, injected);
-  } else if (damage == Damage::kStoredBitFlip) {
+  } else if (damage == CorruptionKind::kStoredBitFlip) {
     lab::BlockDevice& disk = fixture.driver.disk();
     disk.Flip(block * kBlockBytes, kBlockBytes, 1 + static_cast<int>(disk.Draw(9)));
     ++*injected;
@@ -155,17 +157,17 @@
   }
 }
 
-Fault ExpectedFault(Damage damage, int path_count) {
+Fault ExpectedFault(CorruptionKind damage, int path_count) {
   switch (damage) {
-    case Damage::kTransitBitFlip:
+    case CorruptionKind::kTransitBitFlip:
       return path_count > 1 ? Fault::kPath : Fault::kMemory;
-    case Damage::kStaleRead:
+    case CorruptionKind::kStaleRead:
       return Fault::kStaleRead;
-    case Damage::kLostWrite:
-    case Damage::kMisdirectedWrite:  // looks lost until its other end has been read
+    case CorruptionKind::kLostWrite:
+    case CorruptionKind::kMisdirectedWrite:  // looks lost until its other end has been read
       return Fault::kLostWrite;
-    case Damage::kStoredBitFlip:
-    case Damage::kTornWrite:
+    case CorruptionKind::kStoredBitFlip:
+    case CorruptionKind::kTornWrite:
       break;
   }
   return Fault::kAtRest;
@@ -179,7 +181,7 @@
   CHECK(fixture.log.Find({"box", "export", block})->fault == Fault::kMisdirectedWrite);
 }
 
-void CheckCorruptionIsAttributed(Damage damage, std::uint64_t seed, int path_count) {
+void CheckCorruptionIsAttributed(CorruptionKind damage, std::uint64_t seed, int path_count) {
   CAPTURE(lab::NameOf(damage));
   CAPTURE(seed);
   CAPTURE(path_count);
@@ -197,12 +199,12 @@
   }
   REQUIRE(injected > 0);
   REQUIRE(attribution);
-  if (damage == Damage::kMisdirectedWrite) {
+  if (damage == CorruptionKind::kMisdirectedWrite) {
     CheckBothEndsAreMisdirected(fixture, block, other);
   } else {
     CHECK(attribution->fault == ExpectedFault(damage, path_count));
   }
-  if (damage == Damage::kTransitBitFlip && path_count > 1) {
+  if (damage == CorruptionKind::kTransitBitFlip && path_count > 1) {
     CHECK(attribution->path == 0);
   }
   // Writing the blocks again repairs them.
@@ -215,8 +217,9 @@
 }
 
 TEST_CASE("each kind of corruption is detected and attributed to the component at fault") {
-  for (const Damage damage : {Damage::kTransitBitFlip, Damage::kStoredBitFlip, Damage::kLostWrite,
-                              Damage::kMisdirectedWrite, Damage::kStaleRead, Damage::kTornWrite}) {
+  for (const CorruptionKind damage :
+       {CorruptionKind::kTransitBitFlip, CorruptionKind::kStoredBitFlip, CorruptionKind::kLostWrite,
+        CorruptionKind::kMisdirectedWrite, CorruptionKind::kStaleRead, CorruptionKind::kTornWrite}) {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
       for (const int paths : {1, 2, 3}) {
         CheckCorruptionIsAttributed(damage, seed, paths);
--- a/tests/net/checksummed_export_test.cpp
+++ b/tests/net/checksummed_export_test.cpp
@@ -24,7 +24,7 @@
 
 using integrity::Fault;
 using integrity::kBlockBytes;
-using lab::Damage;
+using lab::CorruptionKind;
 
 constexpr std::uint64_t kSize = 16 << 20;
 
@@ -223,10 +223,10 @@
     fixture.WaitForCheckpoint();
     fixture.Write(0, 16);  // overwrites the blocks, so that stale content exists
     fixture.WaitForCheckpoint();
-    lab::Fault lost_write{Damage::kLostWrite, -1, 2 * kBlockBytes, 3 * kBlockBytes};
-    lab::Fault misdirected_write{Damage::kMisdirectedWrite, -1, 5 * kBlockBytes, 6 * kBlockBytes,
+    lab::Fault lost_write{CorruptionKind::kLostWrite, -1, 2 * kBlockBytes, 3 * kBlockBytes};
+    lab::Fault misdirected_write{CorruptionKind::kMisdirectedWrite, -1, 5 * kBlockBytes, 6 * kBlockBytes,
                                  9 * kBlockBytes};
-    lab::Fault torn_write{Damage::kTornWrite, -1, 12 * kBlockBytes, 13 * kBlockBytes};
+    lab::Fault torn_write{CorruptionKind::kTornWrite, -1, 12 * kBlockBytes, 13 * kBlockBytes};
     for (const auto& fault : {lost_write, misdirected_write, torn_write}) {
       fixture.server.AddFault(fault);
     }
@@ -234,8 +234,8 @@
     fixture.Write(5);
     fixture.Write(12);
     fixture.WaitForCheckpoint();
-    REQUIRE(fixture.server.injections(Damage::kMisdirectedWrite) == 1);
-    fixture.server.AddFault({Damage::kStoredBitFlip, -1, 14 * kBlockBytes, 15 * kBlockBytes});
+    REQUIRE(fixture.server.injections(CorruptionKind::kMisdirectedWrite) == 1);
+    fixture.server.AddFault({CorruptionKind::kStoredBitFlip, -1, 14 * kBlockBytes, 15 * kBlockBytes});
     CHECK(fixture.FindCorruption(2)->fault == Fault::kLostWrite);
     CHECK(fixture.FindCorruption(12)->fault == Fault::kAtRest);
     CHECK(fixture.FindCorruption(14)->fault == Fault::kAtRest);
@@ -243,10 +243,10 @@
     CHECK(fixture.FindCorruption(9)->fault == Fault::kMisdirectedWrite);
     CHECK(fixture.FindCorruption(5)->fault ==
           Fault::kMisdirectedWrite);  // attributed again, since the misplaced block is now known
-    fixture.server.AddFault({Damage::kStaleRead, -1, 7 * kBlockBytes, 8 * kBlockBytes});
+    fixture.server.AddFault({CorruptionKind::kStaleRead, -1, 7 * kBlockBytes, 8 * kBlockBytes});
     CHECK(fixture.FindCorruption(7)->fault == Fault::kStaleRead);
     fixture.server.AddFault(
-        {Damage::kTransitBitFlip, 0, 1 * kBlockBytes, 2 * kBlockBytes, 0, paths == 1 ? 1 : -1});
+        {CorruptionKind::kTransitBitFlip, 0, 1 * kBlockBytes, 2 * kBlockBytes, 0, paths == 1 ? 1 : -1});
     CHECK(fixture.FindCorruption(1)->fault == (paths == 1 ? Fault::kMemory : Fault::kPath));
     fixture.server.ClearFaults();
     // A read of all blocks returns the pieces of intact data and the offsets of the corrupted blocks.
@@ -289,7 +289,7 @@
   ExportFixture fixture(1, true);
   fixture.Write(0, 16);
   fixture.WaitForCheckpoint();
-  fixture.server.AddFault({Damage::kStoredBitFlip, -1, 11 * kBlockBytes, 12 * kBlockBytes});
+  fixture.server.AddFault({CorruptionKind::kStoredBitFlip, -1, 11 * kBlockBytes, 12 * kBlockBytes});
   integrity::CorruptionLog corruption_log;
   std::string error;
   for (int i = 0; i < 100 && !corruption_log.IsCorrupt({"a", "disk", 11}); ++i) {
