--- a/src/lab/fault_shim/fault_plan.cpp
+++ b/src/lab/fault_shim/fault_plan.cpp
@@ -45,9 +45,9 @@
   return number;
 }
 
-// What stands before `mark`, which is removed with it from `text`; all of the text if there is no mark.
-std::string_view TakeUntil(std::string_view* text, char mark) {
-  const std::size_t at = text->find(mark);
+// What stands before `delimiter`, which is removed with it from `text`; all of the text if there is no mark.
+std::string_view TakeUntil(std::string_view* text, char delimiter) {
+  const std::size_t at = text->find(delimiter);
   const std::string_view taken = text->substr(0, at);
   text->remove_prefix(at == std::string_view::npos ? text->size() : at + 1);
   return taken;
--- a/src/lab/fault_shim/fault_shim.cpp
+++ b/src/lab/fault_shim/fault_shim.cpp
@@ -35,7 +35,7 @@
 constexpr std::int64_t kNanosecondsPerMillisecond = 1'000'000;
 constexpr std::int64_t kNanosecondsPerSecond = 1'000'000'000;
 constexpr std::int64_t kMicrosecondsPerMillisecond = 1'000;
-constexpr int kBadPlan = 125;  // exit code
+constexpr int kInvalidPlan = 125;  // exit code
 
 // The next definition of a function, which this library hides.
 template <typename Function>
@@ -58,14 +58,14 @@
     const auto plan = ParseFaultPlan(text != nullptr ? text : "");
     if (!plan) {
       std::fputs("WALNUTSPUR_FAULTS is no plan of faults\n", stderr);
-      _exit(kBadPlan);
+      _exit(kInvalidPlan);
     }
     return *plan;
   }();
   return faults;
 }
 
-std::int64_t AgeMs() {
+std::int64_t ProcessAgeMs() {
   static const std::int64_t started_at = MonotonicMs();
   return MonotonicMs() - started_at;
 }
@@ -82,9 +82,9 @@
 }
 
 // The fault that this call meets now, or null. Delays are carried out here.
-const SystemFault* FaultOf(std::string_view call) {
+const SystemFault* ActiveFault(std::string_view call) {
   for (const SystemFault& fault : Faults()) {
-    if (fault.call != call || !fault.IsActive(AgeMs()) || Draw() >= fault.probability) {
+    if (fault.call != call || !fault.IsActive(ProcessAgeMs()) || Draw() >= fault.probability) {
       continue;
     }
     if (fault.kind != SystemFaultKind::kDelay) {
@@ -120,8 +120,8 @@
 }
 
 // The fault that a transfer on a socket meets now, or null.
-const SystemFault* TransferFaultOf(std::string_view call, int fd) {
-  const SystemFault* fault = FaultOf(call);
+const SystemFault* ActiveTransferFault(std::string_view call, int fd) {
+  const SystemFault* fault = ActiveFault(call);
   if (fault == nullptr || fault->kind == SystemFaultKind::kShort || fault->error == EINTR ||
       fault->error == EAGAIN) {
     return fault;
@@ -132,7 +132,7 @@
 
 // Whether the call is to fail; errno is set then.
 bool Fails(std::string_view call) {
-  const SystemFault* fault = FaultOf(call);
+  const SystemFault* fault = ActiveFault(call);
   if (fault == nullptr || fault->kind != SystemFaultKind::kError) {
     return false;
   }
@@ -144,7 +144,7 @@
 
 // Performs `call` by the C library's `real`: in full, its first byte only, or not at all with errno set.
 ssize_t Transfer(std::string_view call, VectorTransfer real, int fd, const iovec* pieces, int count) {
-  const SystemFault* fault = TransferFaultOf(call, fd);
+  const SystemFault* fault = ActiveTransferFault(call, fd);
   if (fault == nullptr) {
     return real(fd, pieces, count);
   }
@@ -159,7 +159,7 @@
 std::int64_t ClockStepMs() {
   std::int64_t step = 0;
   for (const SystemFault& fault : Faults()) {
-    if (fault.kind == SystemFaultKind::kClockStep && fault.IsActive(AgeMs())) {
+    if (fault.kind == SystemFaultKind::kClockStep && fault.IsActive(ProcessAgeMs())) {
       step += fault.amount_ms;
     }
   }
@@ -222,9 +222,9 @@
   return Transfer("writev", real, fd, pieces, count);
 }
 
-int epoll_wait(int fd, epoll_event* events, int most, int timeout) {
+int epoll_wait(int fd, epoll_event* events, int max_events, int timeout) {
   static const auto real = Real<decltype(&epoll_wait)>("epoll_wait");
-  return Fails("epoll_wait") ? -1 : real(fd, events, most, timeout);
+  return Fails("epoll_wait") ? -1 : real(fd, events, max_events, timeout);
 }
 
 int fsync(int fd) {
--- a/src/lab/invariants/attempt_invariants.cpp
+++ b/src/lab/invariants/attempt_invariants.cpp
@@ -19,7 +19,7 @@
 
 // No attempt is sent once the client has its response. Input: attempts, responses. Tolerance: none.
 void CheckAttemptAfterResponse(const Observation& observation, const FindingSink& report) {
-  if (SentAttempt(observation) != nullptr && observation.request->answered) {
+  if (SentAttempt(observation) != nullptr && observation.request->has_response) {
     report({"an attempt of a request that has its response"});
   }
 }
@@ -31,10 +31,10 @@
     return;
   }
   const Disconnect& disconnect = *observation.request->disconnect;
-  const bool has_left = disconnect.reason == DisconnectReason::kClientLeft ||
-                        disconnect.reason == DisconnectReason::kNoResponse;
+  const bool has_disconnected = disconnect.reason == DisconnectReason::kClientDisconnected ||
+                                disconnect.reason == DisconnectReason::kNoResponse;
   const Time since_disconnect = observation.event.at - disconnect.at;
-  if (has_left && since_disconnect > observation.tolerances.disconnect_slack) {
+  if (has_disconnected && since_disconnect > observation.tolerances.disconnect_slack) {
     report({"sent " + Milliseconds(since_disconnect) + " after its client had left"});
   }
 }
@@ -63,9 +63,9 @@
   if (sent == nullptr) {
     return;
   }
-  const Time left = observation.request->deadline - observation.event.at;
-  if (sent->stated_time_left > left + observation.tolerances.deadline_slack) {
-    report({"stated " + Milliseconds(sent->stated_time_left) + " with " + Milliseconds(left) + " left"});
+  const Time time_left = observation.request->deadline - observation.event.at;
+  if (sent->stated_time_left > time_left + observation.tolerances.deadline_slack) {
+    report({"stated " + Milliseconds(sent->stated_time_left) + " with " + Milliseconds(time_left) + " left"});
   }
 }
 
--- a/src/lab/invariants/event.h
+++ b/src/lab/invariants/event.h
@@ -65,8 +65,8 @@
 
 // Why no response to a request can follow.
 enum class DisconnectReason {
-  kClientLeft,   // the client closed its connection before the response
-  kNoResponse,   // the connection ended, or the client's time was over, without a response
+  kClientDisconnected,  // the client closed its connection before the response
+  kNoResponse,          // the connection ended, or the client's time was over, without a response
   kNotAccepted,  // no connection, or one that ended before the request was read: the client may send again
   kStopped       // the run stopped the client
 };
@@ -74,7 +74,7 @@
 // A client's wait for a response ends without one.
 struct ClientDisconnected {
   RequestId request = kNoRequest;
-  DisconnectReason reason = DisconnectReason::kClientLeft;
+  DisconnectReason reason = DisconnectReason::kClientDisconnected;
 };
 
 // An initiator is notified of the state of a server.
--- a/src/lab/invariants/response_invariants.cpp
+++ b/src/lab/invariants/response_invariants.cpp
@@ -8,7 +8,7 @@
 
 // The observed response, if it is the first to a known request.
 const ResponseReceived* FirstResponse(const Observation& observation) {
-  const bool is_first = observation.request != nullptr && !observation.request->answered;
+  const bool is_first = observation.request != nullptr && !observation.request->has_response;
   return is_first ? As<ResponseReceived>(observation) : nullptr;
 }
 
@@ -39,7 +39,7 @@
 }
 
 // Whether a request, not answered when the run ends, should have been.
-bool MissesResponse(const RequestState& request, const Observation& observation) {
+bool IsMissingResponse(const RequestState& request, const Observation& observation) {
   if (request.disconnect) {
     return request.disconnect->reason == DisconnectReason::kNoResponse &&
            !IsExcusedByProcessEnd(request, request.disconnect->at, observation);
@@ -52,7 +52,7 @@
 // A request has at most one response. Input: responses. Tolerance: none.
 void CheckOneResponse(const Observation& observation, const FindingSink& report) {
   if (As<ResponseReceived>(observation) != nullptr && observation.request != nullptr &&
-      observation.request->answered) {
+      observation.request->has_response) {
     report({"a second response"});
   }
 }
@@ -99,7 +99,7 @@
     return;
   }
   for (const auto& [number, request] : observation.run.requests()) {
-    if (!request.answered && MissesResponse(request, observation)) {
+    if (!request.has_response && IsMissingResponse(request, observation)) {
       report({"no response while its client waited", number});
     }
   }
--- a/src/lab/invariants/run_state.cpp
+++ b/src/lab/invariants/run_state.cpp
@@ -96,7 +96,7 @@
 
 void RunState::Take(const ResponseReceived& event, Time /*at*/) {
   if (RequestState* const request = MutableRequest(event.request)) {
-    request->answered = true;
+    request->has_response = true;
     ForgetIfSettled(event.request);
   }
 }
@@ -109,7 +109,7 @@
 
 void RunState::ForgetIfSettled(RequestId request) {
   const auto found = requests_.find(request);
-  if (retention_ == Retention::kAllRequests || found == requests_.end() || !found->second.answered ||
+  if (retention_ == Retention::kAllRequests || found == requests_.end() || !found->second.has_response ||
       !found->second.is_idempotent) {
     return;
   }
--- a/src/lab/invariants/run_state.h
+++ b/src/lab/invariants/run_state.h
@@ -27,7 +27,7 @@
 
 struct Disconnect {
   Time at = 0;
-  DisconnectReason reason = DisconnectReason::kClientLeft;
+  DisconnectReason reason = DisconnectReason::kClientDisconnected;
 };
 
 struct RequestState {
@@ -36,7 +36,7 @@
   Time sent_at = 0;
   Time deadline = 0;  // absolute
   bool is_idempotent = true;
-  bool answered = false;
+  bool has_response = false;
   bool started = false;  // by any server
   int completions = 0;   // times that work on it was finished
   std::optional<Disconnect> disconnect;
--- a/src/lab/soak/load_client.cpp
+++ b/src/lab/soak/load_client.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr Time kReconnectDelay = 30'000;  // us
-constexpr Time kAnswerGrace = 500'000;  // us past its deadline after which a request without response is lost
+constexpr Time kResponseGrace =
+    500'000;  // us past its deadline after which a request without response is lost
 constexpr int kStatusOk = 200;
 constexpr int kStatusTooManyRequests = 429;
 constexpr int kStatusUnavailable = 503;
@@ -44,7 +45,7 @@
     connection.next_request = loop::MakeTimer(base, [this, &connection] { SendNext(connection); });
     connection.deadline =
         loop::MakeTimer(base, [this, &connection] { Finish(connection, ClientResult::kNoResponse); });
-    connection.leave =
+    connection.disconnect_timer =
         loop::MakeTimer(base, [this, &connection] { Finish(connection, ClientResult::kDisconnected); });
     ThinkThenSend(connection);
   }
@@ -106,9 +107,10 @@
   record_->requests[connection.request_id].sent_at = core::Now();
   connection.response = http::MessageReader(http::MessageReader::Kind::kResponse);
   loop::Write(connection.stream.get(), connection.request_text);
-  connection.deadline.Start(options_.deadline + kAnswerGrace);
-  if (random_.Chance(options_.leave_fraction)) {
-    connection.leave.Start(static_cast<Time>(random_.Part() * static_cast<double>(options_.deadline)));
+  connection.deadline.Start(options_.deadline + kResponseGrace);
+  if (random_.Chance(options_.disconnect_fraction)) {
+    connection.disconnect_timer.Start(
+        static_cast<Time>(random_.Part() * static_cast<double>(options_.deadline)));
   }
 }
 
@@ -120,7 +122,7 @@
     }
     loop::DrainInput(connection.stream.get(), connection.response.Feed(chunk));
     if (connection.response.malformed() || connection.request_id.empty()) {
-      OnEnd(connection);
+      OnConnectionClosed(connection);
       return;
     }
     if (connection.response.complete()) {
@@ -135,18 +137,18 @@
   }
 }
 
-void LoadClient::OnEvent(Connection& connection, loop::EventMask what) {
-  if ((what & BEV_EVENT_CONNECTED) != 0) {
+void LoadClient::OnEvent(Connection& connection, loop::EventMask events) {
+  if ((events & BEV_EVENT_CONNECTED) != 0) {
     connection.is_connected = true;
     loop::DisableNagle(bufferevent_getfd(connection.stream.get()));
     WriteRequest(connection);
-  } else if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0) {
-    OnEnd(connection);
+  } else if ((events & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0) {
+    OnConnectionClosed(connection);
   }
 }
 
 // A request that crosses the end of an idle connection is sent once more, on a new one.
-void LoadClient::OnEnd(Connection& connection) {
+void LoadClient::OnConnectionClosed(Connection& connection) {
   const bool was_idle = connection.was_used && !connection.response.started();
   const bool was_connected = connection.is_connected;
   connection.stream.reset();
@@ -157,7 +159,7 @@
   if (was_idle && !connection.is_retry) {
     connection.is_retry = true;
     connection.deadline.Stop();
-    connection.leave.Stop();
+    connection.disconnect_timer.Stop();
     SendNext(connection);
     return;
   }
@@ -174,7 +176,7 @@
           : 0;
   connection.request_id.clear();
   connection.deadline.Stop();
-  connection.leave.Stop();
+  connection.disconnect_timer.Stop();
   if (result == ClientResult::kDisconnected || result == ClientResult::kNoResponse ||
       result == ClientResult::kNotAccepted) {
     connection.stream.reset();
--- a/src/lab/soak/load_client.h
+++ b/src/lab/soak/load_client.h
@@ -23,11 +23,11 @@
 // How the clients of a process behave.
 struct LoadOptions {
   int connections = 4;
-  Time think_time = 50'000;       // mean, us
-  Time deadline = 1'200'000;      // us, as stated to the process
-  double write_fraction = 0.2;    // of class "write", which may not be repeated
-  double leave_fraction = 0;      // closes its connection at a random time before its deadline
-  double reconnect_fraction = 0;  // closes its connection after a response
+  Time think_time = 50'000;        // mean, us
+  Time deadline = 1'200'000;       // us, as stated to the process
+  double write_fraction = 0.2;     // of class "write", which may not be repeated
+  double disconnect_fraction = 0;  // closes its connection at a random time before its deadline
+  double reconnect_fraction = 0;   // closes its connection after a response
   int shards = 4;
 };
 
@@ -46,7 +46,7 @@
  private:
   struct Connection {
     void OnReadable() { owner->OnReadable(*this); }
-    void OnEvent(loop::EventMask what) { owner->OnEvent(*this, what); }
+    void OnEvent(loop::EventMask events) { owner->OnEvent(*this, events); }
 
     LoadClient* owner = nullptr;
     int number = 0;
@@ -59,15 +59,15 @@
     http::MessageReader response{http::MessageReader::Kind::kResponse};
     loop::EventHandle next_request;
     loop::EventHandle deadline;
-    loop::EventHandle leave;
+    loop::EventHandle disconnect_timer;
   };
 
   void Connect(Connection& connection);
   void SendNext(Connection& connection);
   void WriteRequest(Connection& connection);
   void OnReadable(Connection& connection);
-  void OnEvent(Connection& connection, loop::EventMask what);
-  void OnEnd(Connection& connection);
+  void OnEvent(Connection& connection, loop::EventMask events);
+  void OnConnectionClosed(Connection& connection);
   void Finish(Connection& connection, ClientResult result);
   void ThinkThenSend(Connection& connection);
   PlatformRequest NextRequest(bool is_write);
--- a/src/lab/soak/plan.cpp
+++ b/src/lab/soak/plan.cpp
@@ -16,9 +16,9 @@
 constexpr int kMaxEvents = 7;
 constexpr Time kMaxPause = 150 * kMillisecond;
 
-constexpr std::array kDiscoveryFaults = {DiscoveryFault::kGivesUp,       DiscoveryFault::kClosesAtOnce,
-                                         DiscoveryFault::kRejectsAtOnce, DiscoveryFault::kRefuses,
-                                         DiscoveryFault::kSilent,        DiscoveryFault::kCutsAnswers};
+constexpr std::array kDiscoveryFaults = {DiscoveryFault::kTimesOut,      DiscoveryFault::kClosesAtOnce,
+                                         DiscoveryFault::kRejectsAtOnce, DiscoveryFault::kRefusesConnections,
+                                         DiscoveryFault::kSilent,        DiscoveryFault::kTruncatesResponses};
 constexpr std::array kTargetFaults = {TargetFault::kHangs, TargetFault::kErrors, TargetFault::kOverloaded,
                                       TargetFault::kResetsRequests, TargetFault::kDown};
 constexpr std::array kKinds = {FaultEventKind::kDiscoveryFault, FaultEventKind::kEndWatches,
@@ -78,7 +78,7 @@
       std::array<Time, 3>{500, 1'000, 300}[static_cast<std::size_t>(random.Below(3))] * kMillisecond;
   plan.load.deadline = static_cast<Time>(random.Between(0.3, 1.5) * kSecond);
   plan.load.write_fraction = random.Part();
-  plan.load.leave_fraction = random.Chance(0.5) ? 0.2 * random.Part() : 0;
+  plan.load.disconnect_fraction = random.Chance(0.5) ? 0.2 * random.Part() : 0;
   plan.load.reconnect_fraction = random.Chance(0.5) ? 0.2 * random.Part() : 0;
   plan.load.think_time = static_cast<Time>(random.Between(20, 200)) * kMillisecond;
   plan.load.connections = 2 + static_cast<int>(random.Below(7));
--- a/src/lab/soak/record_events.cpp
+++ b/src/lab/soak/record_events.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Time kNotificationLimit = 6'000'000;  // us after discovery had a change and could be reached
-constexpr Time kEndOfTime = std::numeric_limits<Time>::max();
+constexpr Time kNever = std::numeric_limits<Time>::max();
 constexpr int kHexadecimal = 16;
 constexpr std::size_t kProcessDigits = 4;
 
@@ -36,7 +36,7 @@
 
 // The earliest of `times` that is not before `since`, or the end of time.
 Time FirstSince(const std::vector<Time>& times, Time since) {
-  Time first = kEndOfTime;
+  Time first = kNever;
   for (const Time time : times) {
     first = time >= since ? std::min(first, time) : first;
   }
@@ -85,7 +85,7 @@
 invariants::DisconnectReason ReasonOf(ClientResult result) {
   switch (result) {
     case ClientResult::kDisconnected:
-      return invariants::DisconnectReason::kClientLeft;
+      return invariants::DisconnectReason::kClientDisconnected;
     case ClientResult::kNoResponse:
       return invariants::DisconnectReason::kNoResponse;
     case ClientResult::kNotAccepted:
@@ -155,7 +155,7 @@
   void AddNotifications() {
     for (const auto& [process, starts] : record_.starts) {
       for (std::size_t number = 0; number < starts.size(); ++number) {
-        const Time until = number + 1 < starts.size() ? starts[number + 1] : kEndOfTime;
+        const Time until = number + 1 < starts.size() ? starts[number + 1] : kNever;
         AddNotifications(process, starts[number], until);
       }
     }
--- a/src/lab/soak/run.cpp
+++ b/src/lab/soak/run.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "core/clock.h"
-#include "lab/soak/testbed.h"
+#include "lab/soak/test_environment.h"
 
 namespace walnutspur::lab::soak {
 namespace {
@@ -31,31 +31,31 @@
 class PlanRunner {
  public:
   PlanRunner(const SoakPlan& plan, const SoakPrograms& programs)
-      : plan_(plan), testbed_(MakeOptions(plan, programs)) {
+      : plan_(plan), environment_(MakeOptions(plan, programs)) {
     for (const FaultEvent& event : plan.events) {
       Schedule(event);
     }
   }
 
   SoakResult Run() {
-    testbed_.StartAll();
-    testbed_.RunFor(kSecond / 2);
-    testbed_.StartAllClients();
+    environment_.StartAll();
+    environment_.RunFor(kSecond / 2);
+    environment_.StartAllClients();
     const Time began_at = core::Now();
     for (const auto& [at, action] : actions_) {
-      testbed_.RunFor(std::max<Time>(0, began_at + at - core::Now()));
+      environment_.RunFor(std::max<Time>(0, began_at + at - core::Now()));
       action();
     }
-    testbed_.RunFor(std::max<Time>(0, began_at + plan_.duration - core::Now()));
-    testbed_.StopAllClients();
-    testbed_.RunFor(kResponseWait);
-    NoteUnexpectedEnds();
+    environment_.RunFor(std::max<Time>(0, began_at + plan_.duration - core::Now()));
+    environment_.StopAllClients();
+    environment_.RunFor(kResponseWait);
+    RecordUnexpectedExits();
     return Result();
   }
 
  private:
-  static TestbedOptions MakeOptions(const SoakPlan& plan, const SoakPrograms& programs) {
-    TestbedOptions options;
+  static TestEnvironmentOptions MakeOptions(const SoakPlan& plan, const SoakPrograms& programs) {
+    TestEnvironmentOptions options;
     options.program = programs.program;
     options.processes = plan.processes;
     options.targets = plan.targets;
@@ -77,27 +77,27 @@
     const int target = event.target;
     switch (event.kind) {
       case FaultEventKind::kDiscoveryFault:
-        At(event.at, [this, event] { testbed_.discovery().SetFault(event.discovery_fault); });
-        At(event.at + event.duration, [this] { testbed_.discovery().SetFault(DiscoveryFault::kNone); });
+        At(event.at, [this, event] { environment_.discovery().SetFault(event.discovery_fault); });
+        At(event.at + event.duration, [this] { environment_.discovery().SetFault(DiscoveryFault::kNone); });
         break;
       case FaultEventKind::kEndWatches:
-        At(event.at, [this] { testbed_.discovery().EndWatches(); });
+        At(event.at, [this] { environment_.discovery().EndWatches(); });
         break;
       case FaultEventKind::kDrain:
-        At(event.at, [this, target] { testbed_.SetEndpointState(target, EndpointState::kDraining); });
+        At(event.at, [this, target] { environment_.SetEndpointState(target, EndpointState::kDraining); });
         At(event.at + kRemovalDelay,
-           [this, target] { testbed_.SetEndpointState(target, EndpointState::kTerminated); });
+           [this, target] { environment_.SetEndpointState(target, EndpointState::kTerminated); });
         break;
       case FaultEventKind::kReturn:
-        At(event.at, [this, target] { testbed_.SetEndpointState(target, EndpointState::kActive); });
+        At(event.at, [this, target] { environment_.SetEndpointState(target, EndpointState::kActive); });
         break;
       case FaultEventKind::kTargetFault:
-        At(event.at, [this, event] { testbed_.target(event.target).SetFault(event.target_fault); });
+        At(event.at, [this, event] { environment_.target(event.target).SetFault(event.target_fault); });
         At(event.at + event.duration,
-           [this, target] { testbed_.target(target).SetFault(TargetFault::kNone); });
+           [this, target] { environment_.target(target).SetFault(TargetFault::kNone); });
         break;
       case FaultEventKind::kCloseIdle:
-        At(event.at, [this, target] { testbed_.target(target).CloseIdleConnections(); });
+        At(event.at, [this, target] { environment_.target(target).CloseIdleConnections(); });
         break;
       default:
         ScheduleSignal(event);
@@ -110,11 +110,11 @@
     const int process = event.process;
     switch (event.kind) {
       case FaultEventKind::kPause:
-        At(event.at, [this, process] { testbed_.Signal(process, SIGSTOP); });
-        At(event.at + event.duration, [this, process] { testbed_.Signal(process, SIGCONT); });
+        At(event.at, [this, process] { environment_.Signal(process, SIGSTOP); });
+        At(event.at + event.duration, [this, process] { environment_.Signal(process, SIGCONT); });
         break;
       case FaultEventKind::kReload:
-        At(event.at, [this, process] { testbed_.Signal(process, SIGHUP); });
+        At(event.at, [this, process] { environment_.Signal(process, SIGHUP); });
         break;
       case FaultEventKind::kTerminate:
         At(event.at, [this, process] { Terminate(process); });
@@ -131,9 +131,9 @@
   void Terminate(int process) {
     if (!busy_[process]) {
       busy_[process] = true;
-      testbed_.Terminate(process);
+      environment_.Terminate(process);
       const Time delay = std::min(plan_.load.deadline, kMaxKillDelay) + kKillDelay;
-      testbed_.After(delay, [this, process] { Restart(process); });
+      environment_.After(delay, [this, process] { Restart(process); });
     }
   }
 
@@ -145,41 +145,41 @@
   }
 
   void Restart(int process) {
-    testbed_.Kill(process);
-    testbed_.After(kRestartDelay, [this, process] {
-      testbed_.Start(process, Testbed::StartMode::kAtOnce);
+    environment_.Kill(process);
+    environment_.After(kRestartDelay, [this, process] {
+      environment_.Start(process, TestEnvironment::StartMode::kAtOnce);
       busy_[process] = false;
     });
   }
 
-  void NoteUnexpectedEnds() {
+  void RecordUnexpectedExits() {
     for (int process = 0; process < plan_.processes; ++process) {
-      if (!busy_[process] && !testbed_.IsRunning(process)) {
-        testbed_.record().unexpected_process_ends.push_back("process " + std::to_string(process) +
-                                                            " has ended: " + testbed_.Log(process));
+      if (!busy_[process] && !environment_.IsRunning(process)) {
+        environment_.record().unexpected_process_ends.push_back("process " + std::to_string(process) +
+                                                                " has ended: " + environment_.Log(process));
       }
     }
   }
 
   SoakResult Result() {
-    const Record& record = testbed_.record();
+    const Record& record = environment_.record();
     SoakResult result;
     CheckOptions options;
     options.drain_grace = plan_.drain_grace;
     options.write_delay = DelaysWrites(plan_) ? kMaxWriteDelay : 0;
     result.violations = FindViolations(record, options);
     for (int process = 0; process < plan_.processes && !result.violations.empty(); ++process) {
-      result.logs[process] = testbed_.Log(process);
+      result.logs[process] = environment_.Log(process);
     }
     result.requests = record.requests.size();
     result.attempts = record.arrivals.size();
     result.served_fraction = ServedFraction(record, 0, core::Now());
-    result.longest_stall = testbed_.longest_stall();
+    result.longest_stall = environment_.longest_stall();
     return result;
   }
 
   const SoakPlan& plan_;
-  Testbed testbed_;
+  TestEnvironment environment_;
   std::multimap<Time, std::function<void()>> actions_;  // by time after the clients' start
   std::map<int, bool> busy_;                            // processes that are ending or starting
 };
--- a/src/lab/soak/testbed.cpp
+++ b/src/lab/soak/test_environment.cpp
@@ -1,4 +1,4 @@
-#include "lab/soak/testbed.h"
+#include "lab/soak/test_environment.h"
 
 #include <algorithm>
 #include <csignal>
@@ -12,8 +12,8 @@
 namespace walnutspur::lab::soak {
 namespace {
 
-constexpr Time kBeatInterval = 10'000;      // us
-constexpr Time kStartTimeout = 10'000'000;  // us until a process listens
+constexpr Time kStallCheckInterval = 10'000;  // us
+constexpr Time kStartTimeout = 10'000'000;    // us until a process listens
 
 std::string NameOf(int process) { return "n" + std::to_string(process); }
 
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-Testbed::Testbed(const TestbedOptions& options)
+TestEnvironment::TestEnvironment(const TestEnvironmentOptions& options)
     : options_(options), base_(event_base_new()), members_(static_cast<std::size_t>(options.processes)) {
   DiscoveryOptions discovery;
   discovery.clients = options.processes;
@@ -48,20 +48,20 @@
   }
 }
 
-Testbed::~Testbed() = default;
+TestEnvironment::~TestEnvironment() = default;
 
-void Testbed::RunFor(Time duration) {
+void TestEnvironment::RunFor(Time duration) {
   const timeval time = loop::ToTimeval(duration);
   event_base_loopexit(base_.get(), &time);
   event_base_loop(base_.get(), EVLOOP_NO_EXIT_ON_EMPTY);
 }
 
-void Testbed::After(Time delay, std::function<void()> call) {
+void TestEnvironment::After(Time delay, std::function<void()> call) {
   calls_.push_back(loop::MakeTimer(base_.get(), std::move(call)));
   calls_.back().Start(delay);
 }
 
-PlatformConfig Testbed::Configuration(int process) const {
+PlatformConfig TestEnvironment::Configuration(int process) const {
   const Member& configured = members_[static_cast<std::size_t>(process)];
   PlatformConfig config;
   config.name = NameOf(process);
@@ -76,7 +76,7 @@
   return config;
 }
 
-void Testbed::Start(int process, StartMode mode) {
+void TestEnvironment::Start(int process, StartMode mode) {
   Member& started = member(process);
   InitiatorOptions initiator;
   initiator.program = options_.program;
@@ -97,36 +97,36 @@
   }
 }
 
-void Testbed::StartAll() {
+void TestEnvironment::StartAll() {
   for (int process = 0; process < options_.processes; ++process) {
     Start(process);
   }
 }
 
-void Testbed::StartClients(int process) {
+void TestEnvironment::StartClients(int process) {
   Member& served = member(process);
   const std::uint64_t seed = options_.seed * 1000 + static_cast<std::uint64_t>(served.starts);
   served.clients =
       std::make_unique<LoadClient>(base_.get(), process, served.listen, options_.load, seed, &record_);
 }
 
-void Testbed::NoteStall() {
+void TestEnvironment::RecordStall() {
   const Time now = core::Now();
-  longest_stall_ = std::max(longest_stall_, now - next_beat_at_);
-  next_beat_at_ = now + kBeatInterval;
-  beat_.Start(kBeatInterval);
+  longest_stall_ = std::max(longest_stall_, now - next_stall_check_at_);
+  next_stall_check_at_ = now + kStallCheckInterval;
+  stall_timer_.Start(kStallCheckInterval);
 }
 
-void Testbed::StartAllClients() {
-  next_beat_at_ = core::Now();
-  beat_ = loop::MakeTimer(base_.get(), [this] { NoteStall(); });
-  NoteStall();
+void TestEnvironment::StartAllClients() {
+  next_stall_check_at_ = core::Now();
+  stall_timer_ = loop::MakeTimer(base_.get(), [this] { RecordStall(); });
+  RecordStall();
   for (int process = 0; process < options_.processes; ++process) {
     StartClients(process);
   }
 }
 
-void Testbed::StopAllClients() {
+void TestEnvironment::StopAllClients() {
   for (Member& each : members_) {
     if (each.clients) {
       each.clients->Stop();
@@ -134,27 +134,29 @@
   }
 }
 
-void Testbed::Terminate(int process) {
+void TestEnvironment::Terminate(int process) {
   record_.terminations[process].push_back(core::Now());
   member(process).process->Signal(SIGTERM);
 }
 
-void Testbed::Kill(int process) {
+void TestEnvironment::Kill(int process) {
   record_.kills[process].push_back(core::Now());
   member(process).process->Kill();
 }
 
-void Testbed::Signal(int process, int number) { member(process).process->Signal(number); }
+void TestEnvironment::Signal(int process, int number) { member(process).process->Signal(number); }
 
-bool Testbed::IsRunning(int process) { return member(process).process && member(process).process->running(); }
+bool TestEnvironment::IsRunning(int process) {
+  return member(process).process && member(process).process->running();
+}
 
-void Testbed::SetEndpointState(int target_number, EndpointState state) {
+void TestEnvironment::SetEndpointState(int target_number, EndpointState state) {
   const HttpTarget& changed = target(target_number);
   discovery_->Set(
       {changed.name(), FormatLoopbackAddress(changed.port()), state, target_number, options_.up_since_ms});
 }
 
-std::string Testbed::Log(int process) const {
+std::string TestEnvironment::Log(int process) const {
   std::ifstream file(InitiatorLogPath(folder_, NameOf(process)));
   std::ostringstream text;
   text << file.rdbuf();
--- a/src/lab/soak/testbed.h
+++ b/src/lab/soak/test_environment.h
@@ -1,8 +1,8 @@
 // Processes of the program with storage servers, a discovery service and clients around them, on loopback.
 //
 // One thread: the stand-ins act only while RunFor runs. Ends all processes on destruction.
-#ifndef WALNUTSPUR_LAB_SOAK_TESTBED_H_
-#define WALNUTSPUR_LAB_SOAK_TESTBED_H_
+#ifndef WALNUTSPUR_LAB_SOAK_TEST_ENVIRONMENT_H_
+#define WALNUTSPUR_LAB_SOAK_TEST_ENVIRONMENT_H_
 
 #include <cstdint>
 #include <functional>
@@ -25,7 +25,7 @@
 
 namespace walnutspur::lab::soak {
 
-struct TestbedOptions {
+struct TestEnvironmentOptions {
   std::string program;  // path of the walnutspur program
   int processes = 1;
   int targets = 4;               // one for each shard
@@ -38,13 +38,13 @@
   std::map<std::string, std::string> environment;  // of the processes, besides
 };
 
-class Testbed {
+class TestEnvironment {
  public:
   // Makes the stand-ins; no process runs yet.
-  explicit Testbed(const TestbedOptions& options);
-  ~Testbed();
-  Testbed(const Testbed&) = delete;
-  Testbed& operator=(const Testbed&) = delete;
+  explicit TestEnvironment(const TestEnvironmentOptions& options);
+  ~TestEnvironment();
+  TestEnvironment(const TestEnvironment&) = delete;
+  TestEnvironment& operator=(const TestEnvironment&) = delete;
 
   // Runs the event loop for this long, us.
   void RunFor(Time duration);
@@ -87,10 +87,10 @@
   };
 
   PlatformConfig Configuration(int process) const;
-  void NoteStall();
+  void RecordStall();
   Member& member(int process) { return members_[static_cast<std::size_t>(process)]; }
 
-  TestbedOptions options_;
+  TestEnvironmentOptions options_;
   TemporaryFolder folder_;
   Record record_;
   loop::EventBasePtr base_;
@@ -100,11 +100,11 @@
   std::vector<std::unique_ptr<HttpTarget>> targets_;
   std::vector<Member> members_;
   Time longest_stall_ = 0;
-  Time next_beat_at_ = 0;  // of the timer that shows stalls
-  loop::EventHandle beat_;
+  Time next_stall_check_at_ = 0;  // of the timer that shows stalls
+  loop::EventHandle stall_timer_;
   std::list<loop::EventHandle> calls_;  // of After, those that were made as well
 };
 
 }  // namespace walnutspur::lab::soak
 
-#endif  // WALNUTSPUR_LAB_SOAK_TESTBED_H_
+#endif  // WALNUTSPUR_LAB_SOAK_TEST_ENVIRONMENT_H_
--- a/src/lab/standins/discovery_service.cpp
+++ b/src/lab/standins/discovery_service.cpp
@@ -21,7 +21,7 @@
       listeners_(static_cast<std::size_t>(options.clients)),
       free_closed_(loop::MakeTimer(base, [this] { closed_.reset(); })),
       heartbeat_(base, -1, EV_PERSIST, [this] { WriteToWatches("", false); }),
-      answer_timer_(loop::MakeTimer(base, [this] { AnswerNext(); })) {
+      response_timer_(loop::MakeTimer(base, [this] { RespondNext(); })) {
   for (int client = 0; client < options.clients; ++client) {
     Listen(client);
   }
@@ -47,13 +47,13 @@
       options_.observer->OnOutageEnded(began_at);
     }
   }
-  if (fault_ == DiscoveryFault::kRefuses && fault != DiscoveryFault::kRefuses) {
+  if (fault_ == DiscoveryFault::kRefusesConnections && fault != DiscoveryFault::kRefusesConnections) {
     for (std::size_t client = 0; client < listeners_.size(); ++client) {
       Listen(static_cast<int>(client));
     }
   }
   fault_ = fault;
-  if (fault == DiscoveryFault::kRefuses) {
+  if (fault == DiscoveryFault::kRefusesConnections) {
     outage_began_at_ = core::Now();
     for (auto& listener : listeners_) {
       listener.reset();
@@ -121,14 +121,14 @@
       return;
     case DiscoveryFault::kSilent:
       return;
-    case DiscoveryFault::kGivesUp:
+    case DiscoveryFault::kTimesOut:
       call.timeout.Start(kCallTimeout);
       return;
-    case DiscoveryFault::kCutsAnswers:
-      CutAnswer(call);
+    case DiscoveryFault::kTruncatesResponses:
+      TruncateResponse(call);
       return;
     case DiscoveryFault::kNone:
-    case DiscoveryFault::kRefuses:
+    case DiscoveryFault::kRefusesConnections:
       Enqueue(call);
       return;
   }
@@ -139,9 +139,9 @@
   call.is_waiting = true;
   call.timeout.Start(kCallTimeout);
   waiting_.push_back(call.connection->number());
-  if (!is_answering_) {
-    is_answering_ = true;
-    answer_timer_.Start(options_.answer_time);
+  if (!is_responding_) {
+    is_responding_ = true;
+    response_timer_.Start(options_.response_delay);
   }
 }
 
@@ -156,21 +156,21 @@
   at->second.connection->Respond(kUnavailable, "waited too long\n", "Connection: close\r\n");
 }
 
-void DiscoveryService::AnswerNext() {
+void DiscoveryService::RespondNext() {
   if (!waiting_.empty()) {
     const auto at = calls_.find(waiting_.front());
     waiting_.pop_front();
     if (at != calls_.end() && at->second.is_waiting) {
-      Answer(at->second);
+      Respond(at->second);
     }
   }
-  is_answering_ = !waiting_.empty();
-  if (is_answering_) {
-    answer_timer_.Start(options_.answer_time);
+  is_responding_ = !waiting_.empty();
+  if (is_responding_) {
+    response_timer_.Start(options_.response_delay);
   }
 }
 
-void DiscoveryService::Answer(Call& call) {
+void DiscoveryService::Respond(Call& call) {
   call.is_waiting = false;
   call.timeout.Stop();
   call.is_watching = true;
@@ -179,13 +179,13 @@
   RecordListWritten(call);
 }
 
-void DiscoveryService::CutAnswer(Call& call) {
-  const std::string answer = std::string(kChunkedResponseHead) + FormatChunk(FullList() + "\n");
-  call.connection->Write(answer.substr(0, answer.size() / 2));
+void DiscoveryService::TruncateResponse(Call& call) {
+  const std::string response = std::string(kChunkedResponseHead) + FormatChunk(FullList() + "\n");
+  call.connection->Write(response.substr(0, response.size() / 2));
   const std::uint64_t number = call.connection->number();
   RecordFailure(call);
   call.timeout = loop::MakeTimer(base_, [this, number] { calls_.erase(number); });
-  call.timeout.Start(options_.answer_time);
+  call.timeout.Start(options_.response_delay);
 }
 
 void DiscoveryService::RecordListWritten(const Call& call) const {
--- a/src/lab/standins/discovery_service.h
+++ b/src/lab/standins/discovery_service.h
@@ -23,12 +23,12 @@
 // How the service treats calls. All but kNone end the open watches, except for kSilent.
 enum class DiscoveryFault {
   kNone,
-  kGivesUp,        // takes a call and answers 503 after 2 s
-  kClosesAtOnce,   // takes a call and closes its connection
-  kRejectsAtOnce,  // answers 503 at once
-  kRefuses,        // nothing listens
-  kSilent,         // takes calls and writes nothing, also on open watches
-  kCutsAnswers,    // writes half of an answer, then closes
+  kTimesOut,            // takes a call and answers 503 after 2 s
+  kClosesAtOnce,        // takes a call and closes its connection
+  kRejectsAtOnce,       // answers 503 at once
+  kRefusesConnections,  // nothing listens
+  kSilent,              // takes calls and writes nothing, also on open watches
+  kTruncatesResponses,  // writes half of an answer, then closes
 };
 
 // Takes note of what the service does. Called on the service's thread, at the time of the event.
@@ -40,7 +40,7 @@
   virtual void OnListWritten(int client, int revision) = 0;
   // A call of the client was answered by no list.
   virtual void OnCallFailed(int client) = 0;
-  // kRefuses has ended, which began at this time.
+  // kRefusesConnections has ended, which began at this time.
   virtual void OnOutageEnded(Time began_at) = 0;
 
  protected:
@@ -50,7 +50,7 @@
 struct DiscoveryOptions {
   int clients = 1;
   Time heartbeat_interval = 1'900'000;    // us; the platform promises at most 2 s
-  Time answer_time = 1'000;               // us from a call to its answer
+  Time response_delay = 1'000;            // us from a call to its answer
   DiscoveryObserver* observer = nullptr;  // must outlive the service; null: none
 };
 
@@ -90,9 +90,9 @@
   void OnClosed(HttpConnection& connection) override;
   void Enqueue(Call& call);
   void OnTimeout(std::uint64_t number);
-  void AnswerNext();
-  void Answer(Call& call);
-  void CutAnswer(Call& call);
+  void RespondNext();
+  void Respond(Call& call);
+  void TruncateResponse(Call& call);
   void RecordListWritten(const Call& call) const;
   void RecordFailure(const Call& call) const;
   // Writes a line to every open watch, unless the service is silent.
@@ -112,8 +112,8 @@
   std::unique_ptr<HttpConnection> closed_;  // freed in the next turn: it may be on the stack
   loop::EventHandle free_closed_;
   loop::EventHandle heartbeat_;
-  loop::EventHandle answer_timer_;
-  bool is_answering_ = false;
+  loop::EventHandle response_timer_;
+  bool is_responding_ = false;
 };
 
 }  // namespace walnutspur::lab
--- a/src/lab/standins/discovery_thread.cpp
+++ b/src/lab/standins/discovery_thread.cpp
@@ -12,7 +12,7 @@
 
 DiscoveryThread::DiscoveryThread()
     : changes_added_(loop_.base(), -1, EV_PERSIST, [this] { ApplyChanges(); }),
-      service_(loop_.base(), {.heartbeat_interval = kHeartbeatInterval, .answer_time = 0}) {
+      service_(loop_.base(), {.heartbeat_interval = kHeartbeatInterval, .response_delay = 0}) {
   loop_.Start();
 }
 
--- a/src/lab/standins/http_connection.cpp
+++ b/src/lab/standins/http_connection.cpp
@@ -52,8 +52,8 @@
   }
 }
 
-void HttpConnection::OnEvent(loop::EventMask what) {
-  if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0) {
+void HttpConnection::OnEvent(loop::EventMask events) {
+  if ((events & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0) {
     handler_->OnClosed(*this);
   }
 }
--- a/src/lab/standins/http_connection.h
+++ b/src/lab/standins/http_connection.h
@@ -49,7 +49,7 @@
 
   // Callbacks of the stream.
   void OnReadable();
-  void OnEvent(loop::EventMask what);
+  void OnEvent(loop::EventMask events);
 
  private:
   HttpConnectionHandler* handler_;
--- a/src/lab/storage_server/storage_server.cpp
+++ b/src/lab/storage_server/storage_server.cpp
@@ -29,8 +29,8 @@
   explicit Connection(const std::vector<nbd::Export>& exports) : session(exports) {}
 
   void OnReadable() { owner->OnReadable(*this); }
-  void OnEvent(loop::EventMask what) const {
-    if (what & kClosedOrFailed) {
+  void OnEvent(loop::EventMask events) const {
+    if (events & kClosedOrFailed) {
       owner->connections_.erase(number);
     }
   }
@@ -39,10 +39,10 @@
   std::uint64_t number = 0;
   int path = 0;
   bool http = false;
-  nbd::ServerSession session;                                // of an NBD connection
-  http::MessageReader reader = MakeRequestReader();          // of an HTTP connection
-  std::map<std::uint64_t, loop::EventHandle> delayed_sends;  // a timer for each response
-  std::uint64_t next_send = 1;
+  nbd::ServerSession session;                                    // of an NBD connection
+  http::MessageReader reader = MakeRequestReader();              // of an HTTP connection
+  std::map<std::uint64_t, loop::EventHandle> delayed_responses;  // a timer for each response
+  std::uint64_t next_response = 1;
   loop::StreamPtr stream;
 };
 
@@ -110,8 +110,8 @@
 }
 
 void StorageServer::OnAccept(int path, evutil_socket_t fd) {
-  auto made = std::make_unique<Connection>(exports_);
-  Connection* connection = made.get();
+  auto accepted = std::make_unique<Connection>(exports_);
+  Connection* connection = accepted.get();
   connection->owner = this;
   connection->number = next_connection_++;
   connection->path = path;
@@ -122,7 +122,7 @@
   }
   loop::DisableNagle(fd);
   loop::SetCallbacks(connection->stream.get(), connection);
-  connections_[connection->number] = std::move(made);
+  connections_[connection->number] = std::move(accepted);
   bufferevent_enable(connection->stream.get(), EV_READ | EV_WRITE);
   if (!connection->http) {
     loop::Write(connection->stream.get(), nbd::Greeting());
@@ -132,8 +132,8 @@
 void StorageServer::OnReadable(Connection& connection) {
   const std::lock_guard lock(mutex_);
   const std::string bytes = loop::TakeInput(connection.stream.get());
-  const bool goes_on = connection.http ? ReceiveHttp(connection, bytes) : ReceiveNbd(connection, bytes);
-  if (!goes_on) {
+  const bool keep_open = connection.http ? ReceiveHttp(connection, bytes) : ReceiveNbd(connection, bytes);
+  if (!keep_open) {
     connections_.erase(connection.number);
   }
 }
@@ -224,14 +224,14 @@
     loop::Write(connection.stream.get(), bytes);
     return;
   }
-  const std::uint64_t key = connection.next_send++;
+  const std::uint64_t key = connection.next_response++;
   Connection* receiver = &connection;
   loop::EventHandle timer = loop::MakeTimer(loop_.base(), [receiver, key, bytes = std::move(bytes)] {
     loop::Write(receiver->stream.get(), bytes);
-    receiver->delayed_sends.erase(key);
+    receiver->delayed_responses.erase(key);
   });
   timer.Start(wait);
-  connection.delayed_sends[key] = std::move(timer);
+  connection.delayed_responses[key] = std::move(timer);
 }
 
 }  // namespace walnutspur::lab
--- a/tests/faults/clock_step_test.cpp
+++ b/tests/faults/clock_step_test.cpp
@@ -41,8 +41,8 @@
 
 void RunCase(StepCase& step) {
   const std::string sign = step.step_ms < 0 ? "" : "+";
-  lab::soak::TestbedOptions options = FaultyProcessOptions("clock@" + std::to_string(step.step_at_ms) + "=" +
-                                                           sign + std::to_string(step.step_ms));
+  lab::soak::TestEnvironmentOptions options = FaultyProcessOptions(
+      "clock@" + std::to_string(step.step_at_ms) + "=" + sign + std::to_string(step.step_ms));
   options.up_since_ms = UnixMilliseconds() - step.targets_up_ms;
   options.load.connections = 8;
   options.load.think_time = 15'000;
--- a/tests/faults/endpoint_lease_test.cpp
+++ b/tests/faults/endpoint_lease_test.cpp
@@ -22,8 +22,8 @@
 using lab::soak::FindViolations;
 using lab::soak::Record;
 using lab::soak::ServedFraction;
-using lab::soak::Testbed;
-using lab::soak::TestbedOptions;
+using lab::soak::TestEnvironment;
+using lab::soak::TestEnvironmentOptions;
 using lab::soak::Violation;
 
 constexpr int kLargeFleet = 300;
@@ -73,8 +73,8 @@
   CHECK(service.drained_served == 0);
 }
 
-TestbedOptions Options(int configured_instances) {
-  TestbedOptions options = ProcessOptions();
+TestEnvironmentOptions Options(int configured_instances) {
+  TestEnvironmentOptions options = ProcessOptions();
   options.configured_instances = configured_instances;
   options.load.write_fraction = 0.1;
   return options;
@@ -82,7 +82,7 @@
 
 // Runs a process while discovery fails; one target begins to drain, and 9 s later discovery works again.
 FaultResult RunDrainDuring(DiscoveryFault fault, int configured_instances) {
-  Testbed testbed(Options(configured_instances));
+  TestEnvironment testbed(Options(configured_instances));
   testbed.StartAll();
   testbed.RunFor(kSecond / 5);
   testbed.StartAllClients();
@@ -122,12 +122,12 @@
 TEST_CASE("Initiator: while discovery fails, no request reaches a target 6 s and the grace after its drain") {
   std::vector<FaultCase> cases;
   for (const int instances : {1, kLargeFleet}) {
-    cases.push_back({"gives up", DiscoveryFault::kGivesUp, instances, {}});
+    cases.push_back({"gives up", DiscoveryFault::kTimesOut, instances, {}});
     cases.push_back({"closes at once", DiscoveryFault::kClosesAtOnce, instances, {}});
     cases.push_back({"rejects at once", DiscoveryFault::kRejectsAtOnce, instances, {}});
     cases.push_back({"silent", DiscoveryFault::kSilent, instances, {}});
-    cases.push_back({"truncates responses", DiscoveryFault::kCutsAnswers, instances, {}});
-    cases.push_back({"refuses connections", DiscoveryFault::kRefuses, instances, {}});
+    cases.push_back({"truncates responses", DiscoveryFault::kTruncatesResponses, instances, {}});
+    cases.push_back({"refuses connections", DiscoveryFault::kRefusesConnections, instances, {}});
   }
   RunAllConcurrently(cases, RunCase);
   for (const FaultCase& each : cases) {
@@ -138,15 +138,15 @@
                   " violations, first: ", DescribeFirst(result.violations));
     CHECK(result.served_before > 0.95);
     CheckResumed(result.after);
-    if (each.fault == DiscoveryFault::kRefuses) {  // no change can be announced in the meantime
+    if (each.fault == DiscoveryFault::kRefusesConnections) {  // no change can be announced in the meantime
       CHECK(result.served_in_outage > 0.9);
     }
   }
 }
 
 TEST_CASE("Initiator: an outdated list at the start is not used once the first discovery call has failed") {
-  Testbed testbed(Options(kLargeFleet));
-  testbed.discovery().SetFault(DiscoveryFault::kGivesUp);
+  TestEnvironment testbed(Options(kLargeFleet));
+  testbed.discovery().SetFault(DiscoveryFault::kTimesOut);
   testbed.SetEndpointState(kDrainedTarget, EndpointState::kDraining);
   testbed.RunFor(7 * kSecond);
   testbed.StartAll();
--- a/tests/faults/fault_fixture.h
+++ b/tests/faults/fault_fixture.h
@@ -11,29 +11,29 @@
 
 #include "core/clock.h"
 #include "lab/soak/record_checker.h"
-#include "lab/soak/testbed.h"
+#include "lab/soak/test_environment.h"
 
 namespace walnutspur::test {
 
 inline constexpr Time kSecond = 1'000'000;  // us
 
 // Returns the options of a test environment with one process of the program under test.
-inline lab::soak::TestbedOptions ProcessOptions() {
-  lab::soak::TestbedOptions options;
+inline lab::soak::TestEnvironmentOptions ProcessOptions() {
+  lab::soak::TestEnvironmentOptions options;
   options.program = WALNUTSPUR_PROGRAM;
   return options;
 }
 
 // Returns the options for one process whose system calls and clock follow a plan of the fault shim.
-inline lab::soak::TestbedOptions FaultyProcessOptions(const std::string& plan) {
-  lab::soak::TestbedOptions options = ProcessOptions();
+inline lab::soak::TestEnvironmentOptions FaultyProcessOptions(const std::string& plan) {
+  lab::soak::TestEnvironmentOptions options = ProcessOptions();
   options.preload = WALNUTSPUR_FAULT_SHIM;
   options.environment["WALNUTSPUR_FAULTS"] = plan;
   return options;
 }
 
 // Stops the clients and waits until the last request has a response or has timed out.
-inline void StopClients(lab::soak::Testbed& testbed) {
+inline void StopClients(lab::soak::TestEnvironment& testbed) {
   testbed.StopAllClients();
   testbed.RunFor(2 * kSecond);
 }
@@ -42,7 +42,7 @@
 class LoadRun {
  public:
   // Starts the process and its clients, runs them for `duration` (us), and stops the clients.
-  LoadRun(const lab::soak::TestbedOptions& options, Time duration) : testbed_(options) {
+  LoadRun(const lab::soak::TestEnvironmentOptions& options, Time duration) : testbed_(options) {
     testbed_.StartAll();
     testbed_.StartAllClients();
     began_at_ = core::Now();
@@ -65,7 +65,7 @@
   }
 
  private:
-  lab::soak::Testbed testbed_;
+  lab::soak::TestEnvironment testbed_;
   Time began_at_ = 0;
   Time ended_at_ = 0;
   int idle_ends_ = 0;
--- a/tests/faults/system_call_test.cpp
+++ b/tests/faults/system_call_test.cpp
@@ -25,7 +25,7 @@
 };
 
 void RunCase(CallCase& fault_case) {
-  lab::soak::TestbedOptions options = FaultyProcessOptions(fault_case.faults);
+  lab::soak::TestEnvironmentOptions options = FaultyProcessOptions(fault_case.faults);
   options.load.connections = 8;
   options.load.think_time = 200'000;
   options.load.reconnect_fraction = 0.2;
