--- a/src/lab/fault_shim/fault_plan.cpp
+++ b/src/lab/fault_shim/fault_plan.cpp
@@ -45,7 +45,8 @@
   return number;
 }
 
-// What stands before `delimiter`, which is removed with it from `text`; all of the text if there is no mark.
+// Removes the text before `delimiter`, and the delimiter, from `text` and returns that text; returns all of
+// the text if it has no delimiter.
 std::string_view TakeUntil(std::string_view* text, char delimiter) {
   const std::size_t at = text->find(delimiter);
   const std::string_view taken = text->substr(0, at);
--- a/src/lab/fault_shim/fault_shim.cpp
+++ b/src/lab/fault_shim/fault_shim.cpp
@@ -1,10 +1,11 @@
-// A library to preload into a process under test: calls of the system fail by the plan in the environment
-// variable WALNUTSPUR_FAULTS (fault_plan.h), drawn from the seed in WALNUTSPUR_FAULTS_SEED. For tests and
-// benches only; never in what `run` starts.
+// A library to preload into a process under test. System calls fail according to the plan in the environment
+// variable WALNUTSPUR_FAULTS (fault_plan.h); random decisions use the seed in WALNUTSPUR_FAULTS_SEED. For
+// tests and benchmarks only; `run` never loads it.
 //
 // libevent reads and writes sockets by readv and writev, accepts by accept4, waits by epoll_wait or
 // epoll_pwait2, and reads the clocks by clock_gettime and gettimeofday; the standard library reads them by
-// clock_gettime. What goes to the kernel by other ways, such as syscall(2), is not reached.
+// clock_gettime. Calls that reach the kernel in other ways, such as syscall(2), are not
+// intercepted.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/epoll.h>
@@ -37,7 +38,7 @@
 constexpr std::int64_t kMicrosecondsPerMillisecond = 1'000;
 constexpr int kInvalidPlan = 125;  // exit code
 
-// The next definition of a function, which this library hides.
+// Returns the next definition of a function, which the definition in this library hides.
 template <typename Function>
 Function Real(const char* name) {
   return reinterpret_cast<Function>(dlsym(RTLD_NEXT, name));
@@ -57,7 +58,7 @@
     const char* text = std::getenv("WALNUTSPUR_FAULTS");
     const auto plan = ParseFaultPlan(text != nullptr ? text : "");
     if (!plan) {
-      std::fputs("WALNUTSPUR_FAULTS is no plan of faults\n", stderr);
+      std::fputs("WALNUTSPUR_FAULTS is not a valid fault plan\n", stderr);
       _exit(kInvalidPlan);
     }
     return *plan;
@@ -70,7 +71,7 @@
   return MonotonicMs() - started_at;
 }
 
-// Uniform in [0, 1): splitmix64 over a counter that all threads share.
+// Returns a number uniform in [0, 1): splitmix64 over a counter that all threads share.
 double Draw() {
   static const char* seed_text = std::getenv("WALNUTSPUR_FAULTS_SEED");
   static const std::uint64_t seed = seed_text != nullptr ? std::strtoull(seed_text, nullptr, 10) : 1;
@@ -81,7 +82,7 @@
   return static_cast<double>((bits ^ (bits >> 31U)) >> 11U) * 0x1.0p-53;
 }
 
-// The fault that this call meets now, or null. Delays are carried out here.
+// Returns the fault to apply to this call now, or null. Applies delays itself.
 const SystemFault* ActiveFault(std::string_view call) {
   for (const SystemFault& fault : Faults()) {
     if (fault.call != call || !fault.IsActive(ProcessAgeMs()) || Draw() >= fault.probability) {
@@ -97,8 +98,9 @@
   return nullptr;
 }
 
-// Sockets that this process has connected itself. Errors that break a connection are met by these alone: the
-// connection of a client breaks because the client broke it, and then it expects nothing more.
+// Sockets that this process has connected itself. Errors that end a connection are injected into these only:
+// the connection of a client ends with an error because the client closed it, and then the client expects no
+// response.
 constexpr std::size_t kMaxDescriptors = 65'536;
 std::array<std::atomic<bool>, kMaxDescriptors> outgoing_sockets{};
 
@@ -113,13 +115,13 @@
   }
 }
 
-// Whether bytes wait to be read. A connection that breaks hands over what has arrived before.
+// Returns whether the socket has input. A connection that fails still delivers the bytes that arrived before.
 bool HasInput(int fd) {
   char byte = 0;
   return recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
-// The fault that a transfer on a socket meets now, or null.
+// Returns the fault to apply to a transfer on a socket now, or null.
 const SystemFault* ActiveTransferFault(std::string_view call, int fd) {
   const SystemFault* fault = ActiveFault(call);
   if (fault == nullptr || fault->kind == SystemFaultKind::kShort || fault->error == EINTR ||
@@ -130,7 +132,7 @@
   return IsOutgoing(fd) && !loses_input ? fault : nullptr;
 }
 
-// Whether the call is to fail; errno is set then.
+// Returns whether the call must fail, and sets errno if it must.
 bool Fails(std::string_view call) {
   const SystemFault* fault = ActiveFault(call);
   if (fault == nullptr || fault->kind != SystemFaultKind::kError) {
@@ -142,7 +144,8 @@
 
 using VectorTransfer = ssize_t (*)(int, const iovec*, int);
 
-// Performs `call` by the C library's `real`: in full, its first byte only, or not at all with errno set.
+// Performs `call` with the C library's function `real`: in full, with its first byte only, or not at all,
+// with errno set.
 ssize_t Transfer(std::string_view call, VectorTransfer real, int fd, const iovec* pieces, int count) {
   const SystemFault* fault = ActiveTransferFault(call, fd);
   if (fault == nullptr) {
@@ -168,7 +171,7 @@
 
 }  // namespace
 
-// The C library declares these with reserved names of parameters, which no other definition may use.
+// The C library declares these functions with reserved parameter names, which other code must not use.
 // NOLINTBEGIN(readability-inconsistent-declaration-parameter-name)
 extern "C" {
 
--- a/src/lab/invariants/attempt_invariants.cpp
+++ b/src/lab/invariants/attempt_invariants.cpp
@@ -1,6 +1,7 @@
-// Invariants of attempts: whether an initiator may send one, where to, and what it says of its outcome.
+// Checks the invariants of attempts: whether an initiator may send an attempt, to which server, and which
+// outcome it reports.
 //
-// An attempt of an unknown request breaks known-request and is not judged further.
+// An attempt of an unknown request violates known-request and is not checked further.
 #include "lab/invariants/invariant_checks.h"
 
 namespace walnutspur::lab::invariants {
@@ -10,7 +11,7 @@
 
 std::string Milliseconds(Time span) { return std::to_string(span / kMicrosecondsPerMillisecond) + " ms"; }
 
-// The observed attempt, if it is sent for a known request.
+// Returns the observed attempt if it is sent for a known request, otherwise nullptr.
 const AttemptSent* SentAttempt(const Observation& observation) {
   return observation.request == nullptr ? nullptr : As<AttemptSent>(observation);
 }
@@ -20,12 +21,12 @@
 // No attempt is sent once the client has its response. Input: attempts, responses. Tolerance: none.
 void CheckAttemptAfterResponse(const Observation& observation, const FindingSink& report) {
   if (SentAttempt(observation) != nullptr && observation.request->has_response) {
-    report({"an attempt of a request that has its response"});
+    report({"attempt sent after the response to its request"});
   }
 }
 
-// No attempt is sent once the client has left. Input: attempts, disconnections. Tolerance: disconnect_slack,
-// in which the initiator learns of it and what it has already written arrives.
+// No attempt is sent once the client has disconnected. Input: attempts, disconnections. Tolerance:
+// disconnect_slack, within which the initiator learns of the disconnection and written attempts arrive.
 void CheckAttemptAfterDisconnect(const Observation& observation, const FindingSink& report) {
   if (SentAttempt(observation) == nullptr || !observation.request->disconnect) {
     return;
@@ -35,7 +36,7 @@
                                 disconnect.reason == DisconnectReason::kNoResponse;
   const Time since_disconnect = observation.event.at - disconnect.at;
   if (has_disconnected && since_disconnect > observation.tolerances.disconnect_slack) {
-    report({"sent " + Milliseconds(since_disconnect) + " after its client had left"});
+    report({"sent " + Milliseconds(since_disconnect) + " after its client had disconnected"});
   }
 }
 
@@ -44,7 +45,7 @@
 void CheckAttemptNumber(const Observation& observation, const FindingSink& report) {
   const AttemptSent* const sent = SentAttempt(observation);
   if (sent != nullptr && sent->attempt != static_cast<int>(observation.request->attempts.size())) {
-    report({"attempts are not numbered in order"});
+    report({"attempt number is out of order"});
   }
 }
 
@@ -52,12 +53,12 @@
 void CheckMaxAttempts(const Observation& observation, const FindingSink& report) {
   const AttemptSent* const sent = SentAttempt(observation);
   if (sent != nullptr && sent->attempt >= observation.run.limits().max_attempts) {
-    report({"more attempts than are allowed"});
+    report({"more attempts than the limit allows"});
   }
 }
 
 // An attempt states no more time than is left until the request's deadline, and none is sent after it.
-// Input: attempts. Tolerance: deadline_slack, for the way of the request and of the attempt.
+// Input: attempts. Tolerance: deadline_slack, for the transit of the request and of the attempt.
 void CheckAttemptDeadline(const Observation& observation, const FindingSink& report) {
   const AttemptSent* const sent = SentAttempt(observation);
   if (sent == nullptr) {
@@ -65,7 +66,8 @@
   }
   const Time time_left = observation.request->deadline - observation.event.at;
   if (sent->stated_time_left > time_left + observation.tolerances.deadline_slack) {
-    report({"stated " + Milliseconds(sent->stated_time_left) + " with " + Milliseconds(time_left) + " left"});
+    report({"stated " + Milliseconds(sent->stated_time_left) + " with " + Milliseconds(time_left) +
+            " left until the deadline"});
   }
 }
 
@@ -77,7 +79,7 @@
   }
   for (const AttemptState& earlier : observation.request->attempts) {
     if (earlier.PossiblyRan()) {
-      report({"not idempotent, and sent again though an earlier attempt may have run"});
+      report({"request is not idempotent and was sent again although an earlier attempt may have run"});
     }
   }
 }
@@ -92,7 +94,7 @@
 }
 
 // No attempt goes to a server later than the drain grace after the initiator was notified of its drain.
-// Input: limits, attempts, notifications. Tolerance: drain_slack, for the way to the server;
+// Input: limits, attempts, notifications. Tolerance: drain_slack, for the transit to the server;
 // last_notice_counts.
 void CheckDrainGrace(const Observation& observation, const FindingSink& report) {
   const AttemptSent* const sent = SentAttempt(observation);
@@ -106,7 +108,7 @@
   const Time since_notice = observation.event.at - notified_at;
   if (since_notice > observation.run.limits().drain_grace + tolerances.drain_slack) {
     report({"sent to a server " + Milliseconds(since_notice) +
-            " after the notice of its drain, which is past the grace"});
+            " after the notice of its drain, later than the drain grace allows"});
   }
 }
 
@@ -120,7 +122,7 @@
     return;
   }
   if (endpoint->shard != observation.request->shard) {
-    report({"sent to a server that does not hold its shard"});
+    report({"sent to a server that does not hold the shard of the request"});
   }
 }
 
@@ -128,7 +130,7 @@
 void CheckOneOutcome(const Observation& observation, const FindingSink& report) {
   if (As<AttemptEnded>(observation) != nullptr && observation.attempt != nullptr &&
       observation.attempt->ended) {
-    report({"a second outcome of an attempt"});
+    report({"second outcome of the same attempt"});
   }
 }
 
@@ -138,7 +140,7 @@
   const auto* const ended = As<AttemptEnded>(observation);
   if (ended != nullptr && observation.attempt != nullptr && !ended->may_have_run &&
       observation.attempt->started) {
-    report({"its outcome says that it has not run, and the server has begun it"});
+    report({"outcome states that the attempt has not run, but the server started it"});
   }
 }
 
--- a/src/lab/invariants/event.h
+++ b/src/lab/invariants/event.h
@@ -1,5 +1,5 @@
-// The record of events on which the invariants are judged, whatever produced it: the log of a simulated run
-// (lab/sim/log_events.h) or what stand-ins saw of real processes (lab/soak/record_events.h).
+// Defines the events on which invariants are checked. The source of a record is the log of a simulated run
+// (lab/sim/log_events.h) or the events that fakes recorded of real processes (lab/soak/record_events.h).
 //
 // Plain data. Times and spans are microseconds; identities are numbers that the source of the record assigns.
 #ifndef WALNUTSPUR_LAB_INVARIANTS_EVENT_H_
@@ -18,7 +18,7 @@
 using RequestId = std::int64_t;
 constexpr RequestId kNoRequest = -1;
 constexpr int kNoServer = -1;
-constexpr std::int64_t kAnyShard = -1;  // of a new object, which any shard may take
+constexpr std::int64_t kAnyShard = -1;  // of a new object, which may be placed on any shard
 
 // The first event: limits that hold throughout the run.
 struct RunLimits {
@@ -26,8 +26,8 @@
   Time drain_grace = 0;           // after the notice of a drain, in which attempts may still be sent
 };
 
-// What a request was promised by its class. Classes with an idempotency key count as not idempotent: that a
-// repeat falls within its deduplication scope and window is not judged.
+// Terms of a request, as defined by its class. Classes with an idempotency key count as not idempotent:
+// whether a repeat falls within its deduplication scope and window is not checked.
 struct RequestTerms {
   bool is_idempotent = true;
   Time deadline = 0;  // absolute
@@ -50,7 +50,7 @@
   Time stated_time_left = 0;  // until the deadline, by the attempt's header; 0: without one
 };
 
-// The initiator knows how an attempt has ended.
+// The initiator has learned the outcome of an attempt.
 struct AttemptEnded {
   RequestId request = kNoRequest;
   int attempt = -1;
@@ -63,10 +63,10 @@
   core::ResponseStatus status = core::ResponseStatus::kServed;
 };
 
-// Why no response to a request can follow.
+// Reason why a request gets no response any more.
 enum class DisconnectReason {
   kClientDisconnected,  // the client closed its connection before the response
-  kNoResponse,          // the connection ended, or the client's time was over, without a response
+  kNoResponse,          // the connection ended, or the client's deadline expired, without a response
   kNotAccepted,  // no connection, or one that ended before the request was read: the client may send again
   kStopped       // the run stopped the client
 };
@@ -138,7 +138,7 @@
   std::string description;
 };
 
-// Something that no invariant depends on, but for its place in the order of the record.
+// An event whose content no invariant depends on; only its time is checked.
 struct OtherEvent {};
 
 // The last event.
--- a/src/lab/invariants/invariant.h
+++ b/src/lab/invariants/invariant.h
@@ -1,5 +1,5 @@
-// An invariant: a promise of the platform, with a name, and a pure function that judges one event of a record
-// by what the record has said before it.
+// Defines an invariant: a named rule of the platform with a pure function that checks one event of a record
+// against the events before it.
 #ifndef WALNUTSPUR_LAB_INVARIANTS_INVARIANT_H_
 #define WALNUTSPUR_LAB_INVARIANTS_INVARIANT_H_
 
@@ -13,21 +13,22 @@
 
 namespace walnutspur::lab::invariants {
 
-// How far a record may be from a promise without a violation, us. All 0 and false: the record's times are
-// those of the events themselves. Whoever makes a record states its tolerances with their reasons.
+// How far the times of a record may deviate from a rule without a violation, us. All 0 and false: the times
+// of the record are those of the events themselves. The source of a record defines its tolerances and their
+// reasons.
 struct Tolerances {
   Time response_grace = 0;    // after a request's deadline, for its response
   Time drain_slack = 0;       // after the drain grace, for an attempt
   Time deadline_slack = 0;    // by which a stated time may exceed what a request has left
-  Time disconnect_slack = 0;  // after a client has left, for an attempt
+  Time disconnect_slack = 0;  // after a client has disconnected, for an attempt
   Time kill_slack = 0;        // after a client's wait ended without a response, for the kill that explains it
-  // After SIGTERM, the time in which a request still has to be answered.
+  // Time after SIGTERM within which a request that arrives must still get a response.
   Time shutdown_service = 0;
-  // Whether the drain grace counts from the last notice of an inactive server, in place of the first.
+  // Whether the drain grace starts at the last notice of an inactive server instead of the first.
   bool last_notice_counts = false;
 };
 
-// An event of a record and what the record has said before it.
+// An event of a record, with the state that results from the events before it.
 struct Observation {
   const Event& event;
   const RunState& run;
@@ -36,16 +37,16 @@
   const AttemptState* attempt;  // that the event is about; nullptr: none, or not known
 };
 
-// What an invariant says of a violation.
+// A violation found by an invariant.
 struct Finding {
   std::string description;
-  RequestId request = kNoRequest;  // where it is not the event's own
+  RequestId request = kNoRequest;  // if it differs from the request of the event
 };
 using FindingSink = std::function<void(Finding)>;
 
-// The records on which an invariant can be judged.
+// The records on which an invariant can be checked.
 enum class Scope {
-  kSimulation,  // needs what only the simulation can record
+  kSimulation,  // needs events that only the simulation can record
   kProcesses,   // concerns what the simulation does not model
   kAllRecords
 };
@@ -57,7 +58,7 @@
   std::string_view name;
   std::string_view promise;  // one sentence
   Scope scope = Scope::kAllRecords;
-  // Calls the sink for each violation that the event shows.
+  // Calls the sink for each violation that the event reveals.
   void (*check)(const Observation& observation, const FindingSink& report) = nullptr;
 
   bool AppliesTo(RecordSource source) const {
@@ -66,7 +67,7 @@
   }
 };
 
-// The body of the observed event, nullptr if it is of another type.
+// Returns the body of the observed event, or nullptr if it is of another type.
 template <typename Body>
 const Body* As(const Observation& observation) {
   return std::get_if<Body>(&observation.event.body);
--- a/src/lab/invariants/invariant_checker.h
+++ b/src/lab/invariants/invariant_checker.h
@@ -1,7 +1,8 @@
-// Judges a record, event by event, by all invariants that apply to its source.
+// Checks a record, event by event, against all invariants that apply to its source.
 //
-// It sees the record alone: it shares no state with what produced it, so that a fault in the one cannot hide
-// a fault in the other. tests/lab violate each invariant of the simulation on purpose. Used on one thread.
+// Its only input is the record: it shares no state with the source of the record, so that a fault in one
+// cannot hide a fault in the other. tests/lab violate each invariant of the simulation on purpose. Used on
+// one thread.
 #ifndef WALNUTSPUR_LAB_INVARIANTS_INVARIANT_CHECKER_H_
 #define WALNUTSPUR_LAB_INVARIANTS_INVARIANT_CHECKER_H_
 
@@ -31,7 +32,7 @@
   // `on_violation` is called from Observe, once for each finding.
   InvariantChecker(RecordSource source, const Tolerances& tolerances, ViolationHandler on_violation);
 
-  // Judges the next event of the record.
+  // Checks the next event of the record.
   void Observe(const Event& event);
 
  private:
--- a/src/lab/invariants/invariant_checks.h
+++ b/src/lab/invariants/invariant_checks.h
@@ -1,5 +1,5 @@
-// The checks of the invariants, one function each; what they promise stands in the table of
-// invariant_table.cpp. Pure functions; any thread.
+// Declares the checks of the invariants, one function each. The table in invariant_table.cpp states the rule
+// of each check. Pure functions; any thread.
 #ifndef WALNUTSPUR_LAB_INVARIANTS_INVARIANT_CHECKS_H_
 #define WALNUTSPUR_LAB_INVARIANTS_INVARIANT_CHECKS_H_
 
--- a/src/lab/invariants/invariant_names.h
+++ b/src/lab/invariants/invariant_names.h
@@ -1,4 +1,4 @@
-// The names of the invariants, as they are printed by the laboratory's programs and given to their tests.
+// Defines the names of the invariants, which the lab programs print and their tests use.
 #ifndef WALNUTSPUR_LAB_INVARIANTS_INVARIANT_NAMES_H_
 #define WALNUTSPUR_LAB_INVARIANTS_INVARIANT_NAMES_H_
 
--- a/src/lab/invariants/invariant_table.h
+++ b/src/lab/invariants/invariant_table.h
@@ -1,4 +1,4 @@
-// All invariants of the platform that the laboratory judges.
+// Provides the table of all invariants that the lab checks.
 #ifndef WALNUTSPUR_LAB_INVARIANTS_INVARIANT_TABLE_H_
 #define WALNUTSPUR_LAB_INVARIANTS_INVARIANT_TABLE_H_
 
@@ -8,7 +8,7 @@
 
 namespace walnutspur::lab::invariants {
 
-// In the order in which they judge an event.
+// Returns the invariants in the order in which they check an event.
 std::span<const Invariant> AllInvariants();
 
 }  // namespace walnutspur::lab::invariants
--- a/src/lab/invariants/record_invariants.cpp
+++ b/src/lab/invariants/record_invariants.cpp
@@ -1,5 +1,4 @@
-// Invariants of the record itself: what breaks them is a fault of the laboratory or of the engine's
-// numbering.
+// Checks the invariants of the record itself. A violation is a fault of the lab or of the engine's numbering.
 #include "lab/invariants/invariant_checks.h"
 
 namespace walnutspur::lab::invariants {
@@ -7,14 +6,14 @@
 // Nothing follows the end of the run. Input: every event. Tolerance: none.
 void CheckRecordEnd(const Observation& observation, const FindingSink& report) {
   if (observation.run.ended()) {
-    report({"an entry after the end"});
+    report({"event recorded after the end of the run"});
   }
 }
 
 // Times do not decrease. Input: every event. Tolerance: none; only the simulation has one clock.
 void CheckRecordOrder(const Observation& observation, const FindingSink& report) {
   if (observation.event.at < observation.run.now()) {
-    report({"time ran backwards"});
+    report({"event time is earlier than the time of an event before it"});
   }
 }
 
@@ -24,14 +23,14 @@
   const bool is_known = observation.request != nullptr;
   if (const auto* const sent = As<RequestSent>(observation)) {
     if (!sent->terms) {
-      report({"a request of an undefined class"});
+      report({"request of an undefined class"});
     } else if (is_known) {
-      report({"the same request is sent twice"});
+      report({"request sent twice"});
     }
   } else if (As<AttemptSent>(observation) != nullptr && !is_known) {
-    report({"an attempt of a request that no client has sent, or that is over"});
+    report({"attempt of a request that no client has sent or that has completed"});
   } else if (As<ResponseReceived>(observation) != nullptr && !is_known) {
-    report({"a response to a request that no client has sent, or that is over"});
+    report({"response to a request that no client has sent or that has completed"});
   }
 }
 
--- a/src/lab/invariants/response_invariants.cpp
+++ b/src/lab/invariants/response_invariants.cpp
@@ -1,4 +1,4 @@
-// Invariants of responses: one for each request, in time, and true.
+// Checks the invariants of responses: one for each request, before the deadline, with the correct status.
 #include <algorithm>
 
 #include "lab/invariants/invariant_checks.h"
@@ -6,20 +6,21 @@
 namespace walnutspur::lab::invariants {
 namespace {
 
-// The observed response, if it is the first to a known request.
+// Returns the observed response if it is the first to a known request, otherwise nullptr.
 const ResponseReceived* FirstResponse(const Observation& observation) {
   const bool is_first = observation.request != nullptr && !observation.request->has_response;
   return is_first ? As<ResponseReceived>(observation) : nullptr;
 }
 
-// The latest of `times`, which are in order, that is not after `at`; 0 if there is none.
+// Returns the latest of `times`, which are sorted, that is not after `at`, or 0 if there is none.
 Time LatestUntil(const std::vector<Time>& times, Time at) {
   const auto after = std::upper_bound(times.begin(), times.end(), at);
   return after == times.begin() ? 0 : *std::prev(after);
 }
 
-// Whether the end of its initiator's process excuses that a request got no response: the process was killed
-// in the meantime, or the request came so late in its graceful shutdown that nothing is promised any more.
+// Returns whether the exit of the initiator's process explains that a request got no response: the process
+// was killed in the meantime, or the request came so late in its graceful shutdown that a response is not
+// required.
 bool IsExcusedByProcessEnd(const RequestState& request, Time disconnected_at,
                            const Observation& observation) {
   const ProcessHistory* const history = observation.run.FindProcess(request.initiator);
@@ -30,7 +31,7 @@
   const Time terminated = LatestUntil(history->terminations, request.sent_at);
   const bool in_shutdown = terminated > LatestUntil(history->starts, request.sent_at);
   if (in_shutdown) {
-    // What arrives in time after SIGTERM has to be answered before a kill.
+    // A request that arrives in time after SIGTERM must get a response before a kill.
     return request.sent_at - terminated > tolerances.shutdown_service;
   }
   return std::any_of(history->kills.begin(), history->kills.end(), [&](Time at) {
@@ -38,7 +39,7 @@
   });
 }
 
-// Whether a request, not answered when the run ends, should have been.
+// Returns whether a request without a response at the end of the run should have got one.
 bool IsMissingResponse(const RequestState& request, const Observation& observation) {
   if (request.disconnect) {
     return request.disconnect->reason == DisconnectReason::kNoResponse &&
@@ -53,7 +54,7 @@
 void CheckOneResponse(const Observation& observation, const FindingSink& report) {
   if (As<ResponseReceived>(observation) != nullptr && observation.request != nullptr &&
       observation.request->has_response) {
-    report({"a second response"});
+    report({"second response to the same request"});
   }
 }
 
@@ -61,7 +62,7 @@
 void CheckResponseDeadline(const Observation& observation, const FindingSink& report) {
   if (FirstResponse(observation) != nullptr &&
       observation.event.at > observation.request->deadline + observation.tolerances.response_grace) {
-    report({"the response came after the client's deadline"});
+    report({"response received after the deadline of the client"});
   }
 }
 
@@ -71,12 +72,12 @@
   const ResponseReceived* const response = FirstResponse(observation);
   if (response != nullptr && response->status == core::ResponseStatus::kServed &&
       observation.request->completions == 0) {
-    report({"said to be served, and completed by no server"});
+    report({"response states that the request was served, but no server completed it"});
   }
 }
 
-// A request that is rejected and not idempotent has not run: a rejection says that a retry is harmless, and
-// the client will retry. Input: responses, outcomes of attempts. Tolerance: none. One finding for each
+// A request that is rejected and not idempotent has not run: a rejection states that a retry is safe, and the
+// client retries. Input: responses, outcomes of attempts. Tolerance: none. One finding for each
 // attempt.
 void CheckFalseRejected(const Observation& observation, const FindingSink& report) {
   const ResponseReceived* const response = FirstResponse(observation);
@@ -86,14 +87,14 @@
   }
   for (const AttemptState& attempt : observation.request->attempts) {
     if (attempt.PossiblyRan()) {
-      report({"rejected though it may have run"});
+      report({"request was rejected although it may have run"});
     }
   }
 }
 
-// Each request is answered while its client waits, but where the initiator's process was killed or the
+// Each request gets a response while its client waits, unless the initiator's process was killed or the
 // request came late in its shutdown. Input: requests, responses, disconnections, the processes' histories;
-// judged when the run ends. Tolerance: response_grace, kill_slack, shutdown_service.
+// checked when the run ends. Tolerance: response_grace, kill_slack, shutdown_service.
 void CheckMissingResponse(const Observation& observation, const FindingSink& report) {
   if (As<RunEnded>(observation) == nullptr) {
     return;
--- a/src/lab/invariants/run_state.cpp
+++ b/src/lab/invariants/run_state.cpp
@@ -7,21 +7,21 @@
 
 constexpr int kInitiatorShift = 32;
 
-// The initiator in the upper half, the server in the lower one.
+// Returns a key with the initiator in the upper half and the server in the lower half.
 std::int64_t EndpointKey(int initiator, int server) {
   return static_cast<std::int64_t>(initiator) << kInitiatorShift | static_cast<std::uint32_t>(server);
 }
 
 int InitiatorOf(std::int64_t endpoint_key) { return static_cast<int>(endpoint_key >> kInitiatorShift); }
 
-// The value of a key, or nullptr.
+// Returns a pointer to the value of a key, or nullptr.
 template <typename Map>
 auto* Find(Map& map, const typename Map::key_type& key) {
   const auto found = map.find(key);
   return found == map.end() ? nullptr : &found->second;
 }
 
-// An attempt by its number, or nullptr; `Request` is const or not.
+// Returns an attempt by its number, or nullptr. `Request` may be const.
 template <typename Request>
 auto* NumberedAttempt(Request* request, int attempt) {
   const bool exists =
--- a/src/lab/invariants/run_state.h
+++ b/src/lab/invariants/run_state.h
@@ -1,5 +1,6 @@
-// What a record of events has said so far: the requests, their attempts, the endpoints each initiator knows,
-// the work servers hold and the processes' histories. The invariants read it; it judges nothing.
+// Class RunState holds the state that results from the events of a record so far: the requests, their
+// attempts, the endpoints each initiator was notified of, the work that servers hold and the histories of the
+// processes. The invariants read it; it checks nothing itself.
 //
 // Owned by an InvariantChecker; used on one thread.
 #ifndef WALNUTSPUR_LAB_INVARIANTS_RUN_STATE_H_
@@ -17,11 +18,11 @@
 
 struct AttemptState {
   int server = kNoServer;
-  bool ended = false;         // the initiator knows its outcome
+  bool ended = false;         // the initiator has learned its outcome
   bool may_have_run = false;  // by that outcome
   bool started = false;       // by what the server did
 
-  // Whether the initiator has to assume that the attempt had its effect.
+  // Returns whether the initiator must assume that the attempt had its effect.
   bool PossiblyRan() const { return !ended || may_have_run; }
 };
 
@@ -43,7 +44,7 @@
   std::vector<AttemptState> attempts;
 };
 
-// What an initiator was last notified of a server.
+// The state of a server of which an initiator was last notified.
 struct KnownEndpoint {
   bool is_active = false;
   Time inactive_since = 0;  // the first notice since it was active
@@ -60,12 +61,12 @@
 
 class RunState {
  public:
-  // Whether a request is forgotten once it is answered, all its attempts have ended and it may run again; a
-  // record of millions of requests does not fit into memory otherwise.
+  // Whether a request is discarded once it has a response, all its attempts have ended and it may run again.
+  // Otherwise a record of millions of requests does not fit into memory.
   enum class Retention { kAllRequests, kUnsettledRequests };
   explicit RunState(Retention retention) : retention_(retention) {}
 
-  // Takes the next event of the record into account.
+  // Updates the state by the next event of the record.
   void Apply(const Event& event);
 
   Time now() const { return now_; }  // the latest time of an event
@@ -73,13 +74,13 @@
   const RunLimits& limits() const { return limits_; }
   const std::unordered_map<RequestId, RequestState>& requests() const { return requests_; }
 
-  // Each nullptr if the record has said nothing of it, or it was forgotten.
+  // Each returns nullptr if the record has no event of it so far, or if it was discarded.
   const RequestState* FindRequest(RequestId request) const;
   const AttemptState* FindAttempt(RequestId request, int attempt) const;
   const KnownEndpoint* FindEndpoint(int initiator, int server) const;
   const ProcessHistory* FindProcess(int initiator) const;
 
-  // Work that a server has accepted and neither finished nor dropped, thousandths of a unit.
+  // Returns the work that a server has accepted and neither finished nor dropped, thousandths of a unit.
   std::int64_t HeldUnits(int server) const;
 
  private:
--- a/src/lab/invariants/server_invariants.cpp
+++ b/src/lab/invariants/server_invariants.cpp
@@ -1,4 +1,4 @@
-// Invariants of what storage servers do with attempts, and of processes.
+// Checks the invariants of the work of storage servers on attempts, and of processes.
 #include "lab/invariants/invariant_checks.h"
 
 namespace walnutspur::lab::invariants {
@@ -8,7 +8,7 @@
   const auto* const accepted = As<AttemptAccepted>(observation);
   if (accepted != nullptr && observation.attempt != nullptr &&
       observation.attempt->server != accepted->server) {
-    report({"accepted by a server that it was not sent to"});
+    report({"attempt accepted by a server that it was not sent to"});
   }
 }
 
@@ -16,7 +16,7 @@
 void CheckRepeatedWork(const Observation& observation, const FindingSink& report) {
   if (As<WorkStarted>(observation) != nullptr && observation.request != nullptr &&
       !observation.request->is_idempotent && observation.request->started) {
-    report({"work that must not run twice has begun a second time"});
+    report({"work on a request that is not idempotent was started a second time"});
   }
 }
 
@@ -37,7 +37,7 @@
 // No server crashes by overload while it is warming up. Input: overload crashes. Tolerance: none.
 void CheckSlowStart(const Observation& observation, const FindingSink& report) {
   if (As<ServerOverloaded>(observation) != nullptr) {
-    report({"a server was overloaded while it was warming up"});
+    report({"server crashed by overload while it was warming up"});
   }
 }
 
--- a/src/lab/soak/discovery_recorder.h
+++ b/src/lab/soak/discovery_recorder.h
@@ -1,6 +1,6 @@
-// Writes what the discovery service does into the record of a run.
+// Records the events of the fake discovery service in the record of a run.
 //
-// Owned by a testbed; called on the thread of its event loop.
+// Owned by a test environment; called on the thread of its event loop.
 #ifndef WALNUTSPUR_LAB_SOAK_DISCOVERY_RECORDER_H_
 #define WALNUTSPUR_LAB_SOAK_DISCOVERY_RECORDER_H_
 
@@ -11,7 +11,7 @@
 
 class DiscoveryRecorder : public DiscoveryObserver {
  public:
-  // `record` must outlive it.
+  // `record` must outlive the recorder.
   explicit DiscoveryRecorder(Record* record) : record_(record) {}
 
   void OnEndpointSet(int revision, const ListedEndpoint& endpoint) override;
--- a/src/lab/soak/load_client.cpp
+++ b/src/lab/soak/load_client.cpp
@@ -10,12 +10,12 @@
 
 constexpr Time kReconnectDelay = 30'000;  // us
 constexpr Time kResponseGrace =
-    500'000;  // us past its deadline after which a request without response is lost
+    500'000;  // us past its deadline after which a request counts as without a response
 constexpr int kStatusOk = 200;
 constexpr int kStatusTooManyRequests = 429;
 constexpr int kStatusUnavailable = 503;
 
-// Part of a request's id that counts the requests of one process; the process stands above it.
+// Low bits of a request's id, which count the requests of one process; the high bits are the process.
 constexpr unsigned kRequestNumberBits = 48;
 
 ClientResult ResultOf(int status) {
@@ -147,7 +147,8 @@
   }
 }
 
-// A request that crosses the end of an idle connection is sent once more, on a new one.
+// Handles the end of a connection. A request that was sent while the idle connection was being closed is sent
+// once more, on a new connection.
 void LoadClient::OnConnectionClosed(Connection& connection) {
   const bool was_idle = connection.was_used && !connection.response.started();
   const bool was_connected = connection.is_connected;
--- a/src/lab/soak/load_client.h
+++ b/src/lab/soak/load_client.h
@@ -1,7 +1,7 @@
-// Clients of one process: a number of connections, each of which sends a request, waits for its response,
-// thinks, and sends the next. They record how each request ended.
+// Simulates the clients of one process: a number of connections, each of which sends a request, waits for its
+// response, pauses for a think time, and sends the next. Records how each request ended.
 //
-// Owned by a testbed; runs on the thread of its event loop.
+// Owned by a test environment; runs on the thread of its event loop.
 #ifndef WALNUTSPUR_LAB_SOAK_LOAD_CLIENT_H_
 #define WALNUTSPUR_LAB_SOAK_LOAD_CLIENT_H_
 
@@ -23,24 +23,25 @@
 // How the clients of a process behave.
 struct LoadOptions {
   int connections = 4;
-  Time think_time = 50'000;        // mean, us
-  Time deadline = 1'200'000;       // us, as stated to the process
-  double write_fraction = 0.2;     // of class "write", which may not be repeated
-  double disconnect_fraction = 0;  // closes its connection at a random time before its deadline
-  double reconnect_fraction = 0;   // closes its connection after a response
+  Time think_time = 50'000;     // mean, us
+  Time deadline = 1'200'000;    // us, as stated to the process
+  double write_fraction = 0.2;  // of class "write", which must not be repeated
+  double disconnect_fraction =
+      0;                          // of requests whose client disconnects at a random time before the deadline
+  double reconnect_fraction = 0;  // of responses after which the client closes its connection
   int shards = 4;
 };
 
 class LoadClient {
  public:
-  // Sends to `server`. `record` must outlive it. `process` is a part of all request ids.
+  // Sends requests to `server`. `record` must outlive the client. `process` is part of all request ids.
   LoadClient(event_base* base, int process, const loop::Address& server, const LoadOptions& options,
              std::uint64_t seed, Record* record);
   ~LoadClient();
   LoadClient(const LoadClient&) = delete;
   LoadClient& operator=(const LoadClient&) = delete;
 
-  // Sends nothing new; open requests may still be answered.
+  // Sends no new requests. Open requests may still get a response.
   void Stop() { is_stopped_ = true; }
 
  private:
@@ -53,8 +54,8 @@
     loop::StreamPtr stream;
     bool is_connected = false;
     bool was_used = false;   // carried a request before
-    bool is_retry = false;   // the open request crossed the end of an idle connection
-    std::string request_id;  // of the open request; empty: none
+    bool is_retry = false;   // the open request was sent while the idle connection was being closed
+    std::string request_id;  // of the open request; empty: no open request
     std::string request_text;
     http::MessageReader response{http::MessageReader::Kind::kResponse};
     loop::EventHandle next_request;
--- a/src/lab/soak/plan.cpp
+++ b/src/lab/soak/plan.cpp
@@ -84,7 +84,7 @@
   plan.load.connections = 2 + static_cast<int>(random.Below(7));
   plan.load.shards = plan.targets;
   plan.system_faults = Choose(&random, kSystemFaults);
-  // Whatever else is drawn: discovery fails, and a target drains meanwhile.
+  // Every plan has a failure of discovery and a drain of a target.
   FaultEvent failure = DrawEvent(plan, &random);
   failure.kind = FaultEventKind::kDiscoveryFault;
   FaultEvent drain = DrawEvent(plan, &random);
--- a/src/lab/soak/plan.h
+++ b/src/lab/soak/plan.h
@@ -1,5 +1,5 @@
-// The plan of a soak run: how many processes, which clients, and which faults when. Drawn from a seed; the
-// same seed gives the same plan.
+// Defines the plan of a soak run: the number of processes, the behaviour of clients, and the faults with
+// their times. Drawn from a seed; the same seed gives the same plan.
 //
 // Plain data and pure functions; any thread.
 #ifndef WALNUTSPUR_LAB_SOAK_PLAN_H_
@@ -16,21 +16,21 @@
 namespace walnutspur::lab::soak {
 
 enum class FaultEventKind {
-  kDiscoveryFault,  // lasts; ends with kNone
+  kDiscoveryFault,  // for the duration; ends with kNone
   kEndWatches,
-  kDrain,        // a target begins to drain, and leaves the list a second later
-  kReturn,       // a target is listed as serving again
-  kTargetFault,  // lasts; ends with kNone
+  kDrain,        // a target starts to drain, and is removed from the list a second later
+  kReturn,       // a target is listed as active again
+  kTargetFault,  // for the duration; ends with kNone
   kCloseIdle,    // a target closes its idle connections
-  kPause,        // SIGSTOP; lasts
-  kReload,       // SIGHUP without a change
-  kTerminate,    // SIGTERM, SIGKILL at the earliest time that the platform allows, and a new start
-  kKill,         // SIGKILL, and a new start
+  kPause,        // SIGSTOP; SIGCONT after the duration
+  kReload,       // SIGHUP, with unchanged settings
+  kTerminate,    // SIGTERM, SIGKILL at the earliest time that the platform allows, and a restart
+  kKill,         // SIGKILL, and a restart
 };
 
 struct FaultEvent {
   Time at = 0;        // us after the clients' start
-  Time duration = 0;  // us, of what lasts
+  Time duration = 0;  // us, of faults that last
   FaultEventKind kind = FaultEventKind::kEndWatches;
   int process = 0;
   int target = 0;
@@ -50,10 +50,10 @@
   std::vector<FaultEvent> events;
 };
 
-// Draws a plan.
+// Draws a plan from the seed.
 SoakPlan DrawPlan(std::uint64_t seed);
 
-// One line for the plan and one for each of its events.
+// Returns one line for the plan and one for each of its events.
 std::string Describe(const SoakPlan& plan);
 
 }  // namespace walnutspur::lab::soak
--- a/src/lab/soak/record.h
+++ b/src/lab/soak/record.h
@@ -1,7 +1,7 @@
-// What happened in a run on real processes, as its storage servers, its discovery service and its clients saw
-// it.
+// Defines the record of a run on real processes: the events that the fake storage servers, the fake discovery
+// service and the clients observed.
 //
-// Plain data, written by the stand-ins on the thread of their event loop and read by the checker afterwards.
+// Plain data, written by the fakes on the thread of their event loop and read by the checker afterwards.
 // All times are microseconds of the monotonic clock of this machine (core::Now()).
 #ifndef WALNUTSPUR_LAB_SOAK_RECORD_H_
 #define WALNUTSPUR_LAB_SOAK_RECORD_H_
@@ -20,7 +20,7 @@
   std::string target;
   std::string request_id;
   Time stated_deadline = -1;    // X-Deadline, us; -1: none
-  bool was_overloaded = false;  // with the promise that it has not run
+  bool was_overloaded = false;  // the response stated that the request has not run
 };
 
 // How a client's request ended.
@@ -29,9 +29,9 @@
   kServed,        // 200
   kRejected,      // 429 or 503
   kFailed,        // any other status
-  kDisconnected,  // the client closed its connection first
-  kNoResponse,    // the connection ended, or the time was over, without a response
-  kNotAccepted,   // no connection, or one that ended before the request was read: the client may send again
+  kDisconnected,  // the client closed its connection before the response
+  kNoResponse,    // the connection ended, or the deadline expired, without a response
+  kNotAccepted,   // no connection, or one closed before the request was read: the client may send again
 };
 
 // A request of a client, by its id.
@@ -41,12 +41,12 @@
   bool is_idempotent = true;
   Time sent_at = 0;
   Time deadline = 0;     // span from sent_at that the client waits, us
-  Time finished_at = 0;  // of the last byte of the response, or of the end otherwise
+  Time finished_at = 0;  // time of the last byte of the response, or of the end without a response
   ClientResult result = ClientResult::kOpen;
   int responses = 0;
 };
 
-// A change of the endpoint list, as discovery has it.
+// A change of the endpoint list of the discovery service.
 struct ListChange {
   Time at = 0;
   int revision = 0;
@@ -73,7 +73,7 @@
   std::map<std::string, ClientRequest> requests;  // by id
   std::vector<ListChange> changes;
   std::vector<ListWritten> lists;
-  std::map<int, std::vector<Time>> failed_calls;  // of discovery, by process: answered by no list
+  std::map<int, std::vector<Time>> failed_calls;  // of discovery, by process: calls that got no list
   std::vector<Span> outages;                      // of discovery
   std::map<int, std::vector<Time>> starts;        // of each process
   std::map<int, std::vector<Time>> terminations;  // SIGTERM, by process
--- a/src/lab/soak/record_checker.cpp
+++ b/src/lab/soak/record_checker.cpp
@@ -7,8 +7,8 @@
 namespace walnutspur::lab::soak {
 namespace {
 
-constexpr Time kDrainSlack = 50'000;        // us: an attempt's way from the decision to its target
-constexpr Time kDeadlineSlack = 150'000;    // us: ways of request and attempt, and writes that faults delay
+constexpr Time kDrainSlack = 50'000;  // us from the decision to send an attempt to its arrival at the target
+constexpr Time kDeadlineSlack = 150'000;  // us: transit of request and attempt, and writes delayed by faults
 constexpr Time kDisconnectSlack = 100'000;  // us: until the process reads the end of the connection
 constexpr Time kKillSlack = 100'000;  // us between the end of a connection and the kill that explains it
 constexpr Time kShutdownService = 700'000;  // us after SIGTERM in which requests still have to be answered
@@ -20,12 +20,12 @@
   tolerances.disconnect_slack = kDisconnectSlack + options.write_delay;
   tolerances.kill_slack = kKillSlack;
   tolerances.shutdown_service = kShutdownService;
-  // A process that was paused reads the drain and the removal of a server at once, when it continues.
+  // A process that was paused reads the drain and the removal of a server together when it continues.
   tolerances.last_notice_counts = true;
   return tolerances;
 }
 
-// Puts the names of request and target before the description, as the processes' logs have them.
+// Prefixes the description with the names of request and target that the logs of the processes use.
 Violation WithNames(const Violation& violation, const RecordedEvents& recorded) {
   Violation named = violation;
   std::string names;
--- a/src/lab/soak/record_checker.h
+++ b/src/lab/soak/record_checker.h
@@ -1,4 +1,4 @@
-// Judges the record of a run on real processes by the invariants of lab/invariants.
+// Checks the record of a run on real processes against the invariants of lab/invariants.
 //
 // Pure functions over a record; any thread.
 #ifndef WALNUTSPUR_LAB_SOAK_RECORD_CHECKER_H_
@@ -13,16 +13,16 @@
 
 using invariants::Violation;
 
-// What the verdict on a run depends on, besides its record.
+// Parameters of a check besides the record.
 struct CheckOptions {
   Time drain_grace = 500'000;  // us, of the processes' settings
-  Time write_delay = 0;        // us by which the run's faults delay a process between its clock and a write
+  Time write_delay = 0;        // us by which faults may delay a process between reading its clock and a write
 };
 
-// All violations, in order of time; what is judged at the end of the run comes last.
+// Returns all violations, in order of time. Violations found at the end of the run come last.
 std::vector<Violation> FindViolations(const Record& record, const CheckOptions& options);
 
-// Part of the clients' requests that were served, among those sent from `from` until `until`; 1 without any.
+// Returns the fraction of requests sent from `from` until `until` that were served, or 1 if none was sent.
 double ServedFraction(const Record& record, Time from, Time until);
 
 }  // namespace walnutspur::lab::soak
--- a/src/lab/soak/record_events.cpp
+++ b/src/lab/soak/record_events.cpp
@@ -9,12 +9,12 @@
 namespace walnutspur::lab::soak {
 namespace {
 
-constexpr Time kNotificationLimit = 6'000'000;  // us after discovery had a change and could be reached
+constexpr Time kNotificationLimit = 6'000'000;  // us after a change was made and discovery was reachable
 constexpr Time kNever = std::numeric_limits<Time>::max();
 constexpr int kHexadecimal = 16;
 constexpr std::size_t kProcessDigits = 4;
 
-// The process that a request was sent to, which its id begins with.
+// Returns the process that a request was sent to, which is the prefix of its id.
 int ProcessOf(const std::string& request_id) {
   return static_cast<int>(std::strtol(request_id.substr(0, kProcessDigits).c_str(), nullptr, kHexadecimal));
 }
@@ -25,7 +25,7 @@
   return found == times.end() ? none : found->second;
 }
 
-// The latest of `times` that is not after `at`, or 0.
+// Returns the latest of `times` that is not after `at`, or 0.
 Time LatestUntil(const std::vector<Time>& times, Time at) {
   Time latest = 0;
   for (const Time time : times) {
@@ -34,7 +34,7 @@
   return latest;
 }
 
-// The earliest of `times` that is not before `since`, or the end of time.
+// Returns the earliest of `times` that is not before `since`, or kNever.
 Time FirstSince(const std::vector<Time>& times, Time since) {
   Time first = kNever;
   for (const Time time : times) {
@@ -43,7 +43,7 @@
   return first;
 }
 
-// `at`, or the end of the outage that it falls into.
+// Returns `at`, or the end of the outage that contains it.
 Time ReachableSince(const Record& record, Time at) {
   for (const Span& outage : record.outages) {
     if (at >= outage.from && at < outage.until) {
@@ -81,7 +81,7 @@
   }
 }
 
-// Why a request without a response has none.
+// Returns the reason why a request has no response.
 invariants::DisconnectReason ReasonOf(ClientResult result) {
   switch (result) {
     case ClientResult::kDisconnected:
@@ -95,8 +95,8 @@
   }
 }
 
-// Collects the events of a record and puts them in order. Of events at the same time, the one added first
-// comes first.
+// Collects the events of a record and sorts them by time. Events at the same time keep the order in which
+// they were added.
 class EventCollector {
  public:
   EventCollector(const Record& record, Time drain_grace) : record_(record) {
@@ -127,7 +127,7 @@
 
  private:
   struct OrderedEvent {
-    Time order = 0;  // its place; the event's own time but for requests
+    Time order = 0;  // sort key; the time of the event, except for requests
     invariants::Event event;
   };
 
@@ -151,7 +151,8 @@
     }
   }
 
-  // After each start a process is notified of all changes: it begins with the list of the testbed's start.
+  // Adds notifications of all changes after each start of a process, since every process starts with the list
+  // as of the start of the test environment.
   void AddNotifications() {
     for (const auto& [process, starts] : record_.starts) {
       for (std::size_t number = 0; number < starts.size(); ++number) {
@@ -171,8 +172,8 @@
     }
   }
 
-  // A client that sends a request once more, after the end of an idle connection, restarts its clock: the
-  // request may have reached a target before that.
+  // Adds the requests. A client that sends a request once more, after an idle connection was closed, resets
+  // the time at which the request was sent; the request may have reached a target before that time.
   void AddRequests() {
     std::map<std::string, Time> first_arrivals;
     for (const TargetArrival& arrival : record_.arrivals) {
@@ -196,13 +197,14 @@
       Add(request.finished_at, invariants::ResponseReceived{number, StatusOf(request.result)});
     }
     if (request.responses == 0) {
-      // A request that was open when its client was stopped has no end of its own.
+      // A request that was open when its client was stopped has no recorded end.
       const Time at = std::max(request.sent_at, request.finished_at);
       Add(at, invariants::ClientDisconnected{number, ReasonOf(request.result)});
     }
   }
 
-  // A target promises by its overload response alone that an attempt has not run; any other may have run.
+  // Adds the attempts. Only the overload response of a target states that an attempt has not run; any other
+  // attempt may have run.
   void AddAttempts() {
     std::map<std::string, int> counts;  // of attempts, by request
     for (const TargetArrival& arrival : record_.arrivals) {
@@ -229,7 +231,7 @@
   const Time started = LatestUntil(TimesOf(record.starts, process), sent_at);
   Time notified = ReachableSince(record, change.at) + kNotificationLimit;
   if (change.at < started) {
-    // Until a call of the new process has failed, it is held to the list that it started with.
+    // The initial list of the new process counts until one of its calls has failed.
     const Time failed = FirstSince(TimesOf(record.failed_calls, process), started);
     notified = std::max(notified, std::min(failed, ReachableSince(record, started) + kNotificationLimit));
   }
--- a/src/lab/soak/record_events.h
+++ b/src/lab/soak/record_events.h
@@ -1,4 +1,4 @@
-// Turns what the stand-ins recorded of real processes into the events on which the invariants are judged.
+// Converts the record of the fakes around real processes into the events on which invariants are checked.
 //
 // Pure functions over a record; any thread.
 #ifndef WALNUTSPUR_LAB_SOAK_RECORD_EVENTS_H_
@@ -19,13 +19,13 @@
   std::vector<std::string> targets;      // by number of the server
 };
 
-// `drain_grace` is that of the processes' settings.
+// Returns the events of a record. `drain_grace` is the value in the settings of the processes.
 RecordedEvents ToEvents(const Record& record, Time drain_grace);
 
-// When a process counts as notified of a change: once it was written, and 6 s after discovery had it and
-// could be reached at the latest. A process that started after the change is held to the list that it started
-// with for 6 s, or until its first call of discovery has failed. The start meant is the last one before
-// `sent_at`.
+// Returns the time at which a process counts as notified of a change: the time at which the change was
+// written to the process, and at the latest 6 s after the change was made and discovery was reachable. For a
+// process that started after the change, the list that it started with counts for 6 s, or until its first
+// call of discovery has failed. The start is the last one before `sent_at`.
 Time NotifiedAt(const Record& record, const ListChange& change, int process, Time sent_at);
 
 }  // namespace walnutspur::lab::soak
--- a/src/lab/soak/run.cpp
+++ b/src/lab/soak/run.cpp
@@ -14,13 +14,14 @@
 
 constexpr Time kSecond = 1'000'000;
 constexpr Time kRemovalDelay = 1'000'000;  // us from a drain to the removal from the list
-constexpr Time kMaxKillDelay = 3'000'000;  // us: the most of the longest deadline that counts
-constexpr Time kKillDelay = 700'000;       // us after that
-constexpr Time kRestartDelay = 800'000;    // us from an end to the next start
+constexpr Time kMaxKillDelay =
+    3'000'000;                        // us, upper bound of the part of the delay that depends on the deadline
+constexpr Time kKillDelay = 700'000;  // us after the deadline or kMaxKillDelay
+constexpr Time kRestartDelay = 800'000;    // us from the exit of a process to its restart
 constexpr Time kMaxWriteDelay = 150'000;   // us, of the faults that delay a write
 constexpr Time kResponseWait = 2'500'000;  // us after the last request was sent
 
-// Whether faults of the plan delay a process between reading its clock and a write.
+// Returns whether faults of the plan delay a process between reading its clock and a write.
 bool DelaysWrites(const SoakPlan& plan) {
   const auto is_pause = [](const FaultEvent& event) { return event.kind == FaultEventKind::kPause; };
   return plan.system_faults.find("delay") != std::string::npos ||
@@ -105,7 +106,7 @@
     }
   }
 
-  // Schedules what happens to a process.
+  // Schedules the signals to a process.
   void ScheduleSignal(const FaultEvent& event) {
     const int process = event.process;
     switch (event.kind) {
@@ -127,7 +128,7 @@
     }
   }
 
-  // A process that ends or starts already is left alone.
+  // Does nothing if the process is already being stopped or restarted.
   void Terminate(int process) {
     if (!busy_[process]) {
       busy_[process] = true;
@@ -155,8 +156,8 @@
   void RecordUnexpectedExits() {
     for (int process = 0; process < plan_.processes; ++process) {
       if (!busy_[process] && !environment_.IsRunning(process)) {
-        environment_.record().unexpected_process_ends.push_back("process " + std::to_string(process) +
-                                                                " has ended: " + environment_.Log(process));
+        environment_.record().unexpected_process_ends.push_back(
+            "process " + std::to_string(process) + " exited unexpectedly: " + environment_.Log(process));
       }
     }
   }
@@ -181,7 +182,7 @@
   const SoakPlan& plan_;
   TestEnvironment environment_;
   std::multimap<Time, std::function<void()>> actions_;  // by time after the clients' start
-  std::map<int, bool> busy_;                            // processes that are ending or starting
+  std::map<int, bool> busy_;                            // processes that are being stopped or restarted
 };
 
 bool ViolatesInvariant(const SoakPlan& plan, const SoakPrograms& programs) {
--- a/src/lab/soak/run.h
+++ b/src/lab/soak/run.h
@@ -1,6 +1,6 @@
-// Runs soak plans on real processes, checks the invariants, and shrinks plans that violate one.
+// Runs soak plans on real processes, checks the invariants, and shrinks plans that violate an invariant.
 //
-// Each run has its own processes and stand-ins; runs on several threads do not share anything.
+// Each run has its own processes and fakes; runs on several threads share no state.
 #ifndef WALNUTSPUR_LAB_SOAK_RUN_H_
 #define WALNUTSPUR_LAB_SOAK_RUN_H_
 
@@ -14,7 +14,7 @@
 
 namespace walnutspur::lab::soak {
 
-// What is under test.
+// Paths of the programs under test.
 struct SoakPrograms {
   std::string program;     // path of the walnutspur program
   std::string fault_shim;  // path of the library to preload; empty: system faults of plans are left out
@@ -26,14 +26,14 @@
   std::size_t requests = 0;
   std::size_t attempts = 0;
   double served_fraction = 0;  // of the requests
-  Time longest_stall = 0;  // us that the stand-ins were late at most: a long one makes their times inexact
+  Time longest_stall =
+      0;  // us, longest delay of the event loop of the fakes: a long one makes their times inexact
 };
 
-// Runs a plan, which takes its duration and some seconds more.
+// Runs a plan. Takes the duration of the plan and a few seconds more.
 SoakResult RunPlan(const SoakPlan& plan, const SoakPrograms& programs);
 
-// Drops events, system faults and processes for as long as an invariant is still violated, in at most
-// `max_runs` runs.
+// Removes events and system faults while an invariant is still violated, in at most `max_runs` runs.
 SoakPlan Shrink(const SoakPlan& plan, const SoakPrograms& programs, int max_runs);
 
 }  // namespace walnutspur::lab::soak
--- a/src/lab/soak/target_recorder.h
+++ b/src/lab/soak/target_recorder.h
@@ -1,6 +1,6 @@
-// Writes the requests that reach the targets into the record of a run.
+// Records the requests that reach the targets in the record of a run.
 //
-// Owned by a testbed; called on the thread of its event loop.
+// Owned by a test environment; called on the thread of its event loop.
 #ifndef WALNUTSPUR_LAB_SOAK_TARGET_RECORDER_H_
 #define WALNUTSPUR_LAB_SOAK_TARGET_RECORDER_H_
 
@@ -11,7 +11,7 @@
 
 class TargetRecorder : public HttpTargetObserver {
  public:
-  // `record` must outlive it.
+  // `record` must outlive the recorder.
   explicit TargetRecorder(Record* record) : record_(record) {}
 
   void OnRequest(const HttpTarget& target, const HttpConnection& connection) override;
--- a/src/lab/soak/test_environment.cpp
+++ b/src/lab/soak/test_environment.cpp
@@ -17,7 +17,7 @@
 
 std::string NameOf(int process) { return "n" + std::to_string(process); }
 
-// Requests of class "read" may be sent twice, those of class "write" must not.
+// Returns the request classes. Requests of class "read" may be sent twice, those of class "write" must not.
 std::vector<PlatformRequestClass> RequestClasses(Time deadline) {
   PlatformRequestClass read;
   read.latency_objective = deadline / 3;
@@ -86,14 +86,15 @@
   initiator.environment = options_.environment;
   if (!options_.preload.empty()) {
     initiator.environment["LD_PRELOAD"] = options_.preload;
-    // A program built with the address sanitizer would refuse to start behind another preloaded library.
+    // A program built with AddressSanitizer does not start if another library is preloaded before its
+    // runtime.
     initiator.environment["ASAN_OPTIONS"] = "verify_asan_link_order=0";
   }
   record_.starts[process].push_back(core::Now());
   ++started.starts;
   started.process = StartInitiator(folder_, initiator);
   if (mode == StartMode::kListening && !WaitForListener(started.listen, kStartTimeout)) {
-    throw ProcessError(initiator.name + " does not listen");
+    throw ProcessError(initiator.name + " did not start to listen");
   }
 }
 
--- a/src/lab/soak/test_environment.h
+++ b/src/lab/soak/test_environment.h
@@ -1,6 +1,6 @@
-// Processes of the program with storage servers, a discovery service and clients around them, on loopback.
+// Runs processes of the program with fake storage servers, a fake discovery service and clients, on loopback.
 //
-// One thread: the stand-ins act only while RunFor runs. Ends all processes on destruction.
+// Single-threaded: the fakes run only during RunFor. Kills all processes on destruction.
 #ifndef WALNUTSPUR_LAB_SOAK_TEST_ENVIRONMENT_H_
 #define WALNUTSPUR_LAB_SOAK_TEST_ENVIRONMENT_H_
 
@@ -29,35 +29,36 @@
   std::string program;  // path of the walnutspur program
   int processes = 1;
   int targets = 4;               // one for each shard
-  int configured_instances = 0;  // of the settings' nInstances; 0: as many as processes
+  int configured_instances = 0;  // value of the key nInstances; 0: the number of processes
   Time drain_grace = 500'000;
   std::int64_t up_since_ms = 0;  // Unix time at which all targets started; 0: long ago
   LoadOptions load;
   std::uint64_t seed = 1;
   std::string preload;                             // a shared library to load into the processes; empty: none
-  std::map<std::string, std::string> environment;  // of the processes, besides
+  std::map<std::string, std::string> environment;  // additional variables of the processes
 };
 
 class TestEnvironment {
  public:
-  // Makes the stand-ins; no process runs yet.
+  // Creates the fakes. No process is started.
   explicit TestEnvironment(const TestEnvironmentOptions& options);
   ~TestEnvironment();
   TestEnvironment(const TestEnvironment&) = delete;
   TestEnvironment& operator=(const TestEnvironment&) = delete;
 
-  // Runs the event loop for this long, us.
+  // Runs the event loop for `duration` us.
   void RunFor(Time duration);
 
   // Calls a function once, `delay` us from now, while RunFor runs.
   void After(Time delay, std::function<void()> call);
 
-  // kListening: waits until the process listens, while the stand-ins do not act.
+  // kListening: blocks until the process listens; the fakes do not run in the meantime.
   enum class StartMode { kListening, kAtOnce };
-  // Starts a process that knows the list as of the testbed's start, however often it changed since.
+  // Starts a process whose cached endpoint list is that of the start of the test environment, without later
+  // changes.
   void Start(int process, StartMode mode = StartMode::kListening);
   void StartAll();
-  // The clients of a process begin to send.
+  // Starts the clients of a process.
   void StartClients(int process);
   void StartAllClients();
   void StopAllClients();
@@ -72,9 +73,9 @@
   DiscoveryService& discovery() { return *discovery_; }
   HttpTarget& target(int number) { return *targets_[static_cast<std::size_t>(number)]; }
   Record& record() { return record_; }
-  // How late the stand-ins have acted at most, us, since the clients' start.
+  // Returns the longest delay of the event loop of the fakes since the start of the clients, us.
   Time longest_stall() const { return longest_stall_; }
-  // What the process has written to its log.
+  // Returns the text that the process has written to its log.
   std::string Log(int process) const;
 
  private:
@@ -100,9 +101,9 @@
   std::vector<std::unique_ptr<HttpTarget>> targets_;
   std::vector<Member> members_;
   Time longest_stall_ = 0;
-  Time next_stall_check_at_ = 0;  // of the timer that shows stalls
+  Time next_stall_check_at_ = 0;  // due time of stall_timer_
   loop::EventHandle stall_timer_;
-  std::list<loop::EventHandle> calls_;  // of After, those that were made as well
+  std::list<loop::EventHandle> calls_;  // timers of After, including those that have fired
 };
 
 }  // namespace walnutspur::lab::soak
--- a/src/lab/standins/chunked_response.h
+++ b/src/lab/standins/chunked_response.h
@@ -1,4 +1,4 @@
-// An HTTP response of chunks (RFC 9112, section 7.1), as discovery answers a watch.
+// Formats a chunked HTTP response (RFC 9112, section 7.1), with which discovery responds to a watch.
 //
 // Owns nothing; any thread.
 #ifndef WALNUTSPUR_LAB_STANDINS_CHUNKED_RESPONSE_H_
@@ -9,11 +9,11 @@
 
 namespace walnutspur::lab {
 
-// The status line and headers. Chunks follow; a watch has no last chunk.
+// The status line and headers. Chunks follow; the response to a watch has no last chunk.
 inline constexpr std::string_view kChunkedResponseHead =
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-// One chunk with this data, which must not be empty.
+// Returns one chunk with `data`, which must not be empty.
 std::string FormatChunk(std::string_view data);
 
 }  // namespace walnutspur::lab
--- a/src/lab/standins/discovery_service.cpp
+++ b/src/lab/standins/discovery_service.cpp
@@ -8,7 +8,7 @@
 namespace walnutspur::lab {
 namespace {
 
-constexpr Time kCallTimeout = 2'000'000;  // us that a call waits for its turn
+constexpr Time kCallTimeout = 2'000'000;  // us that a call waits for its response
 constexpr int kBacklog = 512;
 constexpr int kUnavailable = 503;
 
@@ -106,8 +106,8 @@
   call.timeout = loop::MakeTimer(base_, [this, number] { OnTimeout(number); });
 }
 
-// Every call counts as a watch, whichever revision the client already has: the complete list is always
-// correct.
+// Treats every call as a watch and sends the complete list, whichever revision the client already has: the
+// complete list is always correct.
 void DiscoveryService::OnRequest(HttpConnection& connection) {
   Call& call = calls_.at(connection.number());
   switch (fault_) {
@@ -134,7 +134,7 @@
   }
 }
 
-// Calls are answered one after another.
+// Queues a call: responses are sent one at a time.
 void DiscoveryService::Enqueue(Call& call) {
   call.is_waiting = true;
   call.timeout.Start(kCallTimeout);
@@ -145,7 +145,7 @@
   }
 }
 
-// A call that has waited too long fails, but takes its turn all the same.
+// Responds with 503 to a call that has waited too long. The call keeps its place in the queue.
 void DiscoveryService::OnTimeout(std::uint64_t number) {
   const auto at = calls_.find(number);
   if (at == calls_.end()) {
--- a/src/lab/standins/discovery_thread.cpp
+++ b/src/lab/standins/discovery_thread.cpp
@@ -5,7 +5,7 @@
 namespace walnutspur::lab {
 namespace {
 
-// us: half of what the platform promises, so that a busy machine lets no watch time out.
+// us: half of the platform's maximum of 2 s, so that no watch times out on a busy machine.
 constexpr Time kHeartbeatInterval = 1'000'000;
 
 }  // namespace
@@ -18,7 +18,7 @@
 
 DiscoveryThread::~DiscoveryThread() { loop_.Stop(); }
 
-// The event is active before this returns, so the loop runs it before it reads a call that comes later.
+// Activates the event before it returns, so that the loop applies the change before it reads a later call.
 void DiscoveryThread::Set(const ListedEndpoint& endpoint) {
   {
     const std::lock_guard lock(mutex_);
--- a/src/lab/standins/discovery_thread.h
+++ b/src/lab/standins/discovery_thread.h
@@ -1,4 +1,5 @@
-// A discovery service on a thread of its own, for tests and testbeds that run no event loop.
+// Runs the fake discovery service on a thread of its own, for tests and test environments without an event
+// loop.
 //
 // Serves one client port from construction to destruction. Set may be called from any thread.
 #ifndef WALNUTSPUR_LAB_STANDINS_DISCOVERY_THREAD_H_
@@ -23,15 +24,15 @@
   DiscoveryThread& operator=(const DiscoveryThread&) = delete;
 
   int port() const { return service_.port(); }
-  // Adds or replaces the endpoint with this id. It is in the answer to every call that is made after this
-  // returns, and is written to the open watches.
+  // Adds or replaces the endpoint with this id. The change is part of the response to every call made
+  // after this returns, and is written to the open watches.
   void Set(const ListedEndpoint& endpoint);
 
  private:
   void ApplyChanges();
 
   std::mutex mutex_;                     // guards changes_
-  std::vector<ListedEndpoint> changes_;  // set and not yet given to the service
+  std::vector<ListedEndpoint> changes_;  // that are not yet passed to the service
 
   // Used by the loop's thread alone once it runs. The loop is destroyed last.
   EventLoopThread loop_;
--- a/src/lab/standins/endpoint_list.h
+++ b/src/lab/standins/endpoint_list.h
@@ -1,4 +1,4 @@
-// The endpoint list as the platform's discovery service writes it.
+// Formats the endpoint list in the format of the platform's discovery service.
 //
 // Owns nothing; any thread.
 #ifndef WALNUTSPUR_LAB_STANDINS_ENDPOINT_LIST_H_
@@ -21,7 +21,8 @@
   std::int64_t started_at_ms = 0;  // Unix time
 };
 
-// The JSON document of one revision: all endpoints where it is complete, those that have changed otherwise.
+// Returns the JSON document of one revision. `endpoints` are all endpoints if `complete` is set, otherwise
+// those that have changed.
 std::string FormatEndpointList(int revision, bool complete, const std::vector<ListedEndpoint>& endpoints);
 
 }  // namespace walnutspur::lab
--- a/src/lab/standins/event_loop_thread.cpp
+++ b/src/lab/standins/event_loop_thread.cpp
@@ -5,11 +5,11 @@
 namespace walnutspur::lab {
 namespace {
 
-// Libevent's locks must be in place before the first loop is made.
+// Creates an event base. Libevent's locks must be set up before the first base is created.
 loop::EventBasePtr MakeThreadSafeBase() {
   static const int status = evthread_use_pthreads();
   if (status != 0) {
-    throw EventLoopError("libevent has no threads");
+    throw EventLoopError("libevent: cannot enable support for threads");
   }
   return loop::EventBasePtr(event_base_new());
 }
--- a/src/lab/standins/event_loop_thread.h
+++ b/src/lab/standins/event_loop_thread.h
@@ -1,4 +1,4 @@
-// An event loop that runs on a thread of its own, for the stand-ins.
+// Runs an event loop on a thread of its own, for fakes of clients, targets and discovery.
 //
 // Created and destroyed by its owner's thread, which also starts and stops it. The owner must free the events
 // and sockets of the loop after Stop and before the loop itself is destroyed.
@@ -12,7 +12,7 @@
 
 namespace walnutspur::lab {
 
-// libevent cannot be used from several threads.
+// Thrown if libevent has no support for threads.
 class EventLoopError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -20,15 +20,15 @@
 
 class EventLoopThread {
  public:
-  // Makes the loop, without running it. Throws EventLoopError.
+  // Creates the loop, which does not run before Start. Throws EventLoopError.
   EventLoopThread();
-  ~EventLoopThread();  // stops it
+  ~EventLoopThread();  // stops the loop
   EventLoopThread(const EventLoopThread&) = delete;
   EventLoopThread& operator=(const EventLoopThread&) = delete;
 
   // Runs the loop until Stop.
   void Start();
-  // Ends the loop and waits for its thread. The loop's events and sockets stay as they are.
+  // Stops the loop and joins its thread. The loop's events and sockets stay open.
   void Stop();
 
   event_base* base() const { return base_.get(); }
--- a/src/lab/standins/http_connection.h
+++ b/src/lab/standins/http_connection.h
@@ -1,6 +1,6 @@
-// A connection that a stand-in has accepted and that carries HTTP requests one after another.
+// A connection accepted by a fake server, which carries HTTP requests one after another.
 //
-// Owned by the stand-in; runs on the thread of its event loop.
+// Owned by the fake server; runs on the thread of its event loop.
 #ifndef WALNUTSPUR_LAB_STANDINS_HTTP_CONNECTION_H_
 #define WALNUTSPUR_LAB_STANDINS_HTTP_CONNECTION_H_
 
@@ -16,12 +16,12 @@
 
 class HttpConnection;
 
-// Takes the events of accepted connections. Each may destroy the connection.
+// Handles the events of accepted connections. Each callback may destroy the connection.
 class HttpConnectionHandler {
  public:
-  // A request is complete: connection.request().
+  // The request in connection.request() is complete.
   virtual void OnRequest(HttpConnection& connection) = 0;
-  // The peer has closed the connection, or it is broken.
+  // The peer has closed the connection, or the connection has failed.
   virtual void OnClosed(HttpConnection& connection) = 0;
 
  protected:
@@ -34,17 +34,17 @@
   HttpConnection(event_base* base, evutil_socket_t fd, std::uint64_t number, HttpConnectionHandler* handler);
 
   std::uint64_t number() const { return number_; }
-  // The request that is being read, or the last one.
+  // Returns the request that is being read, or the last one read.
   const http::MessageReader& request() const { return request_; }
-  // When the first byte of that request was read, us.
+  // Returns the time at which the first byte of that request was read, us.
   Time request_started_at() const { return request_started_at_; }
 
   void Write(std::string_view bytes) { loop::Write(stream_.get(), bytes); }
-  // Writes a response of this status with a body of fixed length.
+  // Writes a response with this status and a body of fixed length.
   void Respond(int status, std::string_view body, std::string_view headers = {});
-  // Reads the next request, after the response to the last one.
+  // Starts to read the next request. Call it after the response to the last one.
   void ReadNext();
-  // Makes the end of the connection a reset (SO_LINGER of 0).
+  // Sets SO_LINGER to 0, so that the connection is reset when it is closed.
   void ResetOnClose();
 
   // Callbacks of the stream.
--- a/src/lab/standins/http_response.h
+++ b/src/lab/standins/http_response.h
@@ -1,6 +1,7 @@
-// The HTTP responses of stand-ins that follow the protocol.
+// Formats the HTTP responses of fake servers that follow the protocol.
 //
-// Owns nothing; any thread. test::HttpStorageServer writes its own, because most of them are malformed.
+// Owns nothing; any thread. test::HttpStorageServer formats its own responses, because most of them are
+// malformed.
 #ifndef WALNUTSPUR_LAB_STANDINS_HTTP_RESPONSE_H_
 #define WALNUTSPUR_LAB_STANDINS_HTTP_RESPONSE_H_
 
@@ -9,7 +10,7 @@
 
 namespace walnutspur::lab {
 
-// A response with a body of fixed length. Each of the additional headers ends with CRLF.
+// Returns a response with a body of fixed length. Each line of `headers` must end with CRLF.
 std::string FormatHttpResponse(int status, std::string_view body, std::string_view headers = {});
 
 }  // namespace walnutspur::lab
--- a/src/lab/standins/http_target.h
+++ b/src/lab/standins/http_target.h
@@ -1,8 +1,9 @@
-// A storage server that speaks the platform's HTTP and misbehaves on demand: it is slow, overloaded, resets
-// connections or is down. An observer sees each request that reaches it.
+// Fake storage server that speaks the platform's HTTP and fails on demand: it hangs, is overloaded, resets
+// connections or is down. An observer is notified of each request that reaches it.
 //
-// Owned by a testbed; runs on the thread of its event loop. It stores nothing: lab::StorageServer stores data
-// and corrupts it on demand, over NBD as well. test::HttpStorageServer acts only as a scenario says.
+// Owned by a test environment; runs on the thread of its event loop. It stores nothing: lab::StorageServer
+// stores data and corrupts it on demand, over NBD as well. test::HttpStorageServer follows the steps of a
+// scenario.
 #ifndef WALNUTSPUR_LAB_STANDINS_HTTP_TARGET_H_
 #define WALNUTSPUR_LAB_STANDINS_HTTP_TARGET_H_
 
@@ -16,22 +17,22 @@
 
 namespace walnutspur::lab {
 
-// What a target does with requests.
+// How a target treats requests.
 enum class TargetFault {
   kNone,
-  kHangs,           // takes requests and never responds
+  kHangs,           // reads requests and never responds
   kErrors,          // status 500
-  kOverloaded,      // status 503, with the promise that the request has not run
-  kResetsRequests,  // resets the connection under each request
-  kDown,            // no process: connections are reset, new ones refused
+  kOverloaded,      // status 503, with the header that states that the request has not run
+  kResetsRequests,  // resets the connection on each request
+  kDown,            // as if no process ran: connections are reset, new ones refused
 };
 
 class HttpTarget;
 
-// Takes note of what a target does. Called on the target's thread.
+// Observes the requests of a target. Called on the target's thread.
 class HttpTargetObserver {
  public:
-  // The connection's request is complete, and has not been answered.
+  // The connection's request is complete and has no response yet.
   virtual void OnRequest(const HttpTarget& target, const HttpConnection& connection) = 0;
 
  protected:
@@ -76,7 +77,7 @@
   std::uint64_t next_connection_ = 1;
   std::unique_ptr<loop::Listener> listener_;  // null while kDown
   std::map<std::uint64_t, Served> connections_;
-  std::unique_ptr<HttpConnection> closed_;  // freed in the next turn: it may be on the stack
+  std::unique_ptr<HttpConnection> closed_;  // freed in the next loop iteration: it may be on the call stack
   loop::EventHandle free_closed_;
 };
 
--- a/src/lab/standins/initiator_process.h
+++ b/src/lab/standins/initiator_process.h
@@ -1,6 +1,6 @@
 // Starts the program under test, a stand-alone initiator, with its files in a temporary folder.
 //
-// Called by the owner of the folder and of the process, a test or a testbed, on its thread.
+// Called by the owner of the folder and of the process, a test or a test environment, on its thread.
 #ifndef WALNUTSPUR_LAB_STANDINS_INITIATOR_PROCESS_H_
 #define WALNUTSPUR_LAB_STANDINS_INITIATOR_PROCESS_H_
 
@@ -26,7 +26,7 @@
 // Writes the files and starts the process; does not wait until it listens. Throws ProcessError.
 std::unique_ptr<Process> StartInitiator(const TemporaryFolder& folder, const InitiatorOptions& options);
 
-// The file that the process's output is appended to, over all its starts.
+// Returns the path of the file to which the process's output is appended, over all its starts.
 std::string InitiatorLogPath(const TemporaryFolder& folder, const std::string& name);
 
 }  // namespace walnutspur::lab
--- a/src/lab/standins/loopback.cpp
+++ b/src/lab/standins/loopback.cpp
@@ -46,7 +46,7 @@
                      getsockname(fd, reinterpret_cast<sockaddr*>(&address), &length) == 0;
   close(fd);
   if (!bound) {
-    throw LoopbackError("there is no free port");
+    throw LoopbackError("no free TCP port on 127.0.0.1");
   }
   return ntohs(address.sin_port);
 }
--- a/src/lab/standins/loopback.h
+++ b/src/lab/standins/loopback.h
@@ -1,4 +1,4 @@
-// Socket addresses on loopback: where processes under test and their stand-ins listen.
+// Provides loopback addresses on which processes under test and the fakes around them listen.
 //
 // Owns nothing; any thread.
 #ifndef WALNUTSPUR_LAB_STANDINS_LOOPBACK_H_
@@ -14,27 +14,27 @@
 
 namespace walnutspur::lab {
 
-// No port is free.
+// Thrown if no port is free.
 class LoopbackError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// The address of a port of 127.0.0.1, as the kernel takes it.
+// Returns the socket address of a port of 127.0.0.1.
 sockaddr_in LoopbackAddress(int port);
-// The same as text, "127.0.0.1:PORT".
+// Returns "127.0.0.1:PORT".
 std::string FormatLoopbackAddress(int port);
 
-// A TCP port of 127.0.0.1 that is free now. Throws LoopbackError.
+// Returns a TCP port of 127.0.0.1 that is free now. Throws LoopbackError.
 int FreePort();
-// An address on which nothing else listens: of a host 127.x.y.z that no other call or process was given. A
-// port that is free on 127.0.0.1 may be taken by another test before the process that gets it listens. Throws
-// LoopbackError.
+// Returns an address on which nothing else listens, of a host 127.x.y.z that no other call or process gets.
+// A port that is free on 127.0.0.1 could be taken by another test before the process under test listens on
+// it. Throws LoopbackError.
 loop::Address UniqueLoopbackAddress();
 
-// Whether something listens at the address within `timeout` us. Blocks.
+// Blocks until a connection to the address succeeds; returns false if none does within `timeout` us.
 bool WaitForListener(const loop::Address& address, Time timeout);
-// The same for a port of 127.0.0.1.
+// Waits for a listener on a port of 127.0.0.1.
 bool WaitForListener(int port, Time timeout);
 
 }  // namespace walnutspur::lab
--- a/src/lab/standins/platform_config.h
+++ b/src/lab/standins/platform_config.h
@@ -1,7 +1,7 @@
-// The platform's configuration file of a stand-alone initiator, as tests, benchmarks and the soak run it.
+// Formats the platform's configuration file of a stand-alone initiator, for tests, benchmarks and the soak.
 //
-// The members have the field's names; the keys of the file stand in platform_config.cpp alone. Owns nothing;
-// any thread.
+// The members have the usual terms as names; only platform_config.cpp contains the keys of the file. Owns
+// nothing; any thread.
 #ifndef WALNUTSPUR_LAB_STANDINS_PLATFORM_CONFIG_H_
 #define WALNUTSPUR_LAB_STANDINS_PLATFORM_CONFIG_H_
 
@@ -23,7 +23,7 @@
   double late_weight_fraction = 0.1;  // part of the weight that a response after the objective earns
 };
 
-// What differs between the users of the file. Everything else is the same for all: see the source file.
+// Values that differ between the callers. platform_config.cpp has the values that are the same for all.
 struct PlatformConfig {
   std::string name = "n0";
   std::string listen = "127.0.0.1:0";  // of the HTTP front end
@@ -32,7 +32,7 @@
   int max_sockets = 1024;
   int instances = 1;  // of initiators in the fleet
   std::vector<PlatformRequestClass> classes = {PlatformRequestClass{}};
-  std::string plan = "basic";      // the only one
+  std::string plan = "basic";      // name of the only plan
   double rate = 50.0;              // of the plan, requests per second; all of it is reserved
   Time drain_grace = 500'000;      // us
   Time idle_timeout = 30'000'000;  // us, of connections to targets
@@ -42,7 +42,7 @@
   std::vector<std::string> load_report_fields;
 };
 
-// The document.
+// Returns the configuration document.
 nlohmann::json FormatPlatformConfig(const PlatformConfig& config);
 
 }  // namespace walnutspur::lab
--- a/src/lab/standins/platform_request.h
+++ b/src/lab/standins/platform_request.h
@@ -1,8 +1,8 @@
-// The HTTP requests that a service of the platform sends to an initiator.
+// Formats the HTTP requests that a service of the platform sends to an initiator.
 //
 // Owns nothing; any thread. Three clients send them, which differ in kind: soak::LoadClient, many connections
 // on an event loop; bench::HttpClient, which blocks until it has the response; and
-// test::HttpScenarioClient, which sends and reads only as a scenario says.
+// test::HttpScenarioClient, which follows the steps of a scenario.
 #ifndef WALNUTSPUR_LAB_STANDINS_PLATFORM_REQUEST_H_
 #define WALNUTSPUR_LAB_STANDINS_PLATFORM_REQUEST_H_
 
@@ -24,10 +24,10 @@
   std::string body;
 };
 
-// The request's bytes.
+// Returns the bytes of the request.
 std::string FormatPlatformRequest(const PlatformRequest& request);
 
-// A number as the platform writes request ids and objects: 16 hexadecimal digits.
+// Formats the id of a request or an object as the platform does: 16 hexadecimal digits.
 std::string FormatId(std::uint64_t number);
 
 }  // namespace walnutspur::lab
--- a/src/lab/standins/process.cpp
+++ b/src/lab/standins/process.cpp
@@ -15,14 +15,14 @@
 namespace {
 
 constexpr int kExitPollInterval = 5;  // ms
-constexpr int kExecFailed = 127;      // exit code, as of a shell
+constexpr int kExecFailed = 127;      // exit code, as a shell returns it
 constexpr mode_t kLogMode = 0640;
 constexpr double kNanosecondsPerSecond = 1e9;
 
 // Runs in the child.
 [[noreturn]] void Execute(char* const* arguments, const std::map<std::string, std::string>& environment,
                           const std::string& log) {
-  // The child ends with its parent, also where that is killed and cleans up nothing.
+  // The child is killed when its parent exits, also if the parent is killed and cannot clean up.
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   const int fd = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, kLogMode);
   dup2(fd, STDOUT_FILENO);
@@ -88,7 +88,7 @@
   return "/proc/" + std::to_string(pid_) + "/" + name;
 }
 
-// The process's own schedstat covers its first thread alone.
+// Sums over all threads, since the schedstat of the process covers its first thread only.
 double Process::cpu() const {
   double total = 0;
   std::error_code ignored;
--- a/src/lab/standins/process.h
+++ b/src/lab/standins/process.h
@@ -1,6 +1,6 @@
-// A program of this project as a child process.
+// Runs a program of this project as a child process.
 //
-// The child ends with its owner, a test or a testbed. Used by one thread at a time.
+// The child is killed with its owner, a test or a test environment. Used by one thread at a time.
 #ifndef WALNUTSPUR_LAB_STANDINS_PROCESS_H_
 #define WALNUTSPUR_LAB_STANDINS_PROCESS_H_
 
@@ -13,7 +13,7 @@
 
 namespace walnutspur::lab {
 
-// The system refuses a process, or the process does not start to serve.
+// Thrown if the system cannot create a process, or the process does not start to listen.
 class ProcessError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -25,18 +25,19 @@
   // environment. Its output is appended to the file `log`. Throws ProcessError.
   Process(const std::vector<std::string>& command, const std::map<std::string, std::string>& environment,
           const std::string& log);
-  ~Process();  // kills it
+  ~Process();  // kills the process
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
   void Signal(int number) const;
-  // Sends SIGKILL and waits for the end.
+  // Sends SIGKILL and waits until the process has exited.
   void Kill();
-  // Waits up to `ms` milliseconds for the end. The exit code, or -1 if a signal ended it or it still runs.
+  // Waits at most `ms` milliseconds for the process to exit. Returns the exit code, or -1 if a signal ended
+  // the process or it still runs.
   int Wait(int ms);
   bool running();
 
-  // Processor time that all its threads have used, in seconds.
+  // Returns the processor time that all threads of the process have used, in seconds.
   double cpu() const;
 
  private:
--- a/src/lab/standins/temporary_folder.cpp
+++ b/src/lab/standins/temporary_folder.cpp
@@ -8,7 +8,7 @@
 
 TemporaryFolder::TemporaryFolder() : path_(std::filesystem::temp_directory_path() / "walnutspur-lab-XXXXXX") {
   if (!mkdtemp(path_.data())) {
-    throw TemporaryFolderError("cannot make a folder for temporary files");
+    throw TemporaryFolderError("cannot create a temporary folder");
   }
 }
 
--- a/src/lab/standins/temporary_folder.h
+++ b/src/lab/standins/temporary_folder.h
@@ -1,6 +1,6 @@
-// A temporary folder for what a process under test reads and writes.
+// Provides a temporary folder for the files of a process under test.
 //
-// Removed on destruction by its owner, a test or a testbed. Used by one thread at a time.
+// Removed on destruction by its owner, a test or a test environment. Used by one thread at a time.
 #ifndef WALNUTSPUR_LAB_STANDINS_TEMPORARY_FOLDER_H_
 #define WALNUTSPUR_LAB_STANDINS_TEMPORARY_FOLDER_H_
 
@@ -9,7 +9,7 @@
 
 namespace walnutspur::lab {
 
-// The system refuses the folder.
+// Thrown if the folder cannot be created.
 class TemporaryFolderError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/lab/storage_server/block_device.cpp
+++ b/src/lab/storage_server/block_device.cpp
@@ -21,7 +21,7 @@
 
 std::size_t MappedBytes(std::uint64_t size) { return std::max<std::uint64_t>(size, 1); }
 
-// A descriptor of the file, which then has `size` bytes.
+// Opens or creates the file, sets its size to `size` bytes and returns its descriptor.
 int OpenFile(const std::string& file, std::uint64_t size) {
   const int fd = open(file.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kFileMode);
   if (fd >= 0 && ftruncate(fd, static_cast<off_t>(size)) == 0) {
@@ -31,11 +31,11 @@
   if (fd >= 0) {
     close(fd);
   }
-  throw StorageServerError("the disk's file " + file + ": " + reason);
+  throw StorageServerError("cannot open the device file " + file + ": " + reason);
 }
 
-// Calls `call(start, length)` with the part of each sector that lies in the range; `start` counts from the
-// range's offset.
+// Calls `call(start, length)` with the part of each sector that lies in the range; `start` is relative to
+// the offset of the range.
 template <typename Call>
 void ForEachSectorPart(std::uint64_t offset, std::uint64_t size, Call call) {
   for (std::uint64_t start = 0; start < size;) {
@@ -57,7 +57,7 @@
     close(fd);
   }
   if (memory_ == MAP_FAILED) {
-    throw StorageServerError("no memory for a disk of " + std::to_string(size));
+    throw StorageServerError("cannot map memory for a block device, size in bytes: " + std::to_string(size));
   }
 }
 
@@ -80,7 +80,7 @@
 
 void BlockDevice::Write(std::uint64_t offset, const std::string& data, bool fua) {
   if (offset + data.size() > size_) {
-    throw std::out_of_range("a write past the end of the disk");
+    throw std::out_of_range("write past the end of the block device");
   }
   ++write_count_;
   if (!fua) {
@@ -99,7 +99,8 @@
   std::erase_if(cached_writes_, [&](const CachedWrite& write) { return write.number <= mark; });
 }
 
-// From the newest write to the oldest, because each holds what the one before it has written.
+// Reverts the writes from the newest to the oldest, because each holds the content that the previous write
+// left.
 void BlockDevice::Crash() {
   while (!cached_writes_.empty()) {
     Revert(cached_writes_.back());
--- a/src/lab/storage_server/error.h
+++ b/src/lab/storage_server/error.h
@@ -1,4 +1,4 @@
-// The error of the storage server stand-in. Owns nothing; any thread.
+// Defines the error of the fake storage server. Owns nothing; any thread.
 #ifndef WALNUTSPUR_LAB_STORAGE_SERVER_ERROR_H_
 #define WALNUTSPUR_LAB_STORAGE_SERVER_ERROR_H_
 
@@ -6,7 +6,7 @@
 
 namespace walnutspur::lab {
 
-// The server cannot be set up: its file, its memory or a listening socket is missing.
+// Thrown if the server cannot be set up: its file, its memory or a listening socket is not available.
 class StorageServerError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/lab/storage_server/fault_plan.h
+++ b/src/lab/storage_server/fault_plan.h
@@ -1,5 +1,5 @@
-// The faults that a storage server is to inject, and how often each kind has been injected, so that tests can
-// compare every reported corruption with what was really done.
+// Holds the faults that a storage server is to inject, and counts the injections of each kind, so that tests
+// can compare every reported corruption with the injected ones.
 //
 // Not synchronised: the storage server uses it under its mutex.
 #ifndef WALNUTSPUR_LAB_STORAGE_SERVER_FAULT_PLAN_H_
@@ -24,17 +24,17 @@
   std::uint64_t from = 0;  // the range, in bytes of the device; all objects by HTTP are at 0
   std::uint64_t to = ~std::uint64_t{0};  // one past its end
   std::uint64_t elsewhere = 0;           // kMisdirectedWrite: the offset of the misdirected bytes
-  int times = 1;                         // injections that remain, or kWithoutLimit
+  int times = 1;                         // remaining injections, or kWithoutLimit
 };
 
 class FaultPlan {
  public:
   void Add(const Fault& fault) { faults_.push_back(fault); }
-  // Forgets the faults that have not been injected yet; the counts stay.
+  // Discards the faults that have not been injected yet. The counts stay.
   void Clear() { faults_.clear(); }
 
-  // The first fault of one of these kinds for a command on `path`, or null. `path` may be kAnyPath. Valid
-  // until the plan is changed.
+  // Returns the first fault of one of these kinds for a command on `path`, or null. `path` may be kAnyPath.
+  // The pointer is valid until the plan is changed.
   Fault* Match(std::initializer_list<CorruptionKind> kinds, int path, std::uint64_t offset,
                std::uint64_t length);
   // Counts an injection of a fault that Match has returned.
--- a/src/lab/storage_server/faulty_device.h
+++ b/src/lab/storage_server/faulty_device.h
@@ -1,4 +1,4 @@
-// Reads and writes of a block device with the faults of a plan injected.
+// Reads and writes a block device and injects the faults of a plan.
 //
 // Not synchronised: belongs to the storage server, which uses it under its mutex and owns the device and the
 // plan; both must outlive it.
@@ -17,10 +17,10 @@
  public:
   FaultyDevice(BlockDevice* device, FaultPlan* plan) : device_(device), plan_(plan) {}
 
-  // A read that arrived on `path`. Only the part of it that overlaps the fault's range is corrupted.
+  // Executes a read that arrived on `path`. Corrupts only the part that overlaps the range of the fault.
   std::string Read(int path, std::uint64_t offset, std::uint32_t length);
   void Write(std::uint64_t offset, const std::string& data, bool fua);
-  // Flips bits of the stored data at once.
+  // Flips bits of the stored data immediately.
   void FlipStoredBits(const Fault& fault);
 
  private:
@@ -28,7 +28,7 @@
   FaultPlan* plan_;
 };
 
-// How many bits one fault flips: 1 to 8, drawn from the device's generator.
+// Draws the number of bits that one fault flips, 1 to 8, from the generator of the device.
 int DrawFlippedBits(BlockDevice& device);
 
 }  // namespace walnutspur::lab
--- a/src/lab/storage_server/object_store.h
+++ b/src/lab/storage_server/object_store.h
@@ -1,9 +1,9 @@
-// The objects of a storage server by HTTP: their content and the digest that came with it, with the faults of
-// a plan injected. Faults corrupt the content alone, as a device or a path does that knows nothing of
-// digests.
+// Stores the objects of a storage server that are accessed over HTTP, each with its content and the digest of
+// the write, and injects the faults of a plan. Faults corrupt the content only, as a device or a path does,
+// which do not process digests.
 //
-// Not synchronised: belongs to the storage server, which uses it under its mutex and owns the device, whose
-// generator is used, and the plan; both must outlive it.
+// Not synchronised: belongs to the storage server, which uses it under its mutex. The storage server owns the
+// device, whose generator is used, and the plan; both must outlive the store.
 #ifndef WALNUTSPUR_LAB_STORAGE_SERVER_OBJECT_STORE_H_
 #define WALNUTSPUR_LAB_STORAGE_SERVER_OBJECT_STORE_H_
 
@@ -29,10 +29,10 @@
   std::optional<StoredObject> Get(const std::string& key);
 
  private:
-  // What is stored in place of the object. The digest is always the new one.
+  // Returns the object to store in place of `object`. Its digest is always the new one.
   StoredObject InjectWriteFault(const std::string& key, const StoredObject& object);
   void InjectReadFault(const std::string& key, std::string* body);
-  // Gives the first other object these bytes; its digest stays.
+  // Replaces the content of the first other object by `body` and keeps its digest.
   void OverwriteAnother(const std::string& key, const std::string& body);
 
   BlockDevice* device_;
--- a/src/lab/storage_server/storage_server.cpp
+++ b/src/lab/storage_server/storage_server.cpp
@@ -192,7 +192,8 @@
   Respond(connection, std::move(out));
 }
 
-// An object is named by its path. The digest of a write is stored and returned with every read.
+// Executes a request. The key of an object is its path; the digest of a write is stored and returned with
+// every read.
 std::string StorageServer::ExecuteHttp(http::MessageReader& request) {
   ++commands_;
   std::string headers;
--- a/src/lab/storage_server/storage_server.h
+++ b/src/lab/storage_server/storage_server.h
@@ -1,6 +1,6 @@
-// A stand-in for a storage server: stores data, speaks NBD and the platform's HTTP on any number of
-// listeners, and corrupts data on demand. It knows nothing of checksums. HttpTarget stores nothing, and fails
-// as a process does; test::StorageServer acts only as a scenario says.
+// Fake storage server: stores data, speaks NBD and the platform's HTTP on any number of listeners, and
+// corrupts data on demand. It does not compute checksums. HttpTarget stores no data and simulates failures of
+// a process; test::StorageServer follows the steps of a scenario.
 //
 // Its event loop runs on a thread of its own from Start to destruction. The public methods may be called from
 // any thread; a mutex guards the data and the faults. Every injected fault is counted.
@@ -34,7 +34,7 @@
   std::uint64_t seed = 1;         // of all randomness
   int paths = 1;                  // NBD listeners
   bool http = false;              // one more listener, which speaks HTTP
-  std::string file;               // where the device's bytes outlive the process; empty: in memory
+  std::string file;               // keeps the device's bytes beyond the process; empty: in memory
   std::int64_t delay = 0;         // us before each response
   std::int64_t service = 0;       // us of service time per command; commands are served one at a time
   std::string host = "127.0.0.1";
@@ -44,14 +44,14 @@
 
 class StorageServer {
  public:
-  // Listens. Throws StorageServerError, or EventLoopError.
+  // Opens the listening sockets. Throws StorageServerError, or EventLoopError.
   explicit StorageServer(const StorageServerOptions& options);
-  // Closes all connections. Responses that are delayed are not sent.
+  // Closes all connections. Delayed responses are discarded.
   ~StorageServer();
   StorageServer(const StorageServer&) = delete;
   StorageServer& operator=(const StorageServer&) = delete;
 
-  // Begins to serve.
+  // Starts to serve connections.
   void Start();
 
   int port(int path) const { return listeners_[static_cast<std::size_t>(path)]->port(); }
@@ -60,14 +60,14 @@
   // Injects a fault into later commands; kStoredBitFlip takes effect at once.
   void AddFault(const Fault& fault);
   void ClearFaults();
-  // How often a kind of fault has been injected.
+  // Returns how often faults of this kind have been injected.
   std::uint64_t injections(CorruptionKind kind) const;
-  // Commands received, by NBD and HTTP.
+  // Returns the number of commands received over NBD and HTTP.
   std::uint64_t commands() const;
   // Sets StorageServerOptions::service.
   void SetService(std::int64_t us);
 
-  // Calls `call(device)` while no command is executed.
+  // Returns the result of `call(device)`, which runs while no command is executed.
   template <typename Call>
   auto WithDevice(Call call) {
     const std::lock_guard lock(mutex_);
@@ -81,7 +81,7 @@
   bool IsHttpListener(std::size_t index) const;
   void OnAccept(int path, evutil_socket_t fd);
   void OnReadable(Connection& connection);
-  // Each executes the complete commands among the bytes; whether the connection goes on.
+  // Each executes the complete commands among the bytes and returns whether the connection stays open.
   bool ReceiveNbd(Connection& connection, std::string_view bytes);
   bool ReceiveHttp(Connection& connection, std::string_view bytes);
   void ExecuteNbd(Connection& connection, const nbd::Request& request);
@@ -90,7 +90,7 @@
   // Sends a response after the delay and service time of its command.
   void Respond(Connection& connection, std::string bytes);
 
-  mutable std::mutex mutex_;  // guards what follows, up to the event loop
+  mutable std::mutex mutex_;  // guards the members from here up to the event loop
   StorageServerOptions options_;
   BlockDevice device_;
   FaultPlan faults_;
@@ -100,7 +100,7 @@
   std::int64_t busy_until_ = 0;  // us on the steady clock: when the commands received so far are served
   std::vector<nbd::Export> exports_;
 
-  // Used by the loop's thread alone once it runs. The loop is destroyed last.
+  // Used only by the thread of the loop while the loop runs. The loop is destroyed last.
   EventLoopThread loop_;
   std::vector<std::unique_ptr<loop::Listener>> listeners_;  // by path; the one for HTTP is the last
   std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;
