--- a/bench/integrity/configuration.cpp
+++ b/bench/integrity/configuration.cpp
@@ -1,6 +1,6 @@
 #include "configuration.h"
 
-#include "lab/standins/loopback.h"
+#include "lab/fakes/loopback.h"
 
 namespace walnutspur::bench {
 
--- a/bench/integrity/configuration.h
+++ b/bench/integrity/configuration.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/standins/platform_config.h"
+#include "lab/fakes/platform_config.h"
 
 namespace walnutspur::bench {
 
--- a/bench/integrity/http_client.cpp
+++ b/bench/integrity/http_client.cpp
@@ -5,8 +5,8 @@
 #include <unistd.h>
 
 #include "http/message_reader.h"
-#include "lab/standins/loopback.h"
-#include "lab/standins/platform_request.h"
+#include "lab/fakes/loopback.h"
+#include "lab/fakes/platform_request.h"
 #include "run.h"
 
 namespace walnutspur::bench {
--- a/bench/integrity/testbed.cpp
+++ b/bench/integrity/testbed.cpp
@@ -12,7 +12,7 @@
 #include "core/scheduler_thread.h"
 #include "integrity/corruption_log_file.h"
 #include "integrity/volume.h"
-#include "lab/standins/loopback.h"
+#include "lab/fakes/loopback.h"
 
 namespace walnutspur::bench {
 namespace {
@@ -96,8 +96,8 @@
                                             std::to_string(server_nbd_port_),
                                             "--seed",
                                             std::to_string(random_())};
-  child_server_ =
-      std::make_unique<lab::Process>(command, std::map<std::string, std::string>{}, folder() + "/storage_server.log");
+  child_server_ = std::make_unique<lab::Process>(command, std::map<std::string, std::string>{},
+                                                 folder() + "/storage_server.log");
   for (int i = 0; i < kServerStartAttempts && child_server_->running(); ++i) {
     if (lab::WaitForListener(server_nbd_port_ + 1, kServerStartInterval)) {
       return true;
--- a/src/lab/standins/chunked_response.cpp
+++ b/src/lab/fakes/chunked_response.cpp
@@ -1,4 +1,4 @@
-#include "lab/standins/chunked_response.h"
+#include "lab/fakes/chunked_response.h"
 
 #include <array>
 #include <cstdio>
--- a/src/lab/standins/chunked_response.h
+++ b/src/lab/fakes/chunked_response.h
@@ -1,8 +1,8 @@
 // Formats a chunked HTTP response (RFC 9112, section 7.1), with which discovery responds to a watch.
 //
 // Owns nothing; any thread.
-#ifndef WALNUTSPUR_LAB_STANDINS_CHUNKED_RESPONSE_H_
-#define WALNUTSPUR_LAB_STANDINS_CHUNKED_RESPONSE_H_
+#ifndef WALNUTSPUR_LAB_FAKES_CHUNKED_RESPONSE_H_
+#define WALNUTSPUR_LAB_FAKES_CHUNKED_RESPONSE_H_
 
 #include <string>
 #include <string_view>
@@ -18,4 +18,4 @@
 
 }  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_STANDINS_CHUNKED_RESPONSE_H_
+#endif  // WALNUTSPUR_LAB_FAKES_CHUNKED_RESPONSE_H_
--- a/src/lab/standins/discovery_service.cpp
+++ b/src/lab/fakes/discovery_service.cpp
@@ -1,9 +1,9 @@
-#include "lab/standins/discovery_service.h"
+#include "lab/fakes/discovery_service.h"
 
 #include <utility>
 
 #include "core/clock.h"
-#include "lab/standins/chunked_response.h"
+#include "lab/fakes/chunked_response.h"
 
 namespace walnutspur::lab {
 namespace {
--- a/src/lab/standins/discovery_service.h
+++ b/src/lab/fakes/discovery_service.h
@@ -4,8 +4,8 @@
 //
 // Owned by a test environment; runs on the thread of its event loop. DiscoveryThread runs the service on a
 // thread of its own; the fake in tests/net/discovery_server.h follows the steps of a scenario instead.
-#ifndef WALNUTSPUR_LAB_STANDINS_DISCOVERY_SERVICE_H_
-#define WALNUTSPUR_LAB_STANDINS_DISCOVERY_SERVICE_H_
+#ifndef WALNUTSPUR_LAB_FAKES_DISCOVERY_SERVICE_H_
+#define WALNUTSPUR_LAB_FAKES_DISCOVERY_SERVICE_H_
 
 #include <cstdint>
 #include <deque>
@@ -14,8 +14,8 @@
 #include <string>
 #include <vector>
 
-#include "lab/standins/endpoint_list.h"
-#include "lab/standins/http_connection.h"
+#include "lab/fakes/endpoint_list.h"
+#include "lab/fakes/http_connection.h"
 #include "loop/listener.h"
 
 namespace walnutspur::lab {
@@ -118,4 +118,4 @@
 
 }  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_STANDINS_DISCOVERY_SERVICE_H_
+#endif  // WALNUTSPUR_LAB_FAKES_DISCOVERY_SERVICE_H_
--- a/src/lab/standins/discovery_thread.cpp
+++ b/src/lab/fakes/discovery_thread.cpp
@@ -1,4 +1,4 @@
-#include "lab/standins/discovery_thread.h"
+#include "lab/fakes/discovery_thread.h"
 
 #include <utility>
 
--- a/src/lab/standins/discovery_thread.h
+++ b/src/lab/fakes/discovery_thread.h
@@ -2,15 +2,15 @@
 // loop.
 //
 // Serves one client port from construction to destruction. Set may be called from any thread.
-#ifndef WALNUTSPUR_LAB_STANDINS_DISCOVERY_THREAD_H_
-#define WALNUTSPUR_LAB_STANDINS_DISCOVERY_THREAD_H_
+#ifndef WALNUTSPUR_LAB_FAKES_DISCOVERY_THREAD_H_
+#define WALNUTSPUR_LAB_FAKES_DISCOVERY_THREAD_H_
 
 #include <mutex>
 #include <vector>
 
-#include "lab/standins/discovery_service.h"
-#include "lab/standins/endpoint_list.h"
-#include "lab/standins/event_loop_thread.h"
+#include "lab/fakes/discovery_service.h"
+#include "lab/fakes/endpoint_list.h"
+#include "lab/fakes/event_loop_thread.h"
 #include "loop/loop.h"
 
 namespace walnutspur::lab {
@@ -42,4 +42,4 @@
 
 }  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_STANDINS_DISCOVERY_THREAD_H_
+#endif  // WALNUTSPUR_LAB_FAKES_DISCOVERY_THREAD_H_
--- a/src/lab/standins/endpoint_list.cpp
+++ b/src/lab/fakes/endpoint_list.cpp
@@ -1,4 +1,4 @@
-#include "lab/standins/endpoint_list.h"
+#include "lab/fakes/endpoint_list.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/lab/standins/endpoint_list.h
+++ b/src/lab/fakes/endpoint_list.h
@@ -1,8 +1,8 @@
 // Formats the endpoint list in the format of the platform's discovery service.
 //
 // Owns nothing; any thread.
-#ifndef WALNUTSPUR_LAB_STANDINS_ENDPOINT_LIST_H_
-#define WALNUTSPUR_LAB_STANDINS_ENDPOINT_LIST_H_
+#ifndef WALNUTSPUR_LAB_FAKES_ENDPOINT_LIST_H_
+#define WALNUTSPUR_LAB_FAKES_ENDPOINT_LIST_H_
 
 #include <cstdint>
 #include <string>
@@ -27,4 +27,4 @@
 
 }  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_STANDINS_ENDPOINT_LIST_H_
+#endif  // WALNUTSPUR_LAB_FAKES_ENDPOINT_LIST_H_
--- a/src/lab/standins/event_loop_thread.cpp
+++ b/src/lab/fakes/event_loop_thread.cpp
@@ -1,4 +1,4 @@
-#include "lab/standins/event_loop_thread.h"
+#include "lab/fakes/event_loop_thread.h"
 
 #include <event2/thread.h>
 
--- a/src/lab/standins/event_loop_thread.h
+++ b/src/lab/fakes/event_loop_thread.h
@@ -2,8 +2,8 @@
 //
 // Created and destroyed by its owner's thread, which also starts and stops it. The owner must free the events
 // and sockets of the loop after Stop and before the loop itself is destroyed.
-#ifndef WALNUTSPUR_LAB_STANDINS_EVENT_LOOP_THREAD_H_
-#define WALNUTSPUR_LAB_STANDINS_EVENT_LOOP_THREAD_H_
+#ifndef WALNUTSPUR_LAB_FAKES_EVENT_LOOP_THREAD_H_
+#define WALNUTSPUR_LAB_FAKES_EVENT_LOOP_THREAD_H_
 
 #include <stdexcept>
 #include <thread>
@@ -41,4 +41,4 @@
 
 }  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_STANDINS_EVENT_LOOP_THREAD_H_
+#endif  // WALNUTSPUR_LAB_FAKES_EVENT_LOOP_THREAD_H_
--- a/src/lab/standins/http_connection.cpp
+++ b/src/lab/fakes/http_connection.cpp
@@ -1,9 +1,9 @@
-#include "lab/standins/http_connection.h"
+#include "lab/fakes/http_connection.h"
 
 #include <sys/socket.h>
 
 #include "core/clock.h"
-#include "lab/standins/http_response.h"
+#include "lab/fakes/http_response.h"
 
 namespace walnutspur::lab {
 
--- a/src/lab/standins/http_connection.h
+++ b/src/lab/fakes/http_connection.h
@@ -1,8 +1,8 @@
 // A connection accepted by a fake server, which carries HTTP requests one after another.
 //
 // Owned by the fake server; runs on the thread of its event loop.
-#ifndef WALNUTSPUR_LAB_STANDINS_HTTP_CONNECTION_H_
-#define WALNUTSPUR_LAB_STANDINS_HTTP_CONNECTION_H_
+#ifndef WALNUTSPUR_LAB_FAKES_HTTP_CONNECTION_H_
+#define WALNUTSPUR_LAB_FAKES_HTTP_CONNECTION_H_
 
 #include <cstdint>
 #include <string>
@@ -62,4 +62,4 @@
 
 }  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_STANDINS_HTTP_CONNECTION_H_
+#endif  // WALNUTSPUR_LAB_FAKES_HTTP_CONNECTION_H_
--- a/src/lab/standins/http_response.cpp
+++ b/src/lab/fakes/http_response.cpp
@@ -1,4 +1,4 @@
-#include "lab/standins/http_response.h"
+#include "lab/fakes/http_response.h"
 
 namespace walnutspur::lab {
 
--- a/src/lab/standins/http_response.h
+++ b/src/lab/fakes/http_response.h
@@ -2,8 +2,8 @@
 //
 // Owns nothing; any thread. test::HttpStorageServer formats its own responses, because most of them are
 // malformed.
-#ifndef WALNUTSPUR_LAB_STANDINS_HTTP_RESPONSE_H_
-#define WALNUTSPUR_LAB_STANDINS_HTTP_RESPONSE_H_
+#ifndef WALNUTSPUR_LAB_FAKES_HTTP_RESPONSE_H_
+#define WALNUTSPUR_LAB_FAKES_HTTP_RESPONSE_H_
 
 #include <string>
 #include <string_view>
@@ -15,4 +15,4 @@
 
 }  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_STANDINS_HTTP_RESPONSE_H_
+#endif  // WALNUTSPUR_LAB_FAKES_HTTP_RESPONSE_H_
--- a/src/lab/standins/http_target.cpp
+++ b/src/lab/fakes/http_target.cpp
@@ -1,4 +1,4 @@
-#include "lab/standins/http_target.h"
+#include "lab/fakes/http_target.h"
 
 #include <utility>
 
--- a/src/lab/standins/http_target.h
+++ b/src/lab/fakes/http_target.h
@@ -4,15 +4,15 @@
 // Owned by a test environment; runs on the thread of its event loop. It stores nothing: lab::StorageServer
 // stores data and corrupts it on demand, over NBD as well. test::HttpStorageServer follows the steps of a
 // scenario.
-#ifndef WALNUTSPUR_LAB_STANDINS_HTTP_TARGET_H_
-#define WALNUTSPUR_LAB_STANDINS_HTTP_TARGET_H_
+#ifndef WALNUTSPUR_LAB_FAKES_HTTP_TARGET_H_
+#define WALNUTSPUR_LAB_FAKES_HTTP_TARGET_H_
 
 #include <cstdint>
 #include <map>
 #include <memory>
 #include <string>
 
-#include "lab/standins/http_connection.h"
+#include "lab/fakes/http_connection.h"
 #include "loop/listener.h"
 
 namespace walnutspur::lab {
@@ -83,4 +83,4 @@
 
 }  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_STANDINS_HTTP_TARGET_H_
+#endif  // WALNUTSPUR_LAB_FAKES_HTTP_TARGET_H_
--- a/src/lab/standins/initiator_process.cpp
+++ b/src/lab/fakes/initiator_process.cpp
@@ -1,4 +1,4 @@
-#include "lab/standins/initiator_process.h"
+#include "lab/fakes/initiator_process.h"
 
 #include <vector>
 
--- a/src/lab/standins/initiator_process.h
+++ b/src/lab/fakes/initiator_process.h
@@ -1,16 +1,16 @@
 // Starts the program under test, a stand-alone initiator, with its files in a temporary folder.
 //
 // Called by the owner of the folder and of the process, a test or a test environment, on its thread.
-#ifndef WALNUTSPUR_LAB_STANDINS_INITIATOR_PROCESS_H_
-#define WALNUTSPUR_LAB_STANDINS_INITIATOR_PROCESS_H_
+#ifndef WALNUTSPUR_LAB_FAKES_INITIATOR_PROCESS_H_
+#define WALNUTSPUR_LAB_FAKES_INITIATOR_PROCESS_H_
 
 #include <map>
 #include <memory>
 #include <string>
 
-#include "lab/standins/platform_config.h"
-#include "lab/standins/process.h"
-#include "lab/standins/temporary_folder.h"
+#include "lab/fakes/platform_config.h"
+#include "lab/fakes/process.h"
+#include "lab/fakes/temporary_folder.h"
 
 namespace walnutspur::lab {
 
@@ -31,4 +31,4 @@
 
 }  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_STANDINS_INITIATOR_PROCESS_H_
+#endif  // WALNUTSPUR_LAB_FAKES_INITIATOR_PROCESS_H_
--- a/src/lab/standins/loopback.cpp
+++ b/src/lab/fakes/loopback.cpp
@@ -1,4 +1,4 @@
-#include "lab/standins/loopback.h"
+#include "lab/fakes/loopback.h"
 
 #include <arpa/inet.h>
 #include <poll.h>
--- a/src/lab/standins/loopback.h
+++ b/src/lab/fakes/loopback.h
@@ -1,8 +1,8 @@
 // Provides loopback addresses on which processes under test and the fakes around them listen.
 //
 // Owns nothing; any thread.
-#ifndef WALNUTSPUR_LAB_STANDINS_LOOPBACK_H_
-#define WALNUTSPUR_LAB_STANDINS_LOOPBACK_H_
+#ifndef WALNUTSPUR_LAB_FAKES_LOOPBACK_H_
+#define WALNUTSPUR_LAB_FAKES_LOOPBACK_H_
 
 #include <netinet/in.h>
 
@@ -39,4 +39,4 @@
 
 }  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_STANDINS_LOOPBACK_H_
+#endif  // WALNUTSPUR_LAB_FAKES_LOOPBACK_H_
--- a/src/lab/standins/platform_config.cpp
+++ b/src/lab/fakes/platform_config.cpp
@@ -1,4 +1,4 @@
-#include "lab/standins/platform_config.h"
+#include "lab/fakes/platform_config.h"
 
 namespace walnutspur::lab {
 namespace {
--- a/src/lab/standins/platform_config.h
+++ b/src/lab/fakes/platform_config.h
@@ -2,8 +2,8 @@
 //
 // The members have the usual terms as names; only platform_config.cpp contains the keys of the file. Owns
 // nothing; any thread.
-#ifndef WALNUTSPUR_LAB_STANDINS_PLATFORM_CONFIG_H_
-#define WALNUTSPUR_LAB_STANDINS_PLATFORM_CONFIG_H_
+#ifndef WALNUTSPUR_LAB_FAKES_PLATFORM_CONFIG_H_
+#define WALNUTSPUR_LAB_FAKES_PLATFORM_CONFIG_H_
 
 #include <nlohmann/json.hpp>
 #include <string>
@@ -47,4 +47,4 @@
 
 }  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_STANDINS_PLATFORM_CONFIG_H_
+#endif  // WALNUTSPUR_LAB_FAKES_PLATFORM_CONFIG_H_
--- a/src/lab/standins/platform_request.cpp
+++ b/src/lab/fakes/platform_request.cpp
@@ -1,4 +1,4 @@
-#include "lab/standins/platform_request.h"
+#include "lab/fakes/platform_request.h"
 
 #include <array>
 #include <cinttypes>
--- a/src/lab/standins/platform_request.h
+++ b/src/lab/fakes/platform_request.h
@@ -3,8 +3,8 @@
 // Owns nothing; any thread. Three clients send them, which differ in kind: soak::LoadClient, many connections
 // on an event loop; bench::HttpClient, which blocks until it has the response; and
 // test::HttpScenarioClient, which follows the steps of a scenario.
-#ifndef WALNUTSPUR_LAB_STANDINS_PLATFORM_REQUEST_H_
-#define WALNUTSPUR_LAB_STANDINS_PLATFORM_REQUEST_H_
+#ifndef WALNUTSPUR_LAB_FAKES_PLATFORM_REQUEST_H_
+#define WALNUTSPUR_LAB_FAKES_PLATFORM_REQUEST_H_
 
 #include <cstdint>
 #include <string>
@@ -32,4 +32,4 @@
 
 }  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_STANDINS_PLATFORM_REQUEST_H_
+#endif  // WALNUTSPUR_LAB_FAKES_PLATFORM_REQUEST_H_
--- a/src/lab/standins/process.cpp
+++ b/src/lab/fakes/process.cpp
@@ -1,4 +1,4 @@
-#include "lab/standins/process.h"
+#include "lab/fakes/process.h"
 
 #include <fcntl.h>
 #include <poll.h>
--- a/src/lab/standins/process.h
+++ b/src/lab/fakes/process.h
@@ -1,8 +1,8 @@
 // Runs a program of this project as a child process.
 //
 // The child is killed with its owner, a test or a test environment. Used by one thread at a time.
-#ifndef WALNUTSPUR_LAB_STANDINS_PROCESS_H_
-#define WALNUTSPUR_LAB_STANDINS_PROCESS_H_
+#ifndef WALNUTSPUR_LAB_FAKES_PROCESS_H_
+#define WALNUTSPUR_LAB_FAKES_PROCESS_H_
 
 #include <sys/types.h>
 
@@ -50,4 +50,4 @@
 
 }  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_STANDINS_PROCESS_H_
+#endif  // WALNUTSPUR_LAB_FAKES_PROCESS_H_
--- a/src/lab/standins/temporary_folder.cpp
+++ b/src/lab/fakes/temporary_folder.cpp
@@ -1,4 +1,4 @@
-#include "lab/standins/temporary_folder.h"
+#include "lab/fakes/temporary_folder.h"
 
 #include <cstdlib>
 #include <filesystem>
--- a/src/lab/standins/temporary_folder.h
+++ b/src/lab/fakes/temporary_folder.h
@@ -1,8 +1,8 @@
 // Provides a temporary folder for the files of a process under test.
 //
 // Removed on destruction by its owner, a test or a test environment. Used by one thread at a time.
-#ifndef WALNUTSPUR_LAB_STANDINS_TEMPORARY_FOLDER_H_
-#define WALNUTSPUR_LAB_STANDINS_TEMPORARY_FOLDER_H_
+#ifndef WALNUTSPUR_LAB_FAKES_TEMPORARY_FOLDER_H_
+#define WALNUTSPUR_LAB_FAKES_TEMPORARY_FOLDER_H_
 
 #include <stdexcept>
 #include <string>
@@ -33,4 +33,4 @@
 
 }  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_STANDINS_TEMPORARY_FOLDER_H_
+#endif  // WALNUTSPUR_LAB_FAKES_TEMPORARY_FOLDER_H_
--- a/src/lab/fault_proxy/fault_proxy.cpp
+++ b/src/lab/fault_proxy/fault_proxy.cpp
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "core/scheduler_thread.h"
-#include "lab/standins/loopback.h"
+#include "lab/fakes/loopback.h"
 
 namespace walnutspur::lab {
 namespace {
--- a/src/lab/fleet/process_cluster.cpp
+++ b/src/lab/fleet/process_cluster.cpp
@@ -8,7 +8,7 @@
 
 #include "app/control.h"
 #include "core/scheduler_thread.h"
-#include "lab/standins/loopback.h"
+#include "lab/fakes/loopback.h"
 
 namespace walnutspur::lab {
 namespace {
--- a/src/lab/fleet/process_cluster.h
+++ b/src/lab/fleet/process_cluster.h
@@ -12,11 +12,11 @@
 #include <string>
 #include <vector>
 
+#include "lab/fakes/discovery_thread.h"
+#include "lab/fakes/initiator_process.h"
+#include "lab/fakes/process.h"
+#include "lab/fakes/temporary_folder.h"
 #include "lab/fault_proxy/fault_proxy.h"
-#include "lab/standins/discovery_thread.h"
-#include "lab/standins/initiator_process.h"
-#include "lab/standins/process.h"
-#include "lab/standins/temporary_folder.h"
 
 namespace walnutspur::lab {
 
--- a/src/lab/soak/discovery_recorder.h
+++ b/src/lab/soak/discovery_recorder.h
@@ -4,8 +4,8 @@
 #ifndef WALNUTSPUR_LAB_SOAK_DISCOVERY_RECORDER_H_
 #define WALNUTSPUR_LAB_SOAK_DISCOVERY_RECORDER_H_
 
+#include "lab/fakes/discovery_service.h"
 #include "lab/soak/record.h"
-#include "lab/standins/discovery_service.h"
 
 namespace walnutspur::lab::soak {
 
--- a/src/lab/soak/load_client.h
+++ b/src/lab/soak/load_client.h
@@ -11,9 +11,9 @@
 #include <string>
 
 #include "http/message_reader.h"
+#include "lab/fakes/platform_request.h"
 #include "lab/random.h"
 #include "lab/soak/record.h"
-#include "lab/standins/platform_request.h"
 #include "loop/address.h"
 #include "loop/loop.h"
 #include "loop/stream.h"
--- a/src/lab/soak/plan.h
+++ b/src/lab/soak/plan.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
+#include "lab/fakes/discovery_service.h"
+#include "lab/fakes/http_target.h"
 #include "lab/soak/load_client.h"
-#include "lab/standins/discovery_service.h"
-#include "lab/standins/http_target.h"
 
 namespace walnutspur::lab::soak {
 
--- a/src/lab/soak/target_recorder.h
+++ b/src/lab/soak/target_recorder.h
@@ -4,8 +4,8 @@
 #ifndef WALNUTSPUR_LAB_SOAK_TARGET_RECORDER_H_
 #define WALNUTSPUR_LAB_SOAK_TARGET_RECORDER_H_
 
+#include "lab/fakes/http_target.h"
 #include "lab/soak/record.h"
-#include "lab/standins/http_target.h"
 
 namespace walnutspur::lab::soak {
 
--- a/src/lab/soak/test_environment.cpp
+++ b/src/lab/soak/test_environment.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "core/clock.h"
-#include "lab/standins/loopback.h"
+#include "lab/fakes/loopback.h"
 
 namespace walnutspur::lab::soak {
 namespace {
--- a/src/lab/soak/test_environment.h
+++ b/src/lab/soak/test_environment.h
@@ -12,15 +12,15 @@
 #include <string>
 #include <vector>
 
+#include "lab/fakes/discovery_service.h"
+#include "lab/fakes/http_target.h"
+#include "lab/fakes/initiator_process.h"
+#include "lab/fakes/process.h"
+#include "lab/fakes/temporary_folder.h"
 #include "lab/soak/discovery_recorder.h"
 #include "lab/soak/load_client.h"
 #include "lab/soak/record.h"
 #include "lab/soak/target_recorder.h"
-#include "lab/standins/discovery_service.h"
-#include "lab/standins/http_target.h"
-#include "lab/standins/initiator_process.h"
-#include "lab/standins/process.h"
-#include "lab/standins/temporary_folder.h"
 #include "loop/loop.h"
 
 namespace walnutspur::lab::soak {
--- a/src/lab/storage_server/storage_server.cpp
+++ b/src/lab/storage_server/storage_server.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "core/scheduler_thread.h"
-#include "lab/standins/http_response.h"
+#include "lab/fakes/http_response.h"
 #include "loop/stream.h"
 
 namespace walnutspur::lab {
--- a/src/lab/storage_server/storage_server.h
+++ b/src/lab/storage_server/storage_server.h
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "http/message_reader.h"
-#include "lab/standins/event_loop_thread.h"
+#include "lab/fakes/event_loop_thread.h"
 #include "lab/storage_server/block_device.h"
 #include "lab/storage_server/corruption_kind.h"
 #include "lab/storage_server/error.h"
--- a/tests/lab/simulation_test.cpp
+++ b/tests/lab/simulation_test.cpp
@@ -11,9 +11,9 @@
 #include <string>
 
 #include "base_experiment.h"
+#include "lab/fakes/temporary_folder.h"
 #include "lab/sim/explore.h"
 #include "lab/sim/log_checker.h"
-#include "lab/standins/temporary_folder.h"
 
 namespace walnutspur::lab::sim {
 namespace {
--- a/tests/net/discovery_server.cpp
+++ b/tests/net/discovery_server.cpp
@@ -4,7 +4,7 @@
 
 #include "core/scheduler_thread.h"
 #include "http_message.h"
-#include "lab/standins/chunked_response.h"
+#include "lab/fakes/chunked_response.h"
 #include "scenario_limits.h"
 
 namespace walnutspur::test {
--- a/tests/net/discovery_server.h
+++ b/tests/net/discovery_server.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/standins/endpoint_list.h"
+#include "lab/fakes/endpoint_list.h"
 #include "loopback_socket.h"
 
 namespace walnutspur::test {
--- a/tests/net/discovery_stand_in_test.cpp
+++ b/tests/net/discovery_stand_in_test.cpp
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "lab/standins/discovery_thread.h"
+#include "lab/fakes/discovery_thread.h"
 #include "loopback_socket.h"
 
 namespace walnutspur::test {
--- a/tests/net/loopback_socket.cpp
+++ b/tests/net/loopback_socket.cpp
@@ -8,7 +8,7 @@
 
 #include <array>
 
-#include "lab/standins/loopback.h"
+#include "lab/fakes/loopback.h"
 
 namespace walnutspur::test {
 namespace {
--- a/tests/net/scenario_client.cpp
+++ b/tests/net/scenario_client.cpp
@@ -3,7 +3,7 @@
 #include <doctest/doctest.h>
 
 #include "core/scheduler_thread.h"
-#include "lab/standins/platform_request.h"
+#include "lab/fakes/platform_request.h"
 #include "scenario_limits.h"
 
 namespace walnutspur::test {
--- a/tests/net/scenario_config.cpp
+++ b/tests/net/scenario_config.cpp
@@ -1,6 +1,6 @@
 #include "scenario_config.h"
 
-#include "lab/standins/platform_config.h"
+#include "lab/fakes/platform_config.h"
 
 namespace walnutspur::test {
 
--- a/tests/net/scenario_runner.cpp
+++ b/tests/net/scenario_runner.cpp
@@ -9,7 +9,7 @@
 #include <stdexcept>
 
 #include "core/scheduler_thread.h"
-#include "lab/standins/loopback.h"
+#include "lab/fakes/loopback.h"
 #include "scenario_limits.h"
 
 namespace walnutspur::test {
--- a/tests/unit/file_store_test.cpp
+++ b/tests/unit/file_store_test.cpp
@@ -11,7 +11,7 @@
 
 #include "filestore/atomic_file.h"
 #include "integrity/cursor.h"
-#include "lab/standins/temporary_folder.h"
+#include "lab/fakes/temporary_folder.h"
 
 namespace walnutspur::filestore {
 namespace {
