--- a/bench/integrity/test_environment.cpp
+++ b/bench/integrity/test_environment.cpp
@@ -12,7 +12,7 @@
 #include "core/scheduler_thread.h"
 #include "integrity/corruption_log_file.h"
 #include "integrity/volume.h"
-#include "lab/standins/loopback.h"
+#include "lab/fakes/loopback.h"
 
 namespace walnutspur::bench {
 namespace {
--- a/src/lab/standins/endpoint_list.h
+++ b/src/lab/fakes/endpoint_list.h
@@ -1,8 +1,8 @@
-// The endpoint list as the platform's discovery service writes it.
+// Formats the endpoint list in the format of the platform's discovery service.
 //
 // Owns nothing; any thread.
-#ifndef WALNUTSPUR_LAB_STANDINS_ENDPOINT_LIST_H_
-#define WALNUTSPUR_LAB_STANDINS_ENDPOINT_LIST_H_
+#ifndef WALNUTSPUR_LAB_FAKES_ENDPOINT_LIST_H_
+#define WALNUTSPUR_LAB_FAKES_ENDPOINT_LIST_H_
 
 #include <cstdint>
 #include <string>
@@ -21,9 +21,10 @@
   std::int64_t started_at_ms = 0;  // Unix time
 };
 
-// The JSON document of one revision: all endpoints where it is complete, those that have changed otherwise.
+// Returns the JSON document of one revision. `endpoints` are all endpoints if `complete` is set, otherwise
+// those that have changed.
 std::string FormatEndpointList(int revision, bool complete, const std::vector<ListedEndpoint>& endpoints);
 
 }  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_STANDINS_ENDPOINT_LIST_H_
+#endif  // WALNUTSPUR_LAB_FAKES_ENDPOINT_LIST_H_
--- a/src/lab/standins/http_connection.cpp
+++ b/src/lab/fakes/http_connection.cpp
@@ -1,9 +1,9 @@
-#include "lab/standins/http_connection.h"
+#include "lab/fakes/http_connection.h"
 
 #include <sys/socket.h>
 
 #include "core/clock.h"
-#include "lab/standins/http_response.h"
+#include "lab/fakes/http_response.h"
 
 namespace walnutspur::lab {
 
@@ -52,8 +52,8 @@
   }
 }
 
-void HttpConnection::OnEvent(loop::EventMask what) {
-  if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0) {
+void HttpConnection::OnEvent(loop::EventMask events) {
+  if ((events & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0) {
     handler_->OnClosed(*this);
   }
 }
--- a/src/lab/standins/temporary_folder.cpp
+++ b/src/lab/fakes/temporary_folder.cpp
@@ -1,4 +1,4 @@
-#include "lab/standins/temporary_folder.h"
+#include "lab/fakes/temporary_folder.h"
 
 #include <cstdlib>
 #include <filesystem>
@@ -8,7 +8,7 @@
 
 TemporaryFolder::TemporaryFolder() : path_(std::filesystem::temp_directory_path() / "walnutspur-lab-XXXXXX") {
   if (!mkdtemp(path_.data())) {
-    throw TemporaryFolderError("cannot make a folder for temporary files");
+    throw TemporaryFolderError("cannot create a temporary folder");
   }
 }
 
