--- a/tests/lab/experiment_file_test.cpp
+++ b/tests/lab/experiment_file_test.cpp
@@ -22,7 +22,8 @@
     "Experiment file: an invalid file is rejected with a one-line error that names the file and place") {
   CHECK(ErrorOf("seed = 1\n[load]\nrat = 3.0\n").starts_with("e.toml:3: load.rat: "));
   CHECK(ErrorOf("[load]\nrate = -3.0\n").starts_with("e.toml:2: load.rate: "));
-  CHECK(ErrorOf("[[fault]]\nkind = \"quake\"\n").starts_with("e.toml:2: fault[].kind: cannot be \"quake\""));
+  CHECK(ErrorOf("[[fault]]\nkind = \"quake\"\n")
+            .starts_with("e.toml:2: fault[].kind: \"quake\" is not allowed"));
   CHECK(ErrorOf("[[fault]]\nat_s = 1.0\n").starts_with("e.toml:1: "));
   CHECK(ErrorOf("[boxes]\ncount = 4\n[[fault]]\nkind = \"slow\"\nfirst = 3\ncount = 2\n") ==
         "e.toml:4: fault slow: first + count is 5; must be at most 4");
--- a/tests/unit/budget_test.cpp
+++ b/tests/unit/budget_test.cpp
@@ -119,8 +119,8 @@
   CHECK(budget.GrantNext(0) == low_job);
   budget.ReturnGrant(high_job);
   CHECK(budget.in_flight(high_job) == 0);
-  CHECK(budget.Next(0) == high_job);  // the returned request was not counted
-  budget.Done(high_job, 0, 0, 1);     // failed: the cursor does not advance
+  CHECK(budget.GrantNext(0) == high_job);  // the returned request was not counted
+  budget.Complete(high_job, 0, 0, 1);      // failed: the cursor does not advance
   CHECK(budget.progress(high_job).position == 0);
 }
 
