--- a/bench/integrity/http_corruption.cpp
+++ b/bench/integrity/http_corruption.cpp
@@ -6,45 +6,47 @@
 
 #include "http_client.h"
 #include "parts.h"
-#include "testbed.h"
+#include "test_environment.h"
 
 namespace walnutspur::bench {
 namespace {
 
-using lab::Damage;
+using lab::CorruptionKind;
 
-constexpr std::array kKinds = {Damage::kTransitBitFlip, Damage::kLostWrite, Damage::kTornWrite,
-                               Damage::kStaleRead, Damage::kMisdirectedWrite};
+constexpr std::array kKinds = {CorruptionKind::kTransitBitFlip, CorruptionKind::kLostWrite,
+                               CorruptionKind::kTornWrite, CorruptionKind::kStaleRead,
+                               CorruptionKind::kMisdirectedWrite};
 constexpr std::size_t kObjectBytes = 300;
 constexpr int kRereads = 2;
 constexpr int kOk = 200;
-// The first object by path, which the stand-in overwrites by misdirected writes.
+// The first object by path, which the fake storage server overwrites by misdirected writes.
 constexpr std::uint64_t kOverwrittenKey = 0;
 
-bool IsWriteFault(Damage damage) {
-  return damage == Damage::kLostWrite || damage == Damage::kTornWrite || damage == Damage::kMisdirectedWrite;
+bool IsWriteFault(CorruptionKind damage) {
+  return damage == CorruptionKind::kLostWrite || damage == CorruptionKind::kTornWrite ||
+         damage == CorruptionKind::kMisdirectedWrite;
 }
 
 class Measurement {
  public:
-  explicit Measurement(const Run& run) : testbed_(run, {}), client_(testbed_.http_port()) {
-    client_.Put(kOverwrittenKey, testbed_.RandomData(kObjectBytes));
+  explicit Measurement(const Run& run) : test_environment_(run, {}), client_(test_environment_.http_port()) {
+    client_.Put(kOverwrittenKey, test_environment_.RandomData(kObjectBytes));
   }
 
   // Writes an object twice, with a fault of the kind injected into the second write or the read after it.
-  void Inject(std::uint64_t key, Damage damage) {
-    const std::string old_body = testbed_.RandomData(kObjectBytes);
-    const std::string body = testbed_.RandomData(kObjectBytes);
+  void Inject(std::uint64_t key, CorruptionKind damage) {
+    const std::string old_body = test_environment_.RandomData(kObjectBytes);
+    const std::string body = test_environment_.RandomData(kObjectBytes);
     const bool at_rest = IsWriteFault(damage);
     const lab::Fault fault{damage, lab::kAnyPath, 0, 1};
     bool written = client_.PutWithRetry(key, old_body);
     corrupt_at_rest_[ObjectPath(key)] = at_rest;
     if (at_rest) {
-      testbed_.server().AddFault(fault);
+      test_environment_.server().AddFault(fault);
     }
     written = written && client_.PutWithRetry(key, body);
     if (!at_rest) {
-      testbed_.server().AddFault(fault);
+      test_environment_.server().AddFault(fault);
     }
     failed_writes_ += written ? 0 : 1;
     Read(key, body);
@@ -55,24 +57,25 @@
     const std::string total = std::to_string(injected);
     run.Claim("1 damages over HTTP",
               detected_ == injected && delivered_ == 0 && failed_writes_ == 0 && false_alarms_ == 0,
-              std::to_string(detected_) + " of " + total + " caught, " + std::to_string(delivered_) +
-                  " delivered damaged, " + std::to_string(failed_writes_) + " writes not taken, " +
+              std::to_string(detected_) + " of " + total + " detected, " + std::to_string(delivered_) +
+                  " delivered corrupt, " + std::to_string(failed_writes_) + " writes failed, " +
                   std::to_string(false_alarms_) + " false alarms");
     run.Claim(
         "1 blame over HTTP", attributed_ == injected,
-        std::to_string(attributed_) + " of " + total + " (at rest, or the box's memory or its only path)");
+        std::to_string(attributed_) + " of " + total + " (at rest, or the target's memory or its only path)");
   }
 
  private:
-  // Reads until one response can be compared with another, as attribution needs; retries count as well.
+  // Reads the object several times, since attribution compares responses with each other; retries count as
+  // well.
   void Read(std::uint64_t key, const std::string& body) {
     const bool intact_or_rejected = !DeliversCorruption(key, body);
     for (int i = 0; i < kRereads; ++i) {
       DeliversCorruption(key, body);
     }
     std::uint64_t injections = 0;
-    for (const Damage damage : kKinds) {
-      injections += testbed_.server().injections(damage);
+    for (const CorruptionKind damage : kKinds) {
+      injections += test_environment_.server().injections(damage);
     }
     detected_ += injections > injections_before_ && intact_or_rejected ? 1 : 0;
     injections_before_ = injections;
@@ -86,7 +89,7 @@
   }
 
   void CompareWithLog() {
-    const CorruptionLog log = testbed_.LoadCorruptionLog();
+    const CorruptionLog log = test_environment_.LoadCorruptionLog();
     for (const auto& [path, at_rest] : corrupt_at_rest_) {
       const auto* entry = log.Find({"a", path, 0});
       const integrity::Fault expected = at_rest ? integrity::Fault::kAtRest : integrity::Fault::kMemory;
@@ -99,7 +102,7 @@
     }
   }
 
-  Testbed testbed_;
+  TestEnvironment test_environment_;
   HttpClient client_;
   std::map<std::string, bool>
       corrupt_at_rest_;  // by path: whether the stored object is corrupt, or a read of it
--- a/bench/integrity/nbd_corruption.cpp
+++ b/bench/integrity/nbd_corruption.cpp
@@ -8,20 +8,21 @@
 #include <string>
 
 #include "parts.h"
-#include "testbed.h"
+#include "test_environment.h"
 
 namespace walnutspur::bench {
 namespace {
 
-using lab::Damage;
+using lab::CorruptionKind;
 
 constexpr std::uint64_t kBlocks = 600;
 constexpr std::uint64_t kFillBlocks = 16;          // of one write
 constexpr std::uint64_t kFaultsPerKind = 16;       // of one round
 constexpr std::uint64_t kMisdirectedDistance = 2;  // blocks
 constexpr int kReadsPerBlock = 3;
-constexpr std::array kKinds = {Damage::kLostWrite,     Damage::kMisdirectedWrite, Damage::kTornWrite,
-                               Damage::kStoredBitFlip, Damage::kStaleRead,        Damage::kTransitBitFlip};
+constexpr std::array kKinds = {CorruptionKind::kLostWrite, CorruptionKind::kMisdirectedWrite,
+                               CorruptionKind::kTornWrite, CorruptionKind::kStoredBitFlip,
+                               CorruptionKind::kStaleRead, CorruptionKind::kTransitBitFlip};
 
 struct Tally {
   int injected = 0;
@@ -32,34 +33,38 @@
   std::map<std::string, int> misattributed;  // "kind->fault"
 };
 
-bool IsWriteFault(Damage damage) {
-  return damage == Damage::kLostWrite || damage == Damage::kMisdirectedWrite || damage == Damage::kTornWrite;
+bool IsWriteFault(CorruptionKind damage) {
+  return damage == CorruptionKind::kLostWrite || damage == CorruptionKind::kMisdirectedWrite ||
+         damage == CorruptionKind::kTornWrite;
 }
 
-bool IsReadFault(Damage damage) { return damage == Damage::kStaleRead || damage == Damage::kTransitBitFlip; }
+bool IsReadFault(CorruptionKind damage) {
+  return damage == CorruptionKind::kStaleRead || damage == CorruptionKind::kTransitBitFlip;
+}
 
-integrity::Fault ExpectedFault(Damage damage) {
+integrity::Fault ExpectedFault(CorruptionKind damage) {
   switch (damage) {
-    case Damage::kLostWrite:
+    case CorruptionKind::kLostWrite:
       return integrity::Fault::kLostWrite;
-    case Damage::kMisdirectedWrite:
+    case CorruptionKind::kMisdirectedWrite:
       return integrity::Fault::kMisdirectedWrite;
-    case Damage::kStaleRead:
+    case CorruptionKind::kStaleRead:
       return integrity::Fault::kStaleRead;
-    case Damage::kTransitBitFlip:
+    case CorruptionKind::kTransitBitFlip:
       return integrity::Fault::kPath;
     default:
       return integrity::Fault::kAtRest;
   }
 }
 
-// One testbed with corruption of all kinds, each far enough from the others to have its blocks to itself.
+// Runs one test environment with corruption of all kinds, at blocks far enough from each other not to
+// overlap.
 class Round {
  public:
   Round(const Run& run, Tally* tally)
-      : testbed_(run, {.paths = 2}),
-        client_(testbed_.Connect()),
-        content_(testbed_.RandomData(kBlocks * kBlockBytes)),
+      : test_environment_(run, {.paths = 2}),
+        client_(test_environment_.Connect()),
+        content_(test_environment_.RandomData(kBlocks * kBlockBytes)),
         tally_(tally) {}
 
   void Measure() {
@@ -74,27 +79,28 @@
     CompareWithLog();
     tally_->injected += static_cast<int>(corrupt_.size());
     if (injections < corrupt_.size()) {
-      std::printf("     %llu of %zu struck\n", static_cast<unsigned long long>(injections), corrupt_.size());
+      std::printf("     %llu of %zu injected\n", static_cast<unsigned long long>(injections),
+                  corrupt_.size());
     }
   }
 
  private:
   void Fill() {
-    content_ = testbed_.RandomData(kBlocks * kBlockBytes);
+    content_ = test_environment_.RandomData(kBlocks * kBlockBytes);
     const std::size_t size = kFillBlocks * kBlockBytes;
     for (std::size_t offset = 0; offset < content_.size(); offset += size) {
       if (!WriteWithRetry(*client_, offset, content_.substr(offset, size))) {
         ++tally_->wrong_reads;
       }
     }
-    testbed_.WaitForCheckpoint();
+    test_environment_.WaitForCheckpoint();
   }
 
   void ChooseBlocks() {
     std::uint64_t block = 1;
     for (std::uint64_t i = 0; i < kKinds.size() * kFaultsPerKind && block + 4 < kBlocks; ++i) {
       corrupt_[block] = kKinds[i % kKinds.size()];
-      block += 5 + testbed_.Draw(2);
+      block += 5 + test_environment_.Draw(2);
     }
   }
 
@@ -105,30 +111,31 @@
       }
       lab::Fault fault = FaultAt(block, damage);
       fault.elsewhere = (block + kMisdirectedDistance) * kBlockBytes;
-      if (damage == Damage::kMisdirectedWrite) {
+      if (damage == CorruptionKind::kMisdirectedWrite) {
         overwritten_.insert(block + kMisdirectedDistance);
       }
-      testbed_.server().AddFault(fault);
-      const std::string data = testbed_.RandomData(kBlockBytes);
+      test_environment_.server().AddFault(fault);
+      const std::string data = test_environment_.RandomData(kBlockBytes);
       WriteWithRetry(*client_, block * kBlockBytes, data);
       content_.replace(block * kBlockBytes, kBlockBytes, data);
     }
-    testbed_.WaitForCheckpoint();
+    test_environment_.WaitForCheckpoint();
   }
 
   void InjectStoredFaults() {
     for (const auto& [block, damage] : corrupt_) {
-      if (damage == Damage::kStoredBitFlip) {
-        testbed_.server().AddFault(FaultAt(block, damage));
+      if (damage == CorruptionKind::kStoredBitFlip) {
+        test_environment_.server().AddFault(FaultAt(block, damage));
       }
     }
   }
 
-  // One after the other, each on the path that the read takes: a path that is always bad would be avoided.
+  // Injects the faults of reads one after the other, on the path that each read takes: a path that always
+  // corrupts data would be avoided.
   void InjectReadFaults() {
     for (const auto& [block, damage] : corrupt_) {
       if (IsReadFault(damage)) {
-        testbed_.server().AddFault(FaultAt(block, damage));
+        test_environment_.server().AddFault(FaultAt(block, damage));
       }
       ReadRepeatedly(block);
     }
@@ -137,7 +144,7 @@
     }
   }
 
-  static lab::Fault FaultAt(std::uint64_t block, Damage damage) {
+  static lab::Fault FaultAt(std::uint64_t block, CorruptionKind damage) {
     return {damage, lab::kAnyPath, block * kBlockBytes, (block + 1) * kBlockBytes};
   }
 
@@ -160,18 +167,19 @@
 
   std::uint64_t CountInjections() {
     std::uint64_t total = 0;
-    for (const Damage damage : kKinds) {
-      total += testbed_.server().injections(damage);
+    for (const CorruptionKind damage : kKinds) {
+      total += test_environment_.server().injections(damage);
     }
     return total;
   }
 
   void CompareWithLog() {
-    const CorruptionLog log = testbed_.LoadCorruptionLog();
+    const CorruptionLog log = test_environment_.LoadCorruptionLog();
     for (const auto& [block, damage] : corrupt_) {
       const auto* entry = log.Find({"a", "disk", block});
       tally_->detected += entry != nullptr ? 1 : 0;
-      const bool path_named = damage != Damage::kTransitBitFlip || (entry != nullptr && entry->path >= 0);
+      const bool path_named =
+          damage != CorruptionKind::kTransitBitFlip || (entry != nullptr && entry->path >= 0);
       if (entry && entry->fault == ExpectedFault(damage) && path_named) {
         ++tally_->attributed;
         continue;
@@ -185,11 +193,11 @@
     }
   }
 
-  Testbed testbed_;
+  TestEnvironment test_environment_;
   std::unique_ptr<nbd::BlockingClient> client_;
-  std::string content_;                      // what the export must hold
-  std::map<std::uint64_t, Damage> corrupt_;  // by block
-  std::set<std::uint64_t> overwritten_;      // blocks that hold a misdirected write
+  std::string content_;                              // the expected content of the export
+  std::map<std::uint64_t, CorruptionKind> corrupt_;  // by block
+  std::set<std::uint64_t> overwritten_;              // blocks overwritten by a misdirected write
   Tally* tally_;
 };
 
@@ -208,8 +216,8 @@
   const std::string total = std::to_string(tally.injected);
   run.Claim("1 damages over NBD",
             tally.detected == tally.injected && tally.wrong_reads == 0 && tally.false_alarms == 0,
-            std::to_string(tally.detected) + " of " + total + " caught, " +
-                std::to_string(tally.wrong_reads) + " delivered damaged, " +
+            std::to_string(tally.detected) + " of " + total + " detected, " +
+                std::to_string(tally.wrong_reads) + " delivered corrupt, " +
                 std::to_string(tally.false_alarms) + " false alarms");
   run.Claim("1 blame over NBD", tally.attributed == tally.injected,
             std::to_string(tally.attributed) + " of " + total + misattributed);
--- a/bench/integrity/scrub.cpp
+++ b/bench/integrity/scrub.cpp
@@ -1,4 +1,4 @@
-// The service of client reads beside the scrub: the same rising load with the scrub on and off.
+// Measures the service of client reads during a scrub: the same rising load runs with the scrub on and off.
 #include <poll.h>
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 #include "app/control.h"
 #include "core/scheduler_thread.h"
 #include "parts.h"
-#include "testbed.h"
+#include "test_environment.h"
 
 namespace walnutspur::bench {
 namespace {
@@ -20,14 +20,14 @@
 constexpr double kMicrosecondsPerSecond = 1e6;
 constexpr Time kLatencyObjective = 120'000;  // us
 constexpr Time kStartDelay = 100'000;        // us
-constexpr double kDrainSeconds = 4;          // for the last replies
+constexpr double kDrainSeconds = 4;          // time to wait for the last replies
 constexpr std::int64_t kServiceTime = 1500;  // us per command: 666 a second
 constexpr int kSettleTime = 500;             // ms
-constexpr double kFirstRate = 80;            // reads a second
-constexpr std::uint64_t kBlocks = 512;       // that clients read
+constexpr double kInitialRate = 80;          // reads a second
+constexpr std::uint64_t kBlocks = 512;       // blocks that clients read
 constexpr std::uint64_t kFillBlocks = 16;    // of one write
 constexpr std::size_t kMaxReadsInFlight = 400;
-constexpr double kFailedLatency = 1e6;  // ms, in place of that of a failed read
+constexpr double kFailedLatency = 1e6;  // ms, counted for a failed read
 
 struct LoadResult {
   double in_time = 0;     // fraction of the reads
@@ -40,17 +40,18 @@
          "\nrequests = 200.0\nfloor = 1.0\nwish = 0.0\n";
 }
 
-// An open loop: each read is sent when it is due, independently of replies, and its latency counts from then.
+// Class OpenLoop generates an open-loop load: each read is sent when it is due, independently of replies, and
+// its latency is measured from then.
 class OpenLoop {
  public:
   OpenLoop(const Run& run, bool scrub, std::uint64_t seed, double last_rate)
       : scrub_(scrub),
         seconds_(run.options().brief ? 3 : 8),
-        testbed_(run, {.settings = ScrubSettings(scrub)}),
-        client_(testbed_.Connect()),
+        test_environment_(run, {.settings = ScrubSettings(scrub)}),
+        client_(test_environment_.Connect()),
         random_(seed) {
     Fill();
-    testbed_.server().SetService(kServiceTime);
+    test_environment_.server().SetService(kServiceTime);
     poll(nullptr, 0, kSettleTime);
     ScheduleReads(last_rate);
   }
@@ -72,15 +73,15 @@
   void Fill() {
     const std::size_t size = kFillBlocks * kBlockBytes;
     for (std::uint64_t offset = 0; offset + size <= client_->size(); offset += size) {
-      WriteWithRetry(*client_, offset, testbed_.RandomData(size));
+      WriteWithRetry(*client_, offset, test_environment_.RandomData(size));
     }
-    testbed_.WaitForCheckpoint();
+    test_environment_.WaitForCheckpoint();
   }
 
-  // A Poisson process whose rate rises from kFirstRate to `last_rate`.
+  // Schedules the reads as a Poisson process whose rate rises from kInitialRate to `last_rate`.
   void ScheduleReads(double last_rate) {
     for (double at = 0; at < seconds_;) {
-      const double rate = kFirstRate + (last_rate - kFirstRate) * at / seconds_;
+      const double rate = kInitialRate + (last_rate - kInitialRate) * at / seconds_;
       at += -std::log((static_cast<double>(random_() % 1'000'000) + 1) / 1'000'001.0) / rate;
       due_.push_back(at);
     }
@@ -90,7 +91,8 @@
     if (!scrub_) {
       return 0;
     }
-    const std::string status = app::SendControlCommand(app::ControlPath(testbed_.folder()), "status");
+    const std::string status =
+        app::SendControlCommand(app::ControlPath(test_environment_.folder()), "status");
     const nlohmann::json scrub = nlohmann::json::parse(status)["scrub"];
     return scrub["requests"].get<double>() - scrub["failed"].get<double>();
   }
@@ -112,7 +114,7 @@
   }
 
   void ReceiveReplies() {
-    for (const nbd::Reply& reply : client_->Take(1)) {
+    for (const nbd::Reply& reply : client_->ReceiveReplies(1)) {
       const Time latency = core::Now() - in_flight_.at(reply.cookie);
       const bool served = reply.error == nbd::kOk;
       in_flight_.erase(reply.cookie);
@@ -133,7 +135,7 @@
 
   bool scrub_;
   double seconds_;
-  Testbed testbed_;
+  TestEnvironment test_environment_;
   std::unique_ptr<nbd::BlockingClient> client_;
   pcg64 random_;
   std::vector<double> due_;  // seconds after the start
@@ -191,8 +193,8 @@
 void MeasureScrub(Run& run) {
   const int pairs = run.Amount(5, 1);
   Compare(run, {"to 93 % of the box", 620, pairs, true});
-  // More than the server can do: client reads miss the latency objective with or without the scrub, and each
-  // read of the scrub costs them one.
+  // The load exceeds the server's capacity: client reads miss the latency objective with or without the
+  // scrub, and each read of the scrub makes one more client read miss it.
   Compare(run, {"to 135 % of the box", 900, pairs, false});
 }
 
--- a/src/app/fleet_library.cpp
+++ b/src/app/fleet_library.cpp
@@ -21,16 +21,17 @@
       return library;
     }
   }
-  throw FleetError(std::string("fleet: cannot load: ") + dlerror());
+  throw FleetError(std::string("fleet: cannot load ") + kLibrary + ": " + dlerror());
 }
 
 }  // namespace
 
 std::unique_ptr<fleet::Fleet> OpenFleet(event_base* base, const fleet::FleetOptions& options,
                                         fleet::FleetHooks hooks) {
-  const auto open = reinterpret_cast<fleet::Open*>(dlsym(LoadLibrary(), fleet::kEntry));
+  const auto open = reinterpret_cast<fleet::OpenFunction*>(dlsym(LoadLibrary(), fleet::kEntryPoint));
   if (open == nullptr) {
-    throw FleetError(std::string("fleet: ") + kLibrary + " is none of this version");
+    throw FleetError(std::string("fleet: ") + kLibrary + " is of another version: it does not export " +
+                     fleet::kEntryPoint);
   }
   return std::unique_ptr<fleet::Fleet>(open(base, options, std::move(hooks)));
 }
--- a/src/app/graceful_shutdown.cpp
+++ b/src/app/graceful_shutdown.cpp
@@ -10,10 +10,10 @@
 namespace walnutspur::app {
 namespace {
 
-// After SIGTERM the platform still routes new clients here for this long, us.
-constexpr Time kAcceptNewClients = 450'000;
+// Time for which new clients are accepted, us: the platform still routes them here for so long after SIGTERM.
+constexpr Time kAcceptDuration = 450'000;
 
-// From the last response to the end of the event loop, us.
+// Time between the deadline of the last responses and the stop of the event loop, us.
 constexpr Time kResponseMargin = 100'000;
 
 // Time between two calls of FrontEnd::AdvanceShutdown, us.
@@ -33,8 +33,8 @@
     return;
   }
   const Time begun_at = core::Now();
-  close_idle_timer_.Start(kAcceptNewClients);
-  const Time duration = std::min(kLongestPlatformDeadline, longest_deadline) + kEndAfterLongestDeadline;
+  close_idle_timer_.Start(kAcceptDuration);
+  const Time duration = std::min(kMaxPlatformDeadline, longest_deadline) + kEndAfterMaxDeadline;
   end_timer_.Start(duration);
   ends_at_ = begun_at + duration;
   on_begin_();
@@ -56,8 +56,8 @@
   }
 }
 
-// Connections are shut down before they are closed, however late the loop is: closing a socket with unread
-// bytes would reset the connection.
+// Connections are shut down before they are closed, even if the event loop runs late: closing a socket with
+// unread bytes would reset the connection.
 void GracefulShutdown::End() {
   for (core::FrontEnd* front_end : front_ends_()) {
     front_end->AdvanceShutdown(-kResponseMargin);
--- a/src/app/initiator.cpp
+++ b/src/app/initiator.cpp
@@ -19,27 +19,29 @@
 namespace walnutspur::app {
 namespace {
 
-// Connections of NBD clients, and likewise to NBD targets.
+// Maximum number of connections of NBD clients, and also of connections to NBD targets.
 constexpr std::size_t kMaxNbdConnections = 64;
 
-// Descriptors of the process for each NBD connection that it allows: each of the two gets a sixteenth.
+// Number of sockets of the process per allowed NBD connection: a sixteenth of them for the connections of NBD
+// clients, and a sixteenth for those to NBD targets.
 constexpr int kSocketsPerNbdConnection = 16;
 
-// Bytes of recorded traffic; the platform counts files as memory.
+// Maximum size of the recorded traffic, bytes; the platform counts files as memory.
 constexpr std::size_t kMaxRecordedBytes = 64 << 20;
 
-// Freed memory that is not returned to the kernel, bytes.
+// Amount of freed memory that is not returned to the kernel, bytes.
 constexpr int kRetainedHeapBytes = 4 << 20;
 
 loop::EventBasePtr MakeEventBase() {
   static const int result = evthread_use_pthreads();
   if (result != 0) {
-    throw EventLoopError("libevent has no threads");
+    throw EventLoopError("libevent cannot enable its thread support");
   }
   return loop::EventBasePtr(event_base_new());
 }
 
-// Buffers of journal records and checkpoints would otherwise be mapped and unmapped each time, page by page.
+// Keeps freed memory in the process. Otherwise the buffer of each journal record and checkpoint would be
+// mapped and unmapped page by page.
 void RetainFreedMemory() {
   mallopt(M_MMAP_THRESHOLD, kRetainedHeapBytes);
   mallopt(M_TRIM_THRESHOLD, kRetainedHeapBytes);
@@ -47,9 +49,10 @@
 
 http::EndpointList ReadKnownEndpoints(const http::Config& config) {
   try {
-    return config.known.is_object() ? http::ReadEndpointList(config, config.known) : http::EndpointList{};
+    return config.cached_list.is_object() ? http::ReadEndpointList(config, config.cached_list)
+                                          : http::EndpointList{};
   } catch (const std::exception& error) {
-    throw ConfigError(std::string("'known' cannot be read: ") + error.what());
+    throw ConfigError(std::string("'known' is not a valid endpoint list: ") + error.what());
   }
 }
 
@@ -70,7 +73,7 @@
   }
   OpenDiscovery();
   StartScheduler();
-  StartReadyTimer(options.ready_by);
+  StartReadyTimer(options.ready_timeout);
   if (options.fleet) {
     JoinFleet(*options.fleet);
   }
@@ -109,7 +112,7 @@
   http_front_end_ = std::make_unique<http::FrontEnd>(base_.get(), config_, &request_numbers_, submit_);
 }
 
-// Over HTTP a target has one path, and a digest covers all of an object, which counts as block 0.
+// Over HTTP a target has one path, and a digest covers a complete object, which is recorded as block 0.
 void Initiator::OnObjectRead(const TargetId& target, const std::string& uri, bool good,
                              const std::string& body) {
   if (good && corruption_->has_no_known_corruption()) {
@@ -173,16 +176,16 @@
   const http::EndpointList known = ReadKnownEndpoints(config_);
   scheduler_ = std::make_unique<core::SchedulerThread>(config_.settings, config_.seed,
                                                        [this] { outputs_ready_.Activate(); });
-  if (!config_.known.is_object()) {
+  if (!config_.cached_list.is_object()) {
     return;
   }
-  // The endpoints known at the last start may be outdated: the watch requests the changes since.
+  // The endpoints in the configuration may be outdated: the watch requests the changes since then.
   discovery_->SetCachedList(known);
   OnEndpointList({EndpointUpdateKind::kCached, known.endpoints}, known);
 }
 
-// Without endpoints, clients are rejected without harm; the platform would never use an initiator that
-// doesn't report ready.
+// Reports ready after `delay` even without endpoints: rejecting clients does no harm, but the platform never
+// uses an initiator that does not report ready.
 void Initiator::StartReadyTimer(Time delay) {
   ready_timer_ = loop::MakeTimer(base_.get(), [this] { http_front_end_->set_ready(); });
   ready_timer_.Start(delay);
@@ -191,9 +194,9 @@
 void Initiator::JoinFleet(const fleet::FleetOptions& options) {
   FleetPublisher::Hooks hooks;
   hooks.on_size = [this](FleetSize size) { scheduler_->Submit(core::FleetResized{size}); };
-  hooks.on_expelled = [this](const std::string& reason) {
+  hooks.on_removed = [this](const std::string& reason) {
     failure_ = "fleet: " + reason;
-    Halt();
+    StopNow();
   };
   hooks.is_draining = [this] { return shutdown_->begun(); };
   fleet_ = std::make_unique<FleetPublisher>(base_.get(), options, http_targets_.get(), hooks);
@@ -220,7 +223,7 @@
   replay_ = std::make_unique<Replay>(base_.get(), path, targets, [this] { RequestShutdown(); });
 }
 
-// A process without a control socket serves as well, so that a failure is logged only.
+// A failure is only logged, since the process can serve clients without a control socket.
 void Initiator::OpenControl(const std::string& folder) {
   StatusSources status;
   status.nbd = &nbd_;
@@ -250,9 +253,9 @@
 
 void Initiator::Stop() { signals_->RequestShutdown(); }
 
-void Initiator::Halt() { event_base_loopbreak(base_.get()); }
+void Initiator::StopNow() { event_base_loopbreak(base_.get()); }
 
-void Initiator::RequestShutdown() { shutdown_->Begin(config_.longest_deadline); }
+void Initiator::RequestShutdown() { shutdown_->Begin(config_.max_deadline); }
 
 void Initiator::OnEndpointList(EndpointUpdate update, const http::EndpointList& list) {
   UpdateAddresses(update, list, http_targets_.get());
--- a/src/app/integrity_tool.cpp
+++ b/src/app/integrity_tool.cpp
@@ -27,15 +27,15 @@
 // Bytes of one read or write.
 constexpr std::uint32_t kReadBytes = 256 << 10;
 
-// Copies of a tag block, written in turn.
+// Number of copies of a tag block, which are written alternately.
 constexpr std::uint64_t kTagBlockSlots = 2;
 
-// Copies of the superblock; they are the last blocks of the export.
+// Number of copies of the superblock, which are the last blocks of the export.
 constexpr std::uint64_t kSuperblockCopies = 2;
 
 constexpr std::int64_t kMicrosPerSecond = 1'000'000;
 
-// Bits of one draw from the random device.
+// Number of bits that one call of the random device returns.
 constexpr int kRandomBits = 32;
 constexpr std::string_view kErrorPrefix = "error: ";
 
@@ -45,8 +45,9 @@
     const auto size = static_cast<std::uint32_t>(std::min<std::uint64_t>(kReadBytes, length - data.size()));
     const nbd::Reply reply = client.Read(offset + data.size(), size);
     if (reply.error != nbd::kOk) {
-      throw IntegrityToolError("the target cannot read " + std::to_string(size) + " bytes at " +
-                               std::to_string(offset + data.size()));
+      throw IntegrityToolError("the target cannot read " + std::to_string(size) + " bytes at offset " +
+                               std::to_string(offset + data.size()) + ": NBD error " +
+                               std::to_string(reply.error));
     }
     data += nbd::DataOf(reply);
   }
@@ -56,7 +57,8 @@
 DecodedSuperblock ReadSuperblock(nbd::BlockingClient& client) {
   const std::uint64_t blocks = client.size() / kBlockBytes;
   if (blocks <= kSuperblockCopies) {
-    throw IntegrityToolError("the export is smaller than its reserved region");
+    throw IntegrityToolError("the export has " + std::to_string(client.size()) +
+                             " bytes, too few for its superblocks");
   }
   const std::string data =
       ReadRange(client, (blocks - kSuperblockCopies) * kBlockBytes, kSuperblockCopies * kBlockBytes);
@@ -65,7 +67,7 @@
                           integrity::DecodeSuperblock(copies.substr(kBlockBytes), client.size()));
 }
 
-// The superblock of a formatted export; throws if it is not formatted.
+// Returns the superblock of an export. Throws IntegrityToolError if the export is not formatted.
 Superblock RequireSuperblock(nbd::BlockingClient& client) {
   const DecodedSuperblock read = ReadSuperblock(client);
   if (read.state != SuperblockState::kValid) {
@@ -83,7 +85,8 @@
   return text.data();
 }
 
-// The blocks whose newest content is in the journal: their place may hold any older content.
+// Returns the blocks whose newest content is in the journal. Their place in the data region may hold any
+// older content.
 std::set<std::uint64_t> BlocksInJournal(nbd::BlockingClient& client, const Superblock& super) {
   const std::string data = ReadRange(client, super.geometry.journal_offset, super.geometry.journal_size);
   const std::string_view journal = data;
@@ -118,19 +121,19 @@
   }
   if (existing.state == SuperblockState::kValid) {
     throw IntegrityToolError(
-        "the export is formatted already; --force formats it anew, and all data is lost");
+        "the export is already formatted; --force formats it again and erases all of its data");
   }
-  throw IntegrityToolError(existing.error + "; --force formats it nevertheless");
+  throw IntegrityToolError(existing.error + "; --force formats the export anyway");
 }
 
-// Performs one step of formatting. Returns whether it has succeeded.
-bool Perform(nbd::BlockingClient& client, const integrity::IoRequest& step) {
+// Performs one step of formatting. Returns whether it succeeded.
+bool PerformStep(nbd::BlockingClient& client, const integrity::IoRequest& step) {
   const nbd::Reply reply =
       step.kind == integrity::IoKind::kFlush ? client.Flush() : client.Write(step.offset, step.data);
   if (reply.error != nbd::kOk) {
     return false;
   }
-  return !step.fua || client.Flush().error == nbd::kOk;  // the client has no FUA
+  return !step.fua || client.Flush().error == nbd::kOk;  // the client does not support FUA
 }
 
 // Verifies the blocks of an export, one tag block after the other.
@@ -150,13 +153,13 @@
 
   void PrintSummary() const {
     std::fprintf(out_, "%" PRIu64 " good, %" PRIu64 " empty or in the journal, %" PRIu64 " damaged\n", good_,
-                 skipped_, bad_);
+                 skipped_, corrupted_);
   }
 
-  std::uint64_t bad() const { return bad_; }
+  std::uint64_t corrupted() const { return corrupted_; }
 
  private:
-  // The newer intact slot of a tag block, if there is one.
+  // Returns the newer valid slot of a tag block, or nullopt if no slot is valid.
   std::optional<integrity::TagBlock> ReadTags(std::uint64_t index) {
     const std::string data =
         ReadRange(client_, super_.geometry.SlotOffset(index, 0), kTagBlockSlots * kBlockBytes);
@@ -176,7 +179,7 @@
         std::min<std::uint64_t>(integrity::kTagsPerBlock, super_.geometry.blocks - first);
     const std::optional<integrity::TagBlock> tags = ReadTags(index);
     if (!tags) {
-      bad_ += count;
+      corrupted_ += count;
       return;
     }
     const std::string content = ReadRange(client_, first * kBlockBytes, count * kBlockBytes);
@@ -197,7 +200,7 @@
       ++good_;
       return;
     }
-    ++bad_;
+    ++corrupted_;
     std::fprintf(out_, "block %" PRIu64 ": damaged\n", block);
   }
 
@@ -207,13 +210,13 @@
   std::set<std::uint64_t> in_journal_;
   std::uint64_t good_ = 0;
   std::uint64_t skipped_ = 0;  // never written, or newest content in the journal
-  std::uint64_t bad_ = 0;
+  std::uint64_t corrupted_ = 0;
 };
 
-void PrintEntry(const integrity::BlockLocation& place, const integrity::CorruptionEntry& entry,
+void PrintEntry(const integrity::BlockLocation& location, const integrity::CorruptionEntry& entry,
                 std::FILE* out) {
-  std::fprintf(out, "%s %s block %" PRIu64 " %s%s first %s last %s times %u", place.target.c_str(),
-               place.remote.c_str(), place.block, NameOf(entry.fault), entry.repaired ? " mended" : "",
+  std::fprintf(out, "%s %s block %" PRIu64 " %s%s first %s last %s times %u", location.target.c_str(),
+               location.remote.c_str(), location.block, NameOf(entry.fault), entry.repaired ? " mended" : "",
                FormatTime(entry.first_seen).c_str(), FormatTime(entry.last_seen).c_str(), entry.times);
   if (entry.path >= 0) {
     std::fprintf(out, " path %d", entry.path);
@@ -224,14 +227,14 @@
   std::fprintf(out, "\n");
 }
 
-void LoadLedger(const std::string& folder, integrity::CorruptionLog* ledger) {
-  std::string what;
+void LoadCorruptionLog(const std::string& folder, integrity::CorruptionLog* corruption_log) {
+  std::string error;
   integrity::CorruptionLogFile file(folder);
-  switch (file.Load(ledger, &what)) {
+  switch (file.Load(corruption_log, &error)) {
     case integrity::CorruptionLogFile::LoadResult::kMissing:
-      throw IntegrityToolError("there is no " + file.path());
+      throw IntegrityToolError("corruption log file " + file.path() + " does not exist");
     case integrity::CorruptionLogFile::LoadResult::kRejected:
-      throw IntegrityToolError(what);
+      throw IntegrityToolError(error);
     case integrity::CorruptionLogFile::LoadResult::kLoaded:
       break;
   }
@@ -240,15 +243,15 @@
 }  // namespace
 
 int Format(const IntegrityOptions& options, std::FILE* out) {
-  nbd::BlockingClient client(options.address, options.remote);
+  nbd::BlockingClient client(options.address, options.export_name);
   CheckFormattable(ReadSuperblock(client), options.force);
   std::random_device device;
   const std::uint64_t id = static_cast<std::uint64_t>(device()) << kRandomBits | device();
   for (const integrity::IoRequest& step :
-       integrity::FormatPlan(client.size(), options.journal, id, kReadBytes)) {
-    if (!Perform(client, step)) {
-      throw IntegrityToolError("the target did not write at " + std::to_string(step.offset) +
-                               ": nothing is formatted");
+       integrity::FormatPlan(client.size(), options.journal_bytes, id, kReadBytes)) {
+    if (!PerformStep(client, step)) {
+      throw IntegrityToolError("the target failed a write or flush at offset " + std::to_string(step.offset) +
+                               "; the export is not formatted");
     }
   }
   const Superblock super = RequireSuperblock(client);
@@ -260,7 +263,7 @@
 }
 
 int ShowSuperblock(const IntegrityOptions& options, std::FILE* out) {
-  nbd::BlockingClient client(options.address, options.remote);
+  nbd::BlockingClient client(options.address, options.export_name);
   const Superblock super = RequireSuperblock(client);
   std::fprintf(out,
                "id %016" PRIx64 "\nversion %d\nblocks %" PRIu64 "\njournal %" PRIu64 "\nepoch %" PRIu64
@@ -271,11 +274,11 @@
 }
 
 int Verify(const IntegrityOptions& options, std::FILE* out) {
-  nbd::BlockingClient client(options.address, options.remote);
+  nbd::BlockingClient client(options.address, options.export_name);
   Verifier verifier(&client, out);
   verifier.VerifyAll();
   verifier.PrintSummary();
-  return verifier.bad() == 0 ? 0 : 1;
+  return verifier.corrupted() == 0 ? 0 : 1;
 }
 
 int SendCommand(const IntegrityOptions& options, std::FILE* out) {
@@ -292,15 +295,15 @@
   return 0;
 }
 
-int ShowLedger(const IntegrityOptions& options, std::FILE* out) {
-  integrity::CorruptionLog ledger;
-  LoadLedger(options.folder, &ledger);
-  for (const auto& [place, entry] : ledger.entries()) {
-    PrintEntry(place, entry, out);
+int ShowCorruptionLog(const IntegrityOptions& options, std::FILE* out) {
+  integrity::CorruptionLog corruption_log;
+  LoadCorruptionLog(options.folder, &corruption_log);
+  for (const auto& [location, entry] : corruption_log.entries()) {
+    PrintEntry(location, entry, out);
   }
-  std::fprintf(out, "%zu damaged, %zu in all, %" PRIu64 " dropped\n", ledger.corrupt_count(),
-               ledger.entries().size(), ledger.dropped());
-  return ledger.corrupt_count() == 0 ? 0 : 1;
+  std::fprintf(out, "%zu damaged, %zu in all, %" PRIu64 " dropped\n", corruption_log.corrupt_count(),
+               corruption_log.entries().size(), corruption_log.dropped());
+  return corruption_log.corrupt_count() == 0 ? 0 : 1;
 }
 
 }  // namespace walnutspur::app
--- a/src/decision/fleet_latency.cpp
+++ b/src/decision/fleet_latency.cpp
@@ -5,7 +5,7 @@
 namespace walnutspur::decision {
 namespace {
 
-// Time in which the weight of a response falls to 1/e.
+// Time in which the weight of a response decays to 1/e.
 constexpr Duration kDecayTime = std::chrono::seconds(2);
 
 }  // namespace
@@ -17,7 +17,7 @@
 }
 
 Duration FleetLatency::MeanQueueing(Time now) const {
-  return Duration(queueing_sum_.Now(now, kDecayTime) / (1 + responses_.Now(now, kDecayTime)));
+  return Duration(queueing_sum_.ValueAt(now, kDecayTime) / (1 + responses_.ValueAt(now, kDecayTime)));
 }
 
 }  // namespace walnutspur::decision
--- a/src/decision/volume.cpp
+++ b/src/decision/volume.cpp
@@ -8,8 +8,8 @@
   const auto [entry, is_new] = volumes_.try_emplace(name);
   Volume& volume = entry->second;
   if (is_new) {
-    ++seen_;
-    volume.number = seen_;
+    ++added_count_;
+    volume.number = added_count_;
   }
   return volume;
 }
@@ -23,7 +23,7 @@
 double VolumeTable::SumPresentDemand(double initial_sum) const {
   double total = initial_sum;
   for (const auto& [name, volume] : volumes_) {
-    total += volume.demand.PresentDemand();
+    total += volume.demand.CurrentDemand();
   }
   return total;
 }
--- a/src/http/endpoint_list.cpp
+++ b/src/http/endpoint_list.cpp
@@ -12,7 +12,7 @@
 
 constexpr Time kMicrosecondsPerMillisecond = 1000;
 
-// An unknown phase counts as draining: no new work goes to such an endpoint.
+// Treats an unknown phase as draining, so that the endpoint gets no new work.
 EndpointState ReadState(const std::string& phase) {
   if (phase == "SERVING") {
     return EndpointState::kActive;
@@ -29,14 +29,15 @@
   endpoint.state = ReadState(member.at("phase").get<std::string>());
   endpoint.shard = member.value("cell", 0);
   endpoint.zone = std::max(0, IndexOf(names.zones, member.value("locality", "")));
-  endpoint.kind = std::max(0, IndexOf(names.kinds, member.value("flavor", "")));
-  endpoint.scale = member.value("size", 1.0);
+  endpoint.target_type = std::max(0, IndexOf(names.kinds, member.value("flavor", "")));
+  endpoint.relative_capacity = member.value("size", 1.0);
   endpoint.started_at = member.value("up_since_ms", Time{0}) * kMicrosecondsPerMillisecond;
   return endpoint;
 }
 
-// The list's clock is the machines' wall clock. Ours is wrong where it is behind a start that the list has:
-// then the latest start is taken for the present.
+// Sets the offset from this machine's monotonic clock to the wall clock that the list's start times refer to.
+// If this machine's wall clock is behind a start time in the list, it is wrong, and the latest start time
+// is used instead.
 void SetClockOffset(const ClockReading& clock, EndpointList* list) {
   Time wall_clock = clock.wall_clock;
   for (const walnutspur::Endpoint& endpoint : list->endpoints) {
--- a/src/lab/standins/http_target.h
+++ b/src/lab/fakes/http_target.h
@@ -1,37 +1,38 @@
-// A storage server that speaks the platform's HTTP and misbehaves on demand: it is slow, overloaded, resets
-// connections or is down. An observer sees each request that reaches it.
+// Fake storage server that speaks the platform's HTTP and fails on demand: it hangs, is overloaded, resets
+// connections or is down. An observer is notified of each request that reaches it.
 //
-// Owned by a testbed; runs on the thread of its event loop. It stores nothing: lab::StorageServer stores data
-// and corrupts it on demand, over NBD as well. test::HttpStorageServer acts only as a scenario says.
-#ifndef WALNUTSPUR_LAB_STANDINS_HTTP_TARGET_H_
-#define WALNUTSPUR_LAB_STANDINS_HTTP_TARGET_H_
+// Owned by a test environment; runs on the thread of its event loop. It stores nothing: lab::StorageServer
+// stores data and corrupts it on demand, over NBD as well. test::HttpStorageServer follows the steps of a
+// scenario.
+#ifndef WALNUTSPUR_LAB_FAKES_HTTP_TARGET_H_
+#define WALNUTSPUR_LAB_FAKES_HTTP_TARGET_H_
 
 #include <cstdint>
 #include <map>
 #include <memory>
 #include <string>
 
-#include "lab/standins/http_connection.h"
+#include "lab/fakes/http_connection.h"
 #include "loop/listener.h"
 
 namespace walnutspur::lab {
 
-// What a target does with requests.
+// How a target treats requests.
 enum class TargetFault {
   kNone,
-  kHangs,           // takes requests and never responds
+  kHangs,           // reads requests and never responds
   kErrors,          // status 500
-  kOverloaded,      // status 503, with the promise that the request has not run
-  kResetsRequests,  // resets the connection under each request
-  kDown,            // no process: connections are reset, new ones refused
+  kOverloaded,      // status 503, with the header that states that the request has not run
+  kResetsRequests,  // resets the connection on each request
+  kDown,            // as if no process ran: connections are reset, new ones refused
 };
 
 class HttpTarget;
 
-// Takes note of what a target does. Called on the target's thread.
+// Observes the requests of a target. Called on the target's thread.
 class HttpTargetObserver {
  public:
-  // The connection's request is complete, and has not been answered.
+  // The connection's request is complete and has no response yet.
   virtual void OnRequest(const HttpTarget& target, const HttpConnection& connection) = 0;
 
  protected:
@@ -76,10 +77,10 @@
   std::uint64_t next_connection_ = 1;
   std::unique_ptr<loop::Listener> listener_;  // null while kDown
   std::map<std::uint64_t, Served> connections_;
-  std::unique_ptr<HttpConnection> closed_;  // freed in the next turn: it may be on the stack
+  std::unique_ptr<HttpConnection> closed_;  // freed in the next loop iteration: it may be on the call stack
   loop::EventHandle free_closed_;
 };
 
 }  // namespace walnutspur::lab
 
-#endif  // WALNUTSPUR_LAB_STANDINS_HTTP_TARGET_H_
+#endif  // WALNUTSPUR_LAB_FAKES_HTTP_TARGET_H_
--- a/src/lab/fleet/simulated_cluster.cpp
+++ b/src/lab/fleet/simulated_cluster.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 constexpr std::size_t kMaxRecorded = 4096;        // datagrams
-constexpr std::size_t kMaxPendingMessages = 200;  // of a stopped process: a socket's buffer is limited
+constexpr std::size_t kMaxPendingMessages = 200;  // of a stopped process, as a socket's buffer is limited
 constexpr std::size_t kHeaderSize = 28;           // bytes of IP and UDP
-constexpr Time kCheckInterval = 50'000;           // us between checks of a condition
+constexpr Time kCheckInterval = 50'000;           // us between checks of the awaited condition
 constexpr int kMembersPerSubnet = 250;
 
-// Fixed: its length is part of the counted sizes, and with another name of the random
-// stream each seed would give another run.
+// Name of the fleet and of the random stream. It must not change: its length is part of the counted sizes,
+// and with another name of the stream each seed would give another run.
 constexpr const char* kClusterName = "town";
 
 }  // namespace
@@ -49,7 +49,7 @@
   started.replica.clear();
   started.pending_messages.clear();
   started.pending_timers.clear();
-  started.termination_reason.clear();
+  started.termination_error.clear();
   started.last_change = 0;
   started.started_at = now_;
   started.random = std::make_unique<Random>(options_.seed, "draw", started.process_id);
@@ -63,7 +63,7 @@
     options.peers.push_back(at(i).address);
   }
   started.membership = std::make_unique<fleet::Membership>(
-      options, [random = started.random.get()] { return random->Part(); });
+      options, [random = started.random.get()] { return random->Uniform(); });
   Execute(member, started.membership->Start(ClockOf(started)));
 }
 
@@ -85,7 +85,7 @@
     return;
   }
   resumed.stopped = false;
-  // Timers first, as an event loop does it, then what waits in the socket.
+  // Timers fire first, as in an event loop; then the messages in the socket are read.
   for (const std::uint64_t timer : std::exchange(resumed.pending_timers, {})) {
     if (resumed.membership) {
       Execute(member, resumed.membership->HandleTimer(timer, ClockOf(resumed)));
@@ -115,10 +115,10 @@
       StartTimer(member, *timer);
     } else if (const auto* change = std::get_if<fleet::MemberChanged>(&action)) {
       ApplyChange(member, *change);
-    } else if (const auto* forgotten = std::get_if<fleet::MemberForgotten>(&action)) {
-      at(member).replica.erase(forgotten->name);
+    } else if (const auto* removed = std::get_if<fleet::MemberRemoved>(&action)) {
+      at(member).replica.erase(removed->name);
     } else if (const auto* conflict = std::get_if<fleet::NameConflict>(&action)) {
-      at(member).termination_reason = conflict->reason;
+      at(member).termination_error = conflict->error;
       Crash(member);
       return;
     }
@@ -179,10 +179,10 @@
 void SimulatedCluster::ApplyChange(int member, const fleet::MemberChanged& change) {
   SimulatedMember& reporter = at(member);
   const fleet::Record& record = change.record;
-  if (change.number != reporter.last_change + 1) {
+  if (change.sequence_number != reporter.last_change + 1) {
     ++out_of_order_changes_;
   }
-  reporter.last_change = change.number;
+  reporter.last_change = change.sequence_number;
   const auto before = reporter.replica.find(record.name);
   if (before != reporter.replica.end() &&
       (record.incarnation < before->second.incarnation ||
--- a/src/lab/sim/explore.cpp
+++ b/src/lab/sim/explore.cpp
@@ -12,17 +12,17 @@
 namespace walnutspur::lab::sim {
 namespace {
 
-constexpr std::uint64_t kFaultCountBound = 5;  // fewer faults than this are drawn
-constexpr Time kMinProcessFault = 1'500'000;   // so that a drain outlives its grace, us
+constexpr std::uint64_t kFaultCountBound = 5;  // exclusive upper bound of the number of drawn faults
+constexpr Time kMinProcessFault = 1'500'000;   // us; the drain grace expires within the fault
 constexpr Time kPauseInterval = 5'000'000;     // us
 
 std::uint64_t Unsigned(int value) { return static_cast<std::uint64_t>(value); }
 
-// Draws a fault of the experiment; the order of the draws is part of what a seed means.
+// Draws a fault. The order of the draws must not change: a seed would then give another experiment.
 FaultPlan DrawFault(const Experiment& experiment, Random* random) {
   FaultPlan fault;
   fault.kind = kFaultKinds[random->Below(kFaultKinds.size())];
-  fault.start = static_cast<Time>(random->Part() * static_cast<double>(experiment.duration) * 0.8);
+  fault.start = static_cast<Time>(random->Uniform() * static_cast<double>(experiment.duration) * 0.8);
   fault.duration = static_cast<Time>(random->Between(0.1e6, 5e6));
   const int targets = FaultTargetCount(experiment, fault.kind);
   const bool single = fault.kind == FaultKind::kPartition || fault.kind == FaultKind::kSurge;
@@ -30,19 +30,19 @@
   fault.count = single ? 1 : 1 + static_cast<int>(random->Below(Unsigned(targets - fault.first)));
   fault.factor = fault.kind == FaultKind::kSurge ? random->Between(2, 8) : random->Between(0.05, 0.9);
   fault.stagger = random->Chance(0.5) ? 0 : static_cast<Time>(random->Between(0, 1e6));
-  if (EndsProcess(fault.kind)) {
+  if (StopsProcess(fault.kind)) {
     fault.duration = std::max(fault.duration, kMinProcessFault);
   }
   return fault;
 }
 
-// Marks the servers of a fault as ended; returns whether one of them was before.
-bool MarkEnded(const FaultPlan& fault, std::vector<bool>* ended) {
+// Marks the servers of a fault as stopped; returns whether one of them was already marked.
+bool MarkStopped(const FaultPlan& fault, std::vector<bool>* stopped) {
   bool repeated = false;
   for (int server = fault.first; server < fault.first + fault.count; ++server) {
     const auto index = static_cast<std::size_t>(server);
-    repeated = repeated || (*ended)[index];
-    (*ended)[index] = true;
+    repeated = repeated || (*stopped)[index];
+    (*stopped)[index] = true;
   }
   return repeated;
 }
@@ -50,18 +50,18 @@
 std::vector<FaultPlan> DrawFaults(const Experiment& experiment, Random* random) {
   std::vector<FaultPlan> faults;
   const std::uint64_t count = random->Below(kFaultCountBound);
-  std::vector<bool> ended(static_cast<std::size_t>(experiment.servers), false);
+  std::vector<bool> stopped(static_cast<std::size_t>(experiment.servers), false);
   for (std::uint64_t i = 0; i < count; ++i) {
     const FaultPlan fault = DrawFault(experiment, random);
-    if (EndsProcess(fault.kind) && MarkEnded(fault, &ended)) {
-      continue;  // a server ends at most once in a drawn experiment
+    if (StopsProcess(fault.kind) && MarkStopped(fault, &stopped)) {
+      continue;  // a server stops at most once in a drawn experiment
     }
     faults.push_back(fault);
   }
   return faults;
 }
 
-// Whether the faults still lie within the duration and the servers of an experiment that was made smaller.
+// Returns whether all faults are within the duration and the servers of an experiment that was reduced.
 bool FaultsFit(const Experiment& experiment) {
   return std::all_of(experiment.faults.begin(), experiment.faults.end(), [&](const FaultPlan& fault) {
     return fault.start < experiment.duration &&
@@ -69,7 +69,7 @@
   });
 }
 
-// All experiments that are one step smaller, those with most effect first.
+// Returns all experiments that are one step smaller, the largest reductions first.
 std::vector<Experiment> SmallerExperiments(const Experiment& experiment) {
   std::vector<Experiment> smaller;
   for (std::size_t index = 0; index < experiment.faults.size(); ++index) {
@@ -99,7 +99,7 @@
 
 }  // namespace
 
-// The order of the draws is part of what a seed means.
+// The order of the draws must not change: a seed would then give another experiment.
 Experiment DrawExperiment(const Experiment& base, std::uint64_t seed) {
   Experiment drawn = base;
   Random random(seed, "worlds");
@@ -141,7 +141,7 @@
 }
 
 void Explore(const Experiment& base, std::uint64_t first, std::uint64_t last, int jobs, bool until_violation,
-             const std::function<void(const CheckedRun&)>& each, const TestHooks& hooks) {
+             const std::function<void(const CheckedRun&)>& on_run, const TestHooks& hooks) {
   std::atomic<std::uint64_t> next = first;
   std::atomic<bool> stop = false;
   std::mutex mutex;
@@ -152,7 +152,7 @@
       if (until_violation && !run.violations.empty()) {
         stop = true;
       }
-      each(run);
+      on_run(run);
     }
   };
   std::vector<std::thread> threads;
--- a/src/lab/sim/load_generator.cpp
+++ b/src/lab/sim/load_generator.cpp
@@ -7,9 +7,9 @@
 namespace walnutspur::lab::sim {
 namespace {
 
-constexpr std::size_t kMaxRecentObjects = 64;  // remembered for each volume
-constexpr int kInitiatorsPerVolume = 4;        // that the requests of a volume arrive at
-constexpr double kMinUnits = 0.1;              // of a request
+constexpr std::size_t kMaxRecentObjects = 64;  // per volume
+constexpr int kInitiatorsPerVolume = 4;        // initiators that receive the requests of a volume
+constexpr double kMinUnits = 0.1;              // minimum size of a request
 constexpr std::uint64_t kObjectDrawBound = std::uint64_t{1} << 40;
 
 }  // namespace
@@ -78,15 +78,15 @@
 
 void LoadGenerator::ScheduleNext(double surged_weight) {
   const Experiment& experiment = context_.experiment();
-  double plain_weight = 0;
+  double base_weight = 0;
   for (const TenantPlan& tenant : experiment.tenants) {
-    plain_weight += tenant.weight;
+    base_weight += tenant.weight;
   }
   const double progress =
       static_cast<double>(context_.now() - kLoadStart) / static_cast<double>(experiment.duration);
   const double ramp = 1 + (experiment.final_rate_multiple - 1) * progress;
   const double rate =
-      experiment.InitialRequestRate() * ramp * (plain_weight > 0 ? surged_weight / plain_weight : 1);
+      experiment.InitialRequestRate() * ramp * (base_weight > 0 ? surged_weight / base_weight : 1);
   const Time next = context_.now() + static_cast<Time>(random_.Exponential(1e6 / std::max(rate, 1e-6)));
   if (next < context_.load_end()) {
     context_.Schedule(next, RequestDue{});
@@ -95,7 +95,7 @@
 
 std::size_t LoadGenerator::DrawPlan(double surged_weight) {
   const std::vector<TenantPlan>& tenants = context_.experiment().tenants;
-  double pick = random_.Part() * surged_weight;
+  double pick = random_.Uniform() * surged_weight;
   std::size_t plan = 0;
   while (plan + 1 < tenants.size() && pick >= tenants[plan].weight * plans_[plan].surge_multiple) {
     pick -= tenants[plan].weight * plans_[plan].surge_multiple;
@@ -107,7 +107,7 @@
 std::size_t LoadGenerator::DrawVolume(const PlanLoad& plan) {
   const std::vector<double>& sums = plan.cumulative_popularity;
   const auto index = static_cast<std::size_t>(
-      std::upper_bound(sums.begin(), sums.end(), random_.Part() * sums.back()) - sums.begin());
+      std::upper_bound(sums.begin(), sums.end(), random_.Uniform() * sums.back()) - sums.begin());
   return plan.volumes[std::min(index, sums.size() - 1)];
 }
 
@@ -117,7 +117,7 @@
   for (const ClassPlan& class_plan : classes) {
     shares += class_plan.share;
   }
-  double pick = random_.Part() * shares;
+  double pick = random_.Uniform() * shares;
   std::size_t index = 0;
   while (index + 1 < classes.size() && pick >= classes[index].share) {
     pick -= classes[index].share;
@@ -126,11 +126,11 @@
   return index;
 }
 
-// Always two draws, whichever branch is taken: the load must not depend on how requests were answered.
+// Draws two numbers in every branch, so that the load does not depend on the responses to earlier requests.
 void LoadGenerator::DrawObject(const ClassPlan& class_plan, const Volume& volume, std::int64_t number,
                                RequestState* request, RequestArrived* attributes) {
   const Experiment& experiment = context_.experiment();
-  const double kind = random_.Part();
+  const double kind = random_.Uniform();
   const std::uint64_t object = random_.Below(kObjectDrawBound);
   if (class_plan.writes && kind < experiment.new_object_fraction) {
     request->places_new_object = true;
--- a/src/lab/sim/network_model.cpp
+++ b/src/lab/sim/network_model.cpp
@@ -3,14 +3,14 @@
 namespace walnutspur::lab::sim {
 namespace {
 
-constexpr double kReorderedDelayMultiple = 10;  // of its drawn delay that a reordered message takes
-constexpr double kNotDeliveredFraction = 0.5;   // of the requests whose connection breaks
+constexpr double kReorderedDelayMultiple = 10;  // delay of a reordered message / its drawn delay
+constexpr double kNotDeliveredFraction = 0.5;   // fraction of broken connections that lose the request
 
 }  // namespace
 
 Time NetworkModel::DrawDelay() {
   double time = static_cast<double>(experiment_.network_delay) +
-                static_cast<double>(experiment_.network_jitter) * random_.Part();
+                static_cast<double>(experiment_.network_jitter) * random_.Uniform();
   if (experiment_.reorder_probability > 0 && random_.Chance(experiment_.reorder_probability)) {
     time *= kReorderedDelayMultiple;
   }
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -16,7 +16,7 @@
 namespace walnutspur::log {
 namespace {
 
-// The seconds of its rate that a kind may use at once.
+// Maximum burst of events of one kind, in seconds of the rate limit.
 constexpr double kBurstSeconds = 2;
 
 constexpr std::int64_t kMicrosPerSecond = 1'000'000;
@@ -24,14 +24,14 @@
 constexpr unsigned char kFirstPrintable = 0x20;
 constexpr unsigned char kDelete = 0x7f;
 
-const char* NameOf(Level level) {
+const char* LevelName(Level level) {
   static constexpr std::array<const char*, 5> kNames = {"debug", "info", "warn", "error", "off"};
   return kNames[static_cast<std::size_t>(level)];
 }
 
 bool IsControl(unsigned char byte) { return byte < kFirstPrintable || byte == kDelete; }
 
-// Control characters are escaped too: a line break in a value must not start another line.
+// Escapes quotes, backslashes and control characters: a line break in a value must not start another line.
 std::string Escape(std::string_view text) {
   std::string out;
   for (const char character : text) {
@@ -52,7 +52,7 @@
 
 std::string Quote(std::string_view text) { return '"' + Escape(text) + '"'; }
 
-// Quoted unless logfmt takes the text as one value.
+// Quotes the text unless logfmt parses it as one value without quotes.
 std::string QuoteForLogfmt(std::string_view text) {
   const bool plain = !text.empty() && std::all_of(text.begin(), text.end(), [](char character) {
     return character > kFirstPrintable && character != kDelete && character != '"' && character != '=' &&
@@ -80,7 +80,7 @@
 
 std::string FormatJson(std::int64_t now, Level level, std::string_view kind,
                        const std::vector<Field>& fields) {
-  std::string out = R"({"time":)" + Quote(FormatTime(now)) + R"(,"level":")" + NameOf(level) +
+  std::string out = R"({"time":)" + Quote(FormatTime(now)) + R"(,"level":")" + LevelName(level) +
                     R"(","event":)" + Quote(kind);
   for (const Field& field : fields) {
     out += "," + Quote(field.name) + ":" + Quote(field.value);
@@ -90,7 +90,8 @@
 
 std::string FormatLogfmt(std::int64_t now, Level level, std::string_view kind,
                          const std::vector<Field>& fields) {
-  std::string out = "time=" + FormatTime(now) + " level=" + NameOf(level) + " event=" + QuoteForLogfmt(kind);
+  std::string out =
+      "time=" + FormatTime(now) + " level=" + LevelName(level) + " event=" + QuoteForLogfmt(kind);
   for (const Field& field : fields) {
     out += " " + field.name + "=" + QuoteForLogfmt(field.value);
   }
@@ -104,7 +105,7 @@
   try {
     return std::make_shared<spdlog::sinks::basic_file_sink_mt>(file);
   } catch (const spdlog::spdlog_ex&) {
-    throw LogError("the log cannot be written to " + file);
+    throw LogError("cannot open log file " + file);
   }
 }
 
@@ -115,16 +116,16 @@
 
 }  // namespace
 
-std::optional<Level> LevelOf(std::string_view word) {
+std::optional<Level> ParseLevel(std::string_view word) {
   for (const Level level : {Level::kDebug, Level::kInfo, Level::kWarn, Level::kError, Level::kOff}) {
-    if (word == NameOf(level)) {
+    if (word == LevelName(level)) {
       return level;
     }
   }
   return std::nullopt;
 }
 
-std::optional<std::uint64_t> Limiter::Admit(std::string_view kind, std::int64_t now) {
+std::optional<std::uint64_t> RateLimiter::Admit(std::string_view kind, std::int64_t now) {
   const double capacity = std::max(1.0, rate_ * kBurstSeconds);
   auto position = buckets_.find(kind);
   if (position == buckets_.end()) {
@@ -147,8 +148,8 @@
   return form == Form::kJson ? FormatJson(now, level, kind, fields) : FormatLogfmt(now, level, kind, fields);
 }
 
-// The pool is destroyed first, and with it the thread that writes: queued lines share ownership of the
-// logger, and the writing thread must not be the one that destroys it.
+// The members are declared in this order so that the pool, and with it the writer thread, is destroyed first:
+// queued lines share ownership of the logger, and the writer thread must not be the one that destroys it.
 struct Logger::Sink {
   std::shared_ptr<spdlog::async_logger> logger;
   std::shared_ptr<spdlog::details::thread_pool> pool;
@@ -190,7 +191,7 @@
                      Format(options_.form, now, level, kind, all_fields));
 }
 
-void Use(Logger* logger) { ProcessLogger() = logger; }
+void SetProcessLogger(Logger* logger) { ProcessLogger() = logger; }
 
 void Event(Level level, std::string_view kind, const std::vector<Field>& fields) {
   if (Logger* logger = ProcessLogger()) {
--- a/src/nbd/config.cpp
+++ b/src/nbd/config.cpp
@@ -14,16 +14,17 @@
 
 constexpr double kMicrosecondsPerSecond = 1e6;
 
-// Bytes of one command, whatever the size of a unit.
+// Maximum number of bytes that one command transfers, regardless of the size of a unit.
 constexpr double kMaxCommandBytes = 1 << 20;
 
-// Data blocks in the size that is suggested for an export without room for its tags and journal.
+// Number of data blocks in the minimum size that the error message suggests for an export that is too small
+// for its tags and journal.
 constexpr std::uint64_t kMinDataBlocks = 16;
 
 int Index(const std::vector<std::string>& names, const std::string& name) {
   const auto at = std::find(names.begin(), names.end(), name);
   if (at == names.end()) {
-    throw ConfigError("'" + name + "' is not in the settings");
+    throw ConfigError("'" + name + "' is not defined in the settings");
   }
   return static_cast<int>(at - names.begin());
 }
@@ -32,7 +33,8 @@
   config::Document document = config::Read(text, Keys());
   if (!document.problems.empty()) {
     const config::Problem& first = document.problems.front();
-    throw ConfigError(config::Line("line " + std::to_string(first.line), {0, first.key, first.what}));
+    throw ConfigError(
+        config::FormatProblem("line " + std::to_string(first.line), {0, first.key, first.error}));
   }
   return std::move(document.root);
 }
@@ -40,7 +42,7 @@
 const std::vector<config::Table>& Tables(const config::Table& root, const std::string& name) {
   const auto at = root.tables.find(name);
   if (at == root.tables.end()) {
-    throw ConfigError("no [[" + name + "]]");
+    throw ConfigError("section [[" + name + "]] is missing; at least one is required");
   }
   return at->second;
 }
@@ -62,25 +64,27 @@
   return target;
 }
 
-// Clients see a checksummed export without its tags and journal.
+// Reserves space for the tags and the journal of a checksummed export; the size that clients see does not
+// include them.
 void ReserveChecksumRegion(const config::Table& table, Volume* volume) {
-  volume->raw_bytes = volume->front.size;
+  volume->raw_bytes = volume->client_export.size;
   volume->journal_bytes = static_cast<std::uint64_t>(table.Integer("journal"));
   const auto geometry = integrity::FitGeometry(volume->raw_bytes, volume->journal_bytes);
   if (!geometry) {
     const std::uint64_t min_bytes = volume->journal_bytes + kMinDataBlocks * integrity::kBlockBytes;
-    throw ConfigError("export '" + volume->front.name +
-                      "' is smaller than its tags and journal; allowed are " + std::to_string(min_bytes) +
+    throw ConfigError("export '" + volume->client_export.name + "': size is " +
+                      std::to_string(volume->raw_bytes) +
+                      " bytes, too small for its tags and journal; allowed are " + std::to_string(min_bytes) +
                       " bytes or more");
   }
-  volume->front.size = geometry->data_size();
+  volume->client_export.size = geometry->data_size();
 }
 
 Volume ParseVolume(const config::Table& table, const std::vector<std::string>& plans, double max_bytes) {
   Volume volume;
-  volume.front.name = table.Text("name");
-  volume.front.size = static_cast<std::uint64_t>(table.Integer("size"));
-  volume.front.largest = static_cast<std::uint32_t>(max_bytes);
+  volume.client_export.name = table.Text("name");
+  volume.client_export.size = static_cast<std::uint64_t>(table.Integer("size"));
+  volume.client_export.max_command_bytes = static_cast<std::uint32_t>(max_bytes);
   volume.checksummed = table.Bool("checksums");
   if (volume.checksummed) {
     ReserveChecksumRegion(table, &volume);
@@ -90,25 +94,28 @@
   volume.shard = static_cast<int>(table.Integer("shard"));
   volume.initiator_count = static_cast<int>(table.Integer("hosts"));
   if (volume.checksummed && volume.initiator_count != 1) {
-    throw ConfigError("export '" + volume.front.name + "': hosts is " +
+    throw ConfigError("export '" + volume.client_export.name + "': hosts is " +
                       std::to_string(volume.initiator_count) +
-                      "; with checksums one initiator writes it: allowed is 1");
+                      "; an export with checksums is written by one initiator: allowed is 1");
   }
   volume.target = table.Text("box");
-  volume.remote = table.Has("remote") ? table.Text("remote") : volume.front.name;
+  volume.remote = table.Has("remote") ? table.Text("remote") : volume.client_export.name;
   return volume;
 }
 
-// Assigns the volume's shard to its target. A shard that belongs to discovery must not have a target that is
-// not in the endpoint list: its state would never change.
+// Assigns the volume's shard to its target. A target that is not in the endpoint list must not serve a shard
+// of discovery, because the state of the target would never change.
 void AssignShard(const Volume& volume, int shards, std::vector<Target>* targets) {
   const auto target = std::find_if(targets->begin(), targets->end(),
                                    [&](const Target& listed) { return listed.id == volume.target; });
   if (target == targets->end()) {
-    throw ConfigError("export '" + volume.front.name + "' names no box");
+    throw ConfigError("export '" + volume.client_export.name + "': box '" + volume.target +
+                      "' is not defined by a [[box]] section");
   }
   if (!target->listed && volume.shard < shards) {
-    throw ConfigError("export '" + volume.front.name + "': the shard of an unlisted box is the platform's");
+    throw ConfigError("export '" + volume.client_export.name + "': shard is " + std::to_string(volume.shard) +
+                      ", which belongs to discovery, but box '" + volume.target +
+                      "' has listed = false; allowed are " + std::to_string(shards) + " or more");
   }
   target->shard = volume.shard;
 }
@@ -135,7 +142,7 @@
   for (const config::Table& table : Tables(root, "export")) {
     Volume volume = ParseVolume(table, plans, max_bytes);
     AssignShard(volume, shards, &config.targets);
-    config.exports.push_back(volume.front);
+    config.exports.push_back(volume.client_export);
     config.volumes.push_back(std::move(volume));
   }
   return config;
--- a/src/simulator/messages.cpp
+++ b/src/simulator/messages.cpp
@@ -11,13 +11,13 @@
 using nlohmann::json;
 
 EndpointState ParseEndpointState(const std::string& text) {
-  return ParseWord<EndpointState>(text, {{"live", EndpointState::kActive},
+  return ParseEnum<EndpointState>(text, {{"live", EndpointState::kActive},
                                          {"quiescing", EndpointState::kDraining},
                                          {"dead", EndpointState::kTerminated}});
 }
 
 Outcome ParseOutcome(const std::string& text) {
-  return ParseWord<Outcome>(text, {{"completed", Outcome::kCompleted},
+  return ParseEnum<Outcome>(text, {{"completed", Outcome::kCompleted},
                                    {"errored", Outcome::kErrored},
                                    {"saturated", Outcome::kOverloaded},
                                    {"overdue", Outcome::kTimedOut},
@@ -83,14 +83,14 @@
   endpoint.state = ParseEndpointState(RequiredField<std::string>(object, "phase"));
   endpoint.shard = RequiredField<int>(object, "cohort");
   endpoint.zone = FieldOr(object, "regionPart", 0);
-  endpoint.kind = FieldOr(object, "classOfHost", 0);
-  endpoint.scale = FieldOr(object, "scale", 1.0);
+  endpoint.target_type = FieldOr(object, "classOfHost", 0);
+  endpoint.relative_capacity = FieldOr(object, "scale", 1.0);
   endpoint.started_at = FieldOr<Time>(object, "launched", 0);
   return endpoint;
 }
 
 EndpointUpdateKind ParseEndpointUpdateKind(const std::string& text) {
-  return ParseWord<EndpointUpdateKind>(text, {{"delta", EndpointUpdateKind::kDelta},
+  return ParseEnum<EndpointUpdateKind>(text, {{"delta", EndpointUpdateKind::kDelta},
                                               {"full", EndpointUpdateKind::kFull},
                                               {"cached", EndpointUpdateKind::kCached},
                                               {"failed", EndpointUpdateKind::kFailed}});
--- a/src/simulator/settings.cpp
+++ b/src/simulator/settings.cpp
@@ -11,19 +11,19 @@
 using nlohmann::json;
 
 Idempotency ParseIdempotency(const std::string& text) {
-  return ParseWord<Idempotency>(text, {{"safe", Idempotency::kIdempotent},
+  return ParseEnum<Idempotency>(text, {{"safe", Idempotency::kIdempotent},
                                        {"keyed", Idempotency::kIdempotentWithKey},
                                        {"unsafe", Idempotency::kNotIdempotent}});
 }
 
 DeduplicationScope ParseDeduplicationScope(const std::string& text) {
-  return ParseWord<DeduplicationScope>(text, {{"all", DeduplicationScope::kAll},
+  return ParseEnum<DeduplicationScope>(text, {{"all", DeduplicationScope::kAll},
                                               {"zone", DeduplicationScope::kZone},
                                               {"cell", DeduplicationScope::kShard}});
 }
 
 DiscoveryMode ParseDiscoveryMode(const std::string& text) {
-  return ParseWord<DiscoveryMode>(
+  return ParseEnum<DiscoveryMode>(
       text, {{"automatic", DiscoveryMode::kAutomatic}, {"subscribe", DiscoveryMode::kSubscribe}});
 }
 
@@ -55,7 +55,7 @@
   Rules rules;
   rules.poll_interval = FieldOr<Time>(object, "askEvery", 0);
   rules.drain_grace = FieldOr<Time>(object, "drainGrace", 0);
-  rules.answer_grace = FieldOr<Time>(object, "graceToAnswer", 0);
+  rules.response_grace = FieldOr<Time>(object, "graceToAnswer", 0);
   rules.slow_start_fraction = FieldOr(object, "coldShare", rules.slow_start_fraction);
   rules.slow_start_duration = FieldOr<Time>(object, "warmUp", 0);
   rules.overload_threshold = FieldOr(object, "tipMultiple", rules.overload_threshold);
--- a/tests/faults/fault_fixture.h
+++ b/tests/faults/fault_fixture.h
@@ -1,7 +1,7 @@
-// What the tests of a real process under faults have in common: a run of one process under load, and cases
-// that run at the same time.
+// Fixture for tests of a real process under faults: runs one process under load, and runs cases concurrently.
 //
-// Owner and thread: the test case; PlayAll runs each of its cases on a thread of its own.
+// Owned by the test case and used on its thread; RunAllConcurrently runs each of its cases on a thread of its
+// own.
 #ifndef WALNUTSPUR_TESTS_FAULTS_FAULT_FIXTURE_H_
 #define WALNUTSPUR_TESTS_FAULTS_FAULT_FIXTURE_H_
 
@@ -11,38 +11,38 @@
 
 #include "core/clock.h"
 #include "lab/soak/record_checker.h"
-#include "lab/soak/testbed.h"
+#include "lab/soak/test_environment.h"
 
 namespace walnutspur::test {
 
 inline constexpr Time kSecond = 1'000'000;  // us
 
-// One process of the program under test.
-inline lab::soak::TestbedOptions ProcessOptions() {
-  lab::soak::TestbedOptions options;
+// Returns the options of a test environment with one process of the program under test.
+inline lab::soak::TestEnvironmentOptions ProcessOptions() {
+  lab::soak::TestEnvironmentOptions options;
   options.program = WALNUTSPUR_PROGRAM;
   return options;
 }
 
-// One process whose system calls and clock follow a plan of the fault shim.
-inline lab::soak::TestbedOptions FaultyProcessOptions(const std::string& plan) {
-  lab::soak::TestbedOptions options = ProcessOptions();
+// Returns the options for one process whose system calls and clock follow a plan of the fault shim.
+inline lab::soak::TestEnvironmentOptions FaultyProcessOptions(const std::string& plan) {
+  lab::soak::TestEnvironmentOptions options = ProcessOptions();
   options.preload = WALNUTSPUR_FAULT_SHIM;
   options.environment["WALNUTSPUR_FAULTS"] = plan;
   return options;
 }
 
 // Stops the clients and waits until the last request has a response or has timed out.
-inline void StopClients(lab::soak::Testbed& testbed) {
+inline void StopClients(lab::soak::TestEnvironment& testbed) {
   testbed.StopAllClients();
   testbed.RunFor(2 * kSecond);
 }
 
-// One process that serves clients from its start.
+// Runs one process that serves clients from its start.
 class LoadRun {
  public:
-  // Starts the process and its clients, runs them for this long, us, and stops the clients.
-  LoadRun(const lab::soak::TestbedOptions& options, Time duration) : testbed_(options) {
+  // Starts the process and its clients, runs them for `duration` (us), and stops the clients.
+  LoadRun(const lab::soak::TestEnvironmentOptions& options, Time duration) : testbed_(options) {
     testbed_.StartAll();
     testbed_.StartAllClients();
     began_at_ = core::Now();
@@ -52,11 +52,12 @@
     StopClients(testbed_);
   }
 
-  // Of the requests that were sent from `settle` us after the clients' start on.
-  double ServedFraction(Time settle = 0) {
-    return lab::soak::ServedFraction(testbed_.record(), began_at_ + settle, ended_at_);
+  // Returns the served fraction of the requests that were sent at least `settle_time` us after the clients'
+  // start.
+  double ServedFraction(Time settle_time = 0) {
+    return lab::soak::ServedFraction(testbed_.record(), began_at_ + settle_time, ended_at_);
   }
-  // Connections that ended between requests while the clients were sending.
+  // Returns the number of connections that were closed between requests while the clients were sending.
   int idle_ends() const { return idle_ends_; }
   bool IsRunning() { return testbed_.IsRunning(0); }
   std::vector<lab::soak::Violation> FindViolations() {
@@ -64,24 +65,24 @@
   }
 
  private:
-  lab::soak::Testbed testbed_;
+  lab::soak::TestEnvironment testbed_;
   Time began_at_ = 0;
   Time ended_at_ = 0;
   int idle_ends_ = 0;
 };
 
-// The first violation in words, for the message of a check; empty where there is none.
-inline std::string FirstOf(const std::vector<lab::soak::Violation>& violations) {
+// Returns a description of the first violation for the message of a check; empty if there is none.
+inline std::string DescribeFirst(const std::vector<lab::soak::Violation>& violations) {
   return violations.empty() ? "" : violations.front().invariant + ": " + violations.front().description;
 }
 
-// Calls `play(case)` for all cases at the same time: they wait most of their time.
-template <typename Case, typename Play>
-void PlayAll(std::vector<Case>& cases, Play play) {
+// Calls `run(case)` for all cases concurrently, since they spend most of their time waiting.
+template <typename Case, typename Run>
+void RunAllConcurrently(std::vector<Case>& cases, Run run) {
   std::vector<std::thread> threads;
   threads.reserve(cases.size());
   for (Case& each : cases) {
-    threads.emplace_back([&each, play] { play(each); });
+    threads.emplace_back([&each, run] { run(each); });
   }
   for (std::thread& thread : threads) {
     thread.join();
--- a/tests/fleet/fleet_settings_test.cpp
+++ b/tests/fleet/fleet_settings_test.cpp
@@ -1,5 +1,5 @@
-// An operator makes a mistake in the [fleet] table of the settings. One line must say where it is and what is
-// allowed.
+// Guards against errors in the [fleet] table of the settings that are not reported, or without their place.
+// One line must name the key, the line of the file and the allowed values.
 #include "app/fleet_settings.h"
 
 #include <doctest/doctest.h>
@@ -14,8 +14,8 @@
 namespace {
 
 struct Case {
-  std::string text;  // of the settings file
-  std::string line;  // part of the one line that is reported
+  std::string text;  // content of the settings file
+  std::string line;  // contained in the one reported line
 };
 
 void CheckReported(const Case& expected) {
@@ -31,22 +31,23 @@
 
 }  // namespace
 
-TEST_CASE("an error in a [fleet] table is reported in one line, with its line and what is allowed") {
+TEST_CASE(
+    "Settings: an error in the [fleet] table is reported in one line with its place and the allowed values") {
   const std::string good = R"([fleet]
 id = "f"
 name = "a"
 listen = "127.0.0.1:7000"
 )";
-  CheckReported({good, "fleet.roster: is missing; allowed are the names of 3, 5 or 7 members"});
+  CheckReported({good, "fleet.roster: missing; allowed: the names of 3, 5 or 7 members"});
   CheckReported(
-      {good + R"(roster = ["a", "b", "c", "d"])", ":5: fleet.roster: has 4 names; allowed are 3, 5 or 7"});
-  CheckReported({good + R"(roster = ["a", "b", "a"])", R"(:5: fleet.roster: names "a" twice)"});
+      {good + R"(roster = ["a", "b", "c", "d"])", ":5: fleet.roster: has 4 names; allowed: 3, 5 or 7"});
+  CheckReported({good + R"(roster = ["a", "b", "a"])", R"(:5: fleet.roster: contains "a" more than once)"});
   CheckReported({R"([fleet]
 roster = ["a", "b", "c"]
 id = "f"
 name = "a"
 listen = "x")",
-                 ":5: fleet.listen: is no address; allowed is host:port"});
+                 R"(:5: fleet.listen: "x" is not an address; allowed: host:port)"});
 }
 
 }  // namespace walnutspur
--- a/tests/lab/invariant_checker_test.cpp
+++ b/tests/lab/invariant_checker_test.cpp
@@ -1,5 +1,5 @@
-// The checker notices each invariant that is violated on purpose, and a failing experiment is shrunk to its
-// cause.
+// Tests that the checker detects each invariant that is violated on purpose, and that a failing experiment is
+// shrunk to its cause.
 #include "lab/invariants/invariant_checker.h"
 
 #include <doctest/doctest.h>
@@ -20,7 +20,7 @@
 
 constexpr std::uint64_t kMaxSeed = 200;
 
-// Draws an experiment in which a server is replaced and two restart under load, whatever else is drawn.
+// Draws an experiment and replaces its faults: a server is replaced, two restart, and all fail some requests.
 Experiment DrawWithFaults(const Experiment& base, std::uint64_t seed) {
   Experiment experiment = DrawExperiment(base, seed);
   experiment.servers = 6;
@@ -30,33 +30,34 @@
   return experiment;
 }
 
-bool IsNoticed(const Mutation& mutation, const Experiment& experiment) {
+bool IsDetected(const Mutation& mutation, const Experiment& experiment) {
   const CheckedRun run = RunChecked(experiment, mutation.hooks());
   return std::any_of(run.violations.begin(), run.violations.end(), [&](const LogViolation& violation) {
     return violation.invariant == mutation.invariant;
   });
 }
 
-TEST_CASE("each invariant violated on purpose is noticed, by its own name, within 200 experiments") {
+TEST_CASE(
+    "InvariantChecker: each invariant violated on purpose is detected by its name within 200 experiments") {
   Experiment base = BaseExperiment();
   base.discovery_delay = 1'000'000;
   for (const Mutation& mutation : Mutations()) {
     CAPTURE(mutation.name);
     std::uint64_t seed = 1;
-    bool noticed = false;
-    for (; seed <= kMaxSeed && !noticed; ++seed) {
+    bool detected = false;
+    for (; seed <= kMaxSeed && !detected; ++seed) {
       Experiment experiment = DrawWithFaults(base, seed);
       if (mutation.invariant == name::kUnknownTarget) {
         experiment.discovery_delay = 100'000;
       }
-      noticed = IsNoticed(mutation, experiment);
+      detected = IsDetected(mutation, experiment);
     }
-    CHECK_MESSAGE(noticed, mutation.name, " was not noticed");
-    MESSAGE(mutation.name, ": noticed in experiment ", seed - 1);
+    CHECK_MESSAGE(detected, mutation.name, " was not detected");
+    MESSAGE(mutation.name, ": detected in experiment ", seed - 1);
   }
 }
 
-TEST_CASE("a failing experiment is shrunk, and the result still fails") {
+TEST_CASE("Shrink: a failing experiment is reduced and still violates the invariant") {
   const Mutation ignores_drains = Mutations()[4];
   REQUIRE(ignores_drains.invariant == name::kDrainGrace);
   Experiment experiment = DrawExperiment(BaseExperiment(), 3);
