--- a/src/app/fleet_publisher.h
+++ b/src/app/fleet_publisher.h
@@ -20,8 +20,9 @@
 class FleetPublisher {
  public:
   struct Hooks {
-    std::function<void(FleetSize size)> on_size;                // the number of members has changed
-    std::function<void(const std::string& reason)> on_removed;  // the process must terminate
+    std::function<void(FleetSize size)> on_size;  // the number of members has changed
+    // An older process has the same member name; this process must terminate.
+    std::function<void(const std::string& reason)> on_removed;
     std::function<bool()> is_draining;
   };
 
--- a/src/decision/deadlines.h
+++ b/src/decision/deadlines.h
@@ -11,10 +11,11 @@
 
 namespace walnutspur::decision {
 
-// Returns the end of the latency objective of a request that arrives now and whose other fields are set. The
-// objective starts with the client's first attempt: the request's deadline minus the class's deadline. If the
-// client announces a wait shorter than the objective, the objective ends at the request's deadline. If such a
-// request is a retry, the objective has ended already, since the client's last attempt took too long for it.
+// Returns the time at which the latency objective of a request that arrives now ends. The class and the
+// deadline of `request` must be set. If arrival.ttl is at least the class's latency objective, the objective
+// is counted from the client's first attempt, which was sent at (request deadline - class deadline). If
+// arrival.ttl is shorter, the result is the request's deadline, or `now` for a client retry: the client's
+// previous attempt has already used up the objective.
 Time ObjectiveEnd(const SchedulerState& state, const RequestState& request, const RequestArrived& arrival);
 
 // Returns the latest time at which a response is useful: the end of the objective, or earlier if clients
--- a/src/fleet/membership/admission.cpp
+++ b/src/fleet/membership/admission.cpp
@@ -50,7 +50,7 @@
     state_.terminated = true;
     state_.actions.emplace_back(
         NameConflict{"the name " + self.name + " is in use at " + message.from_address +
-                     " by an older process; initiator names must be unique within a fleet"});
+                     " by a process that started earlier; initiator names must be unique within a fleet"});
   }
 }
 
--- a/src/integrity/fault_attribution.cpp
+++ b/src/integrity/fault_attribution.cpp
@@ -48,7 +48,7 @@
       faulty_paths.insert(reading.path);
     }
   }
-  // Mismatches on several paths, or on the only one, cannot be attributed to a path.
+  // A path is found at fault only if it alone had mismatches and the target has other paths to compare with.
   if (faulty_paths.size() != 1 || paths <= 1) {
     return Attribute(Fault::kMemory, readings);
   }
--- a/src/integrity/path_health.h
+++ b/src/integrity/path_health.h
@@ -27,14 +27,15 @@
 struct PathOptions {
   // Half-life of the counts, us.
   Time half_life = 60'000'000;
-  // Decayed faults from which a healthy path is suspect: a single one.
+  // A healthy path becomes suspect if its decayed fault count is at least this: after a single fault.
   double suspect_at = 0.5;
-  // Decayed faults below which a suspect path is healthy. Less than `suspect_at`: a path near one common
-  // bound would flap between the two states.
+  // A suspect path becomes healthy if its decayed fault count is below this. Less than `suspect_at`: a path
+  // near one common bound would flap between the two states.
   double healthy_below = 0.25;
-  // Decayed faults from which a path is quarantined, if their fraction is high enough as well.
+  // A path is quarantined if its decayed fault count is at least this and faults make up at least
+  // `quarantine_fraction` of its requests.
   double quarantine_at = 3;
-  // Fraction of the path's requests that the faults must reach for a quarantine.
+  // Minimum fraction of faults among a path's requests for a quarantine because of `quarantine_at`.
   double quarantine_fraction = 0.01;
   // Duration of the first quarantine, us; doubled for each further one.
   Time quarantine = 10'000'000;
--- a/src/integrity/volume_context.h
+++ b/src/integrity/volume_context.h
@@ -24,7 +24,8 @@
   std::uint32_t max_io_bytes = kDefaultMaxIoBytes;  // of one storage request
   std::size_t max_cached_tag_blocks = 256;          // kBlockBytes each
   double checkpoint_fraction = 0.5;  // used fraction of the journal at which a checkpoint starts
-  // Journal records are written with FUA, for targets whose flush covers one connection only.
+  // Whether each journal record is written with FUA. Required if a flush at the target covers only writes on
+  // the same connection.
   bool fua_journal = false;
 };
 
--- a/src/lab/invariants/record_invariants.cpp
+++ b/src/lab/invariants/record_invariants.cpp
@@ -28,9 +28,9 @@
       report({"request sent twice"});
     }
   } else if (As<AttemptSent>(observation) != nullptr && !is_known) {
-    report({"attempt of a request that no client has sent or that has completed"});
+    report({"attempt of an unknown request: no client has sent it, or it has already completed"});
   } else if (As<ResponseReceived>(observation) != nullptr && !is_known) {
-    report({"response to a request that no client has sent or that has completed"});
+    report({"response to an unknown request: no client has sent it, or it has already completed"});
   }
 }
 
--- a/src/lab/invariants/run_state.h
+++ b/src/lab/invariants/run_state.h
@@ -47,8 +47,8 @@
 // The state of a server of which an initiator was last notified.
 struct KnownEndpoint {
   bool is_active = false;
-  Time inactive_since = 0;  // the first notice since it was active
-  Time notified_at = 0;     // the last notice
+  Time inactive_since = 0;  // time of the first notification since it was active
+  Time notified_at = 0;     // time of the last notification
   std::int64_t shard = kAnyShard;
 };
 
@@ -66,7 +66,7 @@
   enum class Retention { kAllRequests, kUnsettledRequests };
   explicit RunState(Retention retention) : retention_(retention) {}
 
-  // Updates the state by the next event of the record.
+  // Updates the state with the next event of the record.
   void Apply(const Event& event);
 
   Time now() const { return now_; }  // the latest time of an event
--- a/src/lab/sim/experiment_keys.cpp
+++ b/src/lab/sim/experiment_keys.cpp
@@ -130,20 +130,23 @@
   return {
       Name("class[].name", "name of the request class"),
       Number("class[].aim_ms", 0.1, 600000, "ms", "120.0",
-             "latency objective; a response within this time earns the full worth"),
+             "latency objective; a response within this time counts with the full priority weight "
+             "(class[].worth)"),
       Number("class[].deadline_ms", 0.1, 600000, "ms", "2000.0", "time that a client waits for the response"),
       Word("class[].effect", "\"safe\"", {"safe", "unsafe"},
            "whether a request may run twice (safe) or not (unsafe)"),
       Weight("class[].worth", "1.0",
              "priority weight of a request that is served within the latency objective"),
-      Fraction("class[].late_worth", "0.2", "fraction of the worth that a late response earns"),
+      Fraction("class[].late_worth", "0.2",
+               "fraction of the priority weight (class[].worth) that counts for a response after the latency "
+               "objective"),
       Weight("class[].share", "1.0", "share of the requests, relative to the other classes"),
       Number("class[].units", 0.5, 1e6, "units", "1.0", "mean size of a request"),
       Name("plan[].name", "name of the plan"),
       Integer("plan[].volumes", 1, 100000, "", "40", "number of volumes of the plan"),
       Weight("plan[].weight", "1.0", "share of the requests, relative to the other plans"),
       Number("plan[].reserve", 0, 10, "", "0.5",
-             "reserve as a fraction of the mean rate of the plan's volumes"),
+             "guaranteed rate of a volume, as a fraction of the mean rate (units/s) of the plan's volumes"),
   };
 }
 
--- a/src/lab/sim/request_table.h
+++ b/src/lab/sim/request_table.h
@@ -27,7 +27,7 @@
   std::size_t request_class = 0;  // index into Experiment::classes
   Time received = 0;              // us
   Time deadline = 0;              // us
-  std::int64_t units = 0;         // thousandths of a unit
+  std::int64_t units = 0;         // size of the request, in 1/1000 of a unit
   bool has_response = false;
   bool places_new_object = false;
   std::size_t volume = 0;  // number of its volume
--- a/src/lab/sim/results.h
+++ b/src/lab/sim/results.h
@@ -31,8 +31,8 @@
   std::uint64_t requests = 0;
   std::uint64_t attempts = 0;
   std::uint64_t events = 0;            // events of the simulation
-  std::uint64_t wasted_units = 0;      // work for requests that already had a response, thousandths of a unit
-  std::uint64_t completed_units = 0;   // all work, thousandths of a unit
+  std::uint64_t wasted_units = 0;      // work for requests that already had a response, in 1/1000 of a unit
+  std::uint64_t completed_units = 0;   // all work, in 1/1000 of a unit
   std::uint64_t overload_crashes = 0;  // warming servers that crashed because of overload
 
   // Returns the totals of the second that contains `since_start` (us after the first possible arrival);
--- a/src/lab/sim/scheduled_event.h
+++ b/src/lab/sim/scheduled_event.h
@@ -56,7 +56,7 @@
   int server = 0;
   std::int64_t request = 0;
   int attempt = 0;
-  std::int64_t units = 0;  // thousandths of a unit
+  std::int64_t units = 0;  // size of the request, in 1/1000 of a unit
 };
 // A cancellation reaches the server of its attempt.
 struct CancellationDelivered {
--- a/src/lab/soak/run.h
+++ b/src/lab/soak/run.h
@@ -33,7 +33,9 @@
 // Runs a plan. Takes the duration of the plan and a few seconds more.
 SoakResult RunPlan(const SoakPlan& plan, const SoakPrograms& programs);
 
-// Removes events and system faults while an invariant is still violated, in at most `max_runs` runs.
+// Returns a plan that is smaller if possible and still violates an invariant. Tries to remove each event in
+// turn, then all system faults, and keeps a removal if a run without them still violates an invariant. Makes
+// at most `max_runs` runs.
 SoakPlan Shrink(const SoakPlan& plan, const SoakPrograms& programs, int max_runs);
 
 }  // namespace walnutspur::lab::soak
--- a/src/limits/latency_estimate.h
+++ b/src/limits/latency_estimate.h
@@ -11,7 +11,8 @@
 
 // Service time of a unit that is assumed until the first response.
 constexpr Duration kInitialUnitTime = std::chrono::milliseconds(20);
-// Time in which the queueing delay decays to 1/e without new samples, since queues drain.
+// Time constant of the estimate's decay: without new samples, the estimated queueing delay falls to 1/e in
+// this time, because the target's queue is assumed to drain.
 constexpr Duration kQueueingDecay = std::chrono::milliseconds(500);
 
 // Class LatencyEstimate holds the service time and the queueing delay of one target.
--- a/src/limits/poll_backoff.cpp
+++ b/src/limits/poll_backoff.cpp
@@ -9,7 +9,8 @@
 
 // Upper bound of the delay after the first failure.
 constexpr Time kInitialDelay = ToTime(std::chrono::seconds(1));
-// Minimum of the upper bounds of the delays; applies if there are few instances.
+// The upper bound that delays grow to is proportional to the number of instances, but never lower than this;
+// takes effect in small fleets.
 constexpr Time kMaxDelayFloor = ToTime(std::chrono::seconds(2));
 // Upper bound of the delay after a time-out, per instance of the fleet: all instances together make about ten
 // calls a second.
--- a/tests/faults/endpoint_lease_test.cpp
+++ b/tests/faults/endpoint_lease_test.cpp
@@ -119,7 +119,9 @@
 
 }  // namespace
 
-TEST_CASE("Initiator: while discovery fails, no request reaches a target 6 s and the grace after its drain") {
+TEST_CASE(
+    "Initiator: while discovery fails, no request reaches a target later than 6 s plus the drain grace after "
+    "its drain starts") {
   std::vector<FaultCase> cases;
   for (const int instances : {1, kLargeFleet}) {
     cases.push_back({"gives up", DiscoveryFault::kTimesOut, instances, {}});
--- a/tests/fleet/dissemination_test.cpp
+++ b/tests/fleet/dissemination_test.cpp
@@ -13,7 +13,7 @@
 
 // All updates are removed from all messages apart from digests and their replies, while a member is
 // restarted.
-TEST_CASE("AntiEntropy: if all gossiped updates are lost, comparing digests replaces them") {
+TEST_CASE("AntiEntropy: if all gossiped updates are lost, members still converge by comparing digests") {
   SimulatedCluster cluster = ConvergedCluster(9);
   cluster.mutate = [](int, int, Message* message) {
     if (message->kind != MessageKind::kDigest && message->kind != MessageKind::kDigestReply) {
@@ -64,8 +64,9 @@
 }
 
 // All members restart at the same time; then again, but the configured peers, which the others contact to
-// join, start later than the others.
-TEST_CASE("Membership: after a restart of all members, with peers up or down at first, they converge") {
+// join, are down at first, and only one of them starts later.
+TEST_CASE(
+    "Membership: members converge after all restart together, even if no configured peer is up at first") {
   SimulatedCluster cluster = ConvergedCluster(9);
   for (int i = 0; i < 9; ++i) {
     cluster.Crash(i);
--- a/tests/integrity/layout_test.cpp
+++ b/tests/integrity/layout_test.cpp
@@ -38,7 +38,9 @@
   return s;
 }
 
-TEST_CASE("Superblock: a valid one decodes; corrupt, newer, foreign and resized ones are rejected") {
+TEST_CASE(
+    "Superblock: a valid one decodes; corrupt ones and superblocks of a newer version, of another format or "
+    "for another export size are rejected") {
   const std::uint64_t size = 1 << 20;
   const std::string good = Encode(Sample(size));
   const DecodedSuperblock read = DecodeSuperblock(good, size);
--- a/tests/net/malformed_message_test.cpp
+++ b/tests/net/malformed_message_test.cpp
@@ -57,7 +57,9 @@
     target a expect nothing 60)");
 }
 
-TEST_CASE("TargetPool: a response without a length is complete at a FIN, and not at a reset after any byte") {
+TEST_CASE(
+    "TargetPool: a response without a length is complete when the connection ends with a FIN, and incomplete "
+    "when it is reset, however many bytes arrived") {
   const std::string response = "HTTP/1.1 200 OK\\r\\nConnection: close\\r\\n\\r\\nwhole";
   const auto play_write = [](const std::string& bytes) {
     return "client c send write\n target a expect write\n target a send bytes \"" + bytes + "\"\n";
--- a/tests/net/nbd_front_end_test.cpp
+++ b/tests/net/nbd_front_end_test.cpp
@@ -166,9 +166,11 @@
   request.type = nbd::kWrite;
   request.length = 4096;
   nbd::PutRequest(request, &command);
-  SUBCASE("in the header") { command.resize(9); }
-  SUBCASE("in the data") {}
-  SUBCASE("in the data of an oversized write") { command.replace(24, 4, "\x7f\xff\xff\xff"); }
+  SUBCASE("the command is incomplete in its header") { command.resize(9); }
+  SUBCASE("the command is incomplete in its data") {}
+  SUBCASE("the command is incomplete in the data of an oversized write") {
+    command.replace(24, 4, "\x7f\xff\xff\xff");
+  }
   Socket socket = NegotiatedConnection(runner);
   const Time before = core::Now();
   socket.Send(command);
--- a/tests/net/scenario_config.cpp
+++ b/tests/net/scenario_config.cpp
@@ -12,7 +12,8 @@
   write.priority_weight = 2.0;
   lab::PlatformRequestClass quick = read;
   quick.name = "quick";
-  quick.latency_objective = 120'000;  // the minimum determines when a target counts as overloaded
+  // The smallest objective of all classes determines when a target counts as overloaded.
+  quick.latency_objective = 120'000;
   lab::PlatformConfig config;
   config.classes = {read, write, quick};
   config.can_check_health = true;
--- a/tests/scheduler/endpoint_lease_test.cpp
+++ b/tests/scheduler/endpoint_lease_test.cpp
@@ -80,7 +80,7 @@
   EXPECT_EQ(lease.expires_at(), kStart + kLeaseAfterNotification);
 }
 
-TEST(EndpointLease, IsShortenedByACallWhoseConnectionIsLost) {
+TEST(EndpointLease, IsShortenedIfADiscoveryCallLosesItsConnection) {
   EndpointLease lease = LeaseWithWorkingWatch();
   lease.OnFailed(kStart, kStart, DiscoveryFailure::kNoResponse);
   lease.OnFailed(kStart + kSec, 0, DiscoveryFailure::kConnectionLost);
--- a/tests/scheduler/idempotency_test.cpp
+++ b/tests/scheduler/idempotency_test.cpp
@@ -111,7 +111,7 @@
   }
 }
 
-TEST(Idempotency, GloballyScopedRequestThatMayHaveRunIsRejected) {
+TEST(Idempotency, RequestDeduplicatedByAllTargetsThatMayHaveRunIsRejectedAfterItsLastAttempt) {
   Settings settings = BasicSettings();
   settings.classes[2].deduplication_scope = DeduplicationScope::kAll;
   settings.max_attempts = 1;
--- a/tests/scheduler/request_completion_test.cpp
+++ b/tests/scheduler/request_completion_test.cpp
@@ -15,7 +15,7 @@
   EXPECT_EQ(scheduler.FinalResponseCount("a"), 1);
 }
 
-TEST(RequestCompletion, NewObjectIsRejectedIfThereWasNoEndpointUpdate) {
+TEST(RequestCompletion, RequestForANewObjectIsRejectedBeforeItsDeadlineIfNoEndpointUpdateArrived) {
   SchedulerFixture scheduler;
   scheduler.Handle(SchedulerFixture::MakeRequest("a", 1, -1));
   scheduler.Advance(2 * kSec - 10 * kMs);
--- a/tests/scheduler/simulator_adapter_test.cpp
+++ b/tests/scheduler/simulator_adapter_test.cpp
@@ -70,7 +70,7 @@
   EXPECT_EQ(reply.substr(reply.size() - 13), "{\"op\":\"eor\"}\n");
 }
 
-TEST(SimulatorAdapter, EndpointListWithTheSameNumberIsReplacedWithinABatch) {
+TEST(SimulatorAdapter, ListNumberReusedWithinABatchReplacesTheListOnlyForInitiatorsThatReadItAfterwards) {
   const std::string reply = Reply({kRound, EnlistLine(1), EnlistLine(2), kCensus0, CachedListLine(1),
                                    kCensus0Replacement, CachedListLine(2), ArrivalLine(1, "0000000000000001"),
                                    ArrivalLine(2, "0000000000000002"), kEnd});
--- a/tests/unit/decision_test.cpp
+++ b/tests/unit/decision_test.cpp
@@ -94,7 +94,7 @@
   }
 }
 
-TEST_CASE("SchedulerState: only requests with a key, of a class ordered by key, are ordered") {
+TEST_CASE("SchedulerState: a request is ordered only if it has a key and its class is ordered by key") {
   Fixture fixture;
   RequestState request;
   request.key = "k";
--- a/tests/unit/estimates_test.cpp
+++ b/tests/unit/estimates_test.cpp
@@ -61,7 +61,7 @@
   CHECK(fixture.target->samples.service == Microseconds(20'000));
 }
 
-TEST_CASE("ExpectedQueueing: for a target with a stale estimate, the fleet's queueing delay is expected") {
+TEST_CASE("ExpectedQueueing: for a target with a stale estimate, the fleet's queueing delay is used") {
   Fixture fixture;
   for (int i = 0; i < 100; ++i) {
     fixture.state.fleet_latency.OnCompleted(Microseconds(100'000), Microseconds(kObjective),
--- a/tests/unit/outlier_detection_test.cpp
+++ b/tests/unit/outlier_detection_test.cpp
@@ -11,7 +11,7 @@
 constexpr int kZone = 1;
 constexpr int kOtherZone = 2;
 
-// Records an outcome `times` times in a zone, at a target that the tests do not check.
+// Records an outcome `times` times in a zone, for a separate target, so that only the zone's counts change.
 void RecordInZone(OutlierDetection& outliers, int times, Outcome outcome, int zone, Time now) {
   OutcomeHistory other_target;
   for (int i = 0; i < times; ++i) {
