--- a/src/app/operator_commands.cpp
+++ b/src/app/operator_commands.cpp
@@ -66,7 +66,7 @@
     }
     const std::uint64_t blocks = volume.client_export.size / integrity::kBlockBytes;
     if (!number || *number >= blocks) {
-      return "error: " + block + " is not a block number of export " + export_name + "; allowed: 0 to " +
+      return "error: " + block + " is not a block number of the export; allowed: 0 to " +
              std::to_string(blocks - 1) + "\n";
     }
     scrub_->Recheck(i, *number);
