--- a/include/walnutspur/types.h
+++ b/include/walnutspur/types.h
@@ -41,12 +41,13 @@
 
 // What an endpoint update contains.
 enum class EndpointUpdateKind {
-  kDelta,          // the endpoints that have changed
-  kFull,           // all endpoints
-  kCached,         // all endpoints, as stored before this start; they may have changed since
-  kFailed,         // none: the list could not be fetched, or the subscription has ended
-  kUpdateStarted,  // none: the first part of an update has arrived
-  kServiceChanged  // none: another discovery service is used from now on
+  kDelta,           // the endpoints that have changed
+  kFull,            // all endpoints
+  kCached,          // all endpoints, as stored before this start; they may have changed since
+  kFailed,          // none: the list could not be fetched, or the subscription has ended
+  kUpdateStarted,   // none: the first part of an update has arrived
+  kServiceChanged,  // none: another discovery service is used from now on
+  kOverride         // the endpoints that operators have changed, not discovery
 };
 
 // Why discovery sent no endpoints.
--- a/src/app/initiator.cpp
+++ b/src/app/initiator.cpp
@@ -77,6 +77,9 @@
   if (options.fleet) {
     JoinFleet(*options.fleet);
   }
+  if (config_.management) {
+    OpenManagement();
+  }
   DispatchOutputs();
   if (!options.replay.empty()) {
     StartReplay(options.replay);
@@ -211,6 +214,7 @@
   destinations.exports = exports_.get();
   destinations.scrub = scrub_.get();
   destinations.fleet = fleet_.get();
+  destinations.management = management_.get();
   dispatcher_ = std::make_unique<OutputDispatcher>(base_.get(), destinations, submit_);
 }
 
@@ -240,6 +244,31 @@
   }
 }
 
+void Initiator::OpenManagement() {
+  management_ = std::make_unique<management::Server>(
+      base_.get(), *config_.management, management::MaxConnections(config_.sockets),
+      [this](management::CallId id, const management::Call& call) { OnManagementCall(id, call); });
+}
+
+// A cordon is replied to once the scheduler's outputs for it have been executed.
+void Initiator::OnManagementCall(management::CallId id, const management::Call& call) {
+  if (call.kind == management::CallKind::kHealth) {
+    management_->Reply(id, HealthReply());
+    return;
+  }
+  scheduler_->Submit(core::CordonRequested{id, call.target, call.kind == management::CallKind::kCordon});
+}
+
+std::string Initiator::HealthReply() const {
+  if (shutdown_->begun()) {
+    return management::FormatError("shutting down");
+  }
+  if (!http_front_end_->ready()) {
+    return management::FormatError("no endpoint list has been received yet");
+  }
+  return management::FormatDone("serving");
+}
+
 void Initiator::Run() {
   signals_->Start(reload_->enabled());
   event_base_loop(base_.get(), EVLOOP_NO_EXIT_ON_EMPTY);
--- a/src/app/initiator.h
+++ b/src/app/initiator.h
@@ -31,6 +31,7 @@
 #include "http/front_end.h"
 #include "http/target_pool.h"
 #include "loop/loop.h"
+#include "management/server.h"
 #include "nbd/config.h"
 #include "nbd/front_end.h"
 #include "pcap/traffic.h"
@@ -60,6 +61,8 @@
   event_base* base() { return base_.get(); }
   http::FrontEnd& http_front_end() { return *http_front_end_; }
   nbd::FrontEnd* nbd_front_end() { return nbd_front_end_.get(); }  // null: none
+  // Returns the port of the management listener; 0: none.
+  int management_port() const { return management_ ? management_->port() : 0; }
   const pcap::Player* player() const { return replay_ ? &replay_->player() : nullptr; }
   std::size_t nbd_target_connections() const { return exports_ ? exports_->connections() : 0; }
 
@@ -77,8 +80,12 @@
   void DispatchOutputs();
   void StartReplay(const std::string& path);
   void OpenControl(const std::string& folder);
+  void OpenManagement();
 
   void RequestShutdown();
+  void OnManagementCall(management::CallId id, const management::Call& call);
+  // Returns the reply to a `health` call.
+  std::string HealthReply() const;
   void OnEndpointList(EndpointUpdate update, const http::EndpointList& list);
   void OnObjectRead(const TargetId& target, const std::string& uri, bool good, const std::string& body);
   std::vector<core::FrontEnd*> FrontEnds();
@@ -99,6 +106,7 @@
   std::unique_ptr<checksummed::Scrub> scrub_;                 // null: none
   std::unique_ptr<OperatorCommands> commands_;                // null: no control socket
   std::unique_ptr<Control> control_;                          // null: no control socket
+  std::unique_ptr<management::Server> management_;            // null: no management calls
   std::unique_ptr<Replay> replay_;                            // null: none
   std::unique_ptr<FleetPublisher> fleet_;                     // null: not a member of a fleet
   std::string failure_;                                       // error that Run throws; empty: none
--- a/src/app/output_dispatcher.cpp
+++ b/src/app/output_dispatcher.cpp
@@ -1,5 +1,6 @@
 #include "app/output_dispatcher.h"
 
+#include <string>
 #include <utility>
 #include <variant>
 
@@ -96,4 +97,15 @@
   destinations_.http_targets->CheckHealth(output.target);
 }
 
+void OutputDispatcher::Execute(const core::CordonResult& output) const {
+  if (destinations_.management == nullptr) {
+    return;
+  }
+  const std::string state = output.cordoned ? " is cordoned" : " is not cordoned";
+  destinations_.management->Reply(
+      output.call, output.is_known ? management::FormatDone("target " + output.target + state)
+                                   : management::FormatError("no endpoint list has contained the target " +
+                                                             output.target));
+}
+
 }  // namespace walnutspur::app
--- a/src/app/output_dispatcher.h
+++ b/src/app/output_dispatcher.h
@@ -16,6 +16,7 @@
 #include "http/front_end.h"
 #include "http/target_pool.h"
 #include "loop/loop.h"
+#include "management/server.h"
 #include "nbd/front_end.h"
 
 namespace walnutspur::app {
@@ -29,6 +30,7 @@
   checksummed::ChecksummedExports* exports = nullptr;  // null: no NBD front end
   checksummed::Scrub* scrub = nullptr;                 // null: no scrub
   FleetPublisher* fleet = nullptr;                     // null: no fleet
+  management::Server* management = nullptr;            // null: no management calls
 };
 
 class OutputDispatcher {
@@ -46,6 +48,7 @@
   void Execute(const core::ArmTimer& output);
   void Execute(const core::OpenWatch& output) const;
   void Execute(const core::StartHealthCheck& output) const;
+  void Execute(const core::CordonResult& output) const;
   core::FrontEnd& FrontEndOf(core::Protocol protocol) const;
   core::Connector& ConnectorOf(core::Protocol protocol) const;
 
--- a/src/app/platform.cpp
+++ b/src/app/platform.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <charconv>
 #include <cstdint>
+#include <cstdlib>
 #include <exception>
 #include <fstream>
 
@@ -69,6 +70,14 @@
   }
 }
 
+// Sets what the configuration leaves to the environment.
+void ReadEnvironment(http::Config* config) {
+  const char* management = std::getenv("BALANCER_MANAGEMENT");
+  if (!config->management && management != nullptr && *management != '\0') {
+    config->management = loop::ParseAddress(management);
+  }
+}
+
 }  // namespace
 
 http::Config ParseConfig(const json& document) {
@@ -76,6 +85,9 @@
   config.name = document.value("name", "initiator");
   config.listen = loop::ParseAddress(document.at("listen").get<std::string>());
   config.discovery = loop::ParseAddress(document.at("discovery").get<std::string>());
+  if (const auto management = document.value("management", std::string()); !management.empty()) {
+    config.management = loop::ParseAddress(management);
+  }
   loop::ToSocket(config.discovery);  // throws on a host name: there is no DNS to resolve it
   config.seed = ParseSeed(document.value("seed", "0"));
   const json limits = document.value("limits", json::object());
@@ -92,7 +104,9 @@
     throw ConfigError("cannot read " + path);
   }
   try {
-    return ParseConfig(json::parse(file));
+    http::Config config = ParseConfig(json::parse(file));
+    ReadEnvironment(&config);
+    return config;
   } catch (const std::exception& error) {
     throw ConfigError(path + ": " + error.what());
   }
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <charconv>
+#include <optional>
 #include <utility>
 #include <variant>
 
@@ -125,14 +126,25 @@
   CompleteAttempt(position, input);
 }
 
-void Engine::HandleInput(const EndpointsUpdated& input) {
-  ProcessEvent(input.update);
-  const EndpointUpdateKind kind = input.update.kind;
+void Engine::HandleInput(const EndpointsUpdated& input) { UpdateEndpoints(cordons_.Overlay(input.update)); }
+
+void Engine::HandleInput(const CordonRequested& input) {
+  const std::optional<EndpointUpdate> update =
+      input.cordoned ? cordons_.Cordon(input.target, now_) : cordons_.Uncordon(input.target, now_);
+  if (update) {
+    UpdateEndpoints(*update);
+  }
+  outputs_.emplace_back(CordonResult{input.call, input.target, input.cordoned, update.has_value()});
+}
+
+void Engine::UpdateEndpoints(const EndpointUpdate& update) {
+  ProcessEvent(update);
+  const EndpointUpdateKind kind = update.kind;
   std::set<TargetId> unlisted;  // a complete list drains the targets that it omits
   if (kind == EndpointUpdateKind::kFull || kind == EndpointUpdateKind::kCached) {
     unlisted.swap(active_targets_);
   }
-  for (const Endpoint& endpoint : input.update.endpoints) {
+  for (const Endpoint& endpoint : update.endpoints) {
     unlisted.erase(endpoint.target);
     if (endpoint.state == EndpointState::kActive) {
       if (active_targets_.insert(endpoint.target).second) {
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -18,6 +18,7 @@
 #include <vector>
 
 #include "core/messages.h"
+#include "decision/cordon_table.h"
 #include "walnutspur/scheduler.h"
 
 namespace walnutspur::core {
@@ -46,7 +47,7 @@
   // use.
   std::size_t table_entries() const {
     return (scheduler_ ? scheduler_->table_entries() : 0) + requests_.size() + client_request_ids_.size() +
-           active_targets_.size() + pending_events_.size();
+           active_targets_.size() + pending_events_.size() + cordons_.table_entries();
   }
 
  private:
@@ -71,6 +72,7 @@
   void HandleInput(const TimerExpired& input);
   void HandleInput(const HealthCheckResult& input);
   void HandleInput(const FleetResized& input) { ProcessEvent(input.size); }
+  void HandleInput(const CordonRequested& input);
 
   void ExecuteAction(const SendAttempt& action);
   void ExecuteAction(const RejectRequest& action);
@@ -80,6 +82,8 @@
   void ExecuteAction(const CheckHealth& action);
   void ExecuteAction(const WatchEndpoints& action);
 
+  // Passes an update to the decisions and outputs which targets are activated and drained.
+  void UpdateEndpoints(const EndpointUpdate& update);
   // Passes an event to the decisions, executes the resulting actions, and processes the events that those
   // cause.
   void ProcessEvent(const Event& event);
@@ -102,6 +106,7 @@
   RequestTable requests_;
   std::set<std::string> client_request_ids_;  // ids of the open requests
   std::set<TargetId> active_targets_;
+  decision::CordonTable cordons_;
   std::vector<Output> outputs_;        // caused by the current input
   std::vector<Event> pending_events_;  // caused by actions; processed after the current event
 };
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -76,8 +76,14 @@
 struct FleetResized {
   FleetSize size;
 };
+// An operator cordons a target or ends its cordon.
+struct CordonRequested {
+  std::uint64_t call = 0;  // identifies the reply
+  TargetId target;
+  bool cordoned = true;
+};
 using Input = std::variant<RequestReceived, ClientClosed, DeadlineExpired, AttemptResult, EndpointsUpdated,
-                           TimerExpired, HealthCheckResult, FleetResized>;
+                           TimerExpired, HealthCheckResult, FleetResized, CordonRequested>;
 
 // ---- outputs ----
 
@@ -131,8 +137,15 @@
 struct StartHealthCheck {
   TargetId target;
 };
+// A CordonRequested has been executed; the outputs before this one are its effects.
+struct CordonResult {
+  std::uint64_t call = 0;
+  TargetId target;
+  bool cordoned = true;
+  bool is_known = true;  // false: no endpoint list has ever contained the target, and nothing was changed
+};
 using Output = std::variant<StartAttempt, AbortAttempt, DrainTarget, ActivateTarget, Response, ArmTimer,
-                            OpenWatch, StartHealthCheck>;
+                            OpenWatch, StartHealthCheck, CordonResult>;
 
 }  // namespace walnutspur::core
 
--- a/src/decision/endpoint_updates.cpp
+++ b/src/decision/endpoint_updates.cpp
@@ -73,7 +73,8 @@
 
 void ApplyEndpoints(SchedulerState& state, const EndpointUpdate& update) {
   const bool is_cached = update.kind == EndpointUpdateKind::kCached;
-  if (!is_cached) {
+  const bool from_discovery = !is_cached && update.kind != EndpointUpdateKind::kOverride;
+  if (from_discovery) {
     state.endpoint_poller.OnResponse();
     state.endpoint_lease.OnListConfirmed();
   }
@@ -84,7 +85,7 @@
     ApplyEndpoint(state, endpoint);
   }
   state.endpoints.ReassignShards();
-  if (!is_cached) {
+  if (from_discovery) {
     state.endpoints.OnListReceived(state.now);
   }
 }
@@ -105,6 +106,7 @@
     case EndpointUpdateKind::kDelta:
     case EndpointUpdateKind::kFull:
     case EndpointUpdateKind::kCached:
+    case EndpointUpdateKind::kOverride:
       ApplyEndpoints(state, update);
       return;
   }
--- a/src/http/config.h
+++ b/src/http/config.h
@@ -43,6 +43,7 @@
   std::string name;
   loop::Address listen;
   loop::Address discovery;
+  std::optional<loop::Address> management;  // where operators call; empty: nowhere
   std::uint64_t seed = 0;
   int sockets = 1024;   // maximum number of file descriptors of the process
   int memory_mb = 192;  // maximum memory of the process, MiB
--- a/src/http/front_end.h
+++ b/src/http/front_end.h
@@ -46,6 +46,7 @@
 
   // Makes readiness checks succeed from now on.
   void set_ready() { ready_ = true; }
+  bool ready() const { return ready_; }
 
   // Called with the stream of each accepted connection, before any input is read.
   std::function<void(bufferevent*)> on_accept;
--- a/src/loop/stream.cpp
+++ b/src/loop/stream.cpp
@@ -5,6 +5,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include <algorithm>
+
 namespace walnutspur::loop {
 
 void DisableNagle(evutil_socket_t fd) {
@@ -40,6 +42,12 @@
   return bytes;
 }
 
+std::string CopyInput(bufferevent* stream, std::size_t max_bytes) {
+  std::string bytes(std::min(max_bytes, BufferedInputBytes(stream)), '\0');
+  evbuffer_copyout(bufferevent_get_input(stream), bytes.data(), bytes.size());
+  return bytes;
+}
+
 std::string_view FirstInputChunk(bufferevent* stream) {
   evbuffer* input = bufferevent_get_input(stream);
   const std::size_t size = evbuffer_get_contiguous_space(input);
--- a/src/loop/stream.h
+++ b/src/loop/stream.h
@@ -37,6 +37,9 @@
 // Removes all bytes from the stream's input buffer and returns them.
 std::string TakeInput(bufferevent* stream);
 
+// Returns a copy of the first bytes of the input buffer, at most `max_bytes`, without removing them.
+std::string CopyInput(bufferevent* stream, std::size_t max_bytes);
+
 // Returns the first contiguous chunk of the input buffer without removing it; empty if the buffer is empty.
 // Valid until the stream is read or drained, or control returns to the event loop.
 std::string_view FirstInputChunk(bufferevent* stream);
--- a/tests/net/loopback_socket.cpp
+++ b/tests/net/loopback_socket.cpp
@@ -72,6 +72,8 @@
   return send(fd_, text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size());
 }
 
+void Socket::ShutdownSend() const { shutdown(fd_, SHUT_WR); }
+
 void Socket::Close(bool reset) {
   if (!open()) {
     return;
--- a/tests/net/loopback_socket.h
+++ b/tests/net/loopback_socket.h
@@ -33,6 +33,8 @@
   bool Fill(int ms);
   // Sends the text. Returns whether all of it was sent.
   bool Send(const std::string& text) const;
+  // Shuts down the sending side: the peer reads the end of the stream and may still send.
+  void ShutdownSend() const;
   // Closes with FIN, or with RST if `reset` is set.
   void Close(bool reset = false);
 
