--- a/src/lab/soak/load_client.cpp
+++ b/src/lab/soak/load_client.cpp
@@ -60,6 +60,7 @@
 
 void LoadClient::Connect(Connection& connection) {
   connection.stream = loop::MakeClientStream(base_);
+  connection.opened_at = core::Now();
   connection.is_connected = false;
   connection.was_used = false;
   loop::SetCallbacks(connection.stream.get(), &connection);
@@ -104,7 +105,9 @@
 }
 
 void LoadClient::WriteRequest(Connection& connection) {
-  record_->requests[connection.request_id].sent_at = core::Now();
+  ClientRequest& request = record_->requests[connection.request_id];
+  request.sent_at = core::Now();
+  request.opened_at = connection.was_used ? 0 : connection.opened_at;
   connection.response = http::MessageReader(http::MessageReader::Kind::kResponse);
   loop::Write(connection.stream.get(), connection.request_text);
   connection.deadline.Start(options_.deadline + kResponseGrace);
--- a/src/lab/soak/load_client.h
+++ b/src/lab/soak/load_client.h
@@ -52,6 +52,7 @@
     LoadClient* owner = nullptr;
     int number = 0;
     loop::StreamPtr stream;
+    Time opened_at = 0;  // us
     bool is_connected = false;
     bool was_used = false;   // carried a request before
     bool is_retry = false;   // the open request was sent while the idle connection was being closed
--- a/src/lab/soak/record.h
+++ b/src/lab/soak/record.h
@@ -40,6 +40,7 @@
   int shard = 0;
   bool is_idempotent = true;
   Time sent_at = 0;
+  Time opened_at = 0;    // when its connection was opened; 0: the connection has carried a request before
   Time deadline = 0;     // span from sent_at that the client waits, us
   Time finished_at = 0;  // time of the last byte of the response, or of the end without a response
   ClientResult result = ClientResult::kOpen;
--- a/src/lab/soak/record_events.cpp
+++ b/src/lab/soak/record_events.cpp
@@ -192,6 +192,14 @@
     }
   }
 
+  // Returns whether the process was killed after the request's connection had been opened and before the
+  // request was written: no process has accepted it.
+  bool WasWrittenAfterKill(const ClientRequest& request) const {
+    const auto& kills = TimesOf(record_.kills, request.process);
+    return request.result == ClientResult::kNoResponse && request.opened_at > 0 &&
+           FirstSince(kills, request.opened_at) <= request.sent_at;
+  }
+
   void AddEndOf(const ClientRequest& request, int number) {
     for (int response = 0; response < request.responses; ++response) {
       Add(request.finished_at, invariants::ResponseReceived{number, StatusOf(request.result)});
@@ -199,7 +207,8 @@
     if (request.responses == 0) {
       // A request that was open when its client was stopped has no recorded end.
       const Time at = std::max(request.sent_at, request.finished_at);
-      Add(at, invariants::ClientDisconnected{number, ReasonOf(request.result)});
+      const ClientResult result = WasWrittenAfterKill(request) ? ClientResult::kNotAccepted : request.result;
+      Add(at, invariants::ClientDisconnected{number, ReasonOf(result)});
     }
   }
 
--- a/tests/lab/record_checker_test.cpp
+++ b/tests/lab/record_checker_test.cpp
@@ -149,6 +149,23 @@
   CHECK(ViolatedBy(record).empty());
 }
 
+TEST_CASE(
+    "FindViolations: a request written after a kill to a connection opened before it needs no response") {
+  Record record = CleanRecord();
+  RemoveResponse(&record, kRead);
+  ClientRequest& request = record.requests[kRead];
+  record.kills[kProcess] = {request.sent_at - 1'000};
+  request.opened_at = request.sent_at - 2'000;
+  CHECK(ViolatedBy(record).empty());
+
+  // The connection was opened after the kill, or has carried a request before.
+  const std::vector<std::string> missing_response{std::string(name::kMissingResponse)};
+  request.opened_at = request.sent_at - 500;
+  CHECK(ViolatedBy(record) == missing_response);
+  request.opened_at = 0;
+  CHECK(ViolatedBy(record) == missing_response);
+}
+
 TEST_CASE(
     "FindViolations: after a drain a new process may use its first list for 6 s or until discovery fails") {
   // The process starts 1 s after the drain and gets no list from discovery. It sends 5.9 s after its start.
