--- a/include/walnutspur/events.h
+++ b/include/walnutspur/events.h
@@ -9,6 +9,7 @@
 #include <variant>
 #include <vector>
 
+#include "walnutspur/settings.h"
 #include "walnutspur/types.h"
 
 namespace walnutspur {
@@ -98,9 +99,16 @@
   int processes = 1;  // processes of this initiator: more than one while a process replaces another
 };
 
+// The settings have changed. The classes and plans of the former ones keep their indexes; a request under way
+// keeps its class. Instances, traffic fraction and processes do not change.
+struct SettingsChanged {
+  Settings settings;
+};
+
 // Any event.
-using Event = std::variant<Started, EndpointUpdate, RequestArrived, AttemptFinished, TimerFired,
-                           HealthCheckFinished, ClientDisconnected, ResponseStarted, FleetSize>;
+using Event =
+    std::variant<Started, EndpointUpdate, RequestArrived, AttemptFinished, TimerFired, HealthCheckFinished,
+                 ClientDisconnected, ResponseStarted, FleetSize, SettingsChanged>;
 
 }  // namespace walnutspur
 
--- a/include/walnutspur/settings.h
+++ b/include/walnutspur/settings.h
@@ -1,7 +1,7 @@
 // Settings of a Scheduler: classes of requests, plans of volumes, rules and capabilities.
 //
-// Passed once, to the Scheduler's constructor. Only Settings::instances, traffic_fraction and processes
-// change later: a FleetSize event replaces them.
+// Passed to the Scheduler's constructor. Later a FleetSize event replaces Settings::instances,
+// traffic_fraction and processes, and a SettingsChanged event the others.
 #ifndef WALNUTSPUR_SETTINGS_H_
 #define WALNUTSPUR_SETTINGS_H_
 
@@ -24,6 +24,8 @@
   double priority_weight = 1;       // weight earned by each unit served
   double late_weight_fraction = 0;  // fraction of the weight that a response after the objective earns
   bool ordered_by_key = false;      // requests with the same key are executed in order of arrival
+
+  bool operator==(const RequestClass&) const = default;
 };
 
 // A plan: the rates of one volume over all initiators and targets, in units per second.
--- a/src/app/initiator.cpp
+++ b/src/app/initiator.cpp
@@ -182,7 +182,7 @@
       base_.get(), config_, [this](EndpointUpdate update, const http::EndpointList& list) {
         OnEndpointList(std::move(update), list);
       });
-  reload_ = std::make_unique<ConfigurationReload>(&config_, discovery_.get());
+  reload_ = std::make_unique<ConfigurationReload>(base_.get(), &config_, discovery_.get(), submit_);
 }
 
 void Initiator::StartScheduler() {
--- a/src/app/platform.cpp
+++ b/src/app/platform.cpp
@@ -44,13 +44,27 @@
   return seed;
 }
 
+// The platform may add and remove classes without changing the list of those that write. A list of another
+// length does not tell which classes it is about.
 void ParseExtra(const json& extra, http::Config* config) {
   config->shards = extra.value("shards", 0);
-  config->writes = extra.value("changesData", config->writes);
-  if (!config->writes.empty() && config->writes.size() != config->settings.classes.size()) {
-    throw ConfigError("'settings.extra.changesData' has " + std::to_string(config->writes.size()) +
-                      " elements; allowed: one for each of the " +
-                      std::to_string(config->settings.classes.size()) + " classes");
+  const auto writes = extra.value("changesData", std::vector<bool>());
+  if (writes.size() == config->settings.classes.size()) {
+    config->writes.assign(writes.begin(), writes.end());
+  }
+}
+
+void CheckFigures(const Settings& settings) {
+  for (const RequestClass& request_class : settings.classes) {
+    if (request_class.deadline <= 0 || request_class.latency_objective <= 0) {
+      throw ConfigError("'settings.classes' has a class with deadline " +
+                        std::to_string(request_class.deadline) + " and aim " +
+                        std::to_string(request_class.latency_objective) + "; allowed: above 0");
+    }
+  }
+  if (settings.max_attempts <= 0) {
+    throw ConfigError("'settings.limits.tryLimit' is " + std::to_string(settings.max_attempts) +
+                      "; allowed: above 0");
   }
 }
 
@@ -59,6 +73,8 @@
   if (config->settings.classes.empty()) {
     throw ConfigError("'settings.classes' is empty; allowed: at least one class");
   }
+  CheckFigures(config->settings);
+  config->settings_document = settings;
   config->settings.sends_retry_after = true;  // HTTP has Retry-After; the simulator's protocol may omit it
   config->names = ParseAllNames(settings);
   ParseExtra(settings.value("extra", json::object()), config);
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -15,8 +15,13 @@
   };
 }
 
-Engine::Engine(const Settings& settings, DecisionFunction decide)
-    : decide_(std::move(decide)), max_attempts_(settings.max_attempts) {
+Engine::Engine(const Settings& settings, DecisionFunction decide) : decide_(std::move(decide)) {
+  ReadSettings(settings);
+}
+
+void Engine::ReadSettings(const Settings& settings) {
+  max_attempts_ = settings.max_attempts;
+  latency_objectives_.clear();
   for (const RequestClass& request_class : settings.classes) {
     latency_objectives_.push_back(request_class.latency_objective);
   }
@@ -138,6 +143,11 @@
   }
 }
 
+void Engine::HandleInput(const SettingsChanged& input) {
+  ReadSettings(input.settings);
+  ProcessEvent(input);
+}
+
 std::optional<EndpointUpdate> Engine::ChangeCordon(const CordonRequested& input) {
   if (!input.cordoned) {
     return cordons_.Uncordon(input.target, now_);
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -74,6 +74,8 @@
   void HandleInput(const HealthCheckResult& input);
   void HandleInput(const FleetResized& input) { ProcessEvent(input.size); }
   void HandleInput(const CordonRequested& input);
+  void HandleInput(const SettingsChanged& input);
+  void ReadSettings(const Settings& settings);
 
   void ExecuteAction(const SendAttempt& action);
   void ExecuteAction(const RejectRequest& action);
@@ -102,7 +104,7 @@
 
   std::unique_ptr<Scheduler> scheduler_;  // null if the caller passed a decision function
   DecisionFunction decide_;
-  int max_attempts_;
+  int max_attempts_ = 1;
   std::vector<Time> latency_objectives_;  // us, by request class
   std::size_t open_attempts_ = 0;         // attempts without an outcome, of all requests
   Time now_ = 0;                          // time of the current input, us
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -76,6 +76,8 @@
 struct FleetResized {
   FleetSize size;
 };
+// The settings have changed.
+using walnutspur::SettingsChanged;
 // An operator cordons a target or ends its cordon.
 struct CordonRequested {
   std::uint64_t call = 0;  // identifies the reply
@@ -84,7 +86,7 @@
   bool is_adopted = false;  // another process of this initiator was asked: the target may be unknown here
 };
 using Input = std::variant<RequestReceived, ClientClosed, DeadlineExpired, AttemptResult, EndpointsUpdated,
-                           TimerExpired, HealthCheckResult, FleetResized, CordonRequested>;
+                           TimerExpired, HealthCheckResult, FleetResized, CordonRequested, SettingsChanged>;
 
 // ---- outputs ----
 
--- a/src/decision/flow_table.cpp
+++ b/src/decision/flow_table.cpp
@@ -9,6 +9,8 @@
   if (flow.volume == nullptr) {
     flow.volume = volume;
     flow.shard = shard;
+  }
+  if (flow.queues.size() < class_count) {
     flow.queues.resize(class_count);
   }
   request->flow = &flow;
--- a/src/decision/flow_table.h
+++ b/src/decision/flow_table.h
@@ -75,7 +75,7 @@
   const std::map<int, ShardFlows>& shards() const { return shards_; }
 
   // Adds a request to its class's queue in the flow of `volume` at `shard` and sets the request's flow. The
-  // flow is created on first use, with one queue for each of `class_count` classes.
+  // flow is created on first use. It has a queue for each of `class_count` classes, whose number may grow.
   void Enqueue(const RequestRef& request, Volume* volume, int shard, QueuePosition position,
                std::size_t class_count);
 
--- a/src/decision/request.h
+++ b/src/decision/request.h
@@ -25,7 +25,8 @@
 struct RequestState : std::enable_shared_from_this<RequestState> {
   RequestId id;
   int class_index = 0;
-  std::string key;  // key of the data, used to order requests (key_order.h); not the idempotency key
+  std::string key;         // key of the data, used to order requests (key_order.h); not the idempotency key
+  std::string new_object;  // name of the new object (object_locations.h); empty: an existing one
   double units = 1;
   Time arrived_at = 0;
   Time objective_at = 0;  // end of the latency objective
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -46,9 +46,21 @@
   request->deadline = state.now + arrival.ttl;
   request->objective_at = ObjectiveEnd(state, *request, arrival);
   request->any_target = arrival.shard < 0;
+  if (request->any_target) {
+    request->new_object = ObjectName(arrival.volume, arrival.key);
+  }
   return request;
 }
 
+// Returns the shard that holds the data of a request for an existing object: for a read, the shard at which
+// this instance has stored the object, if it has.
+int ShardOf(const SchedulerState& state, const RequestState& request, const RequestArrived& arrival) {
+  if (state.ClassOf(request).idempotency != Idempotency::kIdempotent) {
+    return arrival.shard;
+  }
+  return state.object_locations.Find(ObjectName(arrival.volume, arrival.key)).value_or(arrival.shard);
+}
+
 // Handles the events of one Scheduler.
 class EventHandler {
  public:
@@ -108,7 +120,8 @@
     Volume& volume = VolumeOf(state_, arrival);
     volume.demand.Add(request->units);
     volume.last_arrival = state_.now;
-    Enqueue(state_, request, volume, request->any_target ? PlaceNewObject(state_, *request) : arrival.shard);
+    Enqueue(state_, request, volume,
+            request->any_target ? PlaceNewObject(state_, *request) : ShardOf(state_, *request, arrival));
     DispatchShard(request->flow->shard);
     if (request->target == nullptr && !MayWaitOnArrival(state_, *request)) {
       Finish(request);
@@ -158,6 +171,8 @@
 
   void On(const HealthCheckFinished&) {}
 
+  void On(const SettingsChanged& change) { state_.ReplaceSettings(change.settings); }
+
   void On(const FleetSize& fleet) {
     // Each process of an initiator acts as an instance of its own, so that their sum keeps to the limits.
     state_.settings.processes = std::max(1, fleet.processes);
@@ -173,6 +188,9 @@
     UpdateBackoff(result.outcome, target);
     state_.outliers.Record(result.outcome, target.zone, state_.now, target.outcomes);
     RecordLatency(state_, request, result, target);
+    if (result.outcome == Outcome::kCompleted && request.any_target) {
+      state_.object_locations.Add(request.new_object, target.shard);
+    }
     if (MayHaveRun(result.outcome) && !request.possible_effect.exists()) {
       request.possible_effect = {request.sent_at, target.shard, target.zone};
     }
--- a/src/decision/state.cpp
+++ b/src/decision/state.cpp
@@ -1,6 +1,7 @@
 #include "decision/state.h"
 
 #include <algorithm>
+#include <utility>
 
 namespace walnutspur::decision {
 namespace {
@@ -31,6 +32,18 @@
   }
 }
 
+void SchedulerState::ReplaceSettings(const Settings& next) {
+  Settings former = std::move(settings);
+  settings = next;
+  settings.instances = former.instances;
+  settings.traffic_fraction = former.traffic_fraction;
+  settings.processes = former.processes;
+  settings.plans = std::move(former.plans);
+  const std::size_t plans = std::min(settings.plans.size(), next.plans.size());
+  std::copy_n(next.plans.begin(), plans, settings.plans.begin());
+  tightest_objective = TightestObjective(settings);
+}
+
 std::size_t SchedulerState::table_entries() const {
   return endpoints.table_entries() + volumes.size() + requests.size() + key_order.size() +
          retry_budget.table_entries() + flows.flow_count();
--- a/src/decision/state.h
+++ b/src/decision/state.h
@@ -17,6 +17,7 @@
 #include "decision/fleet_latency.h"
 #include "decision/flow_table.h"
 #include "decision/key_order.h"
+#include "decision/object_locations.h"
 #include "decision/random_source.h"
 #include "decision/request_table.h"
 #include "decision/volume.h"
@@ -34,6 +35,9 @@
   SchedulerState(const Settings& initial_settings, const limits::AdaptiveLimits& initial_limits,
                  std::uint64_t seed);
 
+  // Replaces the settings, except for the size of the fleet. Volumes keep the addresses of their plans.
+  void ReplaceSettings(const Settings& next);
+
   // Returns the time elapsed since `at`.
   Duration Since(Time at) const { return Elapsed(at, now); }
   const RequestClass& ClassOf(const RequestState& request) const {
@@ -63,6 +67,7 @@
   FlowTable flows;
   VolumeTable volumes;
   KeyOrder key_order;
+  ObjectLocations object_locations;
   limits::RetryBudget retry_budget;
   ClientWait client_wait;
   double served_rate = 0;  // steady rate of service to this instance at all targets
--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -8,8 +8,13 @@
 namespace walnutspur::http {
 namespace {
 
-// A request must be complete within this time (us) from its first byte; the first one, from connecting.
+// A request's head must be complete within this time (us) from its first byte; the first one, from
+// connecting. After that, at least kMinBodyBytes of its body must arrive in each such period.
 constexpr Time kRequestTimeout = 2'500'000;
+constexpr std::size_t kMinBodyBytes = 40'000;
+
+// Maximum number of bytes of a streamed response that the client has not read.
+constexpr std::size_t kMaxUnwrittenBytes = 32 << 10;
 
 // Idle time (us) after which a connection is closed. It is shorter after the first request because many
 // clients send only one.
@@ -46,11 +51,7 @@
       shutdown_(shutdown),
       number_(number),
       last_active_(core::Now()),
-      request_timeout_(
-          loop::MakeTimer(base,
-                          [this] {
-                            Reject({kStatusRequestTimeout, "the request did not become whole in time"});
-                          })),
+      request_timeout_(loop::MakeTimer(base, [this] { OnRequestTimeout(); })),
       idle_timeout_(loop::MakeTimer(base, [this] { handler_->Close(*this); })),
       write_timeout_(loop::MakeTimer(base, [this] { handler_->Close(*this); })),
       read_pause_(loop::MakeTimer(base,
@@ -65,6 +66,12 @@
   bufferevent_setwatermark(stream_.get(), EV_READ, 0, kMaxReadAhead);
 }
 
+ClientConnection::~ClientConnection() {
+  if (body_) {
+    body_->Abandon();
+  }
+}
+
 void ClientConnection::Enable() { bufferevent_enable(stream_.get(), EV_READ | EV_WRITE); }
 
 void ClientConnection::SetTimeInBacklog(Time max_wait) {
@@ -93,11 +100,11 @@
   if (closing_) {
     return DiscardInputAfterClose(chunk.size());
   }
-  if (pending_request_ != 0 && loop::BufferedInputBytes(stream_.get()) >= kMaxReadAhead) {
+  if (is_responding() && loop::BufferedInputBytes(stream_.get()) >= kMaxReadAhead) {
     return DiscardPipelinedInput();
   }
   const bool paused = (bufferevent_get_enabled(stream_.get()) & EV_READ) == 0;
-  if (pending_request_ != 0 || paused) {
+  if (is_responding() || paused) {
     return false;
   }
   if (!reader_.started() && requests_read_ > 0) {
@@ -109,7 +116,27 @@
   return true;
 }
 
+// A request that is too slow is rejected, so that its client does not hold a connection for long.
+void ClientConnection::OnRequestTimeout() {
+  const std::size_t received = reader_.body().size();
+  if (is_head_read_ && received >= body_bytes_checked_ + kMinBodyBytes) {
+    body_bytes_checked_ = received;
+    request_timeout_.Start(kRequestTimeout);
+    return;
+  }
+  Reject({kStatusRequestTimeout, "the request did not become whole in time"});
+}
+
 void ClientConnection::OnRequestProgress() {
+  if (reader_.head_complete() && !std::exchange(is_head_read_, true)) {
+    request_timeout_.Start(kRequestTimeout);
+  }
+  const std::size_t size = reader_.declared_body_bytes();
+  if (size > kProtocolBodyBytes && !handler_->ReserveBody(*this, size)) {
+    close_after_response_ = true;  // the rest of the body follows
+    Reject({kStatusUnavailable, "no memory for the body"});
+    return;
+  }
   if (reader_.malformed()) {
     close_after_response_ = true;  // the start of the next request is unknown
     Reject({reader_.status(), reader_.error()});
@@ -151,6 +178,10 @@
 // Handles a completely written response; the last one closes the connection.
 void ClientConnection::OnWritten() {
   write_timeout_.Stop();
+  if (body_) {
+    PassOnBody();
+    return;
+  }
   if (closing_) {
     loop::ShutdownWrites(stream_.get());
   }
@@ -163,13 +194,70 @@
 }
 
 void ClientConnection::Respond(int status, std::string_view body, std::string_view headers) {
+  BeginResponse();
+  loop::Write(stream_.get(), FormatResponse(status, body, headers, close_after_response_));
+  EndResponse();
+}
+
+void ClientConnection::RespondStreaming(std::string_view headers, std::shared_ptr<BodyStream> body) {
+  body_ = std::move(body);
+  has_chunked_body_ = !body_->length() && !reader_.is_http_1_0();
+  if (!body_->length() && !has_chunked_body_) {
+    close_after_response_ = true;  // the end of the connection ends the body
+  }
+  BeginResponse();
+  loop::Write(stream_.get(),
+              FormatStreamHead(body_->length(), has_chunked_body_, headers, close_after_response_));
+  body_->SetReceiver([this] { PassOnBody(); });
+  PassOnBody();
+}
+
+void ClientConnection::PassOnBody() {
+  while (loop::UnwrittenBytes(stream_.get()) < kMaxUnwrittenBytes) {
+    const std::string part = body_->Take(kMaxUnwrittenBytes);
+    if (part.empty()) {
+      break;
+    }
+    WritePart(part);
+  }
+  if (body_->has_failed()) {
+    loop::ResetOnClose(stream_.get());
+    handler_->Close(*this);
+    return;
+  }
+  if (!body_->is_complete()) {
+    return;
+  }
+  if (has_chunked_body_) {
+    loop::Write(stream_.get(), kLastChunk);
+  }
+  body_.reset();
+  EndResponse();
+  ResumeReading();
+}
+
+void ClientConnection::WritePart(std::string_view bytes) {
+  write_timeout_.Start(kWriteTimeout);
+  if (has_chunked_body_) {
+    loop::Write(stream_.get(), FormatChunk(bytes));
+  } else {
+    loop::Write(stream_.get(), bytes);
+  }
+}
+
+void ClientConnection::BeginResponse() {
   close_after_response_ =
       close_after_response_ || shutdown_.closes_after_response() || !reader_.keeps_alive();
-  const std::string text = FormatResponse(status, body, headers, close_after_response_);
-  reader_ = MessageReader(MessageReader::Kind::kRequest);
+  reader_ = MessageReader(MessageReader::Kind::kRequest, kMaxRequestBodyBytes);
+  is_head_read_ = false;
+  body_bytes_checked_ = 0;
   continue_sent_ = false;
   last_active_ = core::Now();
   request_timeout_.Stop();
+}
+
+void ClientConnection::EndResponse() {
+  last_active_ = core::Now();
   if (close_after_response_) {
     closing_ = true;
     linger_timeout_.Start(kLingerTimeout);
@@ -177,7 +265,6 @@
     idle_timeout_.Start(requests_read_ > 1 ? kIdleTimeout : kIdleTimeoutAfterFirstRequest);
   }
   write_timeout_.Start(kWriteTimeout);
-  loop::Write(stream_.get(), text);
 }
 
 void ClientConnection::Reject(const Rejection& rejection) {
@@ -205,7 +292,7 @@
 }
 
 bool ClientConnection::IsIdle() const {
-  return pending_request_ == 0 && !reader_.started() && loop::BufferedInputBytes(stream_.get()) == 0 &&
+  return !is_responding() && !reader_.started() && loop::BufferedInputBytes(stream_.get()) == 0 &&
          loop::UnwrittenBytes(stream_.get()) == 0;
 }
 
@@ -218,7 +305,7 @@
 }
 
 frontend::ConnectionActivity ClientConnection::activity() const {
-  if (pending_request_ != 0) {
+  if (is_responding()) {
     return frontend::ConnectionActivity::kAwaitingResponse;
   }
   const bool idle = IsIdle() && !HasUnreadBytes();
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -7,6 +7,7 @@
 
 #include <cstddef>
 #include <cstdint>
+#include <memory>
 #include <string>
 #include <string_view>
 #include <utility>
@@ -14,6 +15,7 @@
 #include "core/engine.h"
 #include "frontend/eviction_policy.h"
 #include "frontend/shutdown_sequence.h"
+#include "http/body_stream.h"
 #include "http/message_reader.h"
 #include "http/response_text.h"
 #include "loop/stream.h"
@@ -29,6 +31,8 @@
   virtual void OnRequest(ClientConnection& client) = 0;
   // Closes and destroys the connection. Does nothing if it is already closed.
   virtual void Close(ClientConnection& client) = 0;
+  // Reserves memory for the body of the current request. Returns whether there is enough.
+  virtual bool ReserveBody(ClientConnection& client, std::size_t bytes) = 0;
   // Returns whether the connection with this number still exists.
   virtual bool IsOpen(std::uint64_t connection_number) const = 0;
 
@@ -41,6 +45,9 @@
   // `handler` and `shutdown` must outlive the connection. Call Enable to start reading.
   ClientConnection(event_base* base, std::uint64_t number, loop::StreamPtr stream,
                    ClientConnectionHandler* handler, const frontend::ShutdownSequence& shutdown);
+  ~ClientConnection();
+  ClientConnection(const ClientConnection&) = delete;
+  ClientConnection& operator=(const ClientConnection&) = delete;
 
   void Enable();
   // Sets the maximum time (us) that the connection may have spent in the accept queue. It counts for the
@@ -54,6 +61,9 @@
 
   // Sends a response. The front end must no longer hold a pending request of this connection.
   void Respond(int status, std::string_view body, std::string_view headers = {});
+  // Sends a response with status 200 whose body is passed on while it arrives. If the body breaks before its
+  // end, the connection is reset.
+  void RespondStreaming(std::string_view headers, std::shared_ptr<BodyStream> body);
   // Sends a response to a rejected request and pauses reading. The pause limits how many invalid requests are
   // read per second, so that a flood of them does not starve other clients.
   void Reject(const Rejection& rejection);
@@ -93,24 +103,37 @@
   bool DiscardInputAfterClose(std::size_t size);
   bool DiscardPipelinedInput();
   void OnRequestProgress();
+  void OnRequestTimeout();
+  // Returns whether a request has no complete response yet.
+  bool is_responding() const { return pending_request_ != 0 || body_ != nullptr; }
+  // The steps of a response before its head is written, and after its last byte.
+  void BeginResponse();
+  void EndResponse();
+  // Writes what has arrived of a streamed body, as far as the client reads it.
+  void PassOnBody();
+  void WritePart(std::string_view bytes);
 
   ClientConnectionHandler* handler_;
   const frontend::ShutdownSequence& shutdown_;
   std::uint64_t number_;
-  MessageReader reader_{MessageReader::Kind::kRequest};
+  MessageReader reader_{MessageReader::Kind::kRequest, kMaxRequestBodyBytes};
   core::RequestNumber pending_request_ = 0;
-  Time last_active_;                   // when the last response was sent, or else when the client connected
-  std::uint64_t requests_read_ = 0;    // complete requests
-  Time time_in_backlog_ = 0;           // of the first request, us
-  bool continue_sent_ = false;         // "100 Continue" was sent for the current request
-  bool close_after_response_ = false;  // the connection is closed after the next response
-  bool closing_ = false;               // writing is shut down, or will be soon; further input is discarded
-  std::size_t discarded_bytes_ = 0;    // input that belongs to no served request
-  loop::EventHandle request_timeout_;  // from a request's first byte, or from connecting, to its last byte
-  loop::EventHandle idle_timeout_;     // while there is no request
-  loop::EventHandle write_timeout_;    // limits how long the client may take to read a response
-  loop::EventHandle read_pause_;       // after a rejected request
-  loop::EventHandle linger_timeout_;   // after the last response, to let the client close first
+  Time last_active_;                    // when the last response was sent, or else when the client connected
+  std::uint64_t requests_read_ = 0;     // complete requests
+  bool is_head_read_ = false;           // of the current request
+  std::size_t body_bytes_checked_ = 0;  // of the current request, at the last check of its progress
+  std::shared_ptr<BodyStream> body_;    // of the response that is being passed on; null: none
+  bool has_chunked_body_ = false;       // body_ is written in chunks
+  Time time_in_backlog_ = 0;            // of the first request, us
+  bool continue_sent_ = false;          // "100 Continue" was sent for the current request
+  bool close_after_response_ = false;   // the connection is closed after the next response
+  bool closing_ = false;                // writing is shut down, or will be soon; further input is discarded
+  std::size_t discarded_bytes_ = 0;     // input that belongs to no served request
+  loop::EventHandle request_timeout_;   // from a request's first byte, or from connecting, to its last byte
+  loop::EventHandle idle_timeout_;      // while there is no request
+  loop::EventHandle write_timeout_;     // limits how long the client may take to read a response
+  loop::EventHandle read_pause_;        // after a rejected request
+  loop::EventHandle linger_timeout_;    // after the last response, to let the client close first
   loop::StreamPtr stream_;
 };
 
--- a/src/http/config.h
+++ b/src/http/config.h
@@ -1,5 +1,5 @@
 // Configuration of an initiator's HTTP components. app/platform.h reads it from the platform's file.
-// Plain data; written once at startup, except for the discovery address.
+// Plain data; written at startup and by a reload of the configuration.
 #ifndef WALNUTSPUR_HTTP_CONFIG_H_
 #define WALNUTSPUR_HTTP_CONFIG_H_
 
@@ -25,10 +25,10 @@
   std::vector<std::string> kinds;
 };
 
-// Returns the index of a name, or -1 if it is not listed.
+// Returns the index of a name, or -1 if it is empty or not listed.
 inline int IndexOf(const std::vector<std::string>& names, const std::string& name) {
   const auto at = std::find(names.begin(), names.end(), name);
-  return at == names.end() ? -1 : static_cast<int>(at - names.begin());
+  return name.empty() || at == names.end() ? -1 : static_cast<int>(at - names.begin());
 }
 
 // Options for digest fields (RFC 9530), from the settings file. The platform does not enable them.
@@ -50,13 +50,15 @@
   std::size_t memory_bytes() const { return static_cast<std::size_t>(memory_mb) << 20; }
   walnutspur::Settings settings;
   Names names;
-  int shards = 0;            // number of shards; 0: unknown
-  std::vector<bool> writes;  // whether each class is for writes, by class index; empty: unknown
+  int shards = 0;  // number of shards; 0: unknown
+  // Whether each class is for writes, by class index; empty, or nullopt for a class: unknown.
+  std::vector<std::optional<bool>> writes;
   walnutspur::Time idle_timeout = 30'000'000;  // us until targets close an idle connection
   walnutspur::Time connect_timeout = 250'000;  // us
   walnutspur::Time max_deadline = 0;           // us, maximum over all classes
   DigestOptions digests;
-  nlohmann::json cached_list;  // the last run's endpoint list in the discovery format; null: none
+  nlohmann::json settings_document;  // the text of `settings`
+  nlohmann::json cached_list;        // the last run's endpoint list in the discovery format; null: none
 };
 
 }  // namespace walnutspur::http
--- a/src/http/front_end.cpp
+++ b/src/http/front_end.cpp
@@ -37,6 +37,17 @@
 // Responses that clients have not read yet may use the process's memory limit divided by this number.
 constexpr std::size_t kUnreadMemoryDivisor = 4;
 
+// Large request bodies may use the process's memory limit divided by this number.
+constexpr std::size_t kRequestBodyMemoryDivisor = 4;
+
+// Ends the stream of a response that has no client any more.
+void AbandonStream(const core::Response& response) {
+  const auto* served = dynamic_cast<const Response*>(response.payload.get());
+  if (served != nullptr && served->stream) {
+    served->stream->Abandon();
+  }
+}
+
 }  // namespace
 
 FrontEnd::FrontEnd(event_base* base, const Config& config, core::RequestNumbers* request_numbers,
@@ -168,15 +179,17 @@
 void FrontEnd::Respond(const core::Response& response) {
   const auto pending = pending_.TakeCompleted(response.request);
   if (!pending) {
-    return;  // the client has disconnected
+    AbandonStream(response);  // the client has disconnected
+    return;
   }
   ClientConnection& client = *clients_.at(pending->origin);
   client.ClearPendingRequest();
+  body_budget_.Release(client.number());
   shutdown_.OnResponse(pending->latency);
   switch (response.status) {
     case core::ResponseStatus::kServed:
       RespondServed(client, static_cast<const Response&>(*response.payload));
-      break;
+      return;
     case core::ResponseStatus::kRejected:
       client.Respond(kStatusUnavailable, "refused\n",
                      HeaderLine("Retry-After", Seconds(response.retry_after)));
@@ -195,11 +208,16 @@
 }
 
 void FrontEnd::RespondServed(ClientConnection& client, const Response& served) const {
+  if (served.stream) {
+    client.RespondStreaming(served.headers, served.stream);  // may close the client's connection
+    return;
+  }
   if (HasMemoryFor(served.body.size())) {
     client.Respond(kStatusOk, served.body, served.headers);
   } else {
     client.Respond(kStatusInternalError, "no room for the answer\n");
   }
+  client.ResumeReading();
 }
 
 // Returns whether a response fits into memory. Limits the total size of unread responses that are larger than
@@ -214,6 +232,10 @@
   return size <= config_.memory_bytes() / kUnreadMemoryDivisor;
 }
 
+bool FrontEnd::ReserveBody(ClientConnection& client, std::size_t bytes) {
+  return body_budget_.Reserve(client.number(), bytes, config_.memory_bytes() / kRequestBodyMemoryDivisor);
+}
+
 bool FrontEnd::IsClientConnected(core::RequestNumber request) {
   const std::uint64_t* connection = pending_.Find(request);
   if (connection == nullptr) {
@@ -234,6 +256,7 @@
   }
   const std::unique_ptr<ClientConnection> closed = std::move(at->second);
   clients_.erase(at);
+  body_budget_.Release(closed->number());
   pending_.RemoveDisconnected(closed->pending_request());
 }
 
--- a/src/http/front_end.h
+++ b/src/http/front_end.h
@@ -17,6 +17,7 @@
 #include "frontend/eviction_policy.h"
 #include "frontend/pending_requests.h"
 #include "frontend/shutdown_sequence.h"
+#include "http/body_budget.h"
 #include "http/client_connection.h"
 #include "http/config.h"
 #include "http/messages.h"
@@ -64,6 +65,7 @@
  private:
   void OnRequest(ClientConnection& client) override;
   void Close(ClientConnection& client) override;
+  bool ReserveBody(ClientConnection& client, std::size_t bytes) override;
   bool IsOpen(std::uint64_t connection_number) const override { return clients_.contains(connection_number); }
 
   loop::ListenerCallbacks MakeListenerCallbacks();
@@ -85,7 +87,8 @@
   std::size_t max_connections_ = 1;
   std::uint64_t next_connection_ = 1;
   std::unordered_map<std::uint64_t, std::unique_ptr<ClientConnection>> clients_;  // by number
-  frontend::PendingRequests<std::uint64_t> pending_;                              // by connection number
+  BodyBudget body_budget_;
+  frontend::PendingRequests<std::uint64_t> pending_;  // by connection number
   loop::IterationClock turn_clock_;
   loop::Listener listener_;
   loop::EventHandle close_listener_timer_;  // while connections that are being established arrive
--- a/src/http/message_reader.cpp
+++ b/src/http/message_reader.cpp
@@ -328,6 +328,7 @@
     MarkMalformed(kStatusContentTooLarge, "the body is too long");
     return;
   }
+  declared_length_ = remaining_bytes_;
   state_ = remaining_bytes_ > 0 ? State::kBody : State::kComplete;
 }
 
--- a/src/http/message_reader.h
+++ b/src/http/message_reader.h
@@ -4,21 +4,26 @@
 // Parsing is strict because the next message begins where this one ends: any ambiguity of the length (a
 // repeated Content-Length, one beside Transfer-Encoding, or one that is not plain digits) makes the message
 // malformed, and its connection cannot be used further. The reader buffers no more than its limits,
-// regardless of the length that a message declares.
+// regardless of the length that a message declares; its owner may take the body in parts.
 #ifndef WALNUTSPUR_HTTP_MESSAGE_READER_H_
 #define WALNUTSPUR_HTTP_MESSAGE_READER_H_
 
 #include <cstddef>
 #include <cstdint>
+#include <optional>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 namespace walnutspur::http {
 
-// Maximum body size of the protocol. Larger responses of targets are accepted while memory is available.
+// Usual maximum of a body. Larger responses are streamed, larger requests are read within a budget.
 constexpr std::size_t kProtocolBodyBytes = 64 << 10;
 
+// Maximum body of a request.
+constexpr std::size_t kMaxRequestBodyBytes = 32 << 20;
+
 class MessageReader {
  public:
   enum class Kind { kRequest, kResponse };
@@ -48,6 +53,16 @@
   // Returns all values of a list header, joined by commas (RFC 9110, 5.3); empty if the header is absent.
   std::string Joined(std::string_view name) const;
   std::string& body() { return body_; }
+  const std::string& body() const { return body_; }
+  // Removes the body's bytes that have arrived and returns them, for a body that is passed on in parts.
+  std::string TakeBody() { return std::exchange(body_, {}); }
+  // Returns whether the head has ended, so that method, headers and framing are known.
+  bool head_complete() const {
+    return state_ != State::kStartLine && state_ != State::kFields && state_ != State::kMalformed;
+  }
+  // Returns the size that the head declares for the body; nullopt if the body has another framing.
+  std::optional<std::uint64_t> declared_length() const { return declared_length_; }
+  bool is_http_1_0() const { return is_http_1_0_; }
   // Returns the number of body bytes that have arrived or are declared so far.
   std::size_t declared_body_bytes() const {
     return body_.size() + static_cast<std::size_t>(remaining_bytes_);
@@ -104,6 +119,7 @@
   bool keeps_alive_ = true;
   bool expects_continue_ = false;
   std::vector<Field> fields_;
+  std::optional<std::uint64_t> declared_length_;
   std::uint64_t remaining_bytes_ = 0;  // bytes left of the body or the chunk
   std::string body_;
   int status_ = 0;
--- a/src/http/messages.cpp
+++ b/src/http/messages.cpp
@@ -65,9 +65,14 @@
   }
   const char* not_run = header("X-Not-Run");
   const bool says_not_run = not_run != nullptr && std::strcmp(not_run, "1") == 0;
-  if ((code == kStatusUnavailable || code == kStatusGatewayTimeout) && says_not_run) {
+  if (code == kStatusUnavailable && says_not_run) {
     return Outcome::kOverloaded;
   }
+  // The target does not hold the request's shard, or the request is already over: it says nothing of its
+  // load.
+  if (code == kStatusGatewayTimeout && says_not_run) {
+    return Outcome::kNotSent;
+  }
   return Outcome::kErrored;
 }
 
--- a/src/http/messages.h
+++ b/src/http/messages.h
@@ -4,12 +4,14 @@
 #define WALNUTSPUR_HTTP_MESSAGES_H_
 
 #include <functional>
+#include <memory>
 #include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
 #include "core/engine.h"
+#include "http/body_stream.h"
 #include "http/config.h"
 #include "http/message_reader.h"
 
@@ -27,8 +29,9 @@
 
 // The response of a target that has completed a request.
 struct Response : core::Payload {
-  std::string body;
-  std::string headers;  // lines to forward, each with CR LF: digest fields
+  std::string body;                    // complete, without `stream`
+  std::shared_ptr<BodyStream> stream;  // the body, passed on while it arrives; null: none
+  std::string headers;                 // lines to forward, each with CR LF: digest fields
 };
 
 // The digest fields of a message, and whether its content matches them.
--- a/src/http/request_headers.cpp
+++ b/src/http/request_headers.cpp
@@ -139,7 +139,9 @@
   if (!request.is_put && !request.body.empty()) {
     return "a GET has no body";
   }
-  if (!config.writes.empty() && config.writes[static_cast<std::size_t>(request_class)] != request.is_put) {
+  const std::optional<bool> is_write =
+      config.writes.empty() ? std::nullopt : config.writes[static_cast<std::size_t>(request_class)];
+  if (is_write && *is_write != request.is_put) {
     return request.is_put ? "this class reads: it is a GET" : "this class writes: it is a PUT";
   }
   return std::nullopt;
--- a/src/http/response_text.cpp
+++ b/src/http/response_text.cpp
@@ -1,8 +1,15 @@
 #include "http/response_text.h"
 
+#include <array>
+#include <charconv>
+#include <cstddef>
+
 namespace walnutspur::http {
 namespace {
 
+// Maximum number of hexadecimal digits of a chunk's size.
+constexpr std::size_t kMaxChunkSizeDigits = 16;
+
 const char* ReasonPhrase(int status) {
   switch (status) {
     case kStatusOk:
@@ -47,6 +54,31 @@
   return text;
 }
 
+std::string FormatStreamHead(std::optional<std::uint64_t> length, bool chunked, std::string_view headers,
+                             bool close) {
+  std::string text = "HTTP/1.1 200 OK\r\n" + HeaderLine("Content-Type", "application/octet-stream");
+  if (length) {
+    text += HeaderLine("Content-Length", std::to_string(*length));
+  } else if (chunked) {
+    text += HeaderLine("Transfer-Encoding", "chunked");
+  }
+  text += headers;
+  if (close) {
+    text += HeaderLine("Connection", "close");
+  }
+  return text + "\r\n";
+}
+
+std::string FormatChunk(std::string_view bytes) {
+  std::array<char, kMaxChunkSizeDigits> digits{};
+  const char* const end = std::to_chars(digits.data(), digits.data() + digits.size(), bytes.size(), 16).ptr;
+  std::string chunk(digits.data(), end);
+  chunk += "\r\n";
+  chunk += bytes;
+  chunk += "\r\n";
+  return chunk;
+}
+
 std::string HeaderLine(const std::string& name, const std::string& value) {
   return name + ": " + value + "\r\n";
 }
--- a/src/http/response_text.h
+++ b/src/http/response_text.h
@@ -2,6 +2,8 @@
 #ifndef WALNUTSPUR_HTTP_RESPONSE_TEXT_H_
 #define WALNUTSPUR_HTTP_RESPONSE_TEXT_H_
 
+#include <cstdint>
+#include <optional>
 #include <string>
 #include <string_view>
 
@@ -33,6 +35,14 @@
 // is closed after the response, and a "Connection: close" header announces it.
 std::string FormatResponse(int status, std::string_view body, std::string_view headers, bool close);
 
+// Formats the head of a response with status 200 whose body is sent later. Without a length the body has the
+// chunked framing, or ends with the connection if `chunked` is false.
+std::string FormatStreamHead(std::optional<std::uint64_t> length, bool chunked, std::string_view headers,
+                             bool close);
+// Formats a part of a chunked body, and its end.
+std::string FormatChunk(std::string_view bytes);
+inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
+
 // Formats a header line with CR LF, such as "Content-Digest: VALUE".
 std::string HeaderLine(const std::string& name, const std::string& value);
 
--- a/src/http/target_connection.cpp
+++ b/src/http/target_connection.cpp
@@ -10,7 +10,12 @@
 namespace walnutspur::http {
 namespace {
 
-constexpr std::size_t kMaxResponseBodyBytes = 1 << 20;
+// Maximum body of a response; the pool decides whether it is streamed, read completely or abandoned.
+constexpr std::size_t kMaxResponseBodyBytes = 32 << 20;
+
+// Time from the head of a response without a length until it is streamed, us. A short response is complete by
+// then, and one that breaks can be retried.
+constexpr Time kHoldTime = 75'000;
 
 }  // namespace
 
@@ -22,11 +27,14 @@
       connect_timeout_(loop::MakeTimer(base, [this] { handler_->OnConnectTimeout(*this); })),
       settle_timer_(loop::MakeTimer(base, [this] { handler_->OnSettled(*this); })),
       attempt_timeout_(loop::MakeTimer(base, [this] { handler_->OnAttemptTimeout(*this); })),
+      hold_timer_(loop::MakeTimer(base, [this] { handler_->OnHoldTimeout(*this); })),
       idle_timeout_(loop::MakeTimer(base, [this] { handler_->OnIdleTimeout(*this); })),
       stream_(std::move(stream)) {
   loop::SetCallbacks(stream_.get(), this);
 }
 
+TargetConnection::~TargetConnection() { EndStreaming(); }
+
 bool TargetConnection::Connect(const sockaddr_in& address) {
   bufferevent_enable(stream_.get(), EV_READ | EV_WRITE);
   return loop::Connect(stream_.get(), address);
@@ -45,9 +53,17 @@
 void TargetConnection::Assign(Attempt attempt) {
   attempt_ = std::move(attempt);
   response_ = MessageReader(MessageReader::Kind::kResponse, kMaxResponseBodyBytes);
+  is_held_ = false;
+}
+
+void TargetConnection::HoldBody() {
+  if (!std::exchange(is_held_, true)) {
+    hold_timer_.Start(kHoldTime);
+  }
 }
 
 Attempt TargetConnection::ReleaseAttempt() {
+  hold_timer_.Stop();
   connect_timeout_.Stop();
   settle_timer_.Stop();
   attempt_timeout_.Stop();
@@ -75,19 +91,45 @@
   const Time left = attempt_->expires_at - core::Now();
   const std::string deadline = HeaderLine("X-Deadline", Seconds(left));
   loop::Write(stream_.get(), attempt_->request_head + deadline + attempt_->request_rest);
+  if (const auto request = std::exchange(attempt_->large_request, nullptr)) {
+    loop::WriteShared(stream_.get(), request, request->body);
+  }
   attempt_->request_head = {};
   attempt_->request_rest = {};
 }
 
 void TargetConnection::MarkResponseReceived() { last_response_at_ = core::Now(); }
 
+bool TargetConnection::ParseNextChunk() {
+  const std::string_view chunk = loop::FirstInputChunk(stream_.get());
+  if (chunk.empty()) {
+    return false;
+  }
+  loop::DrainInput(stream_.get(), response_.Feed(chunk));
+  return true;
+}
+
+void TargetConnection::StartStreaming(std::shared_ptr<BodyStream> body) {
+  state_ = State::kStreaming;
+  body_ = std::move(body);
+}
+
+void TargetConnection::EndStreaming() {
+  if (const auto body = std::exchange(body_, nullptr)) {
+    body->DetachSender();
+    body->Fail();
+  }
+}
+
 void TargetConnection::Shutdown() {
   connect_timeout_.Stop();
   settle_timer_.Stop();
   attempt_timeout_.Stop();
+  hold_timer_.Stop();
   idle_timeout_.Stop();
   bufferevent_disable(stream_.get(), EV_READ | EV_WRITE);
   loop::ClearCallbacks(stream_.get());
+  EndStreaming();
 }
 
 bool TargetConnection::IsRequestSent() const {
--- a/src/http/target_connection.h
+++ b/src/http/target_connection.h
@@ -8,11 +8,14 @@
 #include <netinet/in.h>
 
 #include <cstdint>
+#include <memory>
 #include <optional>
 #include <string>
 
 #include "core/engine.h"
+#include "http/body_stream.h"
 #include "http/message_reader.h"
+#include "http/messages.h"
 #include "integrity/digest.h"
 #include "loop/attempt_key.h"
 #include "loop/stream.h"
@@ -24,11 +27,12 @@
   loop::AttemptKey key;      // request 0: a health check
   std::string request_head;  // the text before the deadline; cleared once written to the stream
   std::string request_rest;  // the text after the deadline; cleared likewise
-  Time sent_at = 0;          // when it was assigned to a connection; start of its latency
-  Time expires_at = 0;       // when it times out
-  Time not_after = 0;        // latest time to write it to the stream; 0: no limit
-  bool is_read = false;      // a client's GET
-  std::string uri;           // set for reads if digests are on
+  std::shared_ptr<const Request> large_request;  // whose body follows request_rest; null: none
+  Time sent_at = 0;                              // when it was assigned to a connection; start of its latency
+  Time expires_at = 0;                           // when it times out
+  Time not_after = 0;                            // latest time to write it to the stream; 0: no limit
+  bool is_read = false;                          // a client's GET
+  std::string uri;                               // set for reads if digests are on
   std::optional<integrity::Algorithm> wanted_digest;  // the digest that the client requests
 };
 
@@ -52,6 +56,8 @@
   // Called when the settle time of the connection's last response has passed.
   virtual void OnSettled(TargetConnection& connection) = 0;
   virtual void OnIdleTimeout(TargetConnection& connection) = 0;
+  // Called some time after HoldBody.
+  virtual void OnHoldTimeout(TargetConnection& connection) = 0;
 
  protected:
   ~TargetConnectionHandler() = default;
@@ -61,12 +67,15 @@
  public:
   // kConnecting: being established for its attempt, of which nothing is written to the stream. kSpare: being
   // established although its attempt was abandoned. kSettling: connected; its attempt waits until no late
-  // duplicate of the last response can arrive. kBusy: the attempt is written to the stream. kIdle: connected,
-  // without an attempt.
-  enum class State { kConnecting, kSpare, kSettling, kBusy, kIdle };
+  // duplicate of the last response can arrive. kBusy: the attempt is written to the stream. kStreaming:
+  // without an attempt; the rest of its response is passed on. kIdle: connected, without an attempt.
+  enum class State { kConnecting, kSpare, kSettling, kBusy, kStreaming, kIdle };
 
   TargetConnection(event_base* base, std::uint64_t number, TargetId target, loop::StreamPtr stream,
                    TargetConnectionHandler* handler);
+  ~TargetConnection();
+  TargetConnection(const TargetConnection&) = delete;
+  TargetConnection& operator=(const TargetConnection&) = delete;
 
   // Starts connecting; returns whether that succeeded.
   bool Connect(const sockaddr_in& address);
@@ -92,6 +101,20 @@
   void MarkSpare() { state_ = State::kSpare; }
   void MarkIdle() { state_ = State::kIdle; }
 
+  // Waits a short time for the end of a response without a length, before it is streamed. Only the first call
+  // for an attempt has an effect.
+  void HoldBody();
+  // Passes the body of the response on through `body` from now on.
+  void StartStreaming(std::shared_ptr<BodyStream> body);
+  // Detaches the stream, if there is one, after its end or to break it.
+  void EndStreaming();
+  const std::shared_ptr<BodyStream>& body() const { return body_; }
+  // Parses one piece of input. Returns false if there is none.
+  bool ParseNextChunk();
+  void PauseReading() { loop::PauseReading(stream_.get()); }
+  void EnableReading() { bufferevent_enable(stream_.get(), EV_READ); }
+  void ResumeReading() { loop::ResumeReading(stream_.get()); }
+
   // Parses input up to the end of the response. `keep_reading()` is called after each piece. Returns kDone if
   // the response is complete or malformed, kIncomplete if more input is needed, and kStopped if
   // `keep_reading()` returned false.
@@ -129,9 +152,12 @@
   std::optional<Attempt> attempt_;
   Time last_response_at_ = 0;  // when the last response was complete
   MessageReader response_{MessageReader::Kind::kResponse};
+  bool is_held_ = false;              // HoldBody was called for the attempt
+  std::shared_ptr<BodyStream> body_;  // set while kStreaming
   loop::EventHandle connect_timeout_;
   loop::EventHandle settle_timer_;
   loop::EventHandle attempt_timeout_;
+  loop::EventHandle hold_timer_;
   loop::EventHandle idle_timeout_;
   loop::StreamPtr stream_;
 };
@@ -139,11 +165,9 @@
 template <typename KeepReading>
 TargetConnection::ParseResult TargetConnection::ParseInput(KeepReading keep_reading) {
   while (!response_.complete() && !response_.malformed()) {
-    const std::string_view chunk = loop::FirstInputChunk(stream_.get());
-    if (chunk.empty()) {
+    if (!ParseNextChunk()) {
       return ParseResult::kIncomplete;
     }
-    loop::DrainInput(stream_.get(), response_.Feed(chunk));
     if (!keep_reading()) {
       return ParseResult::kStopped;
     }
--- a/src/http/target_pool.cpp
+++ b/src/http/target_pool.cpp
@@ -23,8 +23,20 @@
 // this number.
 constexpr std::size_t kLargeResponseMemoryDivisor = 8;
 
+// Maximum size of a response that is read completely because digests are on.
+constexpr std::size_t kMaxCheckedBodyBytes = 1 << 20;
+
+// Request bodies up to this size are copied into the text of the attempt.
+constexpr std::size_t kMaxCopiedBodyBytes = 16 << 10;
+
+// Time in which the scheduler must pass on a streamed response, us. Without it the stream has no receiver.
+constexpr Time kReceiverTimeout = 2'000'000;
+
+// Time without a byte from the target after which a streamed response counts as broken, us.
+constexpr Time kStreamSilenceTimeout = 30'000'000;
+
 // Formats the text before and after the deadline into `attempt`. A null `request` means a health check.
-void FormatRequest(const Request* request, const std::string& host, Attempt* attempt) {
+void FormatRequest(const std::shared_ptr<const Request>& request, const std::string& host, Attempt* attempt) {
   if (!request) {
     attempt->request_head = "GET /-/healthy HTTP/1.1\r\n" + HeaderLine("Host", host);
     attempt->request_rest = "\r\n";
@@ -40,7 +52,11 @@
     rest += HeaderLine("Content-Length", std::to_string(request->body.size()));
   }
   rest += "\r\n";
-  rest += request->body;
+  if (request->body.size() <= kMaxCopiedBodyBytes) {
+    rest += request->body;
+  } else {
+    attempt->large_request = request;
+  }
 }
 
 // Returns whether a time limit of the attempt has passed, so that its response could no longer be used or the
@@ -65,7 +81,7 @@
   launched.key = {attempt.request, attempt.attempt};
   launched.not_after = attempt.not_after;
   launched.expires_at = core::ExpiresAt(attempt, core::Now());
-  Launch(std::move(launched), attempt.target, static_cast<const Request*>(attempt.payload.get()));
+  Launch(std::move(launched), attempt.target, std::static_pointer_cast<const Request>(attempt.payload));
 }
 
 void TargetPool::CheckHealth(const TargetId& target) {
@@ -75,7 +91,8 @@
   Launch(std::move(check), target, nullptr);
 }
 
-void TargetPool::Launch(Attempt attempt, const TargetId& target, const Request* request) {
+void TargetPool::Launch(Attempt attempt, const TargetId& target,
+                        const std::shared_ptr<const Request>& request) {
   if (IsExpired(attempt)) {
     ReportNotSent(attempt.key, target, Outcome::kNotSent);
     return;
@@ -153,8 +170,15 @@
 
 void TargetPool::OnSettled(TargetConnection& connection) { SendOrAbort(connection); }
 
+// Also called when a streamed response has stalled, which breaks it.
 void TargetPool::OnIdleTimeout(TargetConnection& connection) { pool_.Discard(connection); }
 
+void TargetPool::OnHoldTimeout(TargetConnection& connection) {
+  if (connection.attempt() && ShouldStream(connection)) {
+    BeginStream(connection);
+  }
+}
+
 void TargetPool::OnConnectTimeout(TargetConnection& connection) {
   Abandon(connection, Outcome::kConnectFailed);
 }
@@ -162,6 +186,16 @@
 void TargetPool::OnAttemptTimeout(TargetConnection& connection) { Abandon(connection, Outcome::kTimedOut); }
 
 void TargetPool::OnClosed(TargetConnection& connection, bool is_error) {
+  if (connection.state() == State::kStreaming) {
+    while (connection.ParseNextChunk()) {
+    }
+    if (!is_error) {
+      connection.response().End();
+    }
+    PassOnBody(connection);
+    pool_.Discard(connection);
+    return;
+  }
   if (!connection.attempt()) {
     pool_.Discard(connection);
     return;
@@ -182,6 +216,14 @@
 }
 
 void TargetPool::OnReadable(TargetConnection& connection) {
+  if (!connection.HasSurplusInput()) {
+    return;  // reading was resumed, and nothing has arrived
+  }
+  if (connection.state() == State::kStreaming) {
+    connection.StartIdleTimeout(kStreamSilenceTimeout);
+    PassOnBody(connection);
+    return;
+  }
   if (!connection.attempt()) {  // the input would be taken for the response to the next request
     pool_.Discard(connection);
     return;
@@ -192,15 +234,29 @@
   }
   const MessageReader& response = connection.response();
   const auto keep_reading = [&] {
-    return response.declared_body_bytes() <= kProtocolBodyBytes || HasMemoryForResponses();
+    const std::size_t size = response.declared_body_bytes();
+    const bool is_checked = config_.digests.on && size <= kMaxCheckedBodyBytes && HasMemoryForResponses();
+    return size <= kProtocolBodyBytes || is_checked;
   };
   const TargetConnection::ParseResult result = connection.ParseInput(keep_reading);
   if (result == TargetConnection::ParseResult::kIncomplete) {
+    if (response.head_complete() && !response.declared_length() && ShouldStream(connection)) {
+      connection.HoldBody();
+    }
     return;
   }
   // A response that arrives before its request is completely sent belongs to another request. After a
   // malformed response the request may have run, and the start of the next response is unknown.
   const bool stopped = result == TargetConnection::ParseResult::kStopped;
+  if (stopped && ShouldStream(connection)) {
+    BeginStream(connection);
+    return;
+  }
+  // The outcome of an unsuccessful response does not depend on its body, which is not read.
+  if (stopped && response.head_complete() && response.code() != kStatusOk && connection.IsRequestSent()) {
+    OnResponse(connection);
+    return;
+  }
   if (stopped || response.malformed() || !connection.IsRequestSent()) {
     Fail(connection, Outcome::kConnectionReset);
     return;
@@ -235,7 +291,7 @@
     }
   }
   // Bytes after a response belong to no request.
-  const bool is_reusable = message.keeps_alive() && !connection.HasSurplusInput();
+  const bool is_reusable = message.complete() && message.keeps_alive() && !connection.HasSurplusInput();
   Report(connection, std::move(result));
   connection.MarkResponseReceived();
   if (is_reusable) {
@@ -245,6 +301,80 @@
   }
 }
 
+// Returns whether a response that was not read completely is successful, so that the rest can be passed on.
+bool TargetPool::ShouldStream(const TargetConnection& connection) const {
+  const MessageReader& response = connection.response();
+  const bool is_health_check = connection.attempt()->key.request == kHealthCheckRequest;
+  return !config_.digests.on && !is_health_check && !response.malformed() && response.code() == kStatusOk &&
+         connection.IsRequestSent();
+}
+
+// Completes the attempt with the first bytes of its response, and passes the rest on while it arrives.
+void TargetPool::BeginStream(TargetConnection& connection) {
+  const MessageReader& message = connection.response();
+  const HeaderLookup header = [&message](const char* name) { return message.Find(name); };
+  core::AttemptResult result;
+  result.outcome = Outcome::kCompleted;
+  ReadLoadHeaders(config_.settings.load_report_fields, header, &result);
+  const auto body = std::make_shared<BodyStream>(message.declared_length());
+  body->SetSender([this, &connection] { ResumeStream(connection); },
+                  [this, &connection] { pool_.Discard(connection); });
+  connection.StartStreaming(body);
+  connection.StartIdleTimeout(kReceiverTimeout);
+  auto response = std::make_shared<Response>();
+  response->stream = body;
+  result.payload = std::move(response);
+  Report(connection, std::move(result));
+  PassOnBody(connection);
+}
+
+// Passes on what has arrived of a streamed body until the stream is full or the body is complete.
+void TargetPool::PassOnBody(TargetConnection& connection) {
+  const std::shared_ptr<BodyStream> body = connection.body();
+  while (true) {
+    body->Append(connection.response().TakeBody());
+    if (connection.body() == nullptr) {
+      return;  // the receiver has gone
+    }
+    if (connection.response().complete()) {
+      FinishStream(connection);
+      return;
+    }
+    if (connection.response().malformed()) {
+      pool_.Discard(connection);
+      return;
+    }
+    if (body->is_full()) {
+      connection.PauseReading();
+      if (body->has_receiver()) {
+        connection.StopIdleTimeout();  // the receiver has a timeout of its own
+      }
+      return;
+    }
+    if (!connection.ParseNextChunk()) {
+      return;
+    }
+  }
+}
+
+void TargetPool::ResumeStream(TargetConnection& connection) {
+  connection.StartIdleTimeout(kStreamSilenceTimeout);
+  connection.ResumeReading();
+}
+
+void TargetPool::FinishStream(TargetConnection& connection) {
+  connection.body()->Finish();
+  connection.EndStreaming();
+  connection.StopIdleTimeout();
+  connection.MarkResponseReceived();
+  if (connection.response().keeps_alive() && !connection.HasSurplusInput()) {
+    connection.EnableReading();
+    pool_.Return(connection);
+  } else {
+    pool_.Discard(connection);
+  }
+}
+
 // Verifies the digests of a response and takes its body. Returns null if the content is corrupted.
 std::shared_ptr<const Response> TargetPool::TakeResponse(TargetConnection& connection) const {
   MessageReader& message = connection.response();
--- a/src/http/target_pool.h
+++ b/src/http/target_pool.h
@@ -65,13 +65,20 @@
   void OnAttemptTimeout(TargetConnection& connection) override;
   void OnSettled(TargetConnection& connection) override;
   void OnIdleTimeout(TargetConnection& connection) override;
+  void OnHoldTimeout(TargetConnection& connection) override;
 
-  void Launch(Attempt attempt, const TargetId& target, const Request* request);
+  // `request`: null for a health check.
+  void Launch(Attempt attempt, const TargetId& target, const std::shared_ptr<const Request>& request);
   void SendOrAbort(TargetConnection& connection);
   void MoveToNewConnection(TargetConnection& from);
   void Abandon(TargetConnection& connection, Outcome outcome);
   void Fail(TargetConnection& connection, Outcome outcome);
   void OnResponse(TargetConnection& connection);
+  bool ShouldStream(const TargetConnection& connection) const;
+  void BeginStream(TargetConnection& connection);
+  void PassOnBody(TargetConnection& connection);
+  void FinishStream(TargetConnection& connection);
+  void ResumeStream(TargetConnection& connection);
   std::shared_ptr<const Response> TakeResponse(TargetConnection& connection) const;
   void OnCorruptedResponse(TargetConnection& connection);
   void ReportNotSent(const loop::AttemptKey& key, const TargetId& target, Outcome outcome);
--- a/src/lab/sim/baseline_policy.h
+++ b/src/lab/sim/baseline_policy.h
@@ -57,6 +57,7 @@
   void On(const HealthCheckFinished&) {}
   void On(const FleetSize&) {}
   void On(const ResponseStarted&) {}
+  void On(const SettingsChanged&) {}
 
   // Retries, rejects or fails the request of a finished attempt, unless the request has a response.
   void Resolve(const AttemptFinished& event);
--- a/src/limits/recent_ids.h
+++ b/src/limits/recent_ids.h
@@ -12,18 +12,18 @@
 
 namespace walnutspur::limits {
 
+// Maximum number of ids: several times the targets of a large pool.
+constexpr std::size_t kMaxRecentIds = 1024;
+
 class RecentIds {
  public:
-  // Maximum number of ids: several times the targets of a large pool.
-  static constexpr std::size_t kMaxIds = 1024;
-
   // Adds an id; an id that is contained keeps its place.
   void Add(const std::string& id) {
     if (!ids_.insert(id).second) {
       return;
     }
     order_.push_back(id);
-    if (order_.size() > kMaxIds) {
+    if (order_.size() > kMaxRecentIds) {
       ids_.erase(order_.front());
       order_.pop_front();
     }
--- a/src/log/event_kinds.h
+++ b/src/log/event_kinds.h
@@ -13,6 +13,7 @@
 
 // The process.
 constexpr std::string_view kConfigurationRejected = "configuration_rejected";
+constexpr std::string_view kConfigurationReloaded = "configuration_reloaded";
 constexpr std::string_view kControlSocketFailed = "control_socket_failed";
 constexpr std::string_view kClientsHandedOver = "clients_handed_over";
 constexpr std::string_view kHandoverFailed = "handover_failed";
@@ -43,12 +44,12 @@
 constexpr std::string_view kFleetNameRejected = "fleet_name_rejected";
 
 inline constexpr std::array kAllEventKinds = {
-    kConfigurationRejected, kControlSocketFailed, kDiscoveryWatchEnded,     kEndpointListReceived,
-    kEndpointListRejected,  kRequestCorrupted,    kResponseCorrupted,       kCorruptionAttributed,
-    kCorruptionLogRejected, kDirectoryWritable,   kDirectoryWriteFailed,    kExportAttachFailed,
-    kScrubRestarted,        kTargetRejected,      kFleetConvergenceChanged, kFleetMemberChanged,
-    kFleetNameRejected,     kClientsHandedOver,   kHandoverFailed,          kHandoverListRejected,
-    kProcessCountChanged};
+    kConfigurationRejected, kControlSocketFailed,   kDiscoveryWatchEnded,     kEndpointListReceived,
+    kEndpointListRejected,  kRequestCorrupted,      kResponseCorrupted,       kCorruptionAttributed,
+    kCorruptionLogRejected, kDirectoryWritable,     kDirectoryWriteFailed,    kExportAttachFailed,
+    kScrubRestarted,        kTargetRejected,        kFleetConvergenceChanged, kFleetMemberChanged,
+    kFleetNameRejected,     kConfigurationReloaded, kClientsHandedOver,       kHandoverFailed,
+    kHandoverListRejected,  kProcessCountChanged};
 
 }  // namespace walnutspur::log
 
--- a/src/loop/stream.cpp
+++ b/src/loop/stream.cpp
@@ -6,6 +6,7 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <utility>
 
 namespace walnutspur::loop {
 
@@ -35,6 +36,29 @@
   bufferevent_write(stream, bytes.data(), bytes.size());
 }
 
+void WriteShared(bufferevent* stream, std::shared_ptr<const void> owner, std::string_view bytes) {
+  auto* held = new std::shared_ptr<const void>(std::move(owner));
+  const int result = evbuffer_add_reference(
+      bufferevent_get_output(stream), bytes.data(), bytes.size(),
+      [](const void*, std::size_t, void* arg) { delete static_cast<std::shared_ptr<const void>*>(arg); },
+      held);
+  if (result != 0) {
+    delete held;
+  }
+}
+
+void PauseReading(bufferevent* stream) { bufferevent_disable(stream, EV_READ); }
+
+void ResumeReading(bufferevent* stream) {
+  bufferevent_enable(stream, EV_READ);
+  bufferevent_trigger(stream, EV_READ, BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
+}
+
+void ResetOnClose(bufferevent* stream) {
+  const linger reset{1, 0};
+  setsockopt(bufferevent_getfd(stream), SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
+}
+
 std::string TakeInput(bufferevent* stream) {
   evbuffer* input = bufferevent_get_input(stream);
   std::string bytes(evbuffer_get_length(input), '\0');
--- a/src/loop/stream.h
+++ b/src/loop/stream.h
@@ -34,6 +34,16 @@
 
 void Write(bufferevent* stream, std::string_view bytes);
 
+// Writes bytes without copying them; `owner` keeps them unchanged until they are sent.
+void WriteShared(bufferevent* stream, std::shared_ptr<const void> owner, std::string_view bytes);
+
+// Stops reading, and starts it again; the read callback is then called even if no new bytes arrive.
+void PauseReading(bufferevent* stream);
+void ResumeReading(bufferevent* stream);
+
+// Makes the close of the connection a reset, so that the peer cannot take it for the end of a message.
+void ResetOnClose(bufferevent* stream);
+
 // Removes all bytes from the stream's input buffer and returns them.
 std::string TakeInput(bufferevent* stream);
 
--- a/src/management/server.cpp
+++ b/src/management/server.cpp
@@ -139,7 +139,8 @@
           FormatError("the call is too long; allowed: at most " + std::to_string(kMaxCallBytes) + " bytes"));
     return;
   }
-  const auto parsed = ParseCall(std::string_view(input).substr(0, end));
+  const std::string_view received = input;
+  const auto parsed = ParseCall(received.substr(0, end));
   if (const auto* error = std::get_if<CallError>(&parsed)) {
     Reply(id, FormatError(error->message));
     return;
--- a/src/upgrade/process_link.cpp
+++ b/src/upgrade/process_link.cpp
@@ -212,7 +212,8 @@
   peer.input += loop::TakeInput(peer.stream.get());
   std::vector<HandoverMessage> messages;
   for (std::size_t end = peer.input.find('\n'); end != std::string::npos; end = peer.input.find('\n')) {
-    if (const auto message = ParseMessage(std::string_view(peer.input).substr(0, end))) {
+    const std::string_view received = peer.input;
+    if (const auto message = ParseMessage(received.substr(0, end))) {
       messages.push_back(*message);
     }
     peer.input.erase(0, end + 1);
--- a/tests/net/engine_test.cpp
+++ b/tests/net/engine_test.cpp
@@ -244,5 +244,68 @@
   CHECK(queue.Wait().empty());
 }
 
+TEST_CASE("Engine: changed settings bind new requests, and a request under way keeps its class") {
+  EngineFixture fixture(Idempotency::kIdempotent);
+  fixture.ReceiveRequest(1);
+  Settings settings = OneClass(Idempotency::kIdempotent);
+  RequestClass unsafe = settings.classes.front();
+  unsafe.idempotency = Idempotency::kNotIdempotent;
+  settings.classes.push_back(unsafe);
+  fixture.Handle(core::SettingsChanged{settings});
+  core::RequestReceived arrived;
+  arrived.request = 2;
+  arrived.attributes.shard = 0;
+  arrived.attributes.request_class = 1;
+  arrived.deadline = fixture.now + 600 * kMs;
+  fixture.Handle(arrived);
+  CHECK(fixture.OutputsOf<core::StartAttempt>().size() == 2);
+  // The first request is still idempotent and is retried; the second one is not.
+  fixture.FinishAttempt(0, Outcome::kErrored, 1);
+  fixture.FinishAttempt(0, Outcome::kErrored, 2);
+  fixture.Handle(core::TimerExpired{0});
+  std::size_t attempts_of_second = 0;
+  for (const core::StartAttempt& attempt : fixture.OutputsOf<core::StartAttempt>()) {
+    attempts_of_second += attempt.request == 2 ? 1 : 0;
+  }
+  CHECK(attempts_of_second == 1);
+  CHECK(fixture.OutputsOf<core::StartAttempt>().size() == 3);
+}
+
+TEST_CASE("Engine: fewer attempts bind the retries yet to come") {
+  EngineFixture fixture(Idempotency::kIdempotent);
+  fixture.ReceiveRequest(1);
+  Settings settings = OneClass(Idempotency::kIdempotent);
+  settings.max_attempts = 1;
+  fixture.Handle(core::SettingsChanged{settings});
+  fixture.FinishAttempt(0, Outcome::kErrored, 1);
+  fixture.Handle(core::TimerExpired{0});
+  CHECK(fixture.OutputsOf<core::StartAttempt>().size() == 1);
+  CHECK(fixture.OutputsOf<core::Response>().size() == 1);
+}
+
+TEST_CASE("Engine: a read goes to the shard at which this instance stored the object") {
+  EngineFixture fixture(Idempotency::kIdempotent);
+  Endpoint other;
+  other.target = "u";
+  other.shard = 1;
+  fixture.Handle(core::EndpointsUpdated{{EndpointUpdateKind::kDelta, {other}}});
+  core::RequestReceived written;
+  written.request = 1;
+  written.attributes.shard = -1;
+  written.attributes.volume = "v";
+  written.attributes.key = "k";
+  written.deadline = fixture.now + 600 * kMs;
+  fixture.Handle(written);
+  REQUIRE(fixture.OutputsOf<core::StartAttempt>().size() == 1);
+  const TargetId stored_at = fixture.OutputsOf<core::StartAttempt>().front().target;
+  fixture.FinishAttempt(0, Outcome::kCompleted, 1);
+  core::RequestReceived read = written;
+  read.request = 2;
+  read.attributes.shard = stored_at == "t" ? 1 : 0;  // the shard that does not hold it
+  fixture.Handle(read);
+  REQUIRE(fixture.OutputsOf<core::StartAttempt>().size() == 2);
+  CHECK(fixture.OutputsOf<core::StartAttempt>().back().target == stored_at);
+}
+
 }  // namespace
 }  // namespace walnutspur::test
