--- a/src/http/response_text.cpp
+++ b/src/http/response_text.cpp
@@ -72,7 +72,7 @@
 std::string FormatChunk(std::string_view bytes) {
   std::array<char, kMaxChunkSizeDigits> digits{};
   const char* const end = std::to_chars(digits.data(), digits.data() + digits.size(), bytes.size(), 16).ptr;
-  std::string chunk(digits.data(), end);
+  std::string chunk(digits.data(), static_cast<std::size_t>(end - digits.data()));
   chunk += "\r\n";
   chunk += bytes;
   chunk += "\r\n";
