--- a/Makefile
+++ b/Makefile
@@ -15,7 +15,7 @@
 test:
 	cmake -B build-test -DWALNUTSPUR_TESTS=ON -DWALNUTSPUR_WERROR=ON
 	cmake --build build-test -j $(JOBS)
-	$(CTEST) --test-dir build-test
+	$(CTEST) --test-dir build-test -j2  # most of them wait for timers
 	@if [ -s KNOWN-RED.txt ]; then echo "known to fail, passed over:"; cat KNOWN-RED.txt; fi
 
 sanitize-build:
--- a/tests/faults/upgrade_test.cpp
+++ b/tests/faults/upgrade_test.cpp
@@ -32,9 +32,9 @@
   return options;
 }
 
-// Returns the options for a test that kills a process while another one serves the same address. A client cannot
-// tell a killed process from one that closes an idle connection, so it sends a request once more, which may have
-// run. Such requests are all idempotent here.
+// Returns the options for a test that kills a process while another one serves the same address. A client
+// cannot tell a killed process from one that closes an idle connection, so it sends a request once more,
+// which may have run. Such requests are all idempotent here.
 TestEnvironmentOptions KillableOptions() {
   TestEnvironmentOptions options = ReplaceableOptions();
   options.load.write_fraction = 0;
