--- a/src/app/handover.cpp
+++ b/src/app/handover.cpp
@@ -53,8 +53,21 @@
   }
   log::Event(log::Level::kInfo, log::kProcessCountChanged, {{"processes", std::to_string(processes())}});
   hooks_.on_process_count();
-  if (link_.successors() == 0 && std::exchange(has_handed_over_, false)) {
+  const bool has_successor = link_.successors() > 0;
+  if (std::exchange(had_successor_, has_successor) && !has_successor) {
+    OnSuccessorEnded();
+  }
+}
+
+void Handover::OnSuccessorEnded() {
+  Listen();
+  if (!std::exchange(has_handed_over_, false)) {
+    return;
+  }
+  try {
     hooks_.take_clients_back();
+  } catch (const loop::ListenError& error) {
+    log::Event(log::Level::kError, log::kHandoverFailed, {{"error", error.what()}});
   }
 }
 
--- a/src/app/handover.h
+++ b/src/app/handover.h
@@ -30,7 +30,8 @@
 
   // Joins the running process, if there is one, and returns the state that it passes on. Blocks briefly.
   std::optional<upgrade::ProcessState> Join() { return link_.Join(); }
-  // Waits for the next process. A failure is logged: then none can replace this one.
+  // Waits for the next process, also after one has ended. A failure is logged: then none can replace this
+  // one.
   void Listen();
   // Tells the process that was joined that this one serves clients; only the first call has an effect.
   void AnnounceReady();
@@ -43,11 +44,14 @@
  private:
   void OnMessage(const upgrade::HandoverMessage& message, bool from_successor);
   void OnChange();
+  // Serves alone again after the next process has ended, which may have taken over the socket's path.
+  void OnSuccessorEnded();
 
   Hooks hooks_;
   bool is_listening_ = false;
   bool is_announced_ = false;
   bool has_handed_over_ = false;
+  bool had_successor_ = false;
   upgrade::ProcessLink link_;
 };
 
--- a/src/app/initiator.cpp
+++ b/src/app/initiator.cpp
@@ -335,7 +335,7 @@
 // Joins the process that serves the same address, if there is one, and starts from its state.
 void Initiator::JoinRunningProcess() {
   const auto folder = SharedFolder();
-  if (!folder) {
+  if (!folder || config_.listen.port == 0) {
     return;
   }
   Handover::Hooks hooks;
--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -264,7 +264,12 @@
   } else if (!shutdown_.is_scheduled()) {
     idle_timeout_.Start(requests_read_ > 1 ? kIdleTimeout : kIdleTimeoutAfterFirstRequest);
   }
-  write_timeout_.Start(kWriteTimeout);
+  // All bytes of a streamed body may have been written before its end was known.
+  if (loop::UnwrittenBytes(stream_.get()) > 0) {
+    write_timeout_.Start(kWriteTimeout);
+  } else if (closing_) {
+    loop::ShutdownWrites(stream_.get());
+  }
 }
 
 void ClientConnection::Reject(const Rejection& rejection) {
--- a/src/http/front_end.h
+++ b/src/http/front_end.h
@@ -59,7 +59,7 @@
   // Leaves new connections to another process that listens at the same address, and closes each connection
   // with its next response.
   void HandOver();
-  // Accepts connections again after HandOver.
+  // Accepts connections again after HandOver. Throws loop::ListenError.
   void TakeBack();
 
  private:
--- a/tests/faults/upgrade_test.cpp
+++ b/tests/faults/upgrade_test.cpp
@@ -128,6 +128,31 @@
   CHECK(DescribeFirst(lab::soak::FindViolations(environment.record(), {})) == "");
 }
 
+TEST_CASE("upgrade: after a second process was killed, a third one replaces the first one with its cordons") {
+  TestEnvironment environment(KillableOptions());
+  environment.StartAll();
+  environment.StartAllClients();
+  environment.RunFor(kSecond / 2);
+  environment.StartSuccessor(0);
+  environment.RunFor(kSecond / 2);
+  environment.KillSuccessor(0);
+  environment.RunFor(kSecond / 2);
+  CHECK(environment.Call(0, "cordon t0") == "done target t0 is cordoned");
+  const Time cordoned_at = core::Now();
+  environment.StartSuccessor(0);
+  environment.RunFor(kSecond / 2);
+  CHECK(environment.CallSuccessor(0, "health") == "done serving");
+  environment.SwitchToSuccessor(0, SIGTERM);
+  environment.RunFor(3 * kSecond);
+  const Time ended_at = core::Now();
+  CHECK(environment.PredecessorExitCode(0, kExitTimeoutMs) == 0);
+  StopClients(environment);
+  const Time grace = 20'000;  // us: attempts that were on their way
+  CHECK(CountArrivals(environment.record(), "t0", cordoned_at + grace, ended_at) == 0);
+  CHECK(CountArrivals(environment.record(), "t2", cordoned_at + grace, ended_at) > 0);
+  CHECK(DescribeFirst(lab::soak::FindViolations(environment.record(), {})) == "");
+}
+
 TEST_CASE("upgrade: if the first process is killed, the second one goes on with the cordons") {
   TestEnvironment environment(KillableOptions());
   environment.StartAll();
--- a/tests/net/streaming_test.cpp
+++ b/tests/net/streaming_test.cpp
@@ -99,6 +99,30 @@
   CHECK(BodyOf(client) == "firstlast");
 }
 
+TEST_CASE("streaming: a connection whose body was written before its end was known stays usable for longer") {
+  ScenarioRunner runner(Protocol::kHttp);
+  Socket client = Socket::Connect(runner.http_port());
+  REQUIRE(client.Send(kRead));
+  runner.Play("target a expect read\n" +
+              SendStep("HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n5\\r\\nfirst\\r\\n"));
+  REQUIRE(ReceiveUntil(client, "first"));
+  runner.Play(SendStep("0\\r\\n\\r\\n"));
+  REQUIRE(ReceiveUntil(client, "0\r\n\r\n"));
+  client.received.clear();
+  REQUIRE(client.Send(kRead));
+  runner.Play("target a expect read\n target a send ok");
+  REQUIRE(ReceiveUntil(client, "stored"));
+  // The end of a body without framing follows the target's end at once.
+  Socket old = Socket::Connect(runner.http_port());
+  REQUIRE(old.Send("GET " + kObjectPath + " HTTP/1.0\r\n" + kFields + "X-Class: read\r\n\r\n"));
+  runner.Play("target a expect read\n" + SendStep("HTTP/1.1 200 OK\\r\\n\\r\\nfirst"));
+  REQUIRE(ReceiveUntil(old, "first"));
+  const Time before = core::Now();
+  runner.Play("target a close");
+  ReceiveAll(old);
+  CHECK(core::Now() - before < 300'000);
+}
+
 TEST_CASE("streaming: a response that breaks in the middle is cut off at the client and not retried") {
   for (const char* close : {"target a close", "target a close reset"}) {
     CAPTURE(close);
